--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// One cell: a slice of a data centre's workers and the jobs that run there.
-/// While this process holds the cell's lead key, it accepts jobs, gives orders
-/// to the cell's workers and records what must last; otherwise it stands by.
+/// The leader of one cell: a subset of the workers and the jobs that run on
+/// them. While this process holds the cell's lead key, it accepts jobs, sends
+/// orders to the cell's workers and records durable state in the store.
+/// Otherwise it is on standby.
 
 #ifndef DOORWOOD_CELL_LEADER_H_
 #define DOORWOOD_CELL_LEADER_H_
@@ -45,28 +46,46 @@
 
 std::string_view ToString(JobPhase state);
 
-/// What a leader tells about its cell.
+/// Summary of a cell that its leader reports to other instances.
 struct CellSummary {
   std::string cell;
   int64_t epoch = 0;
-  /// Jobs none of whose tasks has begun, by queue.
+  /// Number of jobs of which no task has started yet, by queue.
   std::map<std::string, int> pending;
-  /// Work that waits, in core-seconds, and processors in the cell.
+  /// Estimated work of tasks that are not done, without long-running tasks, in
+  /// core-seconds; and processors of the listed workers.
   double waiting_work = 0;
   double cores = 0;
 };
 
+/// Leads one cell while this process holds the cell's lead key in the store.
+///
+/// An instance is on standby until the lead is vacant and its turn to campaign
+/// has come. The store revision at which it writes the lead key is its epoch,
+/// which is also the fencing token of its orders: a worker refuses orders with
+/// a lower token than the highest it has seen. Before it leads, the instance
+/// reads the records of earlier leaders.
+///
+/// Runs that earlier leaders ordered may still be active on workers that this
+/// leader has not yet contacted. A task that may be among them is held back
+/// until those workers have answered or their leases have surely expired.
+///
+/// Orders are sent, and leases are extended, only for a bounded time after the
+/// lead key was last confirmed. A leader that is paused or loses the store
+/// therefore stops before a successor starts its tasks again.
 class CellLeader : public WorkerSessionListener,
                    public JournalOwner,
                    public LeadProofListener,
                    public WaveHost {
  public:
   using SubmitCallback = CellJournal::AcceptCallback;
-  /// CoreErrc::kNotFound: no such job here.
+  /// Errors: CoreErrc::kNotFound if the cell has no such job, kNoOwner if this
+  /// instance does not lead, kOutcomeUnknown if the cancellation was not
+  /// recorded in time.
   using CancelCallback = std::function<void(std::error_code)>;
 
-  /// `adviser` may be null; then queues that need advice start nothing.
-  /// `machines` may be null; then no machine is taken down for upkeep.
+  /// `adviser` may be null: queues that need advice then start nothing.
+  /// `machines` may be null: no machine is then taken down for upkeep.
   CellLeader(Executor& executor,
              RecordStore& store,
              WorkerDirectory& directory,
@@ -80,33 +99,36 @@
   ~CellLeader() override;
 
   void Start();
-  /// Records what is open, gives the lead up, then runs `done`.
+  /// Planned shutdown: records pending changes, releases the lead, then runs
+  /// `done`.
   void Leave(std::function<void()> done);
 
   void OnQueueTable(std::shared_ptr<const QueueTable> table);
-  /// Instances, leads or the own lease changed.
+  /// Called when instances, leads or the lease of this instance have changed.
   void OnLiveChange();
-  /// The leader of that epoch has given the lead up, but can't remove its key.
+  /// Called when the leader of that epoch has stepped down but cannot remove
+  /// its key from the store. Removes the key in its place.
   void OnHandedOver(int64_t epoch);
 
   bool leading() const { return stage_ == Stage::kLeading; }
-  /// How long ago this instance heard the store: asked by a leader that does
-  /// not hear it and goes on only while nobody can follow it. Nothing: this
-  /// instance does not hear the store, but leads or tries to, so it must not be
-  /// taken for one that can't.
+  /// Time since the store last answered this instance. A leader that cannot
+  /// reach the store asks for this, since it may continue only while no other
+  /// instance can take over. Empty if this instance cannot reach the store but
+  /// leads or campaigns, so that it is not counted as unable to lead.
   std::optional<Millis> StoreHeardAgo(Instant now) const;
-  /// Agrees that a leader which does not hear the store starts lasting work
-  /// without recording where; false: this instance hears the store, leads or
-  /// tries to.
+  /// Agrees that a leader which cannot reach the store starts long-running
+  /// tasks without recording their placement. Returns false if this instance
+  /// can reach the store, leads or campaigns.
   bool AgreeToUnrecordedStarts();
   int64_t epoch() const { return epoch_; }
   const std::string& cell() const { return options_.cell; }
 
   void Submit(JobPlan plan, SubmitCallback done);
-  /// Stops a job; `done` runs once that is recorded.
+  /// Cancels a job and stops its runs. `done` runs once the cancellation is
+  /// recorded.
   void Cancel(const std::string& job, CancelCallback done);
   std::optional<JobPhase> Find(const std::string& job) const;
-  /// As of the last tick that renewed it.
+  /// The summary as of its last periodic update.
   const CellSummary& Summary() const { return summary_; }
   const CellCounters& counters() const { return counters_; }
   const CellJournal& journal() const { return journal_; }
@@ -150,61 +172,70 @@
 
  private:
   enum class Stage { kStandby, kCampaigning, kReading, kLeading, kLeft };
-  /// In no version of its session.
+  /// Value of `Member::noted_version` that matches no version of a session.
   static constexpr uint64_t kNeverNoted = std::numeric_limits<uint64_t>::max();
 
+  /// The leader's state for one worker of the cell.
   struct Member {
     std::shared_ptr<WorkerSession> session;
-    /// As it was last given to the journal for the workers' key; no address: in
-    /// none yet.
+    /// The worker's record as last passed to the journal for the workers' key.
+    /// An empty address: not passed yet.
     KnownWorker noted;
-    /// Its address in the workers' key, as the store has it; nothing: the key
-    /// doesn't name it.
+    /// The worker's address under the workers' key in the store. Empty: the key
+    /// does not name the worker.
     std::optional<std::string> recorded_at;
-    /// The directory lists it; if not, since when.
+    /// Whether the directory lists the worker, and since when it does not.
     bool listed = false;
     Instant unlisted_since{};
-    /// Its entry is another writer's: nothing new goes there, and what runs
-    /// there goes on.
+    /// The directory entry is unreadable or contradicts this incarnation, so
+    /// another process wrote it. The worker gets no new work; its runs
+    /// continue.
     bool doubted = false;
-    /// Emptied for its machine's upkeep until then; renewed while that goes on.
+    /// Closed to new work until then, because its machine is being emptied for
+    /// upkeep. Extended while that continues.
     Instant emptied_until{};
-    /// A successor has to account for what runs there before it starts
-    /// anything that may run there.
+    /// Known from the record of an earlier leader. Its runs have to be
+    /// accounted for before any task is started that may still run there.
     bool from_takeover = false;
-    /// How long earlier leaders had waited for it unheard.
+    /// Time that earlier leaders already waited for the worker without contact.
     Millis unheard_before{0};
-    /// All that may run there by the record of an earlier leader; nothing: any
-    /// task may.
+    /// Tasks that may run there according to an earlier leader's record. Empty
+    /// optional: any task may.
     std::optional<std::vector<std::string>> tasks_before;
-    /// The record may say that it is unheard: nothing is prolonged there before
-    /// it says otherwise, since a successor counts on that.
+    /// The record in the store may state that the worker is not in contact. No
+    /// lease is extended there until a newer record states otherwise, because a
+    /// successor relies on it.
     bool told_unheard = false;
-    /// In `noted` it was one that gets nothing new, and what may run there was
-    /// as of that version of the session.
+    /// Whether the worker got no new work when `noted` was passed to the
+    /// journal, and the session's version of its task list at that time.
     bool noted_closed = false;
     uint64_t noted_version = kNeverNoted;
-    /// The record may name all that runs there: nothing is started there before
-    /// it says otherwise, since a successor counts on that.
+    /// The record in the store may list all tasks that may run there. Nothing
+    /// is started there until a newer record has no such list, because a
+    /// successor relies on it.
     bool told_tasks = false;
-    /// It proved to be over, and crashes noted untold there were confirmed.
+    /// The incarnation is proven to have ended, and the unconfirmed crash notes
+    /// for it have been confirmed.
     bool death_noted = false;
-    /// It is heard, and that is about to be recorded.
+    /// The worker is in contact again, and a record that says so is pending.
     bool heard_recorded = false;
-    /// After a refusal it gets nothing new until then.
+    /// Gets no new work until then, after it refused a start.
     Instant rests_until{};
-    /// What placement was told last, of which version and when.
+    /// Free capacity as last computed for placement, the session's version it
+    /// was computed from, and when.
     WorkerRoom room;
     uint64_t room_version = 0;
     Instant room_at{};
   };
-  /// The task's name, and what is noted.
+  /// Name of a task, and the note of a crash under it.
   using CrashOfRun = std::pair<std::string, CrashNote>;
+  /// A caller that waits for a cancellation to be recorded.
   struct CancelWait {
     CancelCallback done;
     Instant until{};
   };
-  /// Steps with tasks to start, most urgent first.
+  /// A step with tasks that are ready to start. Lists of these are sorted by
+  /// urgency, most urgent first.
   struct ReadyStep {
     StepRank rank;
     Job* job = nullptr;
@@ -212,27 +243,30 @@
     int step = 0;
   };
 
-  // cell_campaign.cpp: becoming the leader; cell_leader.cpp: leading and giving
-  // it up; cell_members.cpp: its workers; cell_calls.cpp: callers
+  // cell_campaign.cpp: becoming the leader; cell_leader.cpp: leading and
+  // stepping down; cell_members.cpp: the cell's workers; cell_calls.cpp: client
+  // requests.
   void ScheduleCampaign();
   void Campaign();
-  /// When this instance may try for the lead that nobody has.
+  /// Earliest time at which this instance may campaign for a vacant lead.
   Instant CampaignTurn() const;
   bool MayCampaign() const;
   bool IsOfCell(std::string_view data_centre) const;
   void OnWon(int64_t epoch);
   void ReadRecords();
   void Restore(const StoreItems& items);
-  /// Returns how many are open.
+  /// Returns the number of open jobs.
   int RestoreJobs(const StoreItems& items);
-  /// `newest`: the chain key of the newest batch; null: there is none.
+  /// Returns the chain keys by lane. Sets `newest` to the chain key of the
+  /// newest batch, or to null if there is none.
   std::map<size_t, ChainLink> ReadChains(const StoreItems& items,
                                          const StoreItem** newest) const;
   std::vector<KnownWorker> ReadKnownWorkers(const StoreItems& items) const;
-  /// How long ago the store held that record at the least.
+  /// Lower bound on the age of a record that was written at `revision`.
   Millis AgeOfRecord(int64_t revision) const;
   void StepDown(std::string_view reason);
-  /// Starts nothing more and takes no calls: it hands over.
+  /// In the last phase of a planned shutdown: no task is started and no call is
+  /// taken.
   bool IsHandingOver() const;
   void GiveUpKey();
   void Resign(const LiveInstance& successor);
@@ -240,55 +274,60 @@
   void ReadClosed();
   void OnClosed(std::set<std::string> closed);
   bool IsClosed(const Member& member) const;
-  /// Every worker of the queue's service is in a closed data centre.
+  /// Whether the queue's service has workers, all of them in closed data
+  /// centres.
   bool IsClosedEverywhere(const std::string& queue) const;
   void OnWorkers(std::vector<WorkerLife> lives);
-  /// Takes over what a known worker's entry says, if it may be its own.
+  /// Applies a directory entry to a known worker, unless the entry is
+  /// unreadable or contradicts what is known of this incarnation.
   void TakeEntry(const WorkerLife& life, Member* member);
-  /// A worker that is not known yet may be taken in.
+  /// Whether a worker that is not known yet may be added to the cell.
   bool MayJoin(const WorkerLife& life);
   bool IsNamedService(const std::string& service) const;
-  /// Drops from `over_` what is no longer listed.
+  /// Removes from `over_` what is no longer listed.
   void ForgetOver(const std::vector<WorkerLife>& lives);
   void NoteUnlisted();
   void AddMember(const WorkerLife& life, bool from_takeover);
   void DropMembers();
-  // cell_member_records.cpp: what is recorded of workers
-  /// The workers' key names the worker as it is called, so it may be given
-  /// work.
+  // cell_member_records.cpp: records of workers for a successor.
+  /// Whether the workers' key in the store has the worker with its current
+  /// address. Required before the worker gets any work.
   static bool IsRecorded(const Member& member);
-  /// Nothing of this leader has reached it, nor will before it is heard.
+  /// Not yet contacted: during a takeover, a worker of an earlier leader that
+  /// has not answered this one. This leader has extended no lease there.
   bool IsUnheard(const Member& member) const;
-  /// It was heard, and has been silent for most of its runs' lease.
+  /// Unresponsive, after it was in contact, for most of its runs' lease.
   bool IsLongSilent(const Member& member) const;
-  /// For how long nobody has prolonged anything there; zero: it is heard.
+  /// How long no leader has extended a lease there; zero: in contact.
   Millis UnheardFor(const Member& member) const;
   Millis LedFor() const;
   void RecordUnheard();
   std::vector<KnownWorker> DescribeMembers() const;
   void RecordMembers();
-  /// All that may run there, or has ended there unrecorded; nothing: any task
-  /// may run there, or will be started there.
+  /// Tasks that may run there, or whose end there is not recorded. Empty
+  /// optional: any task may run there or be started there.
   std::optional<std::vector<std::string>> TasksToRecord(
       const Member& member) const;
-  /// It leaves, has left, was never heard, or has been silent for a while. One
-  /// that has left goes on getting nothing until it is listed again. Not of one
-  /// that is unheard since a takeover.
+  /// Whether the worker gets no new work: it is leaving, has left, was never in
+  /// contact or is unresponsive for long. One that has left stays closed until
+  /// it is listed again. Not meant for workers that are not yet contacted after
+  /// a takeover.
   bool GetsNothingNew(const Member& member) const;
   bool HasNewsToRecord(const Member& member) const;
-  /// Records what has changed of workers that get nothing new.
+  /// Records changed task lists of workers that get no new work.
   void RecordTasks();
-  /// Until when orders may be given and leases prolonged.
+  /// Time until which orders may be sent and leases extended.
   Instant OrdersUntil() const;
-  /// Moves `orders_until_` on, with the key or with other instances' word that
-  /// nobody can lead. That word counts only until that moment: once it has
-  /// passed, somebody may have led, and only the key tells.
+  /// Extends `orders_until_` by what is known of the lead key, or by the other
+  /// instances' answers that none of them can lead. Those answers count only
+  /// before the current deadline. Once it has passed, another instance may have
+  /// led, and only the lead key proves the lead.
   void RenewOrders();
   bool MayOrder() const;
-  /// The key was seen to stand lately.
+  /// Whether the lead key was confirmed within `CellOptions::sure_for`.
   bool IsSure() const;
-  /// Tells the worker's session until when it may prolong leases, and until
-  /// when this instance surely led.
+  /// Sets until when the worker's session may extend leases, and until when
+  /// this instance provably led.
   void TellSession(const Member& member, Instant orders_until) const;
   Millis WatchingWait() const;
   void Tick();
@@ -297,23 +336,27 @@
   bool HasRoomToLast(const JobPlan& plan);
   CellSummary Summarize() const;
   LastingRoom& LastingRoomOf(const std::string& service);
-  /// What other work asks of each service beside lasting work.
+  /// Updates the model of each service's capacity for long-running tasks with
+  /// the current load of other work.
   void ObserveLoads();
 
-  // cell_takeover.cpp: what earlier leaders may have left running
+  // cell_takeover.cpp: runs that earlier leaders may have left active.
   void CheckTakeover();
-  /// Lets tasks go that no worker which is waited for may run.
+  /// Releases tasks that cannot be active on any worker that is still waited
+  /// for.
   void ReleaseTasks();
-  /// For how long after the last order of an earlier leader a run may go on.
+  /// Longest time that a run may continue after an earlier leader's last order.
   Millis LongestPromise() const;
-  /// A worker of an earlier leader has answered, and not listed all its ends.
+  /// Whether a worker of an earlier leader has answered, but has not yet listed
+  /// the ends of all its runs.
   bool HasMoreToTell(const Member& member) const;
-  /// For how long yet an unheard worker may run what an earlier leader ordered.
+  /// How much longer a worker may run what an earlier leader ordered; zero: it
+  /// is accounted for.
   Millis WaitLeft(const Member& member) const;
-  /// Workers that are waited for, and what may run there.
+  /// Workers that are still waited for, and the tasks that may run there.
   struct UnheardWorkers {
     std::set<std::string_view> workers;
-    /// Some of them may run anything.
+    /// Any task may run on some of them.
     bool any_task = false;
     std::set<std::string> tasks;
   };
@@ -321,60 +364,64 @@
   static void AddUnheard(std::string_view worker,
                          const Member& member,
                          UnheardWorkers* unheard);
-  /// One of them may run the task, or has ended it unheard.
+  /// Whether one of these workers may run the task, or may have ended it
+  /// without having reported this.
   bool MayBeThere(const Task& task, const UnheardWorkers& unheard) const;
-  /// A worker that is waited for may run the task, or has ended it unheard.
+  /// Whether a worker that is still waited for may run the task, or may have
+  /// ended it without having reported this.
   bool MayRunUnheard(const Task& task) const;
-  /// Logs for whom it is waited.
+  /// Logs which workers are waited for.
   void TellWait();
 
-  // cell_ends.cpp: what becomes of runs
+  // cell_ends.cpp: processing the ends of runs.
   void CountEnd(Task* task,
                 const WorkerSession& session,
                 uint32_t run,
                 RunEnd end,
                 const std::string& checkpoint);
-  /// Counts the end of a run that this leader did not know, or had given up.
+  /// Counts the end of a run that this leader did not know or had considered
+  /// lost.
   void CountLateEnd(RunEnd end);
-  /// Logs what is known of a run whose worker did not tell its end.
+  /// Logs what is known of a run whose end the worker did not report.
   void TellLost(const WorkerSession& session, const Run& run) const;
   void LearnRunTime(Task* task, const Run& run);
-  /// What a task of each step is expected to take.
+  /// Expected run time of a task, for each step of the job.
   std::vector<Millis> ExpectRunTimes(const Job& job, int time) const;
   void OnJobOver(Job* job);
   void StopRunsOf(const Job& job);
   void StopRunsOfTask(const std::string& task);
-  /// What still runs of a task that is done; of a gang, of all its tasks.
+  /// Stops the remaining runs of a task that is done; for a gang, of all its
+  /// done tasks.
   void StopRunsOfDone(const Task& task);
   int MaxAttempts(const Job& job) const;
-  /// Number of the run of the task that a worker has, as far as is known.
+  /// Number of the task's run that a worker is known to have.
   std::optional<uint32_t> NumberOfPlacedRun(const std::string& task) const;
-  /// The queue as configured, or as it last was; null: never heard of.
+  /// The queue as currently or last configured; null: never configured.
   const Queue* QueueOf(const Job& job) const;
   void MarkDirty(Job* job, bool urgent);
 
-  // cell_crashes.cpp: workers that go down, and what is noted of tasks there
+  // cell_crashes.cpp: worker crashes, and the crash notes of tasks.
   static std::string MachineOf(const WorkerLife& life);
-  /// How it is known that the worker crashed; nothing: it did not, or its
-  /// machine was to go down.
+  /// Evidence that the worker crashed. Empty: it did not, or its machine was to
+  /// be taken down.
   std::optional<CrashEvidence> EvidenceOfCrash(
       const WorkerSession& session) const;
-  /// Runs of open jobs that had begun there.
+  /// Runs of open jobs that had started on the worker.
   std::vector<const Run*> RunsAtCrash(const WorkerSession& session);
   std::vector<CrashOfRun> BlameRuns(const WorkerSession& session,
                                     CrashEvidence evidence);
-  /// Takes back what was noted untold of the runs there.
+  /// Withdraws the unconfirmed crash notes of the runs there.
   void DropUntold(const WorkerSession& session);
   void NoteDeaths();
   void ConfirmUntold(const std::string& worker);
-  /// Notes a crash of what may have been on a worker that went down before this
-  /// leader heard it.
+  /// Notes a crash for the tasks that may have been on a worker that went down
+  /// before this leader was in contact with it.
   void NoteUnheardDeath(const std::string& worker, const Member& member);
-  /// Tasks that may have been on a worker that this leader never heard.
+  /// Tasks that may have been on a worker that this leader never contacted.
   std::vector<Task*> FindTasksUnheardOn(const std::string& worker,
                                         const Member& member);
-  /// Counts the crash; true: it is one of many at a time. Then notes of the
-  /// earlier ones are changed as well.
+  /// Counts the crash. Returns whether it is one of many at about the same
+  /// time; the notes of the earlier ones are then marked as well.
   bool JoinWave(const std::vector<CrashOfRun>& notes);
   void MarkOneOfMany(const std::string& name, uint32_t run);
   void TellCrash(const WorkerSession& session,
@@ -382,98 +429,106 @@
                  bool many) const;
   void NoteCrash(Task* task, const CrashNote& crash);
   void GiveUp(Task* task);
-  /// 0 to 1.
+  /// Random number from 0 to 1.
   double Jitter();
-  // cell_suspects.cpp: trials of tasks that may take their workers down
+  // cell_suspects.cpp: trial runs of tasks that may crash their workers.
   static bool IsSuspect(const Task& task);
-  /// Something there was not seen at work yet.
+  /// Whether the worker has runs that were not yet seen at work.
   bool HasNewRuns(const WorkerSession& session) const;
   static int LossOn(const WorkerSession& session);
   int CountWorkersOf(std::string_view service) const;
   int ChooseForTrial(const Task& task,
                      const StepPlaces& places,
                      const std::vector<WorkerRoom*>& rooms) const;
-  /// An earlier leader may have started it since it recorded the last crash.
+  /// Whether an earlier leader may have started the task after the last crash
+  /// that it recorded.
   static bool MayHaveCrashedUntold(const Task& task);
-  /// Notes a start of an earlier leader that nobody told of; false: there is
-  /// none to be noted.
+  /// Notes a possible unreported start by an earlier leader. Returns false if
+  /// there is none to note.
   bool NoteUntold(Task* task);
-  /// Has it recorded that the task is tried there next; false: the start has to
-  /// wait for that.
+  /// Records that the task's next trial run is on this worker. Returns false if
+  /// the start has to wait for the record.
   bool RecordTrial(Task* task, const WorkerLife& life);
-  /// The place where the suspect may be started now; nothing: it waits. `rooms`
-  /// are those that `places` judges.
+  /// Index of the worker where the suspect may be started now; empty: it has to
+  /// wait. `rooms` are the workers that `places` evaluates.
   std::optional<int> PlaceSuspect(const ReadyStep& ready,
                                   Task* task,
                                   const TaskNeed& need,
                                   const std::vector<WorkerRoom*>& rooms,
                                   StepPlaces* places);
-  /// Closes workers with new runs to a gang with a suspect; false: it waits.
+  /// Closes workers with new runs to a gang that has a suspect task. Returns
+  /// false if the gang has to wait.
   bool KeepNewRunsApart(std::vector<Task>* gang,
                         std::vector<WorkerRoom>* rooms);
   void BeginTrial(const Task& task,
                   const std::shared_ptr<WorkerSession>& session);
-  /// Asks the worker once what is new there now was at work for so long.
+  /// Polls the worker once its newest runs should have been at work for
+  /// `at_work`.
   void LookLater(const std::shared_ptr<WorkerSession>& session, Millis at_work);
   void FollowTrials();
   void ClearCrashes(Task* task);
   void OnCrashesRecorded(Job* job);
 
-  // cell_lasting_places.cpp: on which worker a lasting task may run
-  /// Has it recorded; false: the start has to wait for that.
+  // cell_lasting_places.cpp: recorded placements of long-running tasks.
+  /// Records the placement. Returns false if the start has to wait for the
+  /// record.
   bool ClaimPlace(Task* task, const std::string& worker);
-  /// Has it recorded of a run that goes on.
+  /// Records the placement of a run that is already active.
   void NotePlace(Task* task, const std::string& worker);
-  /// Starts may go unrecorded: the store is away for all, and they agreed.
+  /// Whether starts need not be recorded: no instance can reach the store, and
+  /// all of them agreed.
   bool MayStartUnrecorded() const;
   void ReleaseStarts();
-  /// Nothing that would speak against a start there has happened since the
-  /// worker was chosen.
+  /// Whether the held start may still be ordered on the worker: nothing has
+  /// closed the worker since it was chosen.
   bool MayReleaseTo(const Member& member) const;
-  /// All lasting tasks run where the store says so, as far as can be known.
+  /// Whether, as far as can be known, the store has the placement of every
+  /// long-running task.
   bool KnowsPlaces() const;
-  /// Lets instances that have registered lately rely on recorded places.
+  /// Lets instances that registered recently rely on the recorded placements.
   void TellPlacesHold();
 
-  // cell_overdue.cpp: runs that take far longer than expected
+  // cell_overdue.cpp: runs that take far longer than expected.
   void TellOverdue();
   void TellOverdueAt(WorkerSession& session, int* lines);
   bool IsOverdue(const Run& run, Millis* expected) const;
 
-  // cell_scheduling.cpp: starting and moving; cell_places.cpp: room, and how
-  // places are judged; cell_pacing.cpp: pacing
+  // cell_scheduling.cpp: starting and moving tasks; cell_places.cpp: free
+  // capacity of workers and evaluation of placements; cell_pacing.cpp:
+  // throttling of best-effort work.
   void WakeScheduler();
   void Schedule();
   std::vector<ReadyStep> CollectReady();
   void RankReady(std::vector<ReadyStep>* ready) const;
-  /// Tasks that are ready for the first time begin to wait.
+  /// Sets when tasks that are ready for the first time became ready.
   void NoteReadySince(const std::vector<ReadyStep>& ready);
-  /// What placement sees of each worker, brought up to date.
+  /// Each worker as placement sees it, brought up to date.
   std::vector<WorkerRoom*> CollectRooms();
-  /// Work that is meant for it may be ordered there.
+  /// Whether work that was placed on the worker may be ordered there.
   bool IsServing(const Member& member) const;
-  /// It may be given work, but for a trial that it is kept for.
+  /// Whether the worker may get new work, apart from being reserved for a trial
+  /// run.
   bool IsOpen(const std::string& id, const Member& member) const;
   void RefreshRoom(const std::string& id, Member* member);
   bool IsReady(const Task& task) const;
   bool MayBeAtLastAttempt(const Task& task) const;
   void PlaceStep(const ReadyStep& ready, const std::vector<WorkerRoom*>& rooms);
   void PlaceGang(const ReadyStep& ready, const std::vector<WorkerRoom*>& rooms);
-  /// Judges a worker for a step, with `planned` tasks of it placed there but
-  /// not ordered yet.
+  /// Evaluates a worker for a step, with `planned` tasks of the step assigned
+  /// to it but not ordered yet.
   void JudgePlace(const ReadyStep& ready,
                   const TaskNeed& need,
                   const WorkerRoom& room,
                   size_t place,
                   int planned,
                   StepPlaces* places) const;
-  /// Judges all that have changed after a pass.
+  /// Evaluates all workers that have changed after that pass.
   void JudgeChanged(const ReadyStep& ready,
                     const TaskNeed& need,
                     const std::vector<WorkerRoom*>& rooms,
                     uint64_t pass,
                     StepPlaces* places) const;
-  /// Counts a step that found no place, and whether to say so now.
+  /// Counts a step that found no placement. Returns whether to log it now.
   bool IsTimeToTell(const ReadyStep& ready);
   void TellWaiting(const Task& task,
                    const StepRank& rank,
@@ -482,14 +537,14 @@
                  uint32_t run,
                  WorkerRoom* room,
                  const std::string& ticket);
-  /// Closes, on a copy, the rooms that the step has no ticket for, and asks
-  /// for more.
+  /// Returns a copy of `rooms` in which workers without a ticket for the step
+  /// are closed, and requests the missing tickets.
   std::vector<WorkerRoom> PermittedRooms(const ReadyStep& ready,
                                          const std::vector<WorkerRoom*>& rooms);
   void PaceWorker(WorkerSession& session);
   void MoveStuckFills(WorkerSession& session);
   std::vector<ServingStrain> CollectStrains(const WorkerSession& session) const;
-  // cell_evacuation.cpp: workers that leave or are emptied
+  // cell_evacuation.cpp: moving work off workers that leave or are emptied.
   void EvacuateLeaving();
   void EvacuateDraining(const std::string& id, const Member& member);
   void EvacuateUnlisted(const std::string& id, const Member& member);
@@ -510,65 +565,69 @@
   const CellOptions options_;
 
   Stage stage_ = Stage::kStandby;
-  /// Rises with each change of stage; answers to calls of an earlier one are
-  /// dropped.
+  /// Increases with each change of stage. Answers to calls of an earlier
+  /// generation are dropped.
   uint64_t generation_ = 0;
   int64_t epoch_ = 0;
-  /// Written with the lead key, to know an unanswered win by: drawn once for
-  /// the life of the process.
+  /// Written with the lead key, to recognize a win whose answer was lost. Drawn
+  /// once per process.
   const uint64_t nonce_;
   Instant led_since_{};
-  /// When it was last logged for whom it is waited.
+  /// When the workers that are waited for were last logged.
   Instant wait_told_{};
-  /// When it was last recorded for how long workers are unheard.
+  /// When it was last recorded how long workers have been out of contact.
   Instant unheard_recorded_{};
-  /// Not before then is it recorded again what may run on workers that get
-  /// nothing new.
+  /// Earliest time of the next record of the task lists of workers that get no
+  /// new work.
   Instant next_tasks_record_{};
   Instant last_tick_{};
-  /// See `OrdersUntil`, which also heeds that this process stood still.
+  /// See `OrdersUntil`, which also takes pauses of this process into account.
   Instant orders_until_{};
-  /// The process stood still: its lead must be confirmed before it orders.
+  /// This process was paused: its lead must be confirmed before it sends
+  /// orders.
   bool unsure_after_pause_ = false;
-  /// Since when this instance might try for a lead that nobody has; zero: it
-  /// may not, or somebody has it.
+  /// Since when this instance may campaign for a vacant lead; zero: it may not,
+  /// or the lead is not vacant.
   Instant vacant_since_{};
   Executor::TimerId campaign_timer_ = 0;
   bool reading_workers_ = false;
   Instant workers_read_{};
   bool reading_closed_ = false;
-  /// When it was last read which data centres are closed, in this term as
-  /// leader; zero: not yet, and nothing is started.
+  /// When the closed data centres were last read in this term as leader; zero:
+  /// not yet, and nothing is started.
   Instant closed_read_{};
   std::set<std::string> closed_;
-  /// Told to other instances; renewed by ticks.
+  /// Reported to other instances; updated periodically.
   CellSummary summary_;
   Instant summarized_{};
-  /// When old jobs were last looked for.
+  /// When old jobs were last searched for and removed.
   Instant forgot_{};
-  /// When runs that take far too long were last looked for.
+  /// When overdue runs were last searched for.
   Instant overdue_looked_{};
   Executor::TimerId tick_timer_ = 0;
   bool schedule_posted_ = false;
-  /// No pass before then: passes may take only a part of the processor.
+  /// Earliest time of the next scheduling pass: passes may use only part of the
+  /// processor.
   Instant next_pass_{};
   std::function<void()> on_left_;
-  /// Since when it is to hand over; zero: it isn't.
+  /// Since when a planned shutdown is under way; zero: it is not.
   Instant leaving_since_{};
 
   std::shared_ptr<const QueueTable> table_;
-  /// Every queue heard of, so that jobs of a removed one still finish.
+  /// Every queue that was ever configured, so that jobs of a removed queue
+  /// still finish.
   std::map<std::string, Queue> known_queues_;
   JobTable jobs_;
   CellJournal journal_;
   LeadProof proof_;
   WorkerTrust trust_;
-  /// The recorded places of lasting tasks held for this instance when it took
-  /// the lead; and up to when instances have registered that may rely on them.
+  /// Whether this instance could rely on the recorded placements of
+  /// long-running tasks when it took the lead; and the store revision up to
+  /// which registered instances can rely on them now.
   bool places_held_ = false;
   int64_t places_hold_to_ = 0;
-  /// Lasting tasks that run where the store does not say so, and those whose
-  /// start waits until it does.
+  /// Long-running tasks that run where the store has no record of it, and those
+  /// whose start waits for the record.
   std::set<std::string> unrecorded_places_;
   std::set<std::string> held_starts_;
   CrashTrials trials_;
@@ -577,21 +636,23 @@
   RunTimeModel run_times_;
   HopelessFits hopeless_;
   std::map<std::string, LastingRoom> lasting_rooms_;
-  /// Counts scheduling passes.
+  /// Number of scheduling passes so far.
   uint64_t pass_ = 0;
-  /// Steps of this pass that found no place; more urgent ones count first.
+  /// Steps of this pass that found no placement; more urgent steps are counted
+  /// first.
   int waiting_steps_ = 0;
   Instant waiting_told_{};
   TicketBook tickets_;
   WaveKeeper waves_;
   std::map<std::string, Member> members_;
-  /// Lives that are proven over and still listed, with their addresses.
+  /// Incarnations that are proven to have ended but are still listed, with
+  /// their addresses.
   std::map<std::string, std::string> over_;
   RefusedEntries refused_{log_, "cell"};
   std::multimap<std::string, CancelWait> cancels_;
-  /// All runs of the time before the takeover are accounted for.
+  /// All runs from before the takeover are accounted for.
   bool accounted_ = true;
-  /// Since the takeover, tasks were let go, all but `held_`.
+  /// Since the takeover, all tasks except `held_` were released.
   bool released_ = false;
   std::set<std::string> held_;
   CellCounters counters_;
--- a/src/include/doorwood/cell_options.h
+++ b/src/include/doorwood/cell_options.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How a cell is led, and what is counted meanwhile.
+/// Options and counters of a cell's leader.
 
 #ifndef DOORWOOD_CELL_OPTIONS_H_
 #define DOORWOOD_CELL_OPTIONS_H_
@@ -20,62 +20,67 @@
 
 struct CellOptions {
   std::string cell;
-  /// Whose workers and leaders the cell has; empty: those of all.
+  /// Data centre whose workers and instances the cell has; empty: those of all
+  /// data centres.
   std::string data_centre;
   WorkerSessionOptions sessions;
   JournalOptions journal;
   LeadProofOptions proof;
   PolicyOptions policy;
   WaveOptions waves;
-  /// How often the list of workers is read while leading.
+  /// Interval between reads of the worker list while leading.
   Millis list_interval{450};
-  /// How often it is read which data centres are closed to new work. The
-  /// platform's bound is 5 s; with a store that takes 0.4 s to answer, what is
-  /// known is 1.1 s old at most.
+  /// Interval between reads of the closed data centres. The platform's bound
+  /// for closing one is 5 s; with a store that takes 0.4 s to answer, the known
+  /// state is at most 1.1 s old.
   Millis closed_interval{700};
   Millis tick{100};
-  /// How long a finished job can be asked for.
+  /// How long the state of a finished job is kept.
   Millis keep_finished{150'000};
-  /// Pause before a candidate tries again, a step of its rank.
+  /// Delay of a candidate's campaign for each candidate that ranks before it.
   Millis campaign_step{120};
-  /// An instance that has just registered waits so long for the keys of others
-  /// that registered at the same time. Machines start within 0.3 s of each
-  /// other; a leader of 0.12 processors in place of one of 0.5 cost 540 workers
-  /// half of what callers got for as long as it led.
+  /// Delay of a campaign after the instance has registered, so that it sees the
+  /// keys of instances that registered at the same time. Machines start within
+  /// 0.3 s of each other. A leader with 0.12 processors instead of one with 0.5
+  /// halved the callers' results on 540 workers for as long as it led.
   Millis campaign_settle{300};
-  /// How often a candidate, or a reader of the records, tries again.
+  /// Delay before a candidate, or a new leader that reads the records, tries
+  /// again.
   Millis retry_pause{150};
-  /// How long after its key was last seen to stand a leader is sure enough to
-  /// give orders that nothing fences.
+  /// How long after its key was last confirmed a leader may give orders that
+  /// are not protected by a fencing token.
   Millis sure_for{2000};
-  /// How long after its key was last seen to stand a leader goes on giving
-  /// orders, where others may hear the store and take the lead. A successor
-  /// waits this long, and a run's lease, before it starts what an unheard
-  /// worker may still run.
+  /// How long after its key was last confirmed a leader continues to send
+  /// orders, where other instances may reach the store and take the lead. A
+  /// successor waits for this time and a run's lease before it starts a task
+  /// again that may still run on a worker not yet contacted.
   Millis unsure_patience{3000};
-  /// While workers are unheard after a takeover, or silent, how often that is
-  /// recorded; and how long after a takeover for the first time, so that a
-  /// leader that is lost soon has not waited in vain.
+  /// Interval between records of workers that are not yet contacted after a
+  /// takeover or are unresponsive; and delay of the first such record after a
+  /// takeover. The delay is short so that the wait counts even if this leader
+  /// is lost soon.
   Millis unheard_interval{1000};
   Millis first_unheard{250};
-  /// A worker that nothing was promised for so long, since it does not answer,
-  /// is recorded as unheard. Most of its runs' lease is over then: until the
-  /// record says otherwise nothing is prolonged there, also if it answers again
-  /// while the store does not.
+  /// An unresponsive worker whose leases were not extended for so long is
+  /// recorded as not in contact. Most of its runs' lease has expired by then.
+  /// Until the record states otherwise, no lease is extended there, even if the
+  /// worker answers again while the store does not.
   Millis silence_recorded{4000};
-  /// Bytes that the names of tasks take at most under the workers' key: a third
-  /// of the value that the store takes. Beyond it any task may run on the
-  /// workers with most of them.
+  /// Maximum total size of the task names under the workers' key, in bytes: a
+  /// third of the largest value that the store accepts. Beyond it the workers
+  /// with the most names are recorded without a list, so that any task may run
+  /// there.
   size_t most_name_bytes = 320'000;
-  /// Most looks a second that watching what disturbs what may take: a large
-  /// cell looks less often. A look costs a leader some 60 us.
+  /// Maximum rate of worker polls for observing interference, per second: in a
+  /// large cell each worker is polled less often. A poll costs a leader about
+  /// 60 us.
   int watching_looks = 700;
-  /// A worker that the list has not named for so long is taken to be leaving:
-  /// entries that an outage of the store took are back within 2 s.
+  /// A worker that was not listed for so long is treated as leaving. Entries
+  /// that were lost in an outage of the store are back within 2 s.
   Millis unlisted_patience{2200};
 };
 
-/// Figures for the metrics page.
+/// Counters for the metrics page.
 struct CellCounters {
   uint64_t accepted = 0;
   uint64_t starts = 0;
@@ -83,14 +88,16 @@
   uint64_t ends_done = 0;
   uint64_t ends_failed = 0;
   uint64_t ends_lost = 0;
-  /// Workers that went down with runs, unasked; jobs given up for that.
+  /// Unexpected crashes of workers that had runs, and jobs that were given up
+  /// because of them.
   uint64_t worker_crashes = 0;
   uint64_t jobs_given_up = 0;
-  /// Ends of runs that the leader had given up before, in the worker's words.
+  /// Ends that workers reported for runs that the leader did not know or had
+  /// considered lost.
   uint64_t late_done = 0;
   uint64_t late_failed = 0;
   uint64_t late_other = 0;
-  /// Times at which a run was found to take far longer than expected.
+  /// How often a run was found to take far longer than expected.
   uint64_t overdue = 0;
   uint64_t stops = 0;
   uint64_t paces = 0;
--- a/src/include/doorwood/lead_proof.h
+++ b/src/include/doorwood/lead_proof.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Up to which moment this process surely led a cell.
+/// The latest time at which this process provably led a cell.
 ///
-/// A lead is proved by its key alone. While the key of an epoch stands, nobody
-/// else has led since it was written. That the store grants or renews a lease
-/// proves nothing: the key may go with an earlier lease, or be taken away
-/// without a word.
+/// Only the lead key proves a lead. While the key of an epoch exists, no other
+/// instance has led since it was written. A granted or renewed lease proves
+/// nothing: the key may have been attached to an earlier lease, or may have
+/// been removed without notice.
 
 #ifndef DOORWOOD_LEAD_PROOF_H_
 #define DOORWOOD_LEAD_PROOF_H_
@@ -22,22 +22,24 @@
 namespace doorwood {
 
 struct LeadProofOptions {
-  /// The key is read where no record has shown it for so long. Records show it
-  /// ten times a second under load, so this costs reads only on a calm day.
+  /// The key is read if no record has confirmed it for so long. Under load,
+  /// records confirm it ten times a second, so reads are only needed at low
+  /// load.
   Millis interval{400};
 };
 
-/// What the proof tells its leader, on the control thread.
+/// Receives the results of `LeadProof`, on the control thread.
 class LeadProofListener {
  public:
   virtual ~LeadProofListener() = default;
 
-  /// `stood_at` has moved on.
+  /// Called when `stood_at` has increased.
   virtual void OnLeadProved() = 0;
-  /// The key of this epoch does not stand any more.
+  /// Called when the key of this epoch no longer exists.
   virtual void OnLeadDisproved(std::string_view reason) = 0;
 };
 
+/// Confirms a cell's lead by its key in the store.
 class LeadProof {
  public:
   LeadProof(Executor& executor,
@@ -46,19 +48,20 @@
             const LeadProofOptions& options,
             std::string key);
 
-  /// Begins anew with the epoch that was won, and reads its key.
+  /// Starts over with a newly won epoch, and reads its key.
   void Open(int64_t epoch);
   void Close();
 
-  /// A call that was sent then has shown that the key stands.
+  /// Notes that a call sent at that time has found the key in place.
   void NoteShown(Instant sent);
-  /// Reads the key as soon as possible: something waits to be proved. A read
-  /// that is under way began too early for it.
+  /// Reads the key as soon as possible, because a conclusion waits for the
+  /// proof. A read already under way was sent too early, so another one follows
+  /// it.
   void Demand();
-  /// To be called a few times a second.
+  /// To be called several times a second.
   void Tick();
 
-  /// The latest moment at which the key is known to have stood; zero: none.
+  /// Latest time at which the key is known to have existed; zero: none.
   Instant stood_at() const { return stood_at_; }
 
  private:
@@ -71,7 +74,8 @@
   const LeadProofOptions options_;
   const std::string key_;
 
-  /// Rises with each opening and closing; answers to earlier ones are dropped.
+  /// Increases with each `Open` and `Close`. Answers to earlier reads are
+  /// dropped.
   uint64_t generation_ = 0;
   bool open_ = false;
   int64_t epoch_ = 0;
--- a/src/libdoorwood/cell/cell_calls.cpp
+++ b/src/libdoorwood/cell/cell_calls.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// What callers ask of a cell's leader: submit, cancel, states, a summary.
+// Client requests to a cell's leader: submitting and cancelling jobs, job
+// states, and the summary.
 
 #include <utility>
 
@@ -33,7 +34,7 @@
     done({}, AcceptOutcome::kKnownAlready);
     return;
   }
-  // A job that may have been taken already is never refused.
+  // A job that may have been accepted already is never refused.
   if (!journal_.IsRecording(plan.id) &&
       (IsClosedEverywhere(plan.queue) || !HasRoomToLast(plan))) {
     done(CoreErrc::kNoRoom, {});
@@ -43,9 +44,9 @@
 }
 
 bool CellLeader::HasRoomToLast(const JobPlan& plan) {
-  const int64_t asked = LastingCpu(plan);
+  const int64_t requested = LastingCpu(plan);
   const auto queue = known_queues_.find(plan.queue);
-  if (asked == 0 || queue == known_queues_.end() ||
+  if (requested == 0 || queue == known_queues_.end() ||
       workers_read_ == Instant{}) {
     return true;
   }
@@ -53,23 +54,25 @@
   int64_t capacity = 0;
   for (const auto& [id, member] : members_) {
     const WorkerLife& life = member.session->life();
-    const bool stays = member.listed && !life.draining && !IsClosed(member);
-    capacity += stays && life.service == service ? life.capacity.cpu_millis : 0;
+    const bool is_available =
+        member.listed && !life.draining && !IsClosed(member);
+    capacity +=
+        is_available && life.service == service ? life.capacity.cpu_millis : 0;
   }
   int64_t reserved = 0;
   for (const Job* job : jobs_.OpenJobs()) {
     const Queue* other = QueueOf(*job);
-    const bool same = other != nullptr && other->service == service;
-    reserved += same ? LastingCpu(job->plan) : 0;
+    const bool is_same_service = other != nullptr && other->service == service;
+    reserved += is_same_service ? LastingCpu(job->plan) : 0;
   }
   const LastingRoom& room = LastingRoomOf(service);
   const Instant now = executor_.Now();
-  if (room.Allows(asked, reserved, capacity, now)) {
+  if (room.Allows(requested, reserved, capacity, now)) {
     return true;
   }
-  log_.Write("info", "cell", "no room for a lasting job",
+  log_.Write("info", "cell", "not enough capacity for a long-running job",
              {{"job", plan.id},
-              {"asked_cpu", asked},
+              {"asked_cpu", requested},
               {"lasting_cpu", reserved},
               {"capacity_cpu", capacity},
               {"use", room.use()},
--- a/src/libdoorwood/cell/cell_campaign.cpp
+++ b/src/libdoorwood/cell/cell_campaign.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Becoming a cell's leader: the campaign for its key, and reading what earlier
-// leaders recorded.
+// Becoming a cell's leader: campaigning for the lead key, and reading the
+// records of earlier leaders.
 
 #include <algorithm>
 #include <utility>
@@ -11,9 +11,9 @@
 namespace doorwood {
 namespace {
 
-// Run numbers after a takeover begin this far above the highest one known, so
-// that no run that nobody recorded has the same number.
-constexpr uint32_t kRunsBetweenLeaders = 16;
+// Run numbers after a takeover start this far above the highest known one, so
+// that they differ from those of runs that were never recorded.
+constexpr uint32_t kRunNumberGap = 16;
 
 }  // namespace
 
@@ -29,12 +29,12 @@
 }
 
 Instant CellLeader::CampaignTurn() const {
-  // Strong machines first; of equal ones those that may rely on recorded
-  // places, then in order of names.
+  // Instances on stronger machines come first; among equal ones, those that may
+  // rely on recorded placements; then by name.
   int rank = 0;
   const LiveInstance& self = live_.self();
   const int64_t last_epoch = live_.LastEpoch(options_.cell);
-  const bool began_since =
+  const bool agrees_since =
       live_.agreeing_since() == 0 || live_.agreeing_since() > last_epoch;
   for (const auto& [name, other] : live_.instances()) {
     if (!IsOfCell(other.data_centre) || other.leaving || name == self.name) {
@@ -42,13 +42,13 @@
     }
     const bool stronger = other.cpu_share > self.cpu_share;
     const bool equal = other.cpu_share == self.cpu_share;
-    const bool other_began_since = other.agreeing_since > last_epoch;
+    const bool other_agrees_since = other.agreeing_since > last_epoch;
     const bool before =
-        began_since == other_began_since ? name < self.name : began_since;
+        agrees_since == other_agrees_since ? name < self.name : agrees_since;
     rank += (stronger || (equal && before)) ? 1 : 0;
   }
-  // Where all register at once, at the first start or after an outage of the
-  // store that took their keys, whoever is first knows of nobody else yet.
+  // If all instances register at once, on the first start or after a store
+  // outage that removed their keys, the first one does not know the others yet.
   return std::max(vacant_since_ + options_.campaign_step * rank,
                   *live_.registered_since() + options_.campaign_settle);
 }
@@ -63,24 +63,25 @@
   if (led && live_.known() && lead == live_.leads().end()) {
     StepDown("the lead key is gone");
   }
-  // Of any try of this process: one that got no answer may be done seconds
-  // later.
+  // The key may be from any campaign of this process: a write that got no
+  // answer may take effect seconds later.
   const bool own_key = stage_ == Stage::kStandby &&
                        lead != live_.leads().end() &&
                        lead->second.nonce == nonce_;
   if (own_key && lead->second.epoch > epoch_) {
-    OnWon(lead->second.epoch);  // the winning try was not answered
+    OnWon(lead->second.epoch);  // the answer to the write was lost
     return;
   }
   if (own_key) {
-    GiveUpKey();  // left behind by a lead that is given up
+    GiveUpKey();  // left from a lead that has ended
     return;
   }
   ScheduleCampaign();
 }
 
-// A turn counts from when the lead fell vacant: one that was waited for while
-// somebody led would come before those of stronger machines at the next time.
+// The delay counts from when the lead became vacant. If it counted while
+// another instance led, this instance could campaign before stronger ones at
+// the next vacancy.
 void CellLeader::ScheduleCampaign() {
   if (campaign_timer_ != 0) {
     executor_.Cancel(campaign_timer_);
@@ -97,7 +98,8 @@
   }
   const Millis left = std::chrono::ceil<Millis>(CampaignTurn() - now);
   if (first) {
-    log_.Write("info", "cell", "nobody leads; will try in turn",
+    log_.Write("info", "cell",
+               "no leader; campaigning after the delay for this rank",
                {{"cell", options_.cell},
                 {"delay_ms", left.count()},
                 {"instances", live_.instances().size()}});
@@ -131,7 +133,8 @@
       OnWon(commit.revision);
       return;
     }
-    // After an unanswered try the key may be ours; the directory tells.
+    // If the write was not answered, the key may be this instance's. The
+    // directory shows it.
     stage_ = Stage::kStandby;
     live_.Refresh();
     executor_.Schedule(options_.retry_pause, [this] { OnLiveChange(); });
@@ -144,7 +147,7 @@
   ++counters_.takeovers;
   live_.SetLead(
       {options_.cell, live_.self().name, live_.self().address, epoch, nonce_});
-  log_.Write("info", "cell", "lead taken",
+  log_.Write("info", "cell", "took the lead",
              {{"cell", options_.cell},
               {"epoch", epoch},
               {"lease", live_.lease().value_or(0)}});
@@ -184,7 +187,8 @@
     if (plan) {
       jobs_.Add(std::move(*plan));
     } else {
-      log_.Write("error", "cell", "a plan can't be read", {{"key", item.key}});
+      log_.Write("error", "cell", "cannot parse a recorded job plan",
+                 {{"key", item.key}});
     }
   }
   for (const StoreItem& item : items.items) {
@@ -193,14 +197,14 @@
     }
     Job* job = jobs_.Find(item.key.substr(states.size()));
     if (job == nullptr || !DecodeJobState(item.value, job)) {
-      log_.Write("error", "cell", "a job's state can't be read",
+      log_.Write("error", "cell", "cannot parse a recorded job state",
                  {{"key", item.key}});
     }
   }
   const std::vector<Job*>& open = jobs_.OpenJobs();
   for (Job* job : open) {
     ForEachTask(job, [this](Task* task) {
-      task->last_run += kRunsBetweenLeaders;
+      task->last_run += kRunNumberGap;
       task->unaccounted = !task->done;
       task->recorded_run = task->counted_run;
       task->crash_untold = MayHaveCrashedUntold(*task);
@@ -233,8 +237,8 @@
   for (const StoreItem& item : items.items) {
     if (item.key == WorkersKey(options_.cell)) {
       std::vector<KnownWorker> known = DecodeWorkers(item.value);
-      // Whoever led since this record was written has prolonged nothing on a
-      // worker that it calls unheard.
+      // No leader since this record was written has extended a lease on a
+      // worker that it states as not in contact.
       const Millis age = AgeOfRecord(item.revision);
       for (KnownWorker& worker : known) {
         worker.unheard += worker.unheard > Millis(0) ? age : Millis(0);
@@ -259,7 +263,8 @@
   places_held_ =
       live_.agreeing_since() != 0 && live_.agreeing_since() <= places_hold_to_;
   if (newest == nullptr || !KeepsToNames(newest->value)) {
-    // A leader of an older version may have started work that they exclude.
+    // A leader of an older version may have started tasks that these lists
+    // exclude.
     for (KnownWorker& worker : known) {
       worker.tasks.reset();
     }
@@ -287,7 +292,7 @@
   reading_closed_ = false;
   summarized_ = Instant{};
   ++generation_;
-  log_.Write("info", "cell", "records read",
+  log_.Write("info", "cell", "read the records of earlier leaders",
              {{"cell", options_.cell},
               {"epoch", epoch_},
               {"jobs", jobs_.jobs().size()},
@@ -301,7 +306,7 @@
     WorkerLife life;
     life.id = worker.id;
     life.address = worker.address;
-    // Not yet known to be there still: nothing new goes there.
+    // Not yet confirmed by the directory, so it gets no new work.
     life.draining = true;
     AddMember(life, /*from_takeover=*/true);
     Member& member = members_.at(worker.id);
--- a/src/libdoorwood/cell/cell_leader.cpp
+++ b/src/libdoorwood/cell/cell_leader.cpp
@@ -8,19 +8,21 @@
 namespace doorwood {
 namespace {
 
-// A gap between two ticks this long means that the process stood still.
-constexpr Millis kPauseNoticed{700};
-// How often a leaving leader looks whether all is recorded.
-constexpr Millis kIdleCheck{30};
-// After so long it hands over with what callers wait for; the rest is heard
-// again by its successor.
-constexpr Millis kLeavesWithAll{300};
-// All jobs are looked through this often for old ones, which stay for minutes,
-// and for what is told to other instances, who ask every 0.6 s, each of them:
-// with 29 instances and thousands of jobs, doing so at each tick and for each
-// asker took 4% of a leader's processor time.
+// A gap between two ticks that exceeds the tick by this much means that the
+// process was paused.
+constexpr Millis kPauseThreshold{700};
+// Interval at which a leader that shuts down checks whether everything is
+// recorded.
+constexpr Millis kShutdownCheckInterval{30};
+// After this time a leader that shuts down waits only for records that callers
+// wait for. Workers report the rest to its successor.
+constexpr Millis kFullRecordTimeout{300};
+// All jobs are searched this often for old ones, which are kept for minutes,
+// and for the summary that other instances request, each of them every 0.6 s.
+// With 29 instances and thousands of jobs, a search for each tick and each
+// request took 4% of a leader's processor time.
 constexpr Millis kForgetInterval{1000};
-constexpr Millis kSummaryAge{300};
+constexpr Millis kSummaryInterval{300};
 
 }  // namespace
 
@@ -81,7 +83,7 @@
   }
 }
 
-// --- Giving it up ---
+// --- Stepping down ---
 
 void CellLeader::OnLeadLost(std::string_view reason) {
   StepDown(reason);
@@ -92,16 +94,17 @@
 }
 
 void CellLeader::OnFenced(WorkerSession& session) {
-  log_.Write("warn", "cell", "a worker has seen a newer leader",
+  log_.Write("warn", "cell",
+             "a worker has seen the fencing token of a newer leader",
              {{"worker", session.life().id}, {"epoch", epoch_}});
-  StepDown("fenced off by a worker");
+  StepDown("a worker rejected this leader's fencing token");
 }
 
 void CellLeader::StepDown(std::string_view reason) {
   if (stage_ == Stage::kStandby || stage_ == Stage::kLeft) {
     return;
   }
-  log_.Write("warn", "cell", "lead given up",
+  log_.Write("warn", "cell", "stepping down as leader",
              {{"cell", options_.cell}, {"epoch", epoch_}, {"reason", reason}});
   ++counters_.step_downs;
   GiveUpKey();
@@ -110,7 +113,7 @@
   for (auto& [id, member] : members_) {
     member.session->Close();
   }
-  // Sessions may be on the call stack; they are let go of a moment later.
+  // Sessions may be on the call stack, so they are destroyed later.
   executor_.Post([members = std::move(members_)] {});
   members_.clear();
   if (tick_timer_ != 0) {
@@ -126,7 +129,7 @@
   for (auto& [job, wait] : cancels) {
     wait.done(CoreErrc::kOutcomeUnknown);
   }
-  // Jobs may be on the call stack as well.
+  // Jobs may be on the call stack, too.
   executor_.Post([this, generation = generation_] {
     if (generation == generation_) {
       jobs_.Clear();
@@ -136,15 +139,15 @@
   executor_.Schedule(options_.retry_pause, [this] { OnLiveChange(); });
 }
 
-// The store answers others, but not this leader: instead of waiting until its
-// lease runs out, it tells one of them to take the key away.
+// The store answers other instances, but not this leader. Instead of waiting
+// until its lease expires, it asks one of them to remove the key.
 void CellLeader::Resign(const LiveInstance& successor) {
-  const LiveInstance named = successor;
+  const LiveInstance target = successor;
   const int64_t epoch = epoch_;
-  log_.Write("warn", "cell", "lead handed over",
-             {{"cell", options_.cell}, {"epoch", epoch}, {"to", named.name}});
-  StepDown("the store turns this instance away");
-  live_.HandOver(named, options_.cell, epoch);
+  log_.Write("warn", "cell", "handing the lead over to another instance",
+             {{"cell", options_.cell}, {"epoch", epoch}, {"to", target.name}});
+  StepDown("this instance cannot reach the store, another one can");
+  live_.HandOver(target, options_.cell, epoch);
 }
 
 void CellLeader::OnHandedOver(int64_t epoch) {
@@ -156,7 +159,8 @@
   transaction.removes.push_back(LeadKey(options_.cell));
   store_.Commit(transaction, [this, epoch](std::error_code error,
                                            const StoreCommit&) {
-    log_.Write("info", "cell", "lead taken from its holder",
+    log_.Write("info", "cell",
+               "removal of the lead key of a leader that stepped down",
                {{"cell", options_.cell},
                 {"epoch", epoch},
                 {"outcome", error ? error.message() : "removed"}});
@@ -167,15 +171,16 @@
     if (error) {
       live_.Refresh();
     } else {
-      // In its turn: the strongest that hears the store is to lead.
+      // Campaigns only when it is its turn: the strongest instance that can
+      // reach the store should lead.
       OnLiveChange();
     }
   });
 }
 
 void CellLeader::GiveUpKey() {
-  // Where the key still stands, it would keep others from the lead for as long
-  // as this process lives.
+  // A key that still exists would keep other instances from the lead for as
+  // long as this process lives.
   StoreTransaction transaction;
   transaction.expected.push_back({LeadKey(options_.cell), epoch_});
   transaction.removes.push_back(LeadKey(options_.cell));
@@ -193,7 +198,7 @@
 
 bool CellLeader::IsHandingOver() const {
   return leaving_since_ != Instant{} &&
-         executor_.Now() - leaving_since_ >= kLeavesWithAll;
+         executor_.Now() - leaving_since_ >= kFullRecordTimeout;
 }
 
 void CellLeader::Leave(std::function<void()> done) {
@@ -206,8 +211,9 @@
   if (leaving_since_ == Instant{}) {
     leaving_since_ = executor_.Now();
   }
-  // A busy leader never has all recorded: ends keep coming. It would lead on
-  // until its grace time is over, and end with records on their way.
+  // A busy leader never has everything recorded, since runs keep ending.
+  // Without a limit it would lead until its grace period is over, and exit with
+  // records under way.
   if (IsHandingOver()) {
     journal_.Seal();
   }
@@ -217,9 +223,9 @@
     stage_ = Stage::kLeft;
     return;
   }
-  executor_.Schedule(kIdleCheck, [this, done = std::move(done)]() mutable {
-    Leave(std::move(done));
-  });
+  executor_.Schedule(
+      kShutdownCheckInterval,
+      [this, done = std::move(done)]() mutable { Leave(std::move(done)); });
 }
 
 // --- Time ---
@@ -286,8 +292,8 @@
 Millis CellLeader::WatchingWait() const {
   constexpr int64_t kMillisPerSecond = 1000;
   const auto workers = static_cast<int64_t>(members_.size());
-  const Millis fair(workers * kMillisPerSecond / options_.watching_looks);
-  return std::clamp(fair, options_.sessions.short_wait,
+  const Millis interval(workers * kMillisPerSecond / options_.watching_looks);
+  return std::clamp(interval, options_.sessions.short_wait,
                     options_.sessions.long_wait);
 }
 
@@ -296,10 +302,10 @@
     return;
   }
   const Instant now = executor_.Now();
-  if (now - last_tick_ > options_.tick + kPauseNoticed && !IsSure()) {
+  if (now - last_tick_ > options_.tick + kPauseThreshold && !IsSure()) {
     unsure_after_pause_ = true;
     log_.Write("warn", "cell",
-               "this process stood still; no orders until the "
+               "this process was paused; sending no orders until the "
                "lead is confirmed",
                {{"cell", options_.cell}});
   }
@@ -358,7 +364,7 @@
     ForgetOldJobs();
   }
   TellOverdue();
-  if (now - summarized_ >= kSummaryAge) {
+  if (now - summarized_ >= kSummaryInterval) {
     summarized_ = now;
     summary_ = Summarize();
     ObserveLoads();
--- a/src/libdoorwood/cell/cell_member_records.cpp
+++ b/src/libdoorwood/cell/cell_member_records.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// What a leader records of its workers for whoever follows it: for how long
-// each was unheard, and what may run on those that get nothing new.
+// What a leader records of its workers for a successor: how long each has been
+// out of contact, and which tasks may run on those that get no new work.
 
 #include <algorithm>
 #include <utility>
@@ -11,15 +11,16 @@
 namespace doorwood {
 namespace {
 
-// The key is written whole. So long for each worker and each task in it, it is
-// not written again, to bound what that takes of a small machine's link.
-constexpr std::chrono::microseconds kPauseOfEntry{250};
+// The key is written as a whole. To bound the load on a small machine's network
+// link, the next write waits this long for each worker and each task in the
+// value.
+constexpr std::chrono::microseconds kWriteDelayPerEntry{250};
 
-size_t CountOf(const KnownWorker& worker) {
+size_t CountTasks(const KnownWorker& worker) {
   return worker.tasks ? worker.tasks->size() : 0;
 }
 
-size_t BytesOf(const KnownWorker& worker) {
+size_t CountNameBytes(const KnownWorker& worker) {
   constexpr size_t kQuotesAndComma = 3;
   size_t bytes = 0;
   if (worker.tasks) {
@@ -30,19 +31,20 @@
   return bytes;
 }
 
-// Where there are too many, any task may run on the workers with most.
-void KeepWithin(size_t most_bytes, std::vector<KnownWorker>* workers) {
+// If the task names exceed `most_bytes`, drops the lists of the workers with
+// the most names: any task may then run there.
+void LimitNameBytes(size_t most_bytes, std::vector<KnownWorker>* workers) {
   std::vector<std::pair<size_t, KnownWorker*>> fewest_first;
   for (KnownWorker& worker : *workers) {
-    fewest_first.emplace_back(BytesOf(worker), &worker);
+    fewest_first.emplace_back(CountNameBytes(worker), &worker);
   }
   std::stable_sort(
       fewest_first.begin(), fewest_first.end(),
       [](const auto& a, const auto& b) { return a.first < b.first; });
-  size_t named = 0;
+  size_t total = 0;
   for (const auto& [bytes, worker] : fewest_first) {
-    named += bytes;
-    if (named > most_bytes) {
+    total += bytes;
+    if (total > most_bytes) {
       worker->tasks.reset();
     }
   }
@@ -61,7 +63,7 @@
     worker.tasks = TasksToRecord(member);
     known.push_back(std::move(worker));
   }
-  KeepWithin(options_.most_name_bytes, &known);
+  LimitNameBytes(options_.most_name_bytes, &known);
   return known;
 }
 
@@ -70,7 +72,7 @@
   size_t entries = known.size();
   for (const KnownWorker& worker : known) {
     Member& member = members_.at(worker.id);
-    entries += CountOf(worker);
+    entries += CountTasks(worker);
     if (worker.unheard > Millis(0)) {
       member.told_unheard = true;
       member.heard_recorded = false;
@@ -83,13 +85,13 @@
     member.noted_version =
         IsUnheard(member) ? kNeverNoted : member.session->tasks_version();
   }
-  next_tasks_record_ = executor_.Now() + entries * kPauseOfEntry;
+  next_tasks_record_ = executor_.Now() + entries * kWriteDelayPerEntry;
   journal_.SetWorkers(std::move(known));
 }
 
-// A successor that can't reach a worker would hold back every task that may run
-// there. Of one that gets nothing new, what may run is known, and can only get
-// less: what has ended there and is recorded holds nothing back.
+// A successor that cannot reach a worker holds back every task that may run
+// there. For a worker that gets no new work, those tasks are known and can only
+// become fewer: a task whose end there is recorded need not be held back.
 std::optional<std::vector<std::string>> CellLeader::TasksToRecord(
     const Member& member) const {
   if (IsUnheard(member) || HasMoreToTell(member)) {
@@ -104,8 +106,8 @@
 bool CellLeader::GetsNothingNew(const Member& member) const {
   const WorkerSession& session = *member.session;
   const Instant now = executor_.Now();
-  // Nothing was started on one that this leader has not heard, and what earlier
-  // leaders may have left there is accounted for.
+  // Nothing was started on a worker that this leader has not contacted, and
+  // what earlier leaders may have left there is accounted for.
   if (session.dead() || IsLongSilent(member) || !session.fenced()) {
     return true;
   }
@@ -130,16 +132,17 @@
   if (!IsSure() || executor_.Now() < next_tasks_record_) {
     return;
   }
-  const bool news = std::any_of(
+  const bool needs_record = std::any_of(
       members_.begin(), members_.end(),
       [this](const auto& entry) { return HasNewsToRecord(entry.second); });
-  if (news) {
+  if (needs_record) {
     RecordMembers();
   }
 }
 
-// A successor believes another life at the recorded address, so that has to be
-// one at which this life has answered.
+// If another incarnation answers at the recorded address, a successor takes the
+// worker to be dead. That address therefore has to be one at which this
+// incarnation has answered.
 bool CellLeader::IsRecorded(const Member& member) {
   return member.recorded_at == member.session->life().address;
 }
@@ -162,8 +165,9 @@
   if (!IsLongSilent(member)) {
     return Millis(0);
   }
-  // A successor counts from when it leads, as if until then orders had been
-  // given, and for `unsure_patience` more. This leader gives none from here on.
+  // A successor counts from when it leads, as if orders had been sent until
+  // then and for `unsure_patience` after that. This leader sends no more orders
+  // there.
   return std::chrono::duration_cast<Millis>(executor_.Now() -
                                             member.session->promised_at()) +
          options_.unsure_patience;
@@ -173,17 +177,17 @@
   return std::chrono::duration_cast<Millis>(executor_.Now() - led_since_);
 }
 
-// A wait that is served once is not served again by the next leader: with three
-// workers gone for good, two takeovers in ten seconds held all stopped lasting
-// work back for eighteen; with workers lost 6 s before their leader, one
-// takeover did for twenty.
+// Lets the next leader skip a wait that has already passed. Without the record,
+// with three workers permanently lost, two takeovers in ten seconds held all
+// stopped long-running tasks back for 18 s; with workers lost 6 s before their
+// leader, a single takeover held them back for 20 s.
 void CellLeader::RecordUnheard() {
   const Instant now = executor_.Now();
   if (!IsSure() || now - unheard_recorded_ < options_.unheard_interval) {
     return;
   }
   unheard_recorded_ = now;
-  // Where nothing runs, it changes nothing for a successor how long that is.
+  // If nothing runs there, the time makes no difference to a successor.
   const bool any =
       std::any_of(members_.begin(), members_.end(), [this](const auto& entry) {
         const Member& member = entry.second;
@@ -203,13 +207,14 @@
       continue;
     }
     Member& member = found->second;
-    // What stands binds also a member that was taken in after it was sent.
+    // A record in the store also applies to a worker that was added after the
+    // record was sent.
     member.told_tasks = member.told_tasks || worker.tasks.has_value();
     if (worker.unheard > Millis(0) && !member.told_unheard) {
       member.told_unheard = true;
       TellSession(member, OrdersUntil());
     }
-    // A later record that says otherwise may be on its way.
+    // A newer record that states otherwise may be under way.
     const KnownWorker& newest = member.noted;
     if (!worker.tasks && !newest.tasks && member.told_tasks) {
       member.told_tasks = false;
--- a/src/libdoorwood/cell/cell_members.cpp
+++ b/src/libdoorwood/cell/cell_members.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The workers of a cell: who is in it, and since when they may be given work.
+// The workers of a cell: which workers belong to it, and when they may get
+// work.
 
 #include <algorithm>
 #include <utility>
@@ -10,25 +11,26 @@
 namespace doorwood {
 namespace {
 
-bool Differs(const std::string& known, const std::string& told) {
-  return !known.empty() && !told.empty() && known != told;
+bool Differs(const std::string& known, const std::string& reported) {
+  return !known.empty() && !reported.empty() && known != reported;
 }
 
-// What an entry says that can't be true of the known life; empty: nothing. An
-// id names one life of a worker, and none of these changes within a life, so
-// such an entry is another writer's.
+// Returns which field of a directory entry contradicts the known incarnation;
+// empty: none. An id names one incarnation of a worker, and none of these
+// fields changes within an incarnation, so such an entry was written by another
+// process.
 std::string_view FindContradiction(const WorkerLife& known,
-                                   const WorkerLife& told) {
-  if (Differs(known.address, told.address)) {
+                                   const WorkerLife& reported) {
+  if (Differs(known.address, reported.address)) {
     return "another address";
   }
-  if (Differs(known.service, told.service)) {
+  if (Differs(known.service, reported.service)) {
     return "another service";
   }
-  if (Differs(known.data_centre, told.data_centre)) {
+  if (Differs(known.data_centre, reported.data_centre)) {
     return "another data centre";
   }
-  return Differs(known.machine, told.machine) ? "another machine" : "";
+  return Differs(known.machine, reported.machine) ? "another machine" : "";
 }
 
 }  // namespace
@@ -126,17 +128,18 @@
   WakeScheduler();
 }
 
-// The worker itself proves that it is gone, by silence or by another life's
-// answer; an entry that it did not write proves nothing. So its runs go on, at
-// the address that is known, and nothing new goes there.
+// Only the worker itself proves that it is gone, by an expired lease or by
+// another incarnation's answer. An entry that the worker did not write proves
+// nothing. Its runs therefore continue, at the known address, and it gets no
+// new work.
 void CellLeader::TakeEntry(const WorkerLife& life, Member* member) {
   const WorkerLife& known = member->session->life();
   if (life.readable) {
-    // Taken at once by a session that was never answered, and by another once
-    // this life answers there.
-    WorkerLife named = known;
-    named.address = life.address;
-    member->session->Update(named);
+    // A session that was never answered uses the address at once; any other
+    // session uses it once this incarnation has answered there.
+    WorkerLife readdressed = known;
+    readdressed.address = life.address;
+    member->session->Update(readdressed);
   }
   const bool usable = life.readable && IsOfCell(life.data_centre);
   const std::string_view doubt =
@@ -204,9 +207,9 @@
       executor_, workers_, log_, *this, options_.sessions, life,
       static_cast<uint64_t>(epoch_));
   member.listed = !from_takeover;
-  // Also a worker that only the directory names may run what an earlier
-  // leader ordered: the workers' key names it before any order goes there,
-  // but only if that leader was of this cell.
+  // A worker that only the directory names may still run what an earlier leader
+  // ordered, but not a leader of this cell: those record a worker under the
+  // workers' key before they send it orders.
   member.from_takeover = from_takeover;
   TellSession(member, OrdersUntil());
   if (from_takeover) {
@@ -224,7 +227,7 @@
   for (auto it = members_.begin(); it != members_.end();) {
     const WorkerSession& session = *it->second.session;
     const bool over = session.dead() || !it->second.listed;
-    // An end that is not recorded is one that a successor has to hear of.
+    // A successor still has to learn of an end that is not recorded.
     const bool still_counts = !session.runs().empty() ||
                               session.has_unrecorded_ends() ||
                               IsUnheard(it->second);
--- a/src/libdoorwood/cell/cell_overdue.cpp
+++ b/src/libdoorwood/cell/cell_overdue.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Runs that take far longer than expected: what the leader believes of each,
-// and what its worker lists.
+// Detection of runs that take far longer than expected. Logs what the leader
+// knows of each and what its worker lists.
 
 #include <algorithm>
 
@@ -10,17 +10,18 @@
 namespace doorwood {
 namespace {
 
-// How often such runs are looked for, and how often one is logged.
-constexpr Millis kLookInterval{1000};
-constexpr Millis kTellInterval{5000};
-// A run is overdue past this multiple of what it was expected to take, and at
-// least this long after its order.
+// Interval between searches for such runs, and minimum interval between two log
+// lines about the same run.
+constexpr Millis kSearchInterval{1000};
+constexpr Millis kLogInterval{5000};
+// A run is overdue after this multiple of its expected run time, and at least
+// this long after its start was ordered.
 constexpr int kOverdueFactor = 4;
-constexpr Millis kOverdueAtLeast{4000};
-// Most lines of one look.
-constexpr int kMostLines = 40;
+constexpr Millis kMinOverdueAge{4000};
+// Maximum number of log lines per search.
+constexpr int kMaxLogLines = 40;
 
-Millis Since(Instant from, Instant now) {
+Millis Elapsed(Instant from, Instant now) {
   return std::chrono::duration_cast<Millis>(now - from);
 }
 
@@ -42,8 +43,8 @@
 
 bool CellLeader::IsOverdue(const Run& run, Millis* expected) const {
   const Instant now = executor_.Now();
-  if (run.lasting || now - run.ordered < kOverdueAtLeast ||
-      now - run.overdue_told < kTellInterval) {
+  if (run.lasting || now - run.ordered < kMinOverdueAge ||
+      now - run.overdue_told < kLogInterval) {
     return false;
   }
   const auto name = ParseTaskName(run.task);
@@ -72,26 +73,26 @@
                 {"run", run.number},
                 {"worker", session.life().id},
                 {"phase", ToString(run.phase)},
-                {"ordered_ms_ago", Since(run.ordered, now).count()},
+                {"ordered_ms_ago", Elapsed(run.ordered, now).count()},
                 {"expected_ms", expected.count()},
                 {"progress", run.progress},
                 {"figure", run.figure},
                 {"fills", run.fills},
                 {"wanted_pace", run.wanted_pace},
                 {"pace", run.pace},
-                {"paced_ms", paced ? Since(run.paced_since, now).count() : 0},
+                {"paced_ms", paced ? Elapsed(run.paced_since, now).count() : 0},
                 {"serving", session.serving()},
-                {"heard_ms_ago", Since(session.heard_at(), now).count()}});
+                {"heard_ms_ago", Elapsed(session.heard_at(), now).count()}});
   }
 }
 
 void CellLeader::TellOverdue() {
   const Instant now = executor_.Now();
-  if (now - overdue_looked_ < kLookInterval) {
+  if (now - overdue_looked_ < kSearchInterval) {
     return;
   }
   overdue_looked_ = now;
-  int lines = kMostLines;
+  int lines = kMaxLogLines;
   for (const auto& [id, member] : members_) {
     TellOverdueAt(*member.session, &lines);
   }
--- a/src/libdoorwood/cell/cell_takeover.cpp
+++ b/src/libdoorwood/cell/cell_takeover.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// What earlier leaders may have left running, and until when a new one must
-// reckon with it.
+// Runs that earlier leaders may have left active, and how long a new leader has
+// to wait for them.
 
 #include <algorithm>
 #include <set>
@@ -12,38 +12,38 @@
 namespace doorwood {
 namespace {
 
-// Slack on the time after which an unheard worker's runs are over, for the last
-// orders of the earlier leader.
-constexpr Millis kLastOrders{500};
+// Margin on the time after which the runs of a worker not yet contacted have
+// ended, for the last orders of the earlier leader.
+constexpr Millis kLastOrderMargin{500};
 
-// While workers are unheard, for whom the leader waits is logged this often.
-constexpr Millis kWaitTold{1000};
-// Most workers that such a line names.
-constexpr size_t kWorkersNamed = 8;
+// Interval at which the workers that the leader waits for are logged.
+constexpr Millis kWaitLogInterval{1000};
+// Maximum number of workers named in such a line.
+constexpr size_t kMaxWorkersLogged = 8;
 
 }  // namespace
 
 Millis CellLeader::LongestPromise() const {
   return LongestOnOurClock(options_.sessions.run_lease) +
-         options_.unsure_patience + kLastOrders;
+         options_.unsure_patience + kLastOrderMargin;
 }
 
-// A report lists only so many ends: any task may be among the others.
+// A report lists a limited number of ends: any task may be among the others.
 bool CellLeader::HasMoreToTell(const Member& member) const {
   const WorkerSession& session = *member.session;
   return member.from_takeover && !accounted_ && session.fenced() &&
          !session.told_all() && !session.dead();
 }
 
-// A further leader may have adopted what is waited for since the proof, so only
-// time up to it counts.
+// After the last proof of the lead, another leader may have adopted the runs
+// that are waited for, so only the time up to the proof counts.
 Millis CellLeader::WaitLeft(const Member& member) const {
   if (HasMoreToTell(member)) {
     const auto silent = std::chrono::duration_cast<Millis>(
         executor_.Now() - member.session->heard_at());
     return std::max(LongestPromise() - silent, Millis(0));
   }
-  // Nothing runs on one that left with all its ends recorded.
+  // Nothing runs on a worker that left after all its ends were recorded.
   const bool is_empty = member.tasks_before && member.tasks_before->empty();
   if (!IsUnheard(member) || is_empty) {
     return Millis(0);
@@ -54,9 +54,9 @@
   return std::max(LongestPromise() + Millis(1) - waited, Millis(0));
 }
 
-// A task is held back for as long as one of the workers that are waited for may
-// run it. What may run on a worker that was leaving or gone is recorded; on any
-// other, every task may.
+// A task is held back as long as any worker that is still waited for may run
+// it. For a worker that was leaving or gone, the tasks that may run there are
+// recorded; on any other, every task may run.
 void CellLeader::ReleaseTasks() {
   UnheardWorkers unheard = FindUnheard();
   size_t freed = 0;
@@ -139,7 +139,7 @@
       [this](const auto& entry) { return IsUnheard(entry.second); });
   accounted_ = true;
   held_.clear();
-  log_.Write("info", "cell", "all earlier runs are accounted for",
+  log_.Write("info", "cell", "all runs of earlier leaders are accounted for",
              {{"cell", options_.cell},
               {"epoch", epoch_},
               {"all_heard", all_heard},
@@ -148,7 +148,7 @@
 
 void CellLeader::TellWait() {
   const Instant now = executor_.Now();
-  if (now - wait_told_ < kWaitTold) {
+  if (now - wait_told_ < kWaitLogInterval) {
     return;
   }
   wait_told_ = now;
@@ -159,7 +159,7 @@
     if (left == Millis(0)) {
       continue;
     }
-    if (++count <= kWorkersNamed) {
+    if (++count <= kMaxWorkersLogged) {
       workers.push_back(
           {{"worker", id},
            {"listed", member.listed},
@@ -180,7 +180,7 @@
       }
     }
   }
-  log_.Write("info", "cell", "waiting for unheard workers",
+  log_.Write("info", "cell", "waiting for workers that are not yet contacted",
              {{"cell", options_.cell},
               {"epoch", epoch_},
               {"led_ms", LedFor().count()},
--- a/src/libdoorwood/cell/lead_proof.cpp
+++ b/src/libdoorwood/cell/lead_proof.cpp
@@ -77,7 +77,7 @@
     listener_.OnLeadDisproved("another instance holds the lead key");
     return;
   }
-  // A read that failed is made again by the next tick.
+  // After a failed read the next tick reads again.
   if (!error) {
     const uint64_t generation = generation_;
     NoteShown(sent);
