--- a/src/libdoorwood/cell/cell_campaign_test.cpp
+++ b/src/libdoorwood/cell/cell_campaign_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Who takes a lead that nobody has.
+// Which instance takes a vacant lead.
 
 #include <boost/test/unit_test.hpp>
 
@@ -9,11 +9,11 @@
 namespace doorwood {
 namespace {
 
-// A large site: a few strong machines and many weak ones, whose turn to try for
-// the lead comes seconds after it falls vacant. A leader of all workers on a
-// weak machine costs callers half of what they get.
-struct ManyWeakFixture {
-  explicit ManyWeakFixture(int seed) : world(seed) {
+// A large site with a few strong and many weak machines. The weak ones campaign
+// only seconds after the lead becomes vacant. A weak machine that leads all
+// workers halves the callers' results.
+struct LargeSiteFixture {
+  explicit LargeSiteFixture(int seed) : world(seed) {
     world.SetTable({fakes::MakeQueue("queue", 3)});
     for (int n = 0; n < kWeak; ++n) {
       world.AddInstance("w" + std::to_string(n), "pireas", 0.12);
@@ -36,18 +36,18 @@
   fakes::CellWorld world;
 };
 
-BOOST_AUTO_TEST_CASE(Lead_AllStartAtOnce_AStrongOneTakesIt) {
-  for (int seed = 1; seed <= ManyWeakFixture::kSeeds; ++seed) {
-    ManyWeakFixture fixture(seed);
+BOOST_AUTO_TEST_CASE(Lead_AllStartAtOnce_AStrongInstanceTakesIt) {
+  for (int seed = 1; seed <= LargeSiteFixture::kSeeds; ++seed) {
+    LargeSiteFixture fixture(seed);
     BOOST_TEST_CONTEXT("seed " << seed) {
       BOOST_TEST(fixture.ShareOfLeader() == fixture.kStrongShare);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(Lead_StoreForgetsAllKeys_AStrongOneTakesIt) {
-  for (int seed = 1; seed <= ManyWeakFixture::kSeeds; ++seed) {
-    ManyWeakFixture fixture(seed);
+BOOST_AUTO_TEST_CASE(Lead_StoreLosesAllKeys_AStrongInstanceTakesIt) {
+  for (int seed = 1; seed <= LargeSiteFixture::kSeeds; ++seed) {
+    LargeSiteFixture fixture(seed);
     for (auto& [name, instance] : fixture.world.instances()) {
       fixture.world.store().Revoke(*instance->live->lease());
     }
@@ -58,14 +58,15 @@
   }
 }
 
-// The lead falls vacant twice, the second time when turns would come that began
-// with the first. Machines that go together with the leader are listed for a
-// moment longer, so that strong ones have to wait for their turn as well.
-BOOST_AUTO_TEST_CASE(Lead_FallsVacantTwice_WeakOnesWaitForTheirTurnAgain) {
-  for (int seed = 1; seed <= ManyWeakFixture::kSeeds; ++seed) {
-    ManyWeakFixture fixture(seed);
+// The lead becomes vacant twice, the second time when campaigns that were
+// scheduled in the first vacancy would be due. Machines that fail together with
+// the leader stay listed for a moment, so that the strong ones are delayed as
+// well.
+BOOST_AUTO_TEST_CASE(Lead_BecomesVacantTwice_DelaysStartAgain) {
+  for (int seed = 1; seed <= LargeSiteFixture::kSeeds; ++seed) {
+    LargeSiteFixture fixture(seed);
     fixture.world.Kill("x1");
-    // The lease runs out after 2 s; then turns come for 3 s.
+    // The lease expires after 2 s; campaigns are then due over the next 3 s.
     fixture.world.Run(Millis(2600 + 50 * seed));
     fixture.world.Kill("x2");
     fixture.world.Kill("x3");
--- a/src/libdoorwood/cell/cell_closed_test.cpp
+++ b/src/libdoorwood/cell/cell_closed_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Data centres that the operators close to new work.
+// Data centres that operators close to new work.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -10,9 +10,9 @@
 namespace doorwood {
 namespace {
 
-// A store that answers: we want a closed data centre to get nothing new within
-// a second; the platform's bound is 5 s.
-constexpr Millis kClosedWithin{1000};
+// With a store that answers, a closed data centre should get no new work after
+// one second; the platform's bound is 5 s.
+constexpr Millis kClosingTime{1000};
 
 struct ClosedFixture {
   ClosedFixture() : world(5) {
@@ -62,17 +62,17 @@
   mutable fakes::CellWorld world;
 };
 
-BOOST_FIXTURE_TEST_CASE(Centre_Closed_GetsNothingNewAndTheOthersServe,
+BOOST_FIXTURE_TEST_CASE(DataCentre_Closed_GetsNoNewWorkAndTheOthersDo,
                         ClosedFixture) {
   world.closed() = {"plaka"};
-  world.Run(kClosedWithin);
+  world.Run(kClosingTime);
   Submit(1, 24, "ms=60000");
   world.Run(Millis(1000));
   BOOST_TEST(RunningIn("plaka") == 0U);
   BOOST_TEST(RunningIn("kerameikos") + RunningIn("pireas") == 24U);
 }
 
-BOOST_FIXTURE_TEST_CASE(Centre_Closed_WhatRunsThereStays, ClosedFixture) {
+BOOST_FIXTURE_TEST_CASE(DataCentre_Closed_ItsRunsContinue, ClosedFixture) {
   Submit(1, 6, "");
   world.Run(Millis(500));
   const size_t before = RunningIn("plaka");
@@ -81,14 +81,15 @@
   BOOST_TEST(RunningIn("plaka") == before);
 }
 
-BOOST_FIXTURE_TEST_CASE(Centre_ClosedAndItsWorkersCrash_WorkReturnsElsewhere,
-                        ClosedFixture) {
+BOOST_FIXTURE_TEST_CASE(
+    DataCentre_ClosedAndItsWorkersCrash_WorkRestartsElsewhere,
+    ClosedFixture) {
   Submit(1, 28, "");
   world.Run(Millis(500));
   const std::string centre = RunningIn("plaka") > 0 ? "plaka" : "pireas";
   BOOST_REQUIRE(RunningIn(centre) > 0U);
   world.closed() = {centre};
-  world.Run(kClosedWithin);
+  world.Run(kClosingTime);
   world.CrashWorker(centre + "1");
   world.CrashWorker(centre + "2");
   world.AddWorker(centre + "3", 8000).life.data_centre = centre;
@@ -101,7 +102,7 @@
   BOOST_TEST(running == 28U);
 }
 
-BOOST_FIXTURE_TEST_CASE(Centre_OpenedAgain_GetsWorkAgain, ClosedFixture) {
+BOOST_FIXTURE_TEST_CASE(DataCentre_Reopened_GetsWorkAgain, ClosedFixture) {
   world.closed() = {"plaka"};
   world.Run(Millis(3000));
   Submit(1, 48, "ms=60000");
@@ -112,7 +113,7 @@
   BOOST_TEST(RunningIn("plaka") == 16U);
 }
 
-BOOST_FIXTURE_TEST_CASE(Centre_ClosedAndOpenedWithinASecond_StaysOpen,
+BOOST_FIXTURE_TEST_CASE(DataCentre_ClosedAndReopenedWithinASecond_GetsWork,
                         ClosedFixture) {
   world.closed() = {"plaka"};
   world.Run(Millis(400));
@@ -123,8 +124,8 @@
   BOOST_TEST(RunningIn("plaka") == 16U);
 }
 
-// Whoever leads next reads what is closed before it starts anything.
-BOOST_FIXTURE_TEST_CASE(Centre_ClosedWhileTheLeadChanges_SuccessorKnows,
+// A successor reads the closed data centres before it starts anything.
+BOOST_FIXTURE_TEST_CASE(DataCentre_ClosedDuringTakeover_SuccessorStartsNothing,
                         ClosedFixture) {
   Submit(1, 48, "ms=60000");
   Submit(2, 30, "ms=60000");
@@ -142,12 +143,13 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(Centres_AllClosed_CallersAreToldAtOnce, ClosedFixture) {
+BOOST_FIXTURE_TEST_CASE(DataCentres_AllClosed_JobsAreRefusedAtOnce,
+                        ClosedFixture) {
   world.closed() = {"plaka", "kerameikos", "pireas"};
-  world.Run(kClosedWithin);
+  world.Run(kClosingTime);
   BOOST_TEST(Refusal(1) == make_error_code(CoreErrc::kNoRoom));
   world.closed() = {"plaka", "kerameikos"};
-  world.Run(kClosedWithin);
+  world.Run(kClosingTime);
   BOOST_TEST(Refusal(2) == std::error_code());
 }
 
--- a/src/libdoorwood/cell/cell_fixture.h
+++ b/src/libdoorwood/cell/cell_fixture.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A small cell that is led, for tests of what its leader does.
+/// A small cell with a leader, for tests of the leader's behavior.
 
 #ifndef DOORWOOD_CELL_FIXTURE_H_
 #define DOORWOOD_CELL_FIXTURE_H_
@@ -18,9 +18,9 @@
 inline constexpr char kCellJob[] = "00112233aabbccdd";
 
 /// Three workers, and instances in different data centres, one of which leads.
-/// Ends with a check that no rule of the world was broken.
+/// The destructor reports every violated rule of the world.
 struct CellFixture {
-  /// A data centre of an instance, by the instance's name.
+  /// Data centres of the instances, by instance name.
   using Centres = std::map<std::string, std::string>;
 
   explicit CellFixture(uint64_t seed = 11,
--- a/src/libdoorwood/cell/cell_late_campaign_test.cpp
+++ b/src/libdoorwood/cell/cell_late_campaign_test.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A try for the lead that gets no answer may be done seconds later, when its
-// instance is at a further try, or has won and lost the lead since. The key
-// then names an instance that takes itself for a follower: nobody leads for as
-// long as that process renews its lease. All in virtual time.
+// A campaign write that gets no answer may take effect seconds later, when its
+// instance has sent another one or has won and lost the lead since. The key
+// then names an instance that considers itself a follower, and the cell has no
+// leader as long as that process renews its lease. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -16,9 +16,9 @@
 using fakes::CellWorld;
 using fakes::WorldInstance;
 
-// No leader is needed for longer than a lease, a campaign and the reading of
-// the records take once the store is well.
-constexpr Millis kLongEnough{15'000};
+// Longer than a lease, a campaign and reading the records take once the store
+// works again.
+constexpr Millis kRecoveryTime{15'000};
 
 struct Fixture {
   Fixture() : world(7) {
@@ -42,23 +42,23 @@
   WorldInstance* old = nullptr;
 };
 
-// Every try is done 6 s late while the fault lasts.
-BOOST_AUTO_TEST_CASE(Campaign_TriesAreDoneLate_SomebodyLeadsInTheEnd) {
-  for (int lasts = 6500; lasts <= 12'000; lasts += 500) {
+// Every write takes effect 6 s late while the fault lasts.
+BOOST_AUTO_TEST_CASE(Campaign_WritesTakeEffectLate_CellGetsALeader) {
+  for (int duration = 6500; duration <= 12'000; duration += 500) {
     Fixture fixture;
     CellWorld& world = fixture.world;
     world.Kill(fixture.old->name);
     fixture.SetLate(1.0);
-    world.Run(Millis(lasts));
+    world.Run(Millis(duration));
     fixture.SetLate(0);
-    world.Run(kLongEnough);
-    BOOST_TEST((world.Leader() != nullptr), "late for " << lasts << " ms");
+    world.Run(kRecoveryTime);
+    BOOST_TEST((world.Leader() != nullptr), "late for " << duration << " ms");
   }
 }
 
-// One late try, a winning one, and the lead is lost before the late one is
-// done.
-BOOST_AUTO_TEST_CASE(Campaign_LateTryIsDoneAfterTheLead_SomebodyLeads) {
+// One late write, then a winning one; the lead is lost before the late one
+// takes effect.
+BOOST_AUTO_TEST_CASE(Campaign_LateWriteAfterLostLead_CellGetsALeader) {
   for (int led = 200; led <= 6000; led += 100) {
     Fixture fixture;
     CellWorld& world = fixture.world;
@@ -69,9 +69,9 @@
     WorldInstance* leader = world.WaitForLeader();
     BOOST_REQUIRE(leader != nullptr);
     world.Run(Millis(led));
-    // The store takes the key away without a word.
+    // The store removes the key without notice.
     world.store().Revoke(*leader->live->lease());
-    world.Run(kLongEnough);
+    world.Run(kRecoveryTime);
     BOOST_TEST((world.Leader() != nullptr), "led for " << led << " ms");
   }
 }
--- a/src/libdoorwood/cell/cell_lead_proof_test.cpp
+++ b/src/libdoorwood/cell/cell_lead_proof_test.cpp
@@ -1,17 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Seen: tasks that ran in one data centre were started a second time in the
-// leader's own, nineteen of them at once, and the second runs were stopped
-// when somebody heard of the first ones.
-// How: the leader had lost the store, and with it the lead. Its successor had
-// adopted the runs and kept them. The old leader reached the store again, was
-// granted a new lease, and took it for proof that it still led; its own
-// promises to workers that it could not hear were over, so it took their runs
-// for over.
-// Cause: a lead is proved by its key, not by what the store grants or renews.
-// Proof: the leader's log names the lease that its lead was taken with, and a
-// later one granted just before it called the runs over. With silence believed
-// only after a later look at the key nothing below starts twice.
+// A leader that lost the store and the lead must not take a newly granted lease
+// for proof that it still leads. Its own leases on workers that it cannot reach
+// have expired, so it would consider their runs ended and start the tasks a
+// second time, although its successor has adopted and kept the runs. This once
+// started nineteen tasks twice at the same time. Only the lead key proves the
+// lead: runs count as ended without a worker's report only after a later read
+// of the key.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -23,30 +18,32 @@
 
 using fakes::CutLeaderFixture;
 
-// The store is back before the old leader has heard of its successor.
-BOOST_AUTO_TEST_CASE(CutLeader_IsGrantedANewLease_StartsNothing) {
-  for (int cut = 2500; cut <= 9000; cut += 50) {
+// The store answers again before the old leader has learned of its successor.
+BOOST_AUTO_TEST_CASE(PartitionedLeader_IsGrantedANewLease_StartsNothing) {
+  for (int duration = 2500; duration <= 9000; duration += 50) {
     CutLeaderFixture fixture;
     fixture.old->cut_from.insert("shared");
     fixture.CutOldLeader();
-    fixture.world.Run(Millis(cut));
+    fixture.world.Run(Millis(duration));
     fixture.old->store_faults = {};
     fixture.world.Run(Millis(6000));
-    fixture.ExpectNothingBroken("cut for " + std::to_string(cut));
+    fixture.ExpectNothingBroken("partitioned for " + std::to_string(duration));
   }
 }
 
-// The store takes the keys away at once, without a word about the lease, and
-// the worker has been silent for 0 to 7 s.
-BOOST_AUTO_TEST_CASE(CutLeader_KeyIsTakenAwayBeforeItsLease_StartsNothing) {
-  for (int before = 0; before <= 7000; before += 100) {
+// The store removes the keys at once, without notice and without ending the
+// lease; the worker has been unreachable for 0 to 7 s.
+BOOST_AUTO_TEST_CASE(
+    PartitionedLeader_KeyIsRemovedBeforeLeaseEnd_StartsNothing) {
+  for (int unreachable = 0; unreachable <= 7000; unreachable += 100) {
     CutLeaderFixture fixture;
     fixture.old->cut_from.insert("shared");
-    fixture.world.Run(Millis(before));
+    fixture.world.Run(Millis(unreachable));
     fixture.CutOldLeader();
     fixture.world.store().Revoke(*fixture.old->live->lease());
     fixture.world.Run(Millis(14'000));
-    fixture.ExpectNothingBroken("silent for " + std::to_string(before));
+    fixture.ExpectNothingBroken("unreachable for " +
+                                std::to_string(unreachable));
   }
 }
 
--- a/src/libdoorwood/cell/cell_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_leader_test.cpp
@@ -37,7 +37,7 @@
   BOOST_TEST(world.starts(std::string(kJob) + ".0.0.0") == 3);
 }
 
-BOOST_FIXTURE_TEST_CASE(Job_FailsAlways_EndsAfterItsAttempts, CellFixture) {
+BOOST_FIXTURE_TEST_CASE(Job_FailsAlways_FailsAfterMaxAttempts, CellFixture) {
   world.Submit(fakes::MakePlan(kJob, 1, 1, "ms=100 fails=99"));
   world.Run(Millis(4000));
   BOOST_TEST(State() == "failed");
@@ -75,10 +75,10 @@
   BOOST_TEST(State() == "completed");
 }
 
-BOOST_FIXTURE_TEST_CASE(Job_GangThatDoesNotFit_StartsWhollyOrNotAtAll,
+BOOST_FIXTURE_TEST_CASE(Job_GangThatDoesNotFit_StartsAllTasksOrNone,
                         CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 30, "ms=200");
-  plan.steps[0].gang = true;  // 30 cores, 24 are there
+  plan.steps[0].gang = true;  // 30 cores, of 24 available
   world.Submit(plan);
   world.Run(Millis(2000));
   BOOST_TEST(State() == "queued");
@@ -92,7 +92,7 @@
   Queue advised = fakes::MakeQueue("queue", 3);
   advised.advice = AdvicePolicy{};
   world.SetTable({advised});
-  world.AddWorker("wx", 64'000);  // never permitted, though it has most room
+  world.AddWorker("wx", 64'000);  // most free capacity, but never permitted
   world.Run(Millis(1000));
   world.Submit(fakes::MakePlan(kJob, 2, 2, "ms=300"));
   world.Run(Millis(3000));
@@ -104,7 +104,7 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(Leader_Dies_SuccessorAdoptsWhatRuns, CellFixture) {
+BOOST_FIXTURE_TEST_CASE(Leader_Dies_SuccessorAdoptsRuns, CellFixture) {
   world.Submit(fakes::MakePlan(kJob, 1, 4, "ms=6000"));
   world.Run(Millis(500));
   world.Kill(world.Leader()->name);
@@ -129,7 +129,7 @@
   BOOST_TEST(State() == "completed");
 }
 
-BOOST_FIXTURE_TEST_CASE(Leader_FrozenPastItsLease_GivesNoOrderWhenItWakes,
+BOOST_FIXTURE_TEST_CASE(Leader_PausedPastItsLease_SendsNoOrderOnResume,
                         CellFixture) {
   fakes::WorldInstance* old = world.Leader();
   world.Submit(fakes::MakePlan(kJob, 2, 4, "ms=1500"));
@@ -142,7 +142,8 @@
   BOOST_TEST(State() == "completed");
 }
 
-BOOST_FIXTURE_TEST_CASE(Leader_KeysRevokedWithoutAWord_StepsDown, CellFixture) {
+BOOST_FIXTURE_TEST_CASE(Leader_KeysRevokedWithoutNotice_StepsDown,
+                        CellFixture) {
   fakes::WorldInstance* old = world.Leader();
   const int64_t epoch = old->cell->epoch();
   world.store().Revoke(*old->live->lease());
@@ -151,7 +152,7 @@
   BOOST_TEST(world.Leader()->cell->epoch() > epoch);
 }
 
-BOOST_FIXTURE_TEST_CASE(Store_DownForAll_AcceptedWorkGoesOn, CellFixture) {
+BOOST_FIXTURE_TEST_CASE(Store_DownForAll_AcceptedWorkContinues, CellFixture) {
   world.Submit(fakes::MakePlan(kJob, 3, 2, "ms=1500"));
   for (const auto& [name, instance] : world.instances()) {
     instance->store_faults.down = true;
@@ -170,7 +171,7 @@
   BOOST_TEST(world.starts(last) == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(Everything_KilledAfterAnAcceptance_JobIsKept,
+BOOST_FIXTURE_TEST_CASE(AllInstances_KilledAfterAcceptance_JobIsKept,
                         CellFixture) {
   BOOST_TEST(world.Submit(fakes::MakePlan(kJob, 1, 2, "ms=400")));
   for (const char* name : {"a1", "b1", "c1"}) {
@@ -184,9 +185,9 @@
   BOOST_TEST(State() == "completed");
 }
 
-// The one that is told to take the key away may be the weakest that hears the
-// store: too weak to read the records of a large cell.
-BOOST_FIXTURE_TEST_CASE(OnHandedOver_StrongerOnesHearTheStore_LeavesThemTheLead,
+// The instance that is asked to remove the lead key may be the weakest one that
+// can reach the store, too weak to read the records of a large cell.
+BOOST_FIXTURE_TEST_CASE(OnHandedOver_StrongerOnesReachTheStore_TheyTakeTheLead,
                         CellFixture) {
   fakes::WorldInstance& weak = world.AddInstance("weak", "plaka", 0.1);
   world.Run(Millis(1000));
@@ -199,12 +200,13 @@
   BOOST_TEST(world.instances().at("a1")->cell->leading());
 }
 
-// A cancelled job's run that a worker begins seconds later, from an order that
-// was not answered, does not go on; nor does one whose starter is gone.
-BOOST_AUTO_TEST_CASE(Cancelled_OrdersAreCarriedOutLate_NothingRunsOn) {
+// A worker may start a run of a cancelled job seconds later, from an order that
+// was not answered. The run must be stopped, even if the leader that ordered it
+// is gone.
+BOOST_AUTO_TEST_CASE(Cancelled_OrdersAreCarriedOutLate_RunsAreStopped) {
   constexpr int kSeeds = 12;
   for (int seed = 1; seed <= kSeeds; ++seed) {
-    for (const bool starter_dies : {false, true}) {
+    for (const bool leader_dies : {false, true}) {
       fakes::CellWorld world(seed);
       world.SetTable({fakes::MakeQueue("queue", 3)});
       for (const char* id : {"w1", "w2", "w3"}) {
@@ -221,18 +223,18 @@
       world.Leader()->cell->Cancel(
           kJob, [&](std::error_code error) { confirmed = !error; });
       world.Run(Millis(200));
-      if (starter_dies) {
+      if (leader_dies) {
         world.Kill(world.Leader()->name);
       } else {
         world.Leader()->late_orders = 0;
       }
-      // Stops go out again until they are confirmed; a successor leads after 3
-      // s.
+      // Stops are sent again until they are confirmed; a successor leads after
+      // 3 s.
       world.Run(Millis(4000));
-      // Late orders are carried out after 6 s. What one of them begins is gone
-      // within three samples, well inside the platform's bound.
+      // Late orders are carried out after 6 s. A run that one of them starts is
+      // gone within three samples, well within the platform's bound.
       int longest = 0;
-      int in_a_row = 0;
+      int consecutive = 0;
       for (int sample = 0; sample < 60; ++sample) {
         world.Run(Millis(100));
         world.AdvanceAll();
@@ -240,10 +242,10 @@
         for (const auto& [id, worker] : world.workers()) {
           runs = runs || worker->model.running() > 0;
         }
-        in_a_row = runs ? in_a_row + 1 : 0;
-        longest = std::max(longest, in_a_row);
+        consecutive = runs ? consecutive + 1 : 0;
+        longest = std::max(longest, consecutive);
       }
-      BOOST_TEST_CONTEXT("seed " << seed << ", starter dies " << starter_dies) {
+      BOOST_TEST_CONTEXT("seed " << seed << ", leader dies " << leader_dies) {
         BOOST_TEST(confirmed);
         BOOST_TEST(longest <= 3);
         for (const std::string& rule : world.broken()) {
@@ -254,26 +256,27 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(Submit_LastingWorkHasItsShare_IsRefusedAtOnce,
+BOOST_FIXTURE_TEST_CASE(Submit_LongRunningShareIsReserved_IsRefusedAtOnce,
                         CellFixture) {
-  // Three workers of eight processors: lasting work may reserve 14.4 at once.
-  const auto lasting = [](const std::string& id, int count) {
+  // Three workers with eight processors: long-running tasks may initially
+  // reserve 14.4 of them.
+  const auto long_running = [](const std::string& id, int count) {
     JobPlan plan = fakes::MakePlan(id, 1, count, "");
     plan.steps[0].lasting = true;
     return plan;
   };
-  BOOST_TEST(world.Submit(lasting(kJob, 14)));
+  BOOST_TEST(world.Submit(long_running(kJob, 14)));
   std::error_code answer;
   world.Leader()->cell->Submit(
-      lasting("1111111111111111", 1),
+      long_running("1111111111111111", 1),
       [&](std::error_code error, AcceptOutcome) { answer = error; });
   BOOST_TEST(answer == make_error_code(CoreErrc::kNoRoom));
-  // The same job again is known; short work is taken.
-  BOOST_TEST(world.Submit(lasting(kJob, 14)));
+  // A repeated submission of the same job is known; a short job is accepted.
+  BOOST_TEST(world.Submit(long_running(kJob, 14)));
   BOOST_TEST(world.Submit(fakes::MakePlan("2222222222222222", 1, 1, "ms=100")));
 }
 
-BOOST_FIXTURE_TEST_CASE(Store_TurnsTheLeaderAway_AnotherLeadsBeforeItsLeaseEnds,
+BOOST_FIXTURE_TEST_CASE(Store_RefusesTheLeader_AnotherLeadsBeforeLeaseExpiry,
                         CellFixture) {
   world.Submit(fakes::MakePlan(kJob, 2, 2, "ms=800"));
   fakes::WorldInstance* old = world.Leader();
--- a/src/libdoorwood/cell/cell_outage_test.cpp
+++ b/src/libdoorwood/cell/cell_outage_test.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The store serves some instances and refuses others, and the leader is among
-// the refused. A leader whose store is down for all goes on, since nobody can
-// follow it; it must not take one refused instance of each data centre for all
-// of them, or it keeps runs alive without bound that its successor takes to be
-// over. All in virtual time.
+// The store serves some instances and refuses others, the leader among them. A
+// leader continues while the store is down for all instances, since none can
+// succeed it. It must not conclude this from one refused instance of each data
+// centre: it would extend without bound the leases of runs that its successor
+// considers ended. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -17,13 +17,13 @@
 using fakes::LeadTrial;
 using fakes::Tally;
 
-constexpr Millis kAfterwards{16'000};
+constexpr Millis kSettlingTime{16'000};
 
 // The store refuses the first instance of each data centre and serves the
-// second. Which of the served ones the leader reaches is the case's.
-void RefuseFirstOfEach(const LeadTrial& trial,
-                       bool silent,
-                       const std::set<std::string>& reached) {
+// second. `reached` names the served ones that the leader can reach.
+void RefuseFirstOfEachDataCentre(const LeadTrial& trial,
+                                 bool silent,
+                                 const std::set<std::string>& reached) {
   BOOST_REQUIRE(trial.old->name == "b1");
   for (const char* name : {"a1", "b1", "c1"}) {
     auto& faults = trial.world.instances().at(name)->store_faults;
@@ -37,39 +37,39 @@
   }
 }
 
-void Play(const std::set<std::string>& reached) {
+void RunScenario(const std::set<std::string>& reached) {
   Tally tally;
-  for (const auto& [silent, part] :
+  for (const auto& [silent, partitioned] :
        {std::pair(false, false), {true, false}, {false, true}, {true, true}}) {
     for (int offset = 0; offset < 20; ++offset) {
       LeadTrial trial({"a2", "b2", "c2"});
-      trial.PartWorkers(part);
+      trial.PartWorkers(partitioned);
       trial.world.Run(Millis(offset * 60));
-      RefuseFirstOfEach(trial, silent, reached);
-      trial.world.Run(kAfterwards);
+      RefuseFirstOfEachDataCentre(trial, silent, reached);
+      trial.world.Run(kSettlingTime);
       tally.Take((silent ? "silent" : "refused") +
-                     std::string(part ? ", parted" : "") + ", offset " +
-                     std::to_string(offset * 60),
+                     std::string(partitioned ? ", partitioned" : "") +
+                     ", offset " + std::to_string(offset * 60),
                  trial.world);
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(Leader_ReachesOnlyRefusedInstances_NothingRunsTwice) {
-  Play({});
+  RunScenario({});
 }
 
 BOOST_AUTO_TEST_CASE(Leader_ReachesOneServedInstance_NothingRunsTwice) {
-  Play({"a2"});
+  RunScenario({"a2"});
 }
 
-BOOST_AUTO_TEST_CASE(Leader_ReachesServedInstanceOfItsOwn_NothingRunsTwice) {
-  Play({"b2"});
+BOOST_AUTO_TEST_CASE(Leader_ReachesServedInstanceOfOwnDataCentre_NothingTwice) {
+  RunScenario({"b2"});
 }
 
-// An outage for all, of which some instances come back after 2 to 9 s and the
-// leader hears nothing of it.
-BOOST_AUTO_TEST_CASE(Outage_EndsForSomeThatLeaderDoesNotReach_NothingTwice) {
+// An outage for all instances. The store serves some again after 2 to 9 s, and
+// the leader cannot reach these.
+BOOST_AUTO_TEST_CASE(Outage_EndsForInstancesOutOfReach_NothingRunsTwice) {
   Tally tally;
   for (int outage = 2000; outage <= 9000; outage += 250) {
     LeadTrial trial({"a2", "b2", "c2"});
@@ -82,15 +82,15 @@
       trial.old->cut_from_instances.insert(name);
       trial.world.instances().at(name)->store_faults.down = false;
     }
-    trial.world.Run(kAfterwards);
+    trial.world.Run(kSettlingTime);
     tally.Take("outage " + std::to_string(outage), trial.world);
   }
 }
 
-// The store takes a cut leader's keys away before its lease is over, as it may
-// without a word: the successor's wait counts from a moment at which the old
-// leader is still sure.
-BOOST_AUTO_TEST_CASE(CutLeader_KeysAreTakenAwayBeforeItsLease_NothingTwice) {
+// The store removes a partitioned leader's keys before its lease expires, as it
+// may without notice. The successor's wait counts from a time at which the old
+// leader still considers itself the leader.
+BOOST_AUTO_TEST_CASE(PartitionedLeader_KeysRemovedBeforeLeaseEnd_NothingTwice) {
   Tally tally;
   for (int offset = 0; offset < 1200; offset += 60) {
     for (int after = 0; after <= 2000; after += 200) {
@@ -100,15 +100,16 @@
       trial.CutOldLeader();
       trial.world.Run(Millis(after));
       trial.world.store().Revoke(*trial.old->live->lease());
-      trial.world.Run(kAfterwards);
-      tally.Take("offset " + std::to_string(offset) + ", taken away after " +
+      trial.world.Run(kSettlingTime);
+      tally.Take("offset " + std::to_string(offset) + ", removed after " +
                      std::to_string(after),
                  trial.world);
     }
   }
 }
 
-// The whole store is away and comes back for all: work goes on meanwhile.
+// The store is down for all instances and comes back for all. Work continues
+// meanwhile.
 BOOST_AUTO_TEST_CASE(Outage_ForAll_RunsAreKeptAndNothingRunsTwice) {
   for (int outage = 2000; outage <= 20'000; outage += 1500) {
     LeadTrial trial({"a2", "b2", "c2"});
@@ -120,14 +121,15 @@
     for (const auto& [name, instance] : trial.world.instances()) {
       instance->store_faults.down = false;
     }
-    trial.world.Run(kAfterwards);
+    trial.world.Run(kSettlingTime);
     BOOST_TEST(trial.world.broken().empty(), "outage " << outage);
   }
 }
 
-// A machine that is gone for good ends the exception for a minute, since it
-// might be served and lead; later what is ready goes on as before.
-BOOST_AUTO_TEST_CASE(Outage_MachineWentLongAgo_DependentWorkGoesOn) {
+// The exception for an outage for all instances does not apply for a minute
+// after a machine is gone, since the store might serve that machine and it
+// might lead. After that, ready tasks are started during such an outage again.
+BOOST_AUTO_TEST_CASE(Outage_MachineGoneForOverAMinute_DependentStepsRun) {
   for (const int gone_for : {70, 300}) {
     fakes::CellWorld world(7);
     world.SetTable({fakes::MakeQueue("queue", 4)});
@@ -150,10 +152,10 @@
   }
 }
 
-// What a leader records of a worker that is silent closes it until the store
-// has taken another record, which it can't while it is away.
-BOOST_AUTO_TEST_CASE(Outage_WorkerWasSilentForAMoment_GetsWork) {
-  for (int silent = 0; silent <= 2000; silent += 250) {
+// The leader's record of an unresponsive worker closes the worker to new work
+// until the store has a newer record, which it cannot get during an outage.
+BOOST_AUTO_TEST_CASE(Outage_WorkerWasBrieflyUnresponsive_GetsWork) {
+  for (int duration = 0; duration <= 2000; duration += 250) {
     fakes::CellWorld world(5);
     world.SetTable({fakes::MakeQueue("queue", 4)});
     world.AddWorker("w1", 8000);
@@ -169,14 +171,14 @@
     for (const auto& [name, instance] : world.instances()) {
       instance->cut_from.insert("w1");
     }
-    world.Run(Millis(silent));
+    world.Run(Millis(duration));
     for (const auto& [name, instance] : world.instances()) {
       instance->cut_from.clear();
       instance->store_faults.down = true;
     }
     world.Run(Millis(20'000));
     BOOST_TEST(world.workers().at("w1")->started > before,
-               "silent for " << silent);
+               "unresponsive for " << duration);
     BOOST_TEST(world.broken().empty());
   }
 }
--- a/src/libdoorwood/cell/cell_returning_instance_test.cpp
+++ b/src/libdoorwood/cell/cell_returning_instance_test.cpp
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// What a refused leader knows of the other instances is a copy from before. In
-// the first case below it has forgotten one. In the others:
-// An instance says that it leaves, ends, and is started again under its name
-// while the store refuses the leader. The leader's copy still calls it leaving,
-// so it is not asked whether the store is down for all: what it says counts for
-// nothing, also where it answers that it hears the store. All in virtual time.
+// A leader that the store refuses has an outdated copy of the directory of
+// instances. In the first test it no longer knows an instance. In the others,
+// an instance announces its planned shutdown, exits and restarts under its name
+// while the store refuses the leader. The leader's copy still lists it as
+// leaving. The leader therefore does not ask it whether the store is down for
+// all, and disregards its answer even if it can reach the store. All in virtual
+// time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -18,9 +19,9 @@
 using fakes::LeadTrial;
 using fakes::Tally;
 
-constexpr Millis kAfterwards{20'000};
+constexpr Millis kSettlingTime{20'000};
 
-void Play(bool reached) {
+void RunScenario(bool reached) {
   Tally tally;
   for (int offset = 0; offset < 20; ++offset) {
     LeadTrial trial;
@@ -33,20 +34,20 @@
       world.instances().at(name)->store_faults.down = true;
     }
     world.Kill("a1");
-    auto& back = world.AddInstance("a1", "plaka", 2.0);
-    back.cut_from = {"old_only"};
+    auto& restarted = world.AddInstance("a1", "plaka", 2.0);
+    restarted.cut_from = {"old_only"};
     if (!reached) {
       trial.old->cut_from_instances.insert("a1");
     }
-    world.Run(kAfterwards);
+    world.Run(kSettlingTime);
     tally.Take("offset " + std::to_string(offset * 60), world);
   }
 }
 
-// An instance is refused until its key is gone; then it alone is served, and
-// the leader, which does not know it any more, is refused with all that it
-// knows.
-BOOST_AUTO_TEST_CASE(ForgottenInstance_AloneIsServedAgain_NothingRunsTwice) {
+// The store refuses an instance until its key is gone. Then it serves only this
+// instance, and refuses the leader, which no longer knows of the instance, and
+// all that the leader knows.
+BOOST_AUTO_TEST_CASE(UnknownInstance_AloneIsServedAgain_NothingRunsTwice) {
   Tally tally;
   for (int away = 2500; away <= 6000; away += 250) {
     LeadTrial trial;
@@ -60,17 +61,17 @@
       world.instances().at(name)->store_faults.down = true;
     }
     trial.old->cut_from_instances.insert("a1");
-    world.Run(kAfterwards);
+    world.Run(kSettlingTime);
     tally.Take("away for " + std::to_string(away), world);
   }
 }
 
-BOOST_AUTO_TEST_CASE(LeavingInstance_IsBackAndNotReached_NothingRunsTwice) {
-  Play(/*reached=*/false);
+BOOST_AUTO_TEST_CASE(LeavingInstance_RestartsOutOfReach_NothingRunsTwice) {
+  RunScenario(/*reached=*/false);
 }
 
-BOOST_AUTO_TEST_CASE(LeavingInstance_IsBackAndReached_NothingRunsTwice) {
-  Play(/*reached=*/true);
+BOOST_AUTO_TEST_CASE(LeavingInstance_RestartsWithinReach_NothingRunsTwice) {
+  RunScenario(/*reached=*/true);
 }
 
 }  // namespace
--- a/src/libdoorwood/cell/cut_leader_fixture.h
+++ b/src/libdoorwood/cell/cut_leader_fixture.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A leader and its successor, between which cuts can be made; for tests of
-/// who may conclude what.
+/// A leader and its successors with network partitions between them, for tests
+/// of which leader may conclude that runs have ended.
 
 #ifndef DOORWOOD_CUT_LEADER_FIXTURE_H_
 #define DOORWOOD_CUT_LEADER_FIXTURE_H_
@@ -18,8 +18,8 @@
 
 inline constexpr char kLastingJob[] = "00112233aabbccdd";
 
-/// Two workers: "shared" runs the task; "near" is reached by the old leader
-/// only once it is cut off.
+/// Two workers: "shared" runs the tasks; once the old leader is partitioned, it
+/// is the only one that can reach "near".
 struct CutLeaderFixture {
   explicit CutLeaderFixture(uint64_t seed = 7) : world(seed) {
     world.SetTable({MakeQueue("queue", 4)});
--- a/src/libdoorwood/cell/lead_trial_fixture.h
+++ b/src/libdoorwood/cell/lead_trial_fixture.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A leader that others succeed, with lasting tasks on a worker that only the
-/// old one reaches and on one that all reach; for trials over many moments.
+/// A leader that is succeeded by others, with long-running tasks on a worker
+/// that only the old leader can reach and on one that all can reach. For tests
+/// that repeat a scenario at many points in time.
 
 #ifndef DOORWOOD_LEAD_TRIAL_FIXTURE_H_
 #define DOORWOOD_LEAD_TRIAL_FIXTURE_H_
@@ -21,7 +22,8 @@
 inline constexpr char kOtherTrialJob[] = "00112233aabbccd0";
 inline constexpr int kTrialTasks = 2;
 
-/// Cases that broke a rule, told once for a whole range of cases.
+/// Collects the cases that violated a rule and reports them once for a whole
+/// range of cases.
 class Tally {
  public:
   void Take(const std::string& context, const CellWorld& world) {
@@ -34,7 +36,7 @@
   ~Tally() {
     constexpr size_t kShown = 12;
     std::string text = std::to_string(broken_.size()) + " of " +
-                       std::to_string(cases_) + " cases broke a rule";
+                       std::to_string(cases_) + " cases violated a rule";
     const size_t shown =
         std::getenv("DOORWOOD_ALL") == nullptr ? kShown : broken_.size();
     for (size_t i = 0; i < std::min(shown, broken_.size()); ++i) {
@@ -49,12 +51,12 @@
   std::vector<std::string> broken_;
 };
 
-/// Two tasks on "both" and two on "old_only"; the successors start what they
-/// take to be over on "new_only", which the old leader doesn't reach.
+/// Two tasks run on "both" and two on "old_only". Successors start tasks whose
+/// runs they consider ended on "new_only", which the old leader cannot reach.
 struct LeadTrial {
   explicit LeadTrial(const std::vector<std::string>& more = {}) : world(7) {
     world.SetTable({MakeQueue("queue", 4)});
-    // Has memory for two tasks only, so that the others go elsewhere.
+    // Has memory for only two tasks, so that the others go elsewhere.
     constexpr int64_t kMemoryOfTwoMib = 250;
     world.AddWorker("old_only", 5000).life.capacity.memory_mib =
         kMemoryOfTwoMib;
@@ -93,17 +95,17 @@
     return plan;
   }
 
-  /// The old leader's process stands still.
+  /// Pauses the old leader's process.
   void Pause(Millis duration) const {
     old->executor->Freeze();
     world.Run(duration);
     old->executor->Thaw();
   }
 
-  /// No worker is reached by both, which would tell the old leader that there
-  /// is a newer one.
-  void PartWorkers(bool part) const {
-    if (part) {
+  /// Optionally partitions the old leader from "both". It then shares no worker
+  /// with its successors from which it could learn of a newer leader.
+  void PartWorkers(bool partition) const {
+    if (partition) {
       old->cut_from.insert("both");
     }
   }
--- a/src/libdoorwood/cell/quiet_listener.h
+++ b/src/libdoorwood/cell/quiet_listener.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// For tests: a session's listener that takes no notice and adopts nothing.
+/// For tests: a session listener that ignores all events and adopts no runs.
 
 #ifndef DOORWOOD_QUIET_LISTENER_H_
 #define DOORWOOD_QUIET_LISTENER_H_
