--- a/src/libdoorwood/cell/cell_crashes.cpp
+++ b/src/libdoorwood/cell/cell_crashes.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Workers that go down: how that is known, which tasks may have caused it, and
-// what is noted of them.
+// Worker crashes: how they are detected, which tasks may have caused them, and
+// what is noted of those tasks.
 
 #include <algorithm>
 #include <utility>
@@ -11,12 +11,14 @@
 namespace doorwood {
 namespace {
 
-// A machine that was emptied so lately goes down for its upkeep.
-constexpr Millis kUpkeepBegins{10'000};
-// The list tells that a worker is gone only if it was read so lately.
-constexpr Millis kListIsFresh{2000};
-// Most suspects that a line of the log names.
-constexpr size_t kSuspectsNamed = 8;
+// A worker that disappears this soon after it was emptied is taken to be down
+// for its machine's maintenance, not crashed.
+constexpr Millis kUpkeepStartWindow{10'000};
+// A missing entry proves that a worker is gone only if the list of workers is
+// no older than this.
+constexpr Millis kMaxListAge{2000};
+// Maximum number of suspects named in a log line.
+constexpr size_t kMaxSuspectsLogged = 8;
 
 }  // namespace
 
@@ -33,7 +35,7 @@
   const Member& member = found->second;
   const Instant now = executor_.Now();
   const bool emptied = member.emptied_until != Instant{} &&
-                       now - member.emptied_until < kUpkeepBegins;
+                       now - member.emptied_until < kUpkeepStartWindow;
   if (emptied) {
     return std::nullopt;
   }
@@ -43,7 +45,7 @@
   }
   const bool vanished = !leaving && !member.listed && !member.doubted &&
                         member.unlisted_since != Instant{} &&
-                        now - workers_read_ < kListIsFresh;
+                        now - workers_read_ < kMaxListAge;
   return vanished ? std::optional(CrashEvidence::kVanished) : std::nullopt;
 }
 
@@ -51,7 +53,8 @@
   std::vector<const Run*> runs;
   for (const auto& [name, run] : session.runs()) {
     const Task* task = jobs_.FindTask(name);
-    // What vanished may have been cut off before it began the run.
+    // A worker that vanished may have become unreachable before it began the
+    // run.
     const bool began =
         !run.held && (session.dead() || run.confirmed != Instant{});
     if (task != nullptr && began && task->job->outcome == JobOutcome::kOpen) {
@@ -68,9 +71,9 @@
   const std::vector<const Run*> runs = RunsAtCrash(session);
   std::vector<RunAtCrash> at_crash;
   for (const Run* run : runs) {
-    const bool tried = run->confirmed != Instant{} && !run->adopted &&
-                       trials_.IsTrying(run->task, life.id);
-    at_crash.push_back({session.SeenAtWork(*run), tried, run->adopted});
+    const bool tried_alone = run->confirmed != Instant{} && !run->adopted &&
+                             trials_.IsTrying(run->task, life.id);
+    at_crash.push_back({session.SeenAtWork(*run), tried_alone, run->adopted});
   }
   const std::vector<Blame> blames =
       BlameCrash(at_crash, options_.policy.crashes);
@@ -100,24 +103,25 @@
   }
   ++counters_.worker_crashes;
   std::vector<CrashOfRun> notes = BlameRuns(session, *evidence);
-  const bool tried =
+  const bool in_trial =
       std::any_of(notes.begin(), notes.end(),
                   [](const CrashOfRun& note) { return note.second.alone; });
-  // Crashes in trials are expected, and tell nothing of the others.
-  const bool many = !tried && JoinWave(notes);
-  TellCrash(session, notes, many);
+  // Crashes in trial runs are expected, so they don't indicate a common cause
+  // with other crashes.
+  const bool is_in_wave = !in_trial && JoinWave(notes);
+  TellCrash(session, notes, is_in_wave);
   for (auto& [name, note] : notes) {
     trials_.End(name);
-    note.one_of_many = many;
+    note.one_of_many = is_in_wave;
     if (note.suspect || evidence == CrashEvidence::kOtherLife) {
       NoteCrash(jobs_.FindTask(name), note);
     }
   }
 }
 
-// The leader may be lost before the worker is proved to have crashed, which
-// takes until another life answers: its successor is to know which tasks were
-// new there.
+// A crash is proved only once another incarnation of the worker answers. The
+// leader may fail before that, so it records which runs were new on the worker
+// for its successor.
 void CellLeader::OnLookFailed(WorkerSession& session) {
   if (session.life().draining) {
     return;
@@ -145,7 +149,7 @@
   }
 }
 
-// Before anything that may have run there is started again.
+// Must be called before any task that may have run there is started again.
 void CellLeader::NoteDeaths() {
   std::vector<std::string> dead;
   for (auto& [id, member] : members_) {
@@ -179,9 +183,10 @@
   return tasks;
 }
 
-// Its earlier leader was lost before it could tell of the crash, so this one
-// counts as a bystander whatever may have been there: twice so is a suspect.
-// Once in a takeover, since each note is of the task's newest run.
+// The previous leader failed before it could record the crash, so it is not
+// known what ran on the worker. Every task that may have run there is noted as
+// a bystander; two such notes make it a suspect. A task is noted once for each
+// takeover, because each note refers to the task's newest run.
 void CellLeader::NoteUnheardDeath(const std::string& worker,
                                   const Member& member) {
   if (!member.from_takeover || member.session->fenced()) {
@@ -201,9 +206,9 @@
     }
   }
   log_.Write(
-      "warn", "cell", "a worker went down before it was heard",
+      "warn", "cell", "a worker crashed before this leader had contacted it",
       {{"worker", worker}, {"may_have_run", notes.size()}, {"epoch", epoch_}});
-  // No more than can soon be tried, should they become suspects.
+  // Notes no more tasks than could soon get a trial run as suspects.
   if (notes.size() > members_.size()) {
     return;
   }
@@ -214,15 +219,16 @@
   }
 }
 
-// What an earlier leader noted untold of a worker that proves to be over.
+// Confirms the crashes that an earlier leader noted as unreported, now that the
+// worker is known to have ended.
 void CellLeader::ConfirmUntold(const std::string& worker) {
   for (Job* job : std::vector<Job*>(jobs_.OpenJobs())) {
     ForEachTask(job, [&](Task* task) {
       for (const CrashNote& note : std::vector<CrashNote>(task->crashes)) {
         if (note.worker == worker && note.evidence == CrashEvidence::kUntold) {
-          CrashNote sure = note;
-          sure.evidence = CrashEvidence::kOtherLife;
-          NoteCrash(task, sure);
+          CrashNote confirmed_note = note;
+          confirmed_note.evidence = CrashEvidence::kOtherLife;
+          NoteCrash(task, confirmed_note);
         }
       }
     });
@@ -270,11 +276,11 @@
                            bool many) const {
   Json suspects = Json::array();
   for (const auto& [name, note] : notes) {
-    if (note.suspect && suspects.size() < kSuspectsNamed) {
+    if (note.suspect && suspects.size() < kMaxSuspectsLogged) {
       suspects.push_back(name);
     }
   }
-  log_.Write("warn", "cell", "a worker went down",
+  log_.Write("warn", "cell", "a worker crashed",
              {{"worker", session.life().id},
               {"machine", session.life().machine},
               {"other_life", session.dead()},
@@ -307,7 +313,7 @@
     task->crash_unrecorded = true;
     job->crash_unrecorded = true;
   }
-  log_.Write("warn", "cell", "a crash is noted of a task",
+  log_.Write("warn", "cell", "a worker crash is noted for a task",
              {{"task", task->name()},
               {"run", crash.run},
               {"machine", crash.machine},
--- a/src/libdoorwood/cell/cell_ends.cpp
+++ b/src/libdoorwood/cell/cell_ends.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// What becomes of runs that end, are refused, or turn up unexpectedly.
+// Handles runs that end, starts that are refused, and reports of runs that this
+// leader did not know.
 
 #include <algorithm>
 #include <utility>
@@ -10,13 +11,13 @@
 namespace doorwood {
 namespace {
 
-// Pause before a worker that refused a start is tried again.
+// Pause before a worker that refused a start gets another one.
 constexpr Millis kRefusalPause{400};
-// A worker that calls itself unwell is left alone for longer.
+// Longer pause after a worker refused a start as overloaded or unhealthy.
 constexpr Millis kBusyPause{1500};
 constexpr int kUnknownPace = -1;
-// How far the next run number jumps after a worker called one too old.
-constexpr uint32_t kRunJump = 16;
+// Increase of the next run number after a worker rejected one as too old.
+constexpr uint32_t kRunNumberIncrease = 16;
 
 }  // namespace
 
@@ -46,7 +47,7 @@
   const EndEffect effect =
       jobs_.CountEnd(task, run, end, checkpoint, MaxAttempts(*job));
   if (effect == EndEffect::kIgnored) {
-    // It may still be a failure that counts.
+    // The failure count may have changed all the same.
     MarkDirty(job, /*urgent=*/false);
     log_.Write("info", "cell", "end of a run not counted",
                {{"task", task->name()},
@@ -78,8 +79,8 @@
     ++counters_.ends_lost;
   }
   task->ready_since = executor_.Now();
-  const bool over = was_open && job->outcome != JobOutcome::kOpen;
-  if (over) {
+  const bool job_ended = was_open && job->outcome != JobOutcome::kOpen;
+  if (job_ended) {
     OnJobOver(job);
   } else {
     MarkDirty(job, /*urgent=*/false);
@@ -102,7 +103,7 @@
     task->checkpoint = run.checkpoint;
   }
   if (run.called_old) {
-    task->last_run = std::max(task->last_run, run.number + kRunJump);
+    task->last_run = std::max(task->last_run, run.number + kRunNumberIncrease);
   }
   if (!told_by_worker) {
     TellLost(session, run);
@@ -116,7 +117,7 @@
 
 void CellLeader::TellLost(const WorkerSession& session, const Run& run) const {
   const auto member = members_.find(session.life().id);
-  log_.Write("warn", "cell", "run is over without the worker's word",
+  log_.Write("warn", "cell", "run ended without a report from the worker",
              {{"task", run.task},
               {"run", run.number},
               {"worker", session.life().id},
@@ -156,21 +157,21 @@
   if (task == nullptr) {
     return;
   }
-  // Leaders in a row that read the same records number their runs alike: this
-  // may be the end of another run than the one that is placed.
+  // Successive leaders that read the same records assign the same run numbers,
+  // so this may be the end of a different run than the one that is placed now.
   const auto placed = task->placed ? NumberOfPlacedRun(end.task) : std::nullopt;
   const uint32_t number = placed && end.run >= *placed ? *placed - 1 : end.run;
   CountLateEnd(end.end);
   task->crash_untold = false;
   JobTable::DropUntold(task, end.run);
   CountEnd(task, session, number, end.end, end.checkpoint);
-  auto& told = task->told_runs;
-  if (!accounted_ &&
-      std::find(told.begin(), told.end(), end.run) == told.end()) {
-    told.push_back(end.run);
+  auto& reported_runs = task->told_runs;
+  if (!accounted_ && std::find(reported_runs.begin(), reported_runs.end(),
+                               end.run) == reported_runs.end()) {
+    reported_runs.push_back(end.run);
   }
   if (task->done) {
-    StopRunsOfDone(*task);  // an earlier run had done the work already
+    StopRunsOfDone(*task);  // An earlier run has already completed the task.
   }
   WakeScheduler();
 }
@@ -200,15 +201,15 @@
 }
 
 std::optional<Run> CellLeader::OnUnknownRun(WorkerSession& session,
-                                            const ActiveRun& row) {
-  Task* task = jobs_.FindTask(row.task);
-  // Also one whose number has ended elsewhere: it runs, so the task must not be
-  // started before it has ended.
+                                            const ActiveRun& active_run) {
+  Task* task = jobs_.FindTask(active_run.task);
+  // A run is adopted even if one of the same number has ended elsewhere: the
+  // task must not be started again while this run is active.
   const bool wanted = task != nullptr && !task->done && !task->placed &&
                       task->job->outcome == JobOutcome::kOpen;
   log_.Write("info", "cell", wanted ? "run adopted" : "unwanted run stopped",
-             {{"task", row.task},
-              {"run", row.run},
+             {{"task", active_run.task},
+              {"run", active_run.run},
               {"worker", session.life().id},
               {"epoch", epoch_}});
   if (!wanted) {
@@ -220,11 +221,11 @@
     NotePlace(task, session.life().id);
   }
   task->unaccounted = false;
-  task->adopted_run = accounted_ ? 0 : row.run;
+  task->adopted_run = accounted_ ? 0 : active_run.run;
   task->crash_untold = false;
-  JobTable::DropUntold(task, row.run);
-  task->last_run = std::max(task->last_run, row.run);
-  task->counted_run = std::min(task->counted_run, row.run - 1);
+  JobTable::DropUntold(task, active_run.run);
+  task->last_run = std::max(task->last_run, active_run.run);
+  task->counted_run = std::min(task->counted_run, active_run.run - 1);
   if (!task->job->begun) {
     task->job->begun = true;
     task->job->dirty = true;
@@ -232,14 +233,14 @@
   if (IsSuspect(*task)) {
     BeginTrial(*task, members_.at(session.life().id).session);
   }
-  Run run = MakeRun(*task, row.run);
+  Run run = MakeRun(*task, active_run.run);
   run.image = interference_.Intern(task->plan().image);
   run.phase = RunPhase::kRunning;
   run.ordered = executor_.Now();
   run.odd_time = true;
   run.adopted = true;
-  run.checkpoint = row.checkpoint;
-  // An earlier leader may have slowed it down: the pace is told anew.
+  run.checkpoint = active_run.checkpoint;
+  // An earlier leader may have slowed it down, so the pace is sent again.
   run.pace = kUnknownPace;
   return run;
 }
@@ -280,13 +281,13 @@
              HasNewsToRecord(member->second)) {
     RecordTasks();
   }
-  // Ends that change nothing need no record.
+  // With no write pending, ends that changed no state need no record.
   if (journal_.idle()) {
     OnEndsRecorded(ListedEnds());
   }
 }
 
-// --- Jobs that are over ---
+// --- Jobs that have ended ---
 
 void CellLeader::OnJobOver(Job* job) {
   job->finished_at = unix_millis_();
@@ -314,7 +315,7 @@
 // --- Records ---
 
 void CellLeader::StopRunsOfDone(const Task& task) {
-  // One end of a gang stands for all of its tasks.
+  // The completion of one task of a gang completes all of its tasks.
   std::vector<std::string> placed;
   for (const Task& member : task.job->times[task.time].steps[task.step].tasks) {
     if (member.done && member.placed &&
@@ -381,13 +382,13 @@
   }
   job->outcome_recorded = true;
   const auto [begin, end] = cancels_.equal_range(id);
-  std::vector<CancelCallback> waiting;
+  std::vector<CancelCallback> callbacks;
   for (auto it = begin; it != end; ++it) {
-    waiting.push_back(std::move(it->second.done));
+    callbacks.push_back(std::move(it->second.done));
   }
   cancels_.erase(begin, end);
-  for (const CancelCallback& done : waiting) {
-    done({});
+  for (const CancelCallback& callback : callbacks) {
+    callback({});
   }
 }
 
--- a/src/libdoorwood/cell/cell_evacuation.cpp
+++ b/src/libdoorwood/cell/cell_evacuation.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Moving work off workers that leave, or whose machine is wanted for upkeep.
+// Moves work off workers that leave, or whose machine is needed for
+// maintenance.
 
 #include <algorithm>
 #include <utility>
@@ -10,10 +11,11 @@
 namespace doorwood {
 namespace {
 
-// An emptied worker is closed for this long after the last word about it.
-constexpr Millis kEmptiedFor{1000};
-// A lasting task is at work at this progress.
-constexpr int kAtWork = 100;
+// A worker to be emptied stays closed to new work for this long after the
+// latest request to empty it.
+constexpr Millis kEmptyRequestLifetime{1000};
+// Progress at which a long-running task is at work.
+constexpr int kWorkingProgress = 100;
 
 }  // namespace
 
@@ -30,25 +32,26 @@
 void CellLeader::EvacuateDraining(const std::string& id, const Member& member) {
   const auto& session = member.session;
   const Millis remaining = session->life().remaining;
-  std::vector<std::string> leave;
+  std::vector<std::string> to_move;
   for (const auto& [task, run] : session->runs()) {
-    const Task* known = jobs_.FindTask(task);
-    if (known == nullptr || run.phase != RunPhase::kRunning) {
+    const Task* known_task = jobs_.FindTask(task);
+    if (known_task == nullptr || run.phase != RunPhase::kRunning) {
       continue;
     }
-    const auto rest = run.estimate * (100 - run.progress) / 100;
-    const bool saves = known->plan().checkpoints;
-    if (run.lasting || (saves && rest > remaining)) {
-      leave.push_back(task);
+    const auto time_left = run.estimate * (100 - run.progress) / 100;
+    const bool has_checkpoints = known_task->plan().checkpoints;
+    if (run.lasting || (has_checkpoints && time_left > remaining)) {
+      to_move.push_back(task);
     }
   }
-  StopToLeave(id, session, leave, "it drains");
+  StopToLeave(id, session, to_move, "it drains");
 }
 
-// Some workers leave without a word: their entry goes, and they serve on for
-// a while. How long is not told, so whatever can go on elsewhere goes at once.
-// A worker that was cut off comes back to the list only after it has answered,
-// so time in which nobody could hear it does not count.
+// Some workers leave without announcing it: their entry is removed, and they
+// continue to run for an unknown time. Work that can continue elsewhere is
+// therefore moved as soon as the entry counts as gone. A worker that was
+// partitioned from the leader is listed again only some time after it answers
+// again, so the time in which it did not answer does not count.
 void CellLeader::EvacuateUnlisted(const std::string& id, const Member& member) {
   const Instant since =
       std::max(member.unlisted_since, member.session->answers_since());
@@ -57,15 +60,15 @@
   if (!gone || !member.session->responsive()) {
     return;
   }
-  std::vector<std::string> leave;
+  std::vector<std::string> to_move;
   for (const auto& [task, run] : member.session->runs()) {
-    const Task* known = jobs_.FindTask(task);
-    if (known != nullptr && run.phase == RunPhase::kRunning &&
-        (run.lasting || known->plan().checkpoints)) {
-      leave.push_back(task);
+    const Task* known_task = jobs_.FindTask(task);
+    if (known_task != nullptr && run.phase == RunPhase::kRunning &&
+        (run.lasting || known_task->plan().checkpoints)) {
+      to_move.push_back(task);
     }
   }
-  StopToLeave(id, member.session, leave, "it is no longer listed");
+  StopToLeave(id, member.session, to_move, "it is no longer listed");
 }
 
 void CellLeader::StopToLeave(const std::string& id,
@@ -73,7 +76,7 @@
                              const std::vector<std::string>& tasks,
                              std::string_view cause) {
   for (const std::string& task : tasks) {
-    log_.Write("info", "cell", "run leaves its worker",
+    log_.Write("info", "cell", "run is stopped to be moved off its worker",
                {{"task", task},
                 {"worker", id},
                 {"cause", cause},
@@ -89,16 +92,16 @@
     return true;
   }
   const std::string step = StepName(*task.job, task.time, task.step);
-  int at_work = 0;
+  int working = 0;
   for (const auto& [id, member] : members_) {
     for (const auto& [name, run] : member.session->runs()) {
-      const bool works =
-          run.phase == RunPhase::kRunning && run.progress >= kAtWork;
-      at_work += run.step == step && name != task.name() && works ? 1 : 0;
+      const bool is_working =
+          run.phase == RunPhase::kRunning && run.progress >= kWorkingProgress;
+      working += run.step == step && name != task.name() && is_working ? 1 : 0;
     }
   }
-  const int others_away = plan.count - 1 - at_work;
-  return others_away < *plan.may_miss;
+  const int others_not_running = plan.count - 1 - working;
+  return others_not_running < *plan.may_miss;
 }
 
 Occupancy CellLeader::EmptyWorker(const std::string& worker) {
@@ -107,27 +110,30 @@
     return Occupancy::kEmpty;
   }
   Member& member = found->second;
-  member.emptied_until = executor_.Now() + kEmptiedFor;
+  member.emptied_until = executor_.Now() + kEmptyRequestLifetime;
   const auto session = member.session;
   Occupancy occupancy = Occupancy::kEmpty;
-  std::vector<std::string> lasting;
-  std::vector<std::string> saving;
+  std::vector<std::string> long_running;
+  std::vector<std::string> with_checkpoints;
   for (const auto& [task, run] : session->runs()) {
-    const Task* known = jobs_.FindTask(task);
-    const bool runs = known != nullptr && run.phase == RunPhase::kRunning;
-    if (runs && run.lasting) {
-      lasting.push_back(task);
-    } else if (runs && known->plan().checkpoints) {
-      saving.push_back(task);
+    const Task* known_task = jobs_.FindTask(task);
+    const bool is_running =
+        known_task != nullptr && run.phase == RunPhase::kRunning;
+    if (is_running && run.lasting) {
+      long_running.push_back(task);
+    } else if (is_running && known_task->plan().checkpoints) {
+      with_checkpoints.push_back(task);
     }
     occupancy =
         std::max(occupancy, run.lasting && run.phase != RunPhase::kStopping
                                 ? Occupancy::kNeeded
                                 : Occupancy::kExpendable);
   }
-  StopToLeave(worker, session, saving, "its machine is wanted for upkeep");
-  // One at a time: each one that goes is one more of its step that is away.
-  for (const std::string& task : lasting) {
+  StopToLeave(worker, session, with_checkpoints,
+              "its machine is wanted for upkeep");
+  // Checked one at a time: each task that is stopped adds to the number of
+  // tasks of its step that are not running.
+  for (const std::string& task : long_running) {
     if (MayTakeAway(*jobs_.FindTask(task))) {
       StopToLeave(worker, session, {task}, "its machine is wanted for upkeep");
     }
--- a/src/libdoorwood/cell/cell_lasting_places.cpp
+++ b/src/libdoorwood/cell/cell_lasting_places.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// On which worker a lasting task may run: recorded before the task is ordered
-// there, so that a successor which does not hear other workers need not reckon
-// with the task being on one of them.
+// Records on which worker a long-running task may run. This is recorded before
+// the start is ordered, so that a successor that cannot reach other workers
+// need not assume that the task may be running on one of them.
 
 #include <utility>
 
@@ -69,8 +69,10 @@
   return (places_held_ || accounted_) && unrecorded_places_.empty();
 }
 
-// What held for an instance goes on to do so: this leader records where it
-// starts lasting work, or asks that instance to agree, which ends it.
+// Once an instance may rely on the recorded placements, it may continue to do
+// so: this leader records where it starts long-running tasks, or it asks the
+// instance to agree to unrecorded starts, after which the instance no longer
+// relies on them.
 int64_t CellLeader::PlacesHoldTo() {
   if (KnowsPlaces()) {
     places_hold_to_ = live_.at();
@@ -90,15 +92,15 @@
   if (job == nullptr) {
     return;
   }
-  bool any = false;
+  bool newly_recorded = false;
   ForEachTask(job, [&](Task* task) {
     if (task->place_record == PlaceRecord::kWritten) {
       task->place_record = PlaceRecord::kRecorded;
       unrecorded_places_.erase(task->name());
-      any = true;
+      newly_recorded = true;
     }
   });
-  if (any) {
+  if (newly_recorded) {
     ReleaseStarts();
   }
 }
--- a/src/libdoorwood/cell/cell_pacing.cpp
+++ b/src/libdoorwood/cell/cell_pacing.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// What fills beside what serves: the facts for policy/ and the paces that
-// follow.
+// Best-effort work next to latency-critical services: collects the inputs for
+// policy/ and sends the paces that it decides on.
 
 #include <algorithm>
 #include <utility>
@@ -11,23 +11,25 @@
 namespace doorwood {
 namespace {
 
-// A worker's figures tell of the last half second, and a look may be as old.
-constexpr Millis kFigureAge{900};
-// Filling work that is held at this pace or below for so long is moved to
-// another worker, where it saves its progress.
-constexpr int kCrawlPace = 20;
-constexpr Millis kCrawlToMove{900};
-constexpr double kMillis = 1000.0;
-// Weight of the newest figure in a serving task's mean.
-constexpr double kNewestFigure = 0.5;
+// Age at which a run's figures surely cover its load: a worker's figures cover
+// the last half second, and the report itself may be as old as that.
+constexpr Millis kFigureDelay{900};
+// Best-effort work with checkpoints that has been limited to kStuckPace or less
+// for longer than kStuckDuration is moved to another worker.
+constexpr int kStuckPace = 20;
+constexpr Millis kStuckDuration{900};
+constexpr double kMillisPerCore = 1000.0;
+// Weight of the newest figure in a serving task's moving average.
+constexpr double kNewestFigureWeight = 0.5;
 
-// How long the task has been over its target, with the figure just reported.
-Millis NoteFigure(Run* run, Instant now, double tail_over) {
+// Adds the reported figure to the run's moving average. Returns for how long
+// the average has been at or above `tail_over` times the target.
+Millis UpdateTimeOverTarget(Run* run, Instant now, double tail_over) {
   const auto figure = static_cast<double>(run->figure);
-  run->mean_figure =
-      run->mean_figure < 0
-          ? figure
-          : kNewestFigure * figure + (1.0 - kNewestFigure) * run->mean_figure;
+  run->mean_figure = run->mean_figure < 0
+                         ? figure
+                         : kNewestFigureWeight * figure +
+                               (1.0 - kNewestFigureWeight) * run->mean_figure;
   const auto target = static_cast<double>(run->latency_target.count());
   if (run->mean_figure < tail_over * target) {
     run->over_since = Instant{};
@@ -57,8 +59,8 @@
         run.figure > 0
             ? interference_.Strain(run.image, run.figure, run.latency_target)
             : options_.policy.interference.first_load;
-    // A new task has not taken up its load yet.
-    if (now - run.ordered < kFigureAge) {
+    // The figures of a new task don't show its full load yet.
+    if (now - run.ordered < kFigureDelay) {
       serving.strain =
           std::max(serving.strain, options_.policy.interference.first_load);
     }
@@ -68,9 +70,10 @@
     if (!run.fills) {
       continue;
     }
-    const double full = static_cast<double>(run.size.cpu_millis) / kMillis;
-    const bool fresh = now - run.ordered < kFigureAge;
-    const double cores = CoresToCome(full, fresh, run.wanted_pace);
+    const double full_cores =
+        static_cast<double>(run.size.cpu_millis) / kMillisPerCore;
+    const bool is_new = now - run.ordered < kFigureDelay;
+    const double cores = CoresToCome(full_cores, is_new, run.wanted_pace);
     for (ServingStrain& serving : strains) {
       serving.strain += interference_.Press(serving.image, run.image) * cores;
     }
@@ -80,34 +83,38 @@
 
 void CellLeader::PaceWorker(WorkerSession& session) {
   std::vector<PacedServing> serving;
-  std::vector<PacedFill> fills;
-  std::vector<FillLoad> loads;
+  std::vector<PacedFill> best_effort_runs;
+  std::vector<FillLoad> best_effort_loads;
   std::vector<std::string> observed;
   for (const auto& [task, run] : session.runs()) {
     if (run.latency_target > Millis(0) && run.figure > 0) {
       observed.push_back(task);
     }
     if (run.fills && run.phase == RunPhase::kRunning) {
-      const double full = static_cast<double>(run.size.cpu_millis) / kMillis;
-      const double used =
-          run.figure >= 0 ? static_cast<double>(run.figure) / kMillis : full;
-      fills.push_back({task, run.image, full, used, run.wanted_pace});
-      loads.push_back({run.image, used});
+      const double full_cores =
+          static_cast<double>(run.size.cpu_millis) / kMillisPerCore;
+      const double used_cores =
+          run.figure >= 0 ? static_cast<double>(run.figure) / kMillisPerCore
+                          : full_cores;
+      best_effort_runs.push_back(
+          {task, run.image, full_cores, used_cores, run.wanted_pace});
+      best_effort_loads.push_back({run.image, used_cores});
     }
   }
   for (const std::string& task : observed) {
     Run* run = session.FindRun(task);
-    serving.push_back(
-        {run->image, run->figure, run->latency_target,
-         NoteFigure(run, executor_.Now(), options_.policy.tail_over)});
-    run->load = interference_.Observe(run->image, run->figure,
-                                      run->latency_target, loads, run->load);
+    serving.push_back({run->image, run->figure, run->latency_target,
+                       UpdateTimeOverTarget(run, executor_.Now(),
+                                            options_.policy.tail_over)});
+    run->load =
+        interference_.Observe(run->image, run->figure, run->latency_target,
+                              best_effort_loads, run->load);
   }
-  if (fills.empty()) {
+  if (best_effort_runs.empty()) {
     return;
   }
   for (const PaceDecision& decision :
-       DecidePaces(serving, fills, interference_, options_.policy)) {
+       DecidePaces(serving, best_effort_runs, interference_, options_.policy)) {
     ++counters_.paces;
     session.SetPace(decision.task, decision.pace);
   }
@@ -118,17 +125,18 @@
   const Instant now = executor_.Now();
   std::vector<std::string> stuck;
   for (const auto& [task, run] : session.runs()) {
-    const bool slow =
+    const bool is_stuck =
         run.fills && !run.lasting && run.phase == RunPhase::kRunning &&
-        run.wanted_pace <= kCrawlPace && run.paced_since != Instant{} &&
-        now - run.paced_since > kCrawlToMove;
-    const Task* known = slow ? jobs_.FindTask(task) : nullptr;
-    if (known != nullptr && known->plan().checkpoints) {
+        run.wanted_pace <= kStuckPace && run.paced_since != Instant{} &&
+        now - run.paced_since > kStuckDuration;
+    const Task* known_task = is_stuck ? jobs_.FindTask(task) : nullptr;
+    if (known_task != nullptr && known_task->plan().checkpoints) {
       stuck.push_back(task);
     }
   }
   for (const std::string& task : stuck) {
-    log_.Write("info", "cell", "filling work moved off",
+    log_.Write("info", "cell",
+               "best-effort run is stopped to be moved to another worker",
                {{"task", task}, {"worker", session.life().id}});
     ++counters_.stops;
     jobs_.FindTask(task)->failed_on = session.life().id;
--- a/src/libdoorwood/cell/cell_places.cpp
+++ b/src/libdoorwood/cell/cell_places.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// What a cell's leader knows of the places for its work: the room on each
-// worker, how a step's places are judged, and what is told of steps that wait.
+// The workers as the scheduler sees them: the free capacity of each worker, the
+// evaluation of workers for a step, and the logging of steps that can't be
+// placed.
 
 #include <utility>
 
@@ -10,14 +11,14 @@
 namespace doorwood {
 namespace {
 
-// What a worker is known to have room for is worked out anew after so long
-// even if nothing was heard: new work counts fully only after a while.
-constexpr Millis kRoomAge{200};
-// A step that can't be placed is logged this often.
-constexpr Millis kWaitingToTell{1500};
-// Between two such lines: each one judges all workers once more, which is to
-// stay a small part of what passes cost.
-constexpr Millis kPauseOfTellings{50};
+// A worker's free capacity is recomputed at least this often, even without a
+// new report, because the estimated load of a new run changes with its age.
+constexpr Millis kMaxRoomAge{200};
+// Interval between log lines about the same step that can't be placed.
+constexpr Millis kWaitLogInterval{1500};
+// Minimum pause between such lines of any step. Each line evaluates all workers
+// once more, which must stay a small part of the cost of scheduling passes.
+constexpr Millis kMinPauseBetweenWaitLogs{50};
 
 std::string_view RackOf(const WorkerLife& life) {
   return life.labels.empty() ? std::string_view() : life.labels.back();
@@ -29,7 +30,7 @@
   const WorkerSession& session = *member->session;
   const Instant now = executor_.Now();
   if (member->room_version == session.version() &&
-      now - member->room_at < kRoomAge) {
+      now - member->room_at < kMaxRoomAge) {
     return;
   }
   const WorkerLife& life = session.life();
@@ -100,9 +101,9 @@
   }
   const auto member = members_.find(std::string(room.id));
   const std::string step = StepName(*ready.job, ready.time, ready.step);
-  const int there = member->second.session->CountOfStep(step);
-  if (there > 0) {
-    places->Judge(place, need, there + planned);
+  const int on_worker = member->second.session->CountOfStep(step);
+  if (on_worker > 0) {
+    places->Judge(place, need, on_worker + planned);
   }
 }
 
@@ -122,8 +123,8 @@
   ++waiting_steps_;
   const Instant now = executor_.Now();
   StepState& step = ready.job->times[ready.time].steps[ready.step];
-  if (now - step.waiting_told < kWaitingToTell ||
-      now - waiting_told_ < kPauseOfTellings) {
+  if (now - step.waiting_told < kWaitLogInterval ||
+      now - waiting_told_ < kMinPauseBetweenWaitLogs) {
     return false;
   }
   const bool first = step.waiting_told == Instant{};
@@ -131,7 +132,7 @@
   if (!first) {
     waiting_told_ = now;
   }
-  return !first;  // otherwise it waits only since now
+  return !first;  // The first time, the step has only just begun to wait.
 }
 
 void CellLeader::TellWaiting(const Task& task,
@@ -142,7 +143,7 @@
   for (const auto& [problem, count] : problems) {
     counts[std::string(ToString(problem))] = count;
   }
-  log_.Write("info", "cell", "step waits for a place",
+  log_.Write("info", "cell", "step is waiting for a worker with free capacity",
              {{"task", task.name()},
               {"rank", rank.group},
               {"steps_ahead", waiting_steps_ - 1},
--- a/src/libdoorwood/cell/cell_scheduling.cpp
+++ b/src/libdoorwood/cell/cell_scheduling.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Starting and moving a cell's work. What is decided lies in policy/; here are
-// the facts it is given and the orders that follow.
+// Starts a cell's tasks on its workers. The decisions are made by policy/; this
+// file collects their inputs and sends the resulting orders.
 
 #include <algorithm>
 #include <utility>
@@ -11,14 +11,15 @@
 namespace doorwood {
 namespace {
 
-// Gathers what happens in one moment into one pass.
+// Combines events that happen at about the same time into one scheduling pass.
 constexpr Millis kScheduleDelay{2};
-// After a pass that took so long, the next one waits this many times as long,
-// so that passes take at most a fifth of the processor; at most kLongestPause.
-constexpr int kPauseOfPass = 4;
+// After each pass the scheduler pauses for this multiple of the pass's
+// duration, up to kLongestPause, so that passes take at most a fifth of the
+// processor.
+constexpr int kPauseToPassRatio = 4;
 constexpr Millis kLongestPause{80};
 
-std::vector<WorkerRoom> Copies(const std::vector<WorkerRoom*>& rooms) {
+std::vector<WorkerRoom> CopyRooms(const std::vector<WorkerRoom*>& rooms) {
   std::vector<WorkerRoom> copies;
   copies.reserve(rooms.size());
   for (const WorkerRoom* room : rooms) {
@@ -52,8 +53,8 @@
     const Instant begin = executor_.Now();
     Schedule();
     const Instant end = executor_.Now();
-    next_pass_ = end + std::min<Instant::duration>((end - begin) * kPauseOfPass,
-                                                   kLongestPause);
+    next_pass_ = end + std::min<Instant::duration>(
+                           (end - begin) * kPauseToPassRatio, kLongestPause);
   });
 }
 
@@ -63,20 +64,20 @@
          !MayBeAtLastAttempt(task);
 }
 
-// Failures that the earlier leader heard of, but could not record, are listed
-// by workers that a successor may not reach yet: until it has heard them, or
-// their leases are over, or their records don't name the task, each such run
-// counts as a failure.
+// Failures that the previous leader received but could not record are listed by
+// workers that its successor may not have contacted yet. Each such run counts
+// as a failure until the successor has contacted the worker, the worker's
+// leases have expired, or the worker's record does not name the task.
 bool CellLeader::MayBeAtLastAttempt(const Task& task) const {
-  const uint32_t unheard = MayRunUnheard(task) ? task.UnheardEnds() : 0;
-  if (unheard == 0 || task.plan().lasting) {
+  const uint32_t unreported_ends = MayRunUnheard(task) ? task.UnheardEnds() : 0;
+  if (unreported_ends == 0 || task.plan().lasting) {
     return false;
   }
-  const Task& counter =
+  const Task& counting_task =
       task.plan().gang
           ? task.job->times[task.time].steps[task.step].tasks.front()
           : task;
-  return counter.failed_runs.size() + unheard >=
+  return counting_task.failed_runs.size() + unreported_ends >=
          static_cast<size_t>(MaxAttempts(*task.job));
 }
 
@@ -160,16 +161,16 @@
     const ReadyStep& ready,
     const std::vector<WorkerRoom*>& rooms) {
   const std::string step = StepName(*ready.job, ready.time, ready.step);
-  std::vector<WorkerRoom> permitted = Copies(rooms);
-  std::vector<std::string> unasked;
+  std::vector<WorkerRoom> permitted = CopyRooms(rooms);
+  std::vector<std::string> without_ticket;
   for (WorkerRoom& room : permitted) {
     const std::string worker(room.id);
     if (room.open && tickets_.Find(step, worker).empty()) {
       room.open = false;
-      unasked.push_back(worker);
+      without_ticket.push_back(worker);
     }
   }
-  tickets_.Want(step, unasked);
+  tickets_.Want(step, without_ticket);
   return permitted;
 }
 
@@ -182,46 +183,51 @@
     return;
   }
   const bool advised = queue->advice.has_value();
-  const uint64_t tried = advised ? 0 : hopeless_.TriedIn(plan, queue->service);
+  const uint64_t last_failed_pass =
+      advised ? 0 : hopeless_.TriedIn(plan, queue->service);
   std::vector<WorkerRoom> permitted;
   if (advised) {
     permitted = PermittedRooms(ready, rooms);
   }
-  const std::vector<WorkerRoom*> ticketed = PointersTo(&permitted);
-  const std::vector<WorkerRoom*>& seen = advised ? ticketed : rooms;
+  const std::vector<WorkerRoom*> permitted_rooms = PointersTo(&permitted);
+  const std::vector<WorkerRoom*>& usable_rooms =
+      advised ? permitted_rooms : rooms;
   std::string rack =
       plan.same_rack ? RackOfStep(*ready.job, ready.time, ready.step) : "";
   TaskNeed need{queue->service, interference_.Intern(plan.image), rack};
-  StepPlaces places(plan, seen, interference_, options_.policy);
-  JudgeChanged(ready, need, seen, tried, &places);
+  StepPlaces places(plan, usable_rooms, interference_, options_.policy);
+  JudgeChanged(ready, need, usable_rooms, last_failed_pass, &places);
   const std::string step = StepName(*ready.job, ready.time, ready.step);
   for (Task& task : tasks) {
     if (!IsReady(task)) {
       continue;
     }
     const bool suspect = IsSuspect(task);
-    const auto trial = suspect ? PlaceSuspect(ready, &task, need, seen, &places)
-                               : std::nullopt;
-    if (suspect && !trial) {
+    const auto trial_place =
+        suspect ? PlaceSuspect(ready, &task, need, usable_rooms, &places)
+                : std::nullopt;
+    if (suspect && !trial_place) {
       continue;
     }
-    const int place = trial ? *trial : places.Best(task.failed_on);
+    const int place = trial_place ? *trial_place : places.Best(task.failed_on);
     if (place == kNoWorker) {
       if (!advised) {
         hopeless_.Add(plan, queue->service, pass_);
       }
       if (IsTimeToTell(ready)) {
-        // Workers that have not changed were not judged in this pass.
-        JudgeChanged(ready, need, seen, /*pass=*/0, &places);
+        // Unchanged workers have not been evaluated in this pass, but the log
+        // line counts the problems of all workers.
+        JudgeChanged(ready, need, usable_rooms, /*pass=*/0, &places);
         TellWaiting(task, ready.rank, places.CountProblems());
       }
-      return;  // the step's other tasks are of the same size
+      return;  // The step's other tasks have the same size.
     }
     WorkerRoom* room = rooms[place];
     const std::string ticket =
         advised ? tickets_.Find(step, std::string(room->id)) : "";
     if (advised && ticket.empty()) {
-      trials_.End(task.name());  // it ran out while the worker was kept
+      // The ticket expired while the worker was reserved.
+      trials_.End(task.name());
       continue;
     }
     StartTask(&task, task.last_run + 1, room, ticket);
@@ -235,7 +241,7 @@
     if (plan.same_rack && rack.empty()) {
       rack = room->rack;
       need.rack = rack;
-      JudgeChanged(ready, need, seen, /*pass=*/0, &places);
+      JudgeChanged(ready, need, usable_rooms, /*pass=*/0, &places);
     }
     JudgePlace(ready, need, *room, place, /*planned=*/0, &places);
   }
@@ -252,28 +258,29 @@
   if (queue == nullptr || !all_ready) {
     return;
   }
-  // Place on a copy first: all or none. A member's run and saved text are
-  // those of the whole gang.
+  // A gang is started as a whole or not at all, so its tasks are first placed
+  // on a copy. All of them share one run number and one checkpoint.
   const bool advised = queue->advice.has_value();
-  std::vector<WorkerRoom> trial =
-      advised ? PermittedRooms(ready, rooms) : Copies(rooms);
-  const std::vector<WorkerRoom*> seen = PointersTo(&trial);
+  std::vector<WorkerRoom> planned_rooms =
+      advised ? PermittedRooms(ready, rooms) : CopyRooms(rooms);
+  const std::vector<WorkerRoom*> room_pointers = PointersTo(&planned_rooms);
   const std::string rack =
       plan.same_rack ? RackOfStep(*ready.job, ready.time, ready.step) : "";
   const TaskNeed need{queue->service, interference_.Intern(plan.image), rack};
-  StepPlaces places(plan, seen, interference_, options_.policy);
-  std::vector<int> planned(trial.size(), 0);
+  StepPlaces places(plan, room_pointers, interference_, options_.policy);
+  std::vector<int> planned_counts(planned_rooms.size(), 0);
   const auto judge = [&](size_t place) {
-    JudgePlace(ready, need, trial[place], place, planned[place], &places);
+    JudgePlace(ready, need, planned_rooms[place], place, planned_counts[place],
+               &places);
   };
-  for (size_t place = 0; place < trial.size(); ++place) {
+  for (size_t place = 0; place < planned_rooms.size(); ++place) {
     judge(place);
   }
   const bool suspect = std::any_of(tasks.begin(), tasks.end(), IsSuspect);
-  if (suspect && !KeepNewRunsApart(&tasks, &trial)) {
+  if (suspect && !KeepNewRunsApart(&tasks, &planned_rooms)) {
     return;
   }
-  for (size_t place = 0; suspect && place < trial.size(); ++place) {
+  for (size_t place = 0; suspect && place < planned_rooms.size(); ++place) {
     judge(place);
   }
   std::vector<int> chosen;
@@ -288,8 +295,8 @@
       return;
     }
     chosen.push_back(place);
-    ++planned[place];
-    trial[place].reserved = trial[place].reserved + plan.size;
+    ++planned_counts[place];
+    planned_rooms[place].reserved = planned_rooms[place].reserved + plan.size;
     judge(place);
     run = std::max(run, task.last_run);
     if (!task.checkpoint.empty()) {
--- a/src/libdoorwood/cell/cell_suspects.cpp
+++ b/src/libdoorwood/cell/cell_suspects.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Tasks that may have taken a worker down are started again, each alone among
-// the newest runs of its worker.
+// Trial runs of suspects, that is of tasks that may have crashed a worker: each
+// one is started on a worker on which no other run is new, so that another
+// crash shows whether the suspect caused it.
 
 #include <algorithm>
 #include <limits>
@@ -12,13 +13,15 @@
 namespace doorwood {
 namespace {
 
-// A lasting run weighs as much as so many others where a suspect is tried.
-constexpr int kLastingWeight = 10;
-// Asked a little after the run counts as seen at work.
-constexpr Millis kAskedLate{30};
-// From so many notes on a trial is recorded before it begins, for the case that
-// the leader is lost with the worker.
-constexpr size_t kRecordsTrials = 2;
+// Weight of a long-running task, relative to any other run, in the cost of
+// losing the worker on which a suspect is tried.
+constexpr int kLongRunningWeight = 10;
+// Added to the time after which a run counts as seen at work, before the worker
+// is asked.
+constexpr Millis kTrialCheckDelay{30};
+// From this many noted crashes on, a trial run is recorded before it begins, in
+// case the leader fails together with the worker.
+constexpr size_t kMinCrashesToRecordTrial = 2;
 
 }  // namespace
 
@@ -35,11 +38,11 @@
                      });
 }
 
-// What a crash of the worker would cost.
+// The cost of a crash of the worker, in runs that would be lost.
 int CellLeader::LossOn(const WorkerSession& session) {
   int loss = 0;
   for (const auto& [name, run] : session.runs()) {
-    loss += run.lasting ? kLastingWeight : 1;
+    loss += run.lasting ? kLongRunningWeight : 1;
   }
   return loss;
 }
@@ -52,30 +55,31 @@
       }));
 }
 
-// The worker with least to lose, of those that have no trial and on whose
-// machine the task has not crashed, if there is one.
+// Returns the suitable worker with the lowest cost of a crash. Workers with new
+// runs, and even more so machines on which the task has crashed before, are
+// chosen only if there is no other.
 int CellLeader::ChooseForTrial(const Task& task,
                                const StepPlaces& places,
                                const std::vector<WorkerRoom*>& rooms) const {
   int best = kNoWorker;
-  int least = std::numeric_limits<int>::max();
+  int lowest_loss = std::numeric_limits<int>::max();
   for (size_t place = 0; place < rooms.size(); ++place) {
     if (!places.IsGood(place)) {
       continue;
     }
     const auto member = members_.find(std::string(rooms[place]->id));
     const WorkerSession& session = *member->second.session;
-    constexpr int kCrashedThere = 100'000;
-    constexpr int kHasNewRuns = 1000;
+    constexpr int kCrashedThereCost = 100'000;
+    constexpr int kNewRunsCost = 1000;
     const std::string machine = MachineOf(session.life());
     const bool crashed_there = std::any_of(
         task.crashes.begin(), task.crashes.end(),
         [&](const CrashNote& crash) { return crash.machine == machine; });
-    const int loss = LossOn(session) + (crashed_there ? kCrashedThere : 0) +
-                     (HasNewRuns(session) ? kHasNewRuns : 0);
-    if (loss < least) {
+    const int loss = LossOn(session) + (crashed_there ? kCrashedThereCost : 0) +
+                     (HasNewRuns(session) ? kNewRunsCost : 0);
+    if (loss < lowest_loss) {
       best = static_cast<int>(place);
-      least = loss;
+      lowest_loss = loss;
     }
   }
   return best;
@@ -86,22 +90,23 @@
          task.crashes.back().evidence != CrashEvidence::kUntold;
 }
 
-// Nothing is known of a start that an earlier leader may have ordered after the
-// last crash it recorded: it is noted, and recorded, before the next one.
+// An earlier leader may have ordered a start after the last crash that it
+// recorded, and the result of that start is unknown. It is noted as an
+// unreported crash, and recorded, before the next start.
 bool CellLeader::NoteUntold(Task* task) {
   if (!std::exchange(task->crash_untold, false)) {
     return false;
   }
-  CrashNote untold;
-  untold.run = task->last_run;
-  untold.evidence = CrashEvidence::kUntold;
-  untold.suspect = true;
-  NoteCrash(task, untold);
+  CrashNote note;
+  note.run = task->last_run;
+  note.evidence = CrashEvidence::kUntold;
+  note.suspect = true;
+  NoteCrash(task, note);
   return true;
 }
 
-// A worker is kept first, and the start ordered once nothing else there is new:
-// the next crash then tells who caused it.
+// Reserves a worker first, and allows the start once no other run on that
+// worker is new: the cause of the next crash is then known.
 std::optional<int> CellLeader::PlaceSuspect(
     const ReadyStep& ready,
     Task* task,
@@ -127,7 +132,7 @@
                         TrialOf(task->crashes, options_.policy.crashes)});
     rooms[chosen]->open = false;
     rooms[chosen]->changed_in = pass_;
-    // Not for the step's other tasks either.
+    // The worker is closed to the step's other tasks as well.
     JudgePlace(ready, need, *rooms[chosen], chosen, /*planned=*/0, places);
     LookLater(members_.at(id).session, options_.policy.crashes.at_work);
   }
@@ -137,13 +142,14 @@
     trials_.End(name);
     return std::nullopt;
   }
-  WorkerRoom kept = member->second.room;
-  kept.open = true;
+  WorkerRoom reserved_room = member->second.room;
+  reserved_room.open = true;
   const StepPlan& plan = task->plan();
-  const int there = member->second.session->CountOfStep(
+  const int tasks_on_worker = member->second.session->CountOfStep(
       StepName(*ready.job, ready.time, ready.step));
   const bool fits =
-      FindPlaceProblem(plan, need, kept, plan.most_per_worker > 0 ? there : 0,
+      FindPlaceProblem(plan, need, reserved_room,
+                       plan.most_per_worker > 0 ? tasks_on_worker : 0,
                        interference_, options_.policy) == PlaceProblem::kNone;
   if (!fits || HasNewRuns(*member->second.session) ||
       !RecordTrial(task, member->second.session->life())) {
@@ -157,9 +163,9 @@
 
 bool CellLeader::RecordTrial(Task* task, const WorkerLife& life) {
   const uint32_t run = task->last_run + 1;
-  const CrashNote* noted = task->FindTrial(run);
-  const bool is_recorded = noted != nullptr && noted->worker == life.id;
-  if (is_recorded || task->crashes.size() < kRecordsTrials) {
+  const CrashNote* previous = task->FindTrial(run);
+  const bool is_recorded = previous != nullptr && previous->worker == life.id;
+  if (is_recorded || task->crashes.size() < kMinCrashesToRecordTrial) {
     return true;
   }
   CrashNote trial;
@@ -183,7 +189,7 @@
   trials_.Keep(task.name(),
                {life.id, life.service, executor_.Now(),
                 IsLikelyCulprit(task.crashes), length, /*started=*/true});
-  log_.Write("info", "cell", "a suspect is tried alone",
+  log_.Write("info", "cell", "trial run of a suspect begins",
              {{"task", task.name()},
               {"worker", life.id},
               {"crashes", task.crashes.size()},
@@ -191,22 +197,24 @@
   LookLater(session, length);
 }
 
-// A held look may be answered much later than the newest runs settle.
+// The worker may hold its answer to a regular look for much longer than its
+// newest runs take to count as seen at work.
 void CellLeader::LookLater(const std::shared_ptr<WorkerSession>& session,
                            Millis at_work) {
-  executor_.Schedule(at_work + kAskedLate, [session] { session->LookNow(); });
+  executor_.Schedule(at_work + kTrialCheckDelay,
+                     [session] { session->LookNow(); });
 }
 
 void CellLeader::FollowTrials() {
   trials_.Expire(executor_.Now());
-  std::vector<std::string> over;
+  std::vector<std::string> ended;
   for (const auto& [name, trial] : trials_.trials()) {
     Task* task = jobs_.FindTask(name);
     const auto member = members_.find(trial.worker);
     const bool gone = task == nullptr || member == members_.end() ||
                       task->job->outcome != JobOutcome::kOpen || task->done;
     if (gone) {
-      over.push_back(name);
+      ended.push_back(name);
       continue;
     }
     if (!trial.started) {
@@ -214,26 +222,26 @@
     }
     const Run* run = member->second.session->FindRun(name);
     if (run == nullptr) {
-      over.push_back(name);
+      ended.push_back(name);
       continue;
     }
     const Millis at_work = member->second.session->SeenAtWork(*run);
     if (at_work >= options_.policy.crashes.cleared) {
       ClearCrashes(task);
-      over.push_back(name);
+      ended.push_back(name);
     } else if (at_work >= trial.length && !trial.settled) {
       trials_.Settle(name);
       JobTable::DropTrial(task);
       MarkDirty(task->job, /*urgent=*/false);
     }
   }
-  for (const std::string& name : over) {
+  for (const std::string& name : ended) {
     trials_.End(name);
   }
 }
 
 void CellLeader::ClearCrashes(Task* task) {
-  log_.Write("info", "cell", "a suspect is cleared",
+  log_.Write("info", "cell", "a task is no longer a suspect",
              {{"task", task->name()}, {"crashes", task->crashes.size()}});
   task->crashes.clear();
   task->job->dirty = true;
