--- a/src/libdoorwood/cell/cell_crashing_task_test.cpp
+++ b/src/libdoorwood/cell/cell_crashing_task_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A task that takes down each worker that starts it is given up, and what ran
-// beside it is not. All in virtual time.
+// The job of a task that crashes every worker that starts it is given up, and
+// jobs that ran on the same workers are not. All tests run in virtual time.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -18,11 +18,11 @@
 using fakes::kCellJob;
 
 constexpr int kSeeds = 8;
-constexpr char kSound[] = "5555555555555555";
+constexpr char kHealthyJob[] = "5555555555555555";
 
-/// Workers with as many processors as `cpu_millis`, and three instances.
-struct CrashTrial {
-  explicit CrashTrial(uint64_t seed, int workers = 10) : world(seed) {
+/// A cell with `workers` workers of eight processors each and three instances.
+struct CrashFixture {
+  explicit CrashFixture(uint64_t seed, int workers = 10) : world(seed) {
     world.SetTable({fakes::MakeQueue("queue", 3)});
     for (int i = 0; i < workers; ++i) {
       const std::string id = "w" + std::to_string(10 + i);
@@ -34,27 +34,27 @@
     world.WaitForLeader();
     world.Run(Millis(1000));
   }
-  ~CrashTrial() {
+  ~CrashFixture() {
     for (const std::string& rule : world.broken()) {
       BOOST_ERROR(rule);
     }
   }
-  CrashTrial(const CrashTrial&) = delete;
-  CrashTrial& operator=(const CrashTrial&) = delete;
+  CrashFixture(const CrashFixture&) = delete;
+  CrashFixture& operator=(const CrashFixture&) = delete;
 
   std::string StateOf(const std::string& job) {
     world.WaitForLeader();
     const auto state = world.StateOf(job);
     return state ? std::string(ToString(*state)) : "not known";
   }
-  void SubmitLasting(int tasks) {
-    JobPlan plan = fakes::MakePlan(kSound, 1, tasks, "");
+  void SubmitLongRunning(int tasks) {
+    JobPlan plan = fakes::MakePlan(kHealthyJob, 1, tasks, "");
     plan.steps[0].lasting = true;
     BOOST_REQUIRE(world.Submit(plan));
     world.Run(Millis(3000));
   }
   /// Crashes eight of sixteen workers.
-  void CrashHalf() {
+  void CrashHalfOfWorkers() {
     std::vector<std::string> half;
     for (const auto& [id, worker] : world.workers()) {
       if (worker->up && half.size() < 8) {
@@ -65,14 +65,14 @@
       world.CrashAndReturn(id);
     }
   }
-  size_t Running() {
+  size_t RunningTasks() {
     size_t running = 0;
     for (const auto& [id, worker] : world.workers()) {
       running += worker->model.running();
     }
     return running;
   }
-  /// Ends the leader; it is back a second later.
+  /// Kills the leader and starts it again a second later.
   void RestartLeader() {
     fakes::WorldInstance* leader = world.WaitForLeader();
     BOOST_REQUIRE(leader != nullptr);
@@ -85,59 +85,62 @@
   CellWorld world;
 };
 
-// Guards against starting it for ever, which takes a worker away each time.
+// Guards against starting a crashing task without end, which costs a worker
+// each time.
 BOOST_AUTO_TEST_CASE(Task_CrashesEachWorker_JobFailsWithinTheBound) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      CrashTrial trial(seed);
-      trial.SubmitLasting(8);
-      trial.world.Submit(fakes::MakePlan(kCellJob, 1, 1, "ms=300 crashes="));
-      trial.world.Run(Millis(60'000));
-      BOOST_TEST(trial.StateOf(kCellJob) == "failed");
-      BOOST_TEST(trial.StateOf(kSound) == "running");
+      CrashFixture fixture(seed);
+      fixture.SubmitLongRunning(8);
+      fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 1, "ms=300 crashes="));
+      fixture.world.Run(Millis(60'000));
+      BOOST_TEST(fixture.StateOf(kCellJob) == "failed");
+      BOOST_TEST(fixture.StateOf(kHealthyJob) == "running");
     }
   }
 }
 
-// Guards against counting the crashes anew after each takeover.
+// Guards against restarting the crash count after each takeover.
 BOOST_AUTO_TEST_CASE(Task_CrashesEachWorkerWhileLeadersChange_BoundHolds) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      CrashTrial trial(seed);
-      trial.SubmitLasting(8);
-      trial.world.Submit(fakes::MakePlan(kCellJob, 1, 1, "ms=300 crashes="));
+      CrashFixture fixture(seed);
+      fixture.SubmitLongRunning(8);
+      fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 1, "ms=300 crashes="));
       for (int i = 0; i < 10; ++i) {
-        trial.world.Run(Millis(5000 + 500 * i));
-        trial.RestartLeader();
+        fixture.world.Run(Millis(5000 + 500 * i));
+        fixture.RestartLeader();
       }
-      BOOST_TEST(trial.StateOf(kCellJob) == "failed");
-      BOOST_TEST(trial.StateOf(kSound) == "running");
+      BOOST_TEST(fixture.StateOf(kCellJob) == "failed");
+      BOOST_TEST(fixture.StateOf(kHealthyJob) == "running");
     }
   }
 }
 
-// Guards against giving up sound jobs that lost runs to a crashing neighbour.
-BOOST_AUTO_TEST_CASE(SoundTasks_BesideACrashingOne_AreAllDone) {
+// Guards against giving up jobs that lost runs because of a crashing task on
+// the same worker.
+BOOST_AUTO_TEST_CASE(HealthyTasks_NextToACrashingTask_AllComplete) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      CrashTrial trial(seed, /*workers=*/4);
-      trial.world.Submit(fakes::MakePlan(kCellJob, 1, 1, "ms=300 crashes="));
-      std::vector<std::string> sound;
+      CrashFixture fixture(seed, /*workers=*/4);
+      fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 1, "ms=300 crashes="));
+      std::vector<std::string> healthy_jobs;
       for (int i = 0; i < 40; ++i) {
-        sound.push_back("00000000000000" + std::to_string(10 + i));
-        trial.world.Submit(fakes::MakePlan(sound.back(), 2, 4, "ms=400"));
-        trial.world.Run(Millis(150));
+        healthy_jobs.push_back("00000000000000" + std::to_string(10 + i));
+        fixture.world.Submit(
+            fakes::MakePlan(healthy_jobs.back(), 2, 4, "ms=400"));
+        fixture.world.Run(Millis(150));
       }
-      trial.world.Run(Millis(60'000));
-      BOOST_TEST(trial.StateOf(kCellJob) == "failed");
-      for (const std::string& job : sound) {
-        BOOST_TEST(trial.StateOf(job) == "completed");
+      fixture.world.Run(Millis(60'000));
+      BOOST_TEST(fixture.StateOf(kCellJob) == "failed");
+      for (const std::string& job : healthy_jobs) {
+        BOOST_TEST(fixture.StateOf(job) == "completed");
       }
     }
   }
 }
 
-struct CulpritRow {
+struct CrashingTaskCase {
   const char* name;
   std::string payload;
   int count;
@@ -145,10 +148,10 @@
   void (*world)(CellWorld* world);
 };
 
-const CulpritRow culprits[] = {
+const CrashingTaskCase crashing_task_cases[] = {
     {"one of ten tasks", "ms=300 crashes=.0.0.3", 10, nullptr, nullptr},
     {"all of ten tasks", "ms=300 crashes=", 10, nullptr, nullptr},
-    {"a lasting task", "crashes=", 1,
+    {"a long-running task", "crashes=", 1,
      [](StepPlan* step) { step->lasting = true; }, nullptr},
     {"one of a gang", "ms=300 crashes=.0.0.1", 4,
      [](StepPlan* step) { step->gang = true; }, nullptr},
@@ -156,9 +159,9 @@
      nullptr},
     {"as soon as it starts", "ms=300 crashes= crashes_after=1", 1, nullptr,
      nullptr},
-    {"no address is used again", "ms=300 crashes=", 1, nullptr,
+    {"addresses are not reused", "ms=300 crashes=", 1, nullptr,
      [](CellWorld* world) { world->KeepAddressesFree(); }},
-    {"no machine is named", "ms=300 crashes=", 1, nullptr,
+    {"entries name no machine", "ms=300 crashes=", 1, nullptr,
      [](CellWorld* world) {
        for (const auto& [id, worker] : world->workers()) {
          worker->life.machine.clear();
@@ -166,255 +169,271 @@
      }},
 };
 
-// Guards against starts without end for each sort of culprit, alone and beside
-// short work.
-BOOST_AUTO_TEST_CASE(Culprit_OfAnySort_ItsJobFailsWithinTheBound) {
-  for (const CulpritRow& row : culprits) {
+// Guards against starting any kind of crashing task without end, next to short
+// tasks.
+BOOST_AUTO_TEST_CASE(CrashingTask_OfAnyKind_ItsJobFailsWithinTheBound) {
+  for (const CrashingTaskCase& row : crashing_task_cases) {
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
       BOOST_TEST_CONTEXT(row.name << ", seed " << seed) {
-        CrashTrial trial(seed);
+        CrashFixture fixture(seed);
         if (row.world != nullptr) {
-          row.world(&trial.world);
+          row.world(&fixture.world);
         }
-        trial.SubmitLasting(8);
+        fixture.SubmitLongRunning(8);
         JobPlan plan = fakes::MakePlan(kCellJob, 1, row.count, row.payload);
         if (row.shape != nullptr) {
           row.shape(&plan.steps[0]);
         }
-        BOOST_REQUIRE(trial.world.Submit(plan));
-        std::vector<std::string> sound;
+        BOOST_REQUIRE(fixture.world.Submit(plan));
+        std::vector<std::string> healthy_jobs;
         for (int i = 0; i < 20; ++i) {
-          sound.push_back("00000000000000" + std::to_string(10 + i));
-          trial.world.Submit(fakes::MakePlan(sound.back(), 1, 4, "ms=400"));
-          trial.world.Run(Millis(500));
+          healthy_jobs.push_back("00000000000000" + std::to_string(10 + i));
+          fixture.world.Submit(
+              fakes::MakePlan(healthy_jobs.back(), 1, 4, "ms=400"));
+          fixture.world.Run(Millis(500));
         }
-        trial.world.Run(Millis(60'000));
-        BOOST_TEST(trial.StateOf(kCellJob) == "failed");
-        BOOST_TEST(trial.StateOf(kSound) == "running");
-        for (const std::string& job : sound) {
-          BOOST_TEST(trial.StateOf(job) == "completed");
+        fixture.world.Run(Millis(60'000));
+        BOOST_TEST(fixture.StateOf(kCellJob) == "failed");
+        BOOST_TEST(fixture.StateOf(kHealthyJob) == "running");
+        for (const std::string& job : healthy_jobs) {
+          BOOST_TEST(fixture.StateOf(job) == "completed");
         }
       }
     }
   }
 }
 
-// Guards against giving up what a whole data centre's crashes ended twice.
-BOOST_AUTO_TEST_CASE(LastingTasks_HalfTheWorkersCrashTwice_RunAgainSoon) {
+// Guards against giving up tasks that ended twice because many workers, such as
+// those of a whole data centre, crashed at a time.
+BOOST_AUTO_TEST_CASE(LongRunningTasks_HalfTheWorkersCrashTwice_RunAgainSoon) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     for (const int gap : {200, 700, 3000}) {
       BOOST_TEST_CONTEXT("seed " << seed << ", gap " << gap) {
-        CrashTrial trial(seed, /*workers=*/16);
-        trial.SubmitLasting(24);
+        CrashFixture fixture(seed, /*workers=*/16);
+        fixture.SubmitLongRunning(24);
         for (int round = 0; round < 2; ++round) {
-          trial.CrashHalf();
-          trial.world.Run(Millis(2100 + gap));
+          fixture.CrashHalfOfWorkers();
+          fixture.world.Run(Millis(2100 + gap));
         }
-        trial.world.Run(Millis(4000));
-        BOOST_TEST(trial.StateOf(kSound) == "running");
-        BOOST_TEST(trial.Running() == 24U);
+        fixture.world.Run(Millis(4000));
+        BOOST_TEST(fixture.StateOf(kHealthyJob) == "running");
+        BOOST_TEST(fixture.RunningTasks() == 24U);
       }
     }
   }
 }
 
-// Guards against holding back what twice went down with half of the workers and
-// the leader.
-BOOST_AUTO_TEST_CASE(LastingTasks_WorkersAndLeaderCrashTwice_RunAgainSoon) {
+// Guards against delaying tasks whose workers crashed twice together with half
+// of the workers and the leader.
+BOOST_AUTO_TEST_CASE(LongRunningTasks_WorkersAndLeaderCrashTwice_RunAgainSoon) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      CrashTrial trial(seed, /*workers=*/16);
-      trial.SubmitLasting(24);
+      CrashFixture fixture(seed, /*workers=*/16);
+      fixture.SubmitLongRunning(24);
       for (int round = 0; round < 2; ++round) {
-        trial.CrashHalf();
-        trial.RestartLeader();
-        trial.world.Run(Millis(5000));
+        fixture.CrashHalfOfWorkers();
+        fixture.RestartLeader();
+        fixture.world.Run(Millis(5000));
       }
-      BOOST_TEST(trial.StateOf(kSound) == "running");
-      BOOST_TEST(trial.Running() == 24U);
+      BOOST_TEST(fixture.StateOf(kHealthyJob) == "running");
+      BOOST_TEST(fixture.RunningTasks() == 24U);
     }
   }
 }
 
-// Guards against blaming tasks for a machine that crashes by itself.
+// Guards against blaming tasks for a faulty machine that crashes with each
+// start.
 BOOST_AUTO_TEST_CASE(Machine_CrashesWithEachStart_NoJobIsGivenUp) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      CrashTrial trial(seed);
-      trial.world.crashing_machines().insert("w13");
-      std::vector<std::string> sound;
+      CrashFixture fixture(seed);
+      fixture.world.crashing_machines().insert("w13");
+      std::vector<std::string> healthy_jobs;
       for (int i = 0; i < 40; ++i) {
-        sound.push_back("00000000000000" + std::to_string(10 + i));
-        trial.world.Submit(fakes::MakePlan(sound.back(), 1, 6, "ms=400"));
-        trial.world.Run(Millis(400));
+        healthy_jobs.push_back("00000000000000" + std::to_string(10 + i));
+        fixture.world.Submit(
+            fakes::MakePlan(healthy_jobs.back(), 1, 6, "ms=400"));
+        fixture.world.Run(Millis(400));
       }
-      trial.world.Run(Millis(20'000));
-      for (const std::string& job : sound) {
-        BOOST_TEST(trial.StateOf(job) == "completed");
+      fixture.world.Run(Millis(20'000));
+      for (const std::string& job : healthy_jobs) {
+        BOOST_TEST(fixture.StateOf(job) == "completed");
       }
     }
   }
 }
 
-// Guards against a start whose crash a later leader could not know of.
-BOOST_AUTO_TEST_CASE(Culprit_StoreIsAway_NotStartedBeforeItsCrashIsRecorded) {
+// Guards against starting the task again while the store can't record its
+// crash: a later leader could not know of that crash.
+BOOST_AUTO_TEST_CASE(
+    CrashingTask_StoreIsDown_NotStartedBeforeItsCrashIsRecorded) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      CrashTrial trial(seed);
-      trial.world.Submit(fakes::MakePlan(kCellJob, 1, 1, "ms=300 crashes="));
-      for (auto& [name, instance] : trial.world.instances()) {
+      CrashFixture fixture(seed);
+      fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 1, "ms=300 crashes="));
+      for (auto& [name, instance] : fixture.world.instances()) {
         instance->store_faults.down = true;
       }
-      trial.world.Run(Millis(20'000));
-      BOOST_TEST(trial.world.starts(std::string(kCellJob) + ".0.0.0") == 1);
-      for (auto& [name, instance] : trial.world.instances()) {
+      fixture.world.Run(Millis(20'000));
+      BOOST_TEST(fixture.world.starts(std::string(kCellJob) + ".0.0.0") == 1);
+      for (auto& [name, instance] : fixture.world.instances()) {
         instance->store_faults.down = false;
       }
-      trial.world.Run(Millis(40'000));
-      BOOST_TEST(trial.StateOf(kCellJob) == "failed");
+      fixture.world.Run(Millis(40'000));
+      BOOST_TEST(fixture.StateOf(kCellJob) == "failed");
     }
   }
 }
 
-// Guards against a service that many crashing jobs take down as a whole.
-BOOST_AUTO_TEST_CASE(ManyCulprits_AtOnce_SoundWorkGoesOn) {
-  CrashTrial trial(1, /*workers=*/30);
+// Guards against many crashing jobs taking down all workers of a service.
+BOOST_AUTO_TEST_CASE(ManyCrashingTasks_AtOnce_HealthyWorkContinues) {
+  CrashFixture fixture(1, /*workers=*/30);
   for (int i = 0; i < 50; ++i) {
-    trial.world.Submit(fakes::MakePlan(
+    fixture.world.Submit(fakes::MakePlan(
         "11111111111111" + std::to_string(10 + i), 1, 1, "ms=300 crashes="));
   }
-  trial.world.Run(Millis(10'000));
+  fixture.world.Run(Millis(10'000));
   int down = 0;
-  int looks = 0;
+  int samples = 0;
   for (int i = 0; i < 200; ++i) {
-    trial.world.Run(Millis(100));
-    for (const auto& [id, worker] : trial.world.workers()) {
+    fixture.world.Run(Millis(100));
+    for (const auto& [id, worker] : fixture.world.workers()) {
       down += worker->up ? 0 : 1;
-      ++looks;
+      ++samples;
     }
   }
-  // Likely culprits take a tenth of the workers at a time.
-  BOOST_TEST(down * 5 < looks);
-  const std::string sound = "0000000000000011";
-  BOOST_REQUIRE(trial.world.Submit(fakes::MakePlan(sound, 1, 10, "ms=400")));
-  trial.world.Run(Millis(3000));
-  BOOST_TEST(trial.StateOf(sound) == "completed");
-  trial.world.Run(Millis(90'000));
+  // Likely culprits are tried on at most a tenth of the workers at a time.
+  BOOST_TEST(down * 5 < samples);
+  const std::string healthy_job = "0000000000000011";
+  BOOST_REQUIRE(
+      fixture.world.Submit(fakes::MakePlan(healthy_job, 1, 10, "ms=400")));
+  fixture.world.Run(Millis(3000));
+  BOOST_TEST(fixture.StateOf(healthy_job) == "completed");
+  fixture.world.Run(Millis(90'000));
   for (int i = 0; i < 50; ++i) {
-    BOOST_TEST(trial.StateOf("11111111111111" + std::to_string(10 + i)) ==
+    BOOST_TEST(fixture.StateOf("11111111111111" + std::to_string(10 + i)) ==
                "failed");
   }
 }
 
-// The leader is lost `after` milliseconds after each of the first crashes is
-// seen, which is looked for every `look` milliseconds.
-void LoseLeaderAfterEachCrash(CrashTrial* trial, int after, int look = 50) {
+// Eight times: waits for a crash, for which it polls every `poll_ms`
+// milliseconds, and kills and restarts the leader `delay_ms` milliseconds
+// later.
+void RestartLeaderAfterEachCrash(CrashFixture* fixture,
+                                 int delay_ms,
+                                 int poll_ms = 50) {
   constexpr int kLongestWait = 10'000;
-  trial->SubmitLasting(8);
-  trial->world.Submit(fakes::MakePlan(kCellJob, 1, 1, "ms=300 crashes="));
+  fixture->SubmitLongRunning(8);
+  fixture->world.Submit(fakes::MakePlan(kCellJob, 1, 1, "ms=300 crashes="));
   for (int i = 0; i < 8; ++i) {
-    const int before = trial->world.crashes();
+    const int before = fixture->world.crashes();
     for (int waited = 0;
-         waited < kLongestWait && trial->world.crashes() == before;
-         waited += look) {
-      trial->world.RunExactly(Millis(look));
+         waited < kLongestWait && fixture->world.crashes() == before;
+         waited += poll_ms) {
+      fixture->world.RunExactly(Millis(poll_ms));
     }
-    trial->world.Run(Millis(after));
-    trial->RestartLeader();
+    fixture->world.Run(Millis(delay_ms));
+    fixture->RestartLeader();
   }
-  trial->world.Run(Millis(20'000));
-  BOOST_TEST(trial->StateOf(kCellJob) == "failed");
-  BOOST_TEST(trial->StateOf(kSound) == "running");
+  fixture->world.Run(Millis(20'000));
+  BOOST_TEST(fixture->StateOf(kCellJob) == "failed");
+  BOOST_TEST(fixture->StateOf(kHealthyJob) == "running");
 }
 
-// Guards against a leader that is lost with what it knows of a crash, again and
-// again.
-BOOST_AUTO_TEST_CASE(Culprit_LeaderIsLostAfterEachCrash_BoundHolds) {
-  for (const int after : {0, 100, 300, 1500, 2300, 2700, 3500}) {
+// Guards against losing what is known of a crash when the leader repeatedly
+// fails after it.
+BOOST_AUTO_TEST_CASE(CrashingTask_LeaderFailsAfterEachCrash_BoundHolds) {
+  for (const int delay_ms : {0, 100, 300, 1500, 2300, 2700, 3500}) {
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      BOOST_TEST_CONTEXT("after " << after << ", seed " << seed) {
-        CrashTrial trial(seed);
-        LoseLeaderAfterEachCrash(&trial, after);
+      BOOST_TEST_CONTEXT("after " << delay_ms << ", seed " << seed) {
+        CrashFixture fixture(seed);
+        RestartLeaderAfterEachCrash(&fixture, delay_ms);
       }
     }
   }
 }
 
-// Guards against a leader that is lost in the moment of the crash.
-BOOST_AUTO_TEST_CASE(Culprit_LeaderIsLostWithItsWorker_BoundHolds) {
+// Guards against missing a crash when the leader fails at the same moment.
+BOOST_AUTO_TEST_CASE(CrashingTask_LeaderFailsWithItsWorker_BoundHolds) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      CrashTrial trial(seed);
-      LoseLeaderAfterEachCrash(&trial, /*after=*/0, /*look=*/1);
+      CrashFixture fixture(seed);
+      RestartLeaderAfterEachCrash(&fixture, /*delay_ms=*/0, /*poll_ms=*/1);
     }
   }
 }
 
-// Guards against a leader that is lost before its look at a silent worker has
-// failed.
-BOOST_AUTO_TEST_CASE(Culprit_LeaderIsLostBeforeSilenceIsSeen_BoundHolds) {
-  for (const int after : {0, 100, 300}) {
+// Guards against missing a crash when the leader fails before its call to the
+// unresponsive worker has failed.
+BOOST_AUTO_TEST_CASE(
+    CrashingTask_LeaderFailsBeforeSilenceIsDetected_BoundHolds) {
+  for (const int delay_ms : {0, 100, 300}) {
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      BOOST_TEST_CONTEXT("after " << after << ", seed " << seed) {
-        CrashTrial trial(seed);
-        trial.world.KeepCrashedSilent();
-        LoseLeaderAfterEachCrash(&trial, after);
+      BOOST_TEST_CONTEXT("after " << delay_ms << ", seed " << seed) {
+        CrashFixture fixture(seed);
+        fixture.world.KeepCrashedSilent();
+        RestartLeaderAfterEachCrash(&fixture, delay_ms);
       }
     }
   }
 }
 
-// Guards against suspecting sound work for leaders that are lost with a worker.
-BOOST_AUTO_TEST_CASE(SoundTasks_LeadersAreLostWithWorkers_AreAllDoneSoon) {
+// Guards against suspecting healthy tasks because leaders fail together with
+// workers.
+BOOST_AUTO_TEST_CASE(HealthyTasks_LeadersFailWithWorkers_AllCompleteSoon) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      CrashTrial trial(seed);
-      trial.world.KeepCrashedSilent();
-      trial.SubmitLasting(8);
-      std::vector<std::string> sound;
+      CrashFixture fixture(seed);
+      fixture.world.KeepCrashedSilent();
+      fixture.SubmitLongRunning(8);
+      std::vector<std::string> healthy_jobs;
       int crashed = 0;
       for (int i = 0; i < 6; ++i) {
-        sound.push_back("00000000000000" + std::to_string(10 + i));
-        trial.world.Submit(fakes::MakePlan(sound.back(), 2, 12, "ms=1500"));
-        trial.world.Run(Millis(500));
-        // The world bounds starts after three crashes whatever caused them, so
-        // lasting tasks, which each crash would hit, are spared.
-        for (const auto& [id, worker] : trial.world.workers()) {
+        healthy_jobs.push_back("00000000000000" + std::to_string(10 + i));
+        fixture.world.Submit(
+            fakes::MakePlan(healthy_jobs.back(), 2, 12, "ms=1500"));
+        fixture.world.Run(Millis(500));
+        // The world limits a task's starts after three crashes whatever caused
+        // them. Workers with long-running tasks are not crashed, because those
+        // tasks would be hit by each crash.
+        for (const auto& [id, worker] : fixture.world.workers()) {
           const auto tasks = worker->model.running_tasks();
-          const bool spared = std::any_of(
+          const bool runs_long_task = std::any_of(
               tasks.begin(), tasks.end(),
-              [](const auto& task) { return task.starts_with(kSound); });
-          if (worker->up && tasks.size() > 1 && !spared) {
-            trial.world.CrashAndReturn(id);
+              [](const auto& task) { return task.starts_with(kHealthyJob); });
+          if (worker->up && tasks.size() > 1 && !runs_long_task) {
+            fixture.world.CrashAndReturn(id);
             ++crashed;
             break;
           }
         }
-        trial.RestartLeader();
-        trial.world.Run(Millis(3000));
+        fixture.RestartLeader();
+        fixture.world.Run(Millis(3000));
       }
-      trial.world.Run(Millis(15'000));
+      fixture.world.Run(Millis(15'000));
       BOOST_TEST(crashed >= 3);
-      BOOST_TEST(trial.StateOf(kSound) == "running");
-      for (const std::string& job : sound) {
-        BOOST_TEST(trial.StateOf(job) == "completed");
+      BOOST_TEST(fixture.StateOf(kHealthyJob) == "running");
+      for (const std::string& job : healthy_jobs) {
+        BOOST_TEST(fixture.StateOf(job) == "completed");
       }
     }
   }
 }
 
-// Guards against a trial beside other new runs, also of the same step.
-BOOST_AUTO_TEST_CASE(Culprit_OfAStepThatWaits_IsTriedAlone) {
+// Guards against trial runs next to other new runs, including those of the same
+// step.
+BOOST_AUTO_TEST_CASE(CrashingTask_OfAWaitingStep_IsTriedAlone) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      CrashTrial trial(seed, /*workers=*/4);
-      trial.world.Submit(fakes::MakePlan("0000000000000011", 1, 300, "ms=700"));
-      trial.world.Submit(
+      CrashFixture fixture(seed, /*workers=*/4);
+      fixture.world.Submit(
+          fakes::MakePlan("0000000000000011", 1, 300, "ms=700"));
+      fixture.world.Submit(
           fakes::MakePlan(kCellJob, 1, 200, "ms=700 crashes=.0.0.7"));
-      trial.world.Run(Millis(60'000));
-      BOOST_TEST(trial.StateOf(kCellJob) == "failed");
-      BOOST_TEST(trial.world.crashes() > 1);
-      BOOST_TEST(trial.world.crowded_crashes() <= 1);
+      fixture.world.Run(Millis(60'000));
+      BOOST_TEST(fixture.StateOf(kCellJob) == "failed");
+      BOOST_TEST(fixture.world.crashes() > 1);
+      BOOST_TEST(fixture.world.crowded_crashes() <= 1);
     }
   }
 }
--- a/src/libdoorwood/cell/cell_lasting_places_test.cpp
+++ b/src/libdoorwood/cell/cell_lasting_places_test.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A lasting task runs again soon after its worker is gone, also where leaders
-// follow each other and don't reach other workers; and it never runs twice.
+// A long-running task runs again soon after its worker is gone, even if leaders
+// follow each other and cannot reach other workers; and it never runs twice at
+// a time.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -22,9 +23,10 @@
 constexpr int kTasks = 16;
 constexpr int kWorkers = 16;
 
-/// Lasting tasks on workers with room for two each, and three instances.
-struct PlacesTrial {
-  explicit PlacesTrial(uint64_t seed, const std::string& payload = "")
+/// A cell with long-running tasks on workers that have capacity for two each,
+/// and three instances.
+struct PlacementFixture {
+  explicit PlacementFixture(uint64_t seed, const std::string& payload = "")
       : world(seed) {
     world.SetTable({fakes::MakeQueue("queue", 3)});
     for (int i = 0; i < kWorkers; ++i) {
@@ -41,19 +43,19 @@
     BOOST_REQUIRE(world.Submit(plan));
     world.Run(Millis(3000));
   }
-  ~PlacesTrial() {
+  ~PlacementFixture() {
     for (const std::string& rule : world.broken()) {
       BOOST_ERROR(rule);
     }
   }
-  PlacesTrial(const PlacesTrial&) = delete;
-  PlacesTrial& operator=(const PlacesTrial&) = delete;
+  PlacementFixture(const PlacementFixture&) = delete;
+  PlacementFixture& operator=(const PlacementFixture&) = delete;
 
   static std::string NameOf(int task) {
     return std::string(kCellJob) + ".0.0." + std::to_string(task);
   }
-  /// The worker that runs the task; empty: none.
-  std::string PlaceOf(const std::string& task) {
+  /// The worker that runs the task; empty if there is none.
+  std::string WorkerOf(const std::string& task) {
     for (const auto& [id, worker] : world.workers()) {
       if (worker->model.Runs(task)) {
         return id;
@@ -61,186 +63,200 @@
     }
     return "";
   }
-  std::vector<std::string> Hosts() {
-    std::vector<std::string> hosts;
+  std::vector<std::string> BusyWorkers() {
+    std::vector<std::string> busy_workers;
     for (const auto& [id, worker] : world.workers()) {
       if (worker->up && worker->model.running() > 0) {
-        hosts.push_back(id);
+        busy_workers.push_back(id);
       }
     }
-    return hosts;
+    return busy_workers;
   }
-  void CutFromAll(const std::string& worker) {
-    cut.push_back(worker);
+  void PartitionFromAll(const std::string& worker) {
+    unreachable_workers.push_back(worker);
     for (auto& [name, instance] : world.instances()) {
       instance->cut_from.insert(worker);
     }
   }
-  /// Ends the leader; it is back a second later, cut off like the others.
+  /// Kills the leader and starts it again a second later, partitioned from the
+  /// same workers as the other instances.
   void RestartLeader() {
     const std::string name = world.WaitForLeader()->name;
     world.Kill(name);
     Run(Millis(1000));
     auto& back = world.AddInstance(name, std::string(1, name[0]));
-    back.cut_from.insert(cut.begin(), cut.end());
+    back.cut_from.insert(unreachable_workers.begin(),
+                         unreachable_workers.end());
   }
-  void RefuseAll(bool refuse) {
+  void SetStoreDown(bool down_for_all) {
     for (auto& [name, instance] : world.instances()) {
-      instance->store_faults.down = refuse;
+      instance->store_faults.down = down_for_all;
     }
   }
-  /// Notes for how long each task of `watched` runs nowhere.
+  /// Runs the world, and measures for how long each task of `watched` runs on
+  /// no worker.
   void Run(Millis duration) {
     constexpr Millis kStep{50};
     for (Millis passed{0}; passed < duration; passed += kStep) {
       world.Run(kStep);
       for (const std::string& task : watched) {
-        Millis& now = away[task];
-        now = PlaceOf(task).empty() ? now + kStep : Millis(0);
-        longest_away = std::max(longest_away, now);
+        Millis& now = not_running_for[task];
+        now = WorkerOf(task).empty() ? now + kStep : Millis(0);
+        longest_gap = std::max(longest_gap, now);
       }
     }
   }
 
   CellWorld world;
-  std::vector<std::string> cut;
+  std::vector<std::string> unreachable_workers;
   std::vector<std::string> watched;
-  std::map<std::string, Millis> away;
-  Millis longest_away{0};
+  std::map<std::string, Millis> not_running_for;
+  Millis longest_gap{0};
 };
 
-// The platform's bound for tasks that last.
-constexpr Millis kLongestAway{6000};
+// The platform's limit for the time in which a long-running task does not run.
+constexpr Millis kMaxGap{6000};
 
-// Guards against holding back what was on heard workers for as long as unheard
-// ones may run anything, by each leader anew.
-BOOST_AUTO_TEST_CASE(LastingTask_WorkersUnheardByLeadersInARow_RunsAgainSoon) {
-  for (const int unheard : {1, 3}) {
-    for (const int between : {1500, 4000, 9000}) {
+// Guards against each new leader delaying all tasks, also those of workers that
+// it reaches, for as long as workers that it cannot reach might run them.
+BOOST_AUTO_TEST_CASE(
+    LongRunningTask_WorkersUnreachableBySuccessiveLeaders_RunsAgainSoon) {
+  for (const int unreachable_count : {1, 3}) {
+    for (const int interval_ms : {1500, 4000, 9000}) {
       for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-        BOOST_TEST_CONTEXT(unheard << " unheard, " << between
-                                   << " ms between leaders, seed " << seed) {
-          PlacesTrial trial(seed);
-          const auto hosts = trial.Hosts();
-          BOOST_REQUIRE(hosts.size() > 6U);
-          for (int i = 0; i < unheard; ++i) {
-            trial.CutFromAll(hosts[i]);
+        BOOST_TEST_CONTEXT(unreachable_count << " unreachable, " << interval_ms
+                                             << " ms between leaders, seed "
+                                             << seed) {
+          PlacementFixture fixture(seed);
+          const auto busy_workers = fixture.BusyWorkers();
+          BOOST_REQUIRE(busy_workers.size() > 6U);
+          for (int i = 0; i < unreachable_count; ++i) {
+            fixture.PartitionFromAll(busy_workers[i]);
           }
           for (int i = 0; i < kTasks; ++i) {
-            const std::string place = trial.PlaceOf(PlacesTrial::NameOf(i));
-            if (std::find(trial.cut.begin(), trial.cut.end(), place) ==
-                trial.cut.end()) {
-              trial.watched.push_back(PlacesTrial::NameOf(i));
+            const std::string host =
+                fixture.WorkerOf(PlacementFixture::NameOf(i));
+            if (std::find(fixture.unreachable_workers.begin(),
+                          fixture.unreachable_workers.end(),
+                          host) == fixture.unreachable_workers.end()) {
+              fixture.watched.push_back(PlacementFixture::NameOf(i));
             }
           }
           for (int i = 0; i < 4; ++i) {
-            trial.world.CrashAndReturn(hosts[unheard + i]);
-            trial.RestartLeader();
-            trial.Run(Millis(between));
+            fixture.world.CrashAndReturn(busy_workers[unreachable_count + i]);
+            fixture.RestartLeader();
+            fixture.Run(Millis(interval_ms));
           }
-          trial.Run(Millis(8000));
-          BOOST_TEST(trial.longest_away <= kLongestAway);
+          fixture.Run(Millis(8000));
+          BOOST_TEST(fixture.longest_gap <= kMaxGap);
         }
       }
     }
   }
 }
 
-// One wait for a worker that is gone (run lease / 0.98 + 3.5 s) after the first
-// change of the lead, which takes 2.5 s, and a reading of the directory.
-constexpr Millis kOneWait{15'000};
+// The first change of leader (2.5 s), one wait for a worker that is gone (run
+// lease / 0.98 + 3.5 s) and one reading of the directory.
+constexpr Millis kMaxSingleWait{15'000};
 
-// Guards against a wait that is served again by each leader in a row.
-BOOST_AUTO_TEST_CASE(LastingTask_ItsWorkerIsGoneWhileLeadersChange_WaitsOnce) {
-  for (const int between : {1500, 2500, 4000}) {
+// Guards against each successive leader starting the wait from the beginning.
+BOOST_AUTO_TEST_CASE(
+    LongRunningTask_ItsWorkerIsGoneWhileLeadersChange_WaitsOnce) {
+  for (const int interval_ms : {1500, 2500, 4000}) {
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      BOOST_TEST_CONTEXT(between << " ms between leaders, seed " << seed) {
-        PlacesTrial trial(seed);
-        const std::string gone = trial.Hosts().front();
-        trial.watched = trial.world.workers().at(gone)->model.running_tasks();
-        trial.world.TakeAway(gone);
+      BOOST_TEST_CONTEXT(interval_ms << " ms between leaders, seed " << seed) {
+        PlacementFixture fixture(seed);
+        const std::string lost_worker = fixture.BusyWorkers().front();
+        fixture.watched =
+            fixture.world.workers().at(lost_worker)->model.running_tasks();
+        fixture.world.TakeAway(lost_worker);
         for (int i = 0; i < 6; ++i) {
-          trial.RestartLeader();
-          trial.Run(Millis(between));
+          fixture.RestartLeader();
+          fixture.Run(Millis(interval_ms));
         }
-        trial.Run(Millis(10'000));
-        BOOST_TEST(trial.longest_away <= kOneWait);
+        fixture.Run(Millis(10'000));
+        BOOST_TEST(fixture.longest_gap <= kMaxSingleWait);
       }
     }
   }
 }
 
-// Each run ends by itself, as failed, after so long.
+// Payloads whose runs fail by themselves after 6 s and 3 s.
 constexpr char kFailsAfterSix[] = "ms=6000 fails=1000000";
 constexpr char kFailsAfterThree[] = "ms=3000 fails=1000000";
 
-// A task is started where nothing can be recorded, and its new worker is then
-// unheard by whoever leads next.
-void StartUnrecorded(PlacesTrial* trial) {
-  const std::string task = PlacesTrial::NameOf(0);
-  const std::string before = trial->PlaceOf(task);
-  trial->RefuseAll(true);
+// Has a task started again while nothing can be recorded, and then partitions
+// its new worker from all instances.
+void StartUnrecorded(PlacementFixture* fixture) {
+  const std::string task = PlacementFixture::NameOf(0);
+  const std::string before = fixture->WorkerOf(task);
+  fixture->SetStoreDown(true);
   std::string after = before;
   for (int i = 0; i < 80 && (after == before || after.empty()); ++i) {
-    trial->Run(Millis(100));
-    after = trial->PlaceOf(task);
+    fixture->Run(Millis(100));
+    after = fixture->WorkerOf(task);
   }
   BOOST_TEST(!after.empty());
   BOOST_TEST(after != before);
-  trial->Run(Millis(500));
-  trial->CutFromAll(after);
+  fixture->Run(Millis(500));
+  fixture->PartitionFromAll(after);
 }
 
-// Guards against a successor that believes a record of places from before an
+// Guards against a successor that relies on placements recorded before an
 // outage.
-BOOST_AUTO_TEST_CASE(LastingTask_StartedUnrecordedThenLeaderLost_RunsOnce) {
-  for (const int later : {0, 200, 1000}) {
+BOOST_AUTO_TEST_CASE(
+    LongRunningTask_StartedUnrecordedThenLeaderFails_RunsOnce) {
+  for (const int store_delay_ms : {0, 200, 1000}) {
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-      BOOST_TEST_CONTEXT("store back " << later << " ms later, seed " << seed) {
-        PlacesTrial trial(seed, kFailsAfterSix);
-        StartUnrecorded(&trial);
-        trial.RestartLeader();
-        trial.Run(Millis(later));
-        trial.RefuseAll(false);
-        trial.Run(Millis(20'000));
-        BOOST_TEST(!trial.PlaceOf(PlacesTrial::NameOf(0)).empty());
+      BOOST_TEST_CONTEXT("store available after " << store_delay_ms
+                                                  << " ms, seed " << seed) {
+        PlacementFixture fixture(seed, kFailsAfterSix);
+        StartUnrecorded(&fixture);
+        fixture.RestartLeader();
+        fixture.Run(Millis(store_delay_ms));
+        fixture.SetStoreDown(false);
+        fixture.Run(Millis(20'000));
+        BOOST_TEST(!fixture.WorkerOf(PlacementFixture::NameOf(0)).empty());
       }
     }
   }
 }
 
-// Guards against a successor that began after the outage and was never asked.
-BOOST_AUTO_TEST_CASE(LastingTask_SuccessorBeganAfterTheOutage_RunsOnce) {
+// Guards against a successor that started after the outage, and so never agreed
+// to unrecorded starts, relying on recorded placements.
+BOOST_AUTO_TEST_CASE(LongRunningTask_SuccessorStartedAfterTheOutage_RunsOnce) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      PlacesTrial trial(seed, kFailsAfterSix);
-      StartUnrecorded(&trial);
+      PlacementFixture fixture(seed, kFailsAfterSix);
+      StartUnrecorded(&fixture);
       for (const char* name : {"a1", "b1", "c1"}) {
-        trial.world.Kill(name);
+        fixture.world.Kill(name);
       }
       for (const char* name : {"a2", "b2", "c2"}) {
-        auto& fresh = trial.world.AddInstance(name, std::string(1, name[0]));
-        fresh.cut_from.insert(trial.cut.begin(), trial.cut.end());
+        auto& new_instance =
+            fixture.world.AddInstance(name, std::string(1, name[0]));
+        new_instance.cut_from.insert(fixture.unreachable_workers.begin(),
+                                     fixture.unreachable_workers.end());
       }
-      trial.Run(Millis(20'000));
-      BOOST_TEST(!trial.PlaceOf(PlacesTrial::NameOf(0)).empty());
+      fixture.Run(Millis(20'000));
+      BOOST_TEST(!fixture.WorkerOf(PlacementFixture::NameOf(0)).empty());
     }
   }
 }
 
-// Guards against starts that wait for the store for as long as it is away.
-BOOST_AUTO_TEST_CASE(LastingTask_StoreIsAwayForAll_RunsAgainSoon) {
+// Guards against starts that wait for as long as the store is unavailable.
+BOOST_AUTO_TEST_CASE(LongRunningTask_StoreIsDownForAll_RunsAgainSoon) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      PlacesTrial trial(seed, kFailsAfterThree);
-      trial.RefuseAll(true);
+      PlacementFixture fixture(seed, kFailsAfterThree);
+      fixture.SetStoreDown(true);
       for (int i = 0; i < kTasks; ++i) {
-        trial.watched.push_back(PlacesTrial::NameOf(i));
+        fixture.watched.push_back(PlacementFixture::NameOf(i));
       }
-      trial.Run(Millis(15'000));
-      BOOST_TEST(trial.longest_away <= kLongestAway);
-      trial.RefuseAll(false);
-      trial.Run(Millis(3000));
+      fixture.Run(Millis(15'000));
+      BOOST_TEST(fixture.longest_gap <= kMaxGap);
+      fixture.SetStoreDown(false);
+      fixture.Run(Millis(3000));
     }
   }
 }
--- a/src/libdoorwood/cell/cell_lasting_walk_test.cpp
+++ b/src/libdoorwood/cell/cell_lasting_walk_test.cpp
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A seeded random walk of troubles over leaders whose tasks last, so that a run
-// that was wrongly taken to be over is seen as a second one, also long after.
-// The store goes and comes back, refuses some instances and serves others, and
-// pairs of instances, and of instances and workers, are cut. Only what runs
-// twice is checked here; cell_walk_test checks that jobs end.
+// Seeded random faults in a cell with long-running tasks. If a leader wrongly
+// takes a run to have ended and starts the task again, the two runs overlap and
+// are detected, even much later. The store fails and recovers, or refuses some
+// instances and serves others, and instances are partitioned from each other
+// and from workers. This test checks only that no task runs twice at a time;
+// cell_walk_test checks that jobs end.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -18,7 +19,7 @@
 constexpr int kSeeds = 400;
 constexpr int kSteps = 70;
 
-class PlainWalk : public fakes::LastingWalk {
+class BasicFaultWalk : public fakes::LastingWalk {
  public:
   using LastingWalk::LastingWalk;
 
@@ -26,13 +27,13 @@
   void Step() override { Play(Pick(16)); }
 };
 
-BOOST_AUTO_TEST_CASE(Cells_LastingTasksAndRandomTroubles_NothingRunsTwice) {
+BOOST_AUTO_TEST_CASE(Cells_LongRunningTasksAndRandomFaults_NothingRunsTwice) {
   const char* only = std::getenv("DOORWOOD_SEED");
   const int first = only == nullptr ? 1 : std::atoi(only);
   const int last = only == nullptr ? kSeeds : first;
   fakes::Tally tally;
   for (int seed = first; seed <= last; ++seed) {
-    PlainWalk walk(static_cast<uint64_t>(seed));
+    BasicFaultWalk walk(static_cast<uint64_t>(seed));
     walk.Run(kSteps);
     tally.Take("seed " + std::to_string(seed), walk.world());
   }
--- a/src/libdoorwood/cell/cell_late_done_test.cpp
+++ b/src/libdoorwood/cell/cell_late_done_test.cpp
@@ -1,19 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A worker finishes a task while its leader cannot hear it. After six seconds
-// the leader rightly calls the run over and lets the task wait for another one.
-// Then the worker answers and lists the run as done, and the leader dropped
-// that without a word, since the run's end was counted already: the work was
-// done again, and the job's next step waited for it. In an overload whose cuts
-// follow each other, jobs ended 14 s after the last caller with nothing running
-// though all of their first step was done.
+// A worker completes a task while its leader cannot reach it. After 6 s the
+// run's lease expires, and the leader correctly counts the run as lost and
+// queues the task again. When the worker answers again and reports the run as
+// done, that completion must count. Ignoring it, because the run's end had been
+// counted already, made the task run again and the job's next step wait: in an
+// overload with repeated partitions, jobs ended 14 s after the last request
+// although all tasks of their first step were done.
 //
-// What showed it: "run is over without the worker's word" for run 1, then, at
-// the first answer, "end of a run not counted" with end "done" of that run;
-// 3,662 to 5,252 such lines in each of five plays of the days.
+// In the log this shows as "run ended without a report from the worker" for run
+// 1, followed by "end of a run not counted" with end "done" for the same run.
+// In each of five simulations of the standard days there were 3,662 to 5,252
+// such lines.
 //
-// All in virtual time. The leases of 6 s are over at most 6.5 s after the last
-// look that was answered.
+// All tests run in virtual time. A lease of 6 s has expired at most 6.5 s after
+// the last call that the worker answered.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -32,31 +33,32 @@
 using fakes::RunnerOf;
 using fakes::WorldInstance;
 
-// Until a worker that is back is listed, is asked, and what it lists is acted
-// on.
-constexpr Millis kHeard{1100};
+// Time until a worker that is back is listed and called, and its report is
+// processed.
+constexpr Millis kReportDelay{1100};
 
 std::string TaskOf(int step, int index) {
   return std::string(kCellJob) + ".0." + std::to_string(step) + "." +
          std::to_string(index);
 }
 
-// Nobody hears the worker, and its entry is away meanwhile.
-void Lose(CellWorld& world, const std::string& worker) {
+// Partitions the worker from all instances, and removes its directory entry.
+void LoseContact(CellWorld& world, const std::string& worker) {
   CutAllFrom(world, worker);
   world.workers().at(worker)->listed = false;
 }
 
-void Regain(CellWorld& world, const std::string& worker) {
+void RestoreContact(CellWorld& world, const std::string& worker) {
   for (const auto& [name, instance] : world.instances()) {
     instance->cut_from.clear();
   }
   world.workers().at(worker)->listed = true;
 }
 
-/// One worker, which finishes the first step while nobody hears it.
-struct LateDoneFixture {
-  explicit LateDoneFixture(int tasks, bool gang) : world(7) {
+/// A cell whose only worker completes the first step while no instance reaches
+/// it.
+struct LateCompletionFixture {
+  explicit LateCompletionFixture(int tasks, bool gang) : world(7) {
     world.SetTable({fakes::MakeQueue("queue", 3)});
     world.AddWorker("w1", 8000);
     for (const char* name : {"a1", "b1", "c1"}) {
@@ -69,17 +71,17 @@
     BOOST_REQUIRE(world.Submit(plan));
     world.Run(Millis(500));
     BOOST_REQUIRE(RunnerOf(world, TaskOf(0, 0)) == "w1");
-    Lose(world, "w1");
+    LoseContact(world, "w1");
   }
-  ~LateDoneFixture() {
+  ~LateCompletionFixture() {
     for (const std::string& rule : world.broken()) {
       BOOST_ERROR(rule);
     }
   }
-  LateDoneFixture(const LateDoneFixture&) = delete;
-  LateDoneFixture& operator=(const LateDoneFixture&) = delete;
+  LateCompletionFixture(const LateCompletionFixture&) = delete;
+  LateCompletionFixture& operator=(const LateCompletionFixture&) = delete;
 
-  /// Runs until the first step is started a second time, elsewhere.
+  /// Runs the world until the first step is started again on another worker.
   void WaitForSecondRun() {
     world.AddWorker("w2", 8000);
     for (int i = 0; i < 300 && world.starts(TaskOf(0, 0)) == 1; ++i) {
@@ -95,13 +97,14 @@
   JobPlan plan;
 };
 
-BOOST_AUTO_TEST_CASE(LateDone_TaskWaits_CountsAndIsNotDoneAgain) {
-  for (int silent = 7000; silent <= 12'000; silent += 1000) {
-    BOOST_TEST_CONTEXT("silent for " << silent << " ms") {
-      LateDoneFixture fixture(3, /*gang=*/false);
-      fixture.world.Run(Millis(silent));
-      Regain(fixture.world, "w1");
-      fixture.world.Run(kHeard);
+BOOST_AUTO_TEST_CASE(LateCompletion_TaskWaits_CountsAndTaskDoesNotRunAgain) {
+  for (int unreachable_ms = 7000; unreachable_ms <= 12'000;
+       unreachable_ms += 1000) {
+    BOOST_TEST_CONTEXT("unreachable for " << unreachable_ms << " ms") {
+      LateCompletionFixture fixture(3, /*gang=*/false);
+      fixture.world.Run(Millis(unreachable_ms));
+      RestoreContact(fixture.world, "w1");
+      fixture.world.Run(kReportDelay);
       for (int index = 0; index < 3; ++index) {
         BOOST_TEST(fixture.world.starts(TaskOf(0, index)) == 1);
         BOOST_TEST(fixture.world.starts(TaskOf(1, index)) == 1);
@@ -112,14 +115,16 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(LateDone_TaskRunsAgain_SecondRunStopsAndNextStepStarts) {
-  for (int after = 0; after <= 800; after += 200) {
-    BOOST_TEST_CONTEXT("heard " << after << " ms after the second start") {
-      LateDoneFixture fixture(3, /*gang=*/false);
+BOOST_AUTO_TEST_CASE(
+    LateCompletion_TaskRunsAgain_SecondRunStopsAndNextStepStarts) {
+  for (int delay_ms = 0; delay_ms <= 800; delay_ms += 200) {
+    BOOST_TEST_CONTEXT("reachable " << delay_ms
+                                    << " ms after the second start") {
+      LateCompletionFixture fixture(3, /*gang=*/false);
       fixture.WaitForSecondRun();
-      fixture.world.Run(Millis(after));
-      Regain(fixture.world, "w1");
-      fixture.world.Run(kHeard);
+      fixture.world.Run(Millis(delay_ms));
+      RestoreContact(fixture.world, "w1");
+      fixture.world.Run(kReportDelay);
       for (int index = 0; index < 3; ++index) {
         BOOST_TEST(RunnerOf(fixture.world, TaskOf(0, index)).empty());
         BOOST_TEST(fixture.world.starts(TaskOf(1, index)) == 1);
@@ -131,15 +136,17 @@
   }
 }
 
-// One member's word stands for all of them, so all that run again stop.
-BOOST_AUTO_TEST_CASE(LateDone_GangRunsAgain_AllMembersStop) {
-  for (int after = 0; after <= 800; after += 200) {
-    BOOST_TEST_CONTEXT("heard " << after << " ms after the second start") {
-      LateDoneFixture fixture(3, /*gang=*/true);
+// The completion of one task of a gang completes all of its tasks, so all of
+// their second runs stop.
+BOOST_AUTO_TEST_CASE(LateCompletion_GangRunsAgain_AllMembersStop) {
+  for (int delay_ms = 0; delay_ms <= 800; delay_ms += 200) {
+    BOOST_TEST_CONTEXT("reachable " << delay_ms
+                                    << " ms after the second start") {
+      LateCompletionFixture fixture(3, /*gang=*/true);
       fixture.WaitForSecondRun();
-      fixture.world.Run(Millis(after));
-      Regain(fixture.world, "w1");
-      fixture.world.Run(kHeard);
+      fixture.world.Run(Millis(delay_ms));
+      RestoreContact(fixture.world, "w1");
+      fixture.world.Run(kReportDelay);
       for (int index = 0; index < 3; ++index) {
         BOOST_TEST(RunnerOf(fixture.world, TaskOf(0, index)).empty());
         BOOST_TEST(fixture.world.starts(TaskOf(1, index)) == 1);
@@ -150,7 +157,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(LateDone_OneOfAGangIsHeard_AllMembersStop) {
+BOOST_AUTO_TEST_CASE(LateCompletion_OneOfAGangIsReported_AllMembersStop) {
   CellWorld world(7);
   world.SetTable({fakes::MakeQueue("queue", 3)});
   world.AddWorker("w0", 1000);
@@ -162,8 +169,8 @@
   plan.steps[0].gang = true;
   BOOST_REQUIRE(world.Submit(plan));
   world.Run(Millis(500));
-  Lose(world, "w0");
-  Lose(world, "w1");
+  LoseContact(world, "w0");
+  LoseContact(world, "w1");
   world.AddWorker("w2", 8000);
   for (int i = 0; i < 300 && world.starts(TaskOf(0, 0)) == 1; ++i) {
     world.Run(Millis(50));
@@ -171,7 +178,7 @@
   BOOST_REQUIRE(world.workers().at("w2")->model.running() == 3U);
   world.instances().at("a1")->cut_from.erase("w0");
   world.workers().at("w0")->listed = true;
-  world.Run(kHeard);
+  world.Run(kReportDelay);
   for (int index = 0; index < 3; ++index) {
     BOOST_TEST(RunnerOf(world, TaskOf(0, index)).empty());
     BOOST_TEST(world.starts(TaskOf(1, index)) == 1);
@@ -181,16 +188,17 @@
   }
 }
 
-// Whoever leads next reads that the task is done, or hears it from the worker,
-// which forgets it only once it is recorded.
-BOOST_AUTO_TEST_CASE(LateDone_LeaderLostSoonAfter_TaskIsNotDoneAgain) {
-  for (int lost_after = 0; lost_after <= 900; lost_after += 100) {
-    BOOST_TEST_CONTEXT("leader lost " << lost_after
+// The next leader reads in the store that the task is done, or receives the
+// report from the worker, which discards it only once it has been recorded.
+BOOST_AUTO_TEST_CASE(LateCompletion_LeaderFailsSoonAfter_TaskDoesNotRunAgain) {
+  for (int leader_delay_ms = 0; leader_delay_ms <= 900;
+       leader_delay_ms += 100) {
+    BOOST_TEST_CONTEXT("leader lost " << leader_delay_ms
                                       << " ms after the worker is back") {
-      LateDoneFixture fixture(3, /*gang=*/false);
+      LateCompletionFixture fixture(3, /*gang=*/false);
       fixture.world.Run(Millis(9000));
-      Regain(fixture.world, "w1");
-      fixture.world.Run(Millis(lost_after));
+      RestoreContact(fixture.world, "w1");
+      fixture.world.Run(Millis(leader_delay_ms));
       const WorldInstance* leader = fixture.world.Leader();
       BOOST_REQUIRE(leader != nullptr);
       fixture.world.Kill(leader->name);
@@ -203,9 +211,9 @@
   }
 }
 
-// A lasting task that ends is started again, also by a late word: it is never
-// done.
-BOOST_AUTO_TEST_CASE(LateDone_LastingTask_RunsOn) {
+// A long-running task is never done: it is started again whenever it ends, even
+// if its end is reported late.
+BOOST_AUTO_TEST_CASE(LateCompletion_LongRunningTask_RunsAgain) {
   CellWorld world(7);
   world.SetTable({fakes::MakeQueue("queue", 3)});
   world.AddWorker("w1", 8000);
@@ -216,10 +224,10 @@
   plan.steps[0].lasting = true;
   BOOST_REQUIRE(world.Submit(plan));
   world.Run(Millis(500));
-  Lose(world, "w1");
+  LoseContact(world, "w1");
   world.Run(Millis(9000));
-  Regain(world, "w1");
-  world.Run(kHeard);
+  RestoreContact(world, "w1");
+  world.Run(kReportDelay);
   BOOST_TEST(world.starts(TaskOf(0, 0)) == 2);
   BOOST_TEST(RunnerOf(world, TaskOf(0, 0)) == "w1");
   for (const std::string& rule : world.broken()) {
--- a/src/libdoorwood/cell/cell_many_ends_test.cpp
+++ b/src/libdoorwood/cell/cell_many_ends_test.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A worker with more ends than one report lists, when a new leader hears it for
-// the first time: what is not in the first report may have ended all the same.
+// A worker has more ended runs than one report can list when a new leader
+// contacts it for the first time. A run that the first report does not name may
+// have ended all the same.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -16,8 +17,10 @@
 
 constexpr char kJob[] = "00112233aabbccdd";
 
-// All tasks end while the store is silent to the leader, which then goes.
-BOOST_AUTO_TEST_CASE(Successor_EndsOnSeveralReports_NothingDoneStartsAgain) {
+// All tasks end while the store does not answer the leader, which is then
+// killed.
+BOOST_AUTO_TEST_CASE(
+    Successor_EndsSpreadOverSeveralReports_NoCompletedTaskStartsAgain) {
   for (const int tasks : {300, 499, 500, 501, 700, 1600}) {
     CellWorld world(3);
     world.SetTable({fakes::MakeQueue("queue", 4)});
@@ -25,7 +28,7 @@
     for (const char* name : {"a1", "b1", "c1"}) {
       world.AddInstance(name, fakes::LeadTrial::CentreOf(name));
     }
-    WorldInstance* old = world.WaitForLeader();
+    WorldInstance* old_leader = world.WaitForLeader();
     world.Run(Millis(1000));
     JobPlan plan = fakes::MakePlan(kJob, 1, tasks, "ms=1500");
     plan.steps[0].size = {100, 10, 0};
@@ -33,10 +36,10 @@
     world.Run(Millis(1000));
     BOOST_REQUIRE(world.workers().at("large")->model.running() ==
                   static_cast<size_t>(tasks));
-    old->store_faults.silent = true;
+    old_leader->store_faults.silent = true;
     world.Run(Millis(1000));
     BOOST_REQUIRE(world.workers().at("large")->model.running() == 0U);
-    world.Kill(old->name);
+    world.Kill(old_leader->name);
     world.Run(Millis(12'000));
     BOOST_TEST_CONTEXT(tasks << " tasks") {
       BOOST_TEST(world.started_done().size() == 0U);
--- a/src/libdoorwood/cell/cell_room_test.cpp
+++ b/src/libdoorwood/cell/cell_room_test.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Workers that start whatever they are told, and whose room shrinks and grows:
-// what runs there and what is started. All in virtual time.
+// Workers that accept every start, and whose capacity shrinks and grows: what
+// the leader starts there, and what continues to run. All tests run in virtual
+// time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -15,14 +16,16 @@
 using fakes::CellWorld;
 using fakes::kCellJob;
 
-constexpr char kOther[] = "5555555555555555";
+constexpr char kOtherJob[] = "5555555555555555";
 constexpr int64_t kTaskCpu = 1000;
-// The platform's bound, less what a worker takes to tell its room.
-constexpr Millis kShrunkCounts{3000};
+// The platform's limit, less the time that a worker takes to report its
+// capacity.
+constexpr Millis kCapacityUpdateDelay{3000};
 
-/// One worker with room for eight tasks, and three instances.
-struct RoomTrial {
-  explicit RoomTrial(uint64_t seed = 11) : world(seed) {
+/// A cell with one worker that has capacity for eight tasks, and three
+/// instances.
+struct CapacityFixture {
+  explicit CapacityFixture(uint64_t seed = 11) : world(seed) {
     world.SetTable({fakes::MakeQueue("queue", 3)});
     worker = &world.AddWorker("w1", 8 * kTaskCpu);
     for (const char* name : {"a1", "b1", "c1"}) {
@@ -31,15 +34,15 @@
     world.WaitForLeader();
     world.Run(Millis(1000));
   }
-  ~RoomTrial() {
+  ~CapacityFixture() {
     for (const std::string& rule : world.broken()) {
       BOOST_ERROR(rule);
     }
   }
-  RoomTrial(const RoomTrial&) = delete;
-  RoomTrial& operator=(const RoomTrial&) = delete;
+  CapacityFixture(const CapacityFixture&) = delete;
+  CapacityFixture& operator=(const CapacityFixture&) = delete;
 
-  void SubmitLasting(const std::string& job, int tasks) {
+  void SubmitLongRunning(const std::string& job, int tasks) {
     JobPlan plan = fakes::MakePlan(job, 1, tasks, "");
     plan.steps[0].lasting = true;
     BOOST_REQUIRE(world.Submit(plan));
@@ -47,108 +50,110 @@
   int64_t Used() const {
     return static_cast<int64_t>(worker->model.running()) * kTaskCpu;
   }
-  /// The most that starts have brought the worker to meanwhile.
-  int64_t MostStartedTo(Millis duration) {
+  /// Runs the world, and returns the highest processor use of the worker after
+  /// a start in that time, in thousandths of a processor; 0 if nothing started.
+  int64_t MaxUsageAfterStarts(Millis duration) {
     constexpr Millis kStep{50};
-    int64_t most = 0;
+    int64_t max_usage = 0;
     for (Millis passed{0}; passed < duration; passed += kStep) {
-      const int started = worker->started;
+      const int started_before = worker->started;
       world.Run(kStep);
-      most = worker->started > started ? std::max(most, Used()) : most;
+      max_usage = worker->started > started_before ? std::max(max_usage, Used())
+                                                   : max_usage;
     }
-    return most;
+    return max_usage;
   }
 
   CellWorld world;
   fakes::WorldWorker* worker = nullptr;
 };
 
-// Guards against starts that go by a room that has shrunk.
-BOOST_AUTO_TEST_CASE(Room_ShrinksBelowWhatRuns_NothingStartsUntilItFits) {
+// Guards against starts based on a capacity that has since shrunk.
+BOOST_AUTO_TEST_CASE(Capacity_ShrinksBelowUsage_NothingStartsUntilItFits) {
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      RoomTrial trial(seed);
-      trial.world.Submit(fakes::MakePlan(kCellJob, 1, 200, "ms=500"));
-      trial.world.Run(Millis(2000));
-      trial.worker->life.capacity.cpu_millis = 3 * kTaskCpu;
-      trial.world.Run(Millis(1000));
-      BOOST_TEST(trial.MostStartedTo(Millis(5000)) <= 3 * kTaskCpu);
-      trial.worker->life.capacity.cpu_millis = 0;
-      trial.world.Run(Millis(1000));
-      BOOST_TEST(trial.MostStartedTo(Millis(2000)) == 0);
-      trial.worker->life.capacity.cpu_millis = 6 * kTaskCpu;
-      trial.world.Run(Millis(1000));
-      BOOST_TEST(trial.Used() == 6 * kTaskCpu);
+      CapacityFixture fixture(seed);
+      fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 200, "ms=500"));
+      fixture.world.Run(Millis(2000));
+      fixture.worker->life.capacity.cpu_millis = 3 * kTaskCpu;
+      fixture.world.Run(Millis(1000));
+      BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(5000)) <= 3 * kTaskCpu);
+      fixture.worker->life.capacity.cpu_millis = 0;
+      fixture.world.Run(Millis(1000));
+      BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(2000)) == 0);
+      fixture.worker->life.capacity.cpu_millis = 6 * kTaskCpu;
+      fixture.world.Run(Millis(1000));
+      BOOST_TEST(fixture.Used() == 6 * kTaskCpu);
     }
   }
 }
 
-// Guards against taking work away that is over a shrunken room: only starts
-// are bound by it.
-BOOST_AUTO_TEST_CASE(Room_ShrinksBelowWhatLasts_RunsGoOn) {
-  RoomTrial trial;
-  trial.SubmitLasting(kOther, 4);
-  trial.world.Run(Millis(1000));
-  trial.worker->life.capacity.cpu_millis = kTaskCpu;
-  trial.world.Run(Millis(10'000));
-  BOOST_TEST(trial.Used() == 4 * kTaskCpu);
-  BOOST_TEST(trial.world.starts(std::string(kOther) + ".0.0.0") == 1);
+// Guards against stopping work that exceeds a capacity that has shrunk: the
+// capacity limits only starts.
+BOOST_AUTO_TEST_CASE(Capacity_ShrinksBelowLongRunningTasks_RunsContinue) {
+  CapacityFixture fixture;
+  fixture.SubmitLongRunning(kOtherJob, 4);
+  fixture.world.Run(Millis(1000));
+  fixture.worker->life.capacity.cpu_millis = kTaskCpu;
+  fixture.world.Run(Millis(10'000));
+  BOOST_TEST(fixture.Used() == 4 * kTaskCpu);
+  BOOST_TEST(fixture.world.starts(std::string(kOtherJob) + ".0.0.0") == 1);
 }
 
-// Guards against a successor that goes by the room of before, or counts nothing
-// as running before it has heard the worker.
-BOOST_AUTO_TEST_CASE(Room_ShrinksWhileLeadersChange_SuccessorKeepsToIt) {
+// Guards against a successor that uses the earlier capacity, or that counts
+// nothing as running on a worker before it has contacted it.
+BOOST_AUTO_TEST_CASE(Capacity_ShrinksWhileLeadersChange_SuccessorRespectsIt) {
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      RoomTrial trial(seed);
-      trial.SubmitLasting(kOther, 3);
-      trial.world.Submit(fakes::MakePlan(kCellJob, 1, 200, "ms=500"));
-      trial.world.Run(Millis(1000));
-      trial.worker->life.capacity.cpu_millis = 4 * kTaskCpu;
-      trial.world.Kill(trial.world.WaitForLeader()->name);
-      trial.world.Run(kShrunkCounts);
-      BOOST_TEST(trial.MostStartedTo(Millis(5000)) <= 4 * kTaskCpu);
+      CapacityFixture fixture(seed);
+      fixture.SubmitLongRunning(kOtherJob, 3);
+      fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 200, "ms=500"));
+      fixture.world.Run(Millis(1000));
+      fixture.worker->life.capacity.cpu_millis = 4 * kTaskCpu;
+      fixture.world.Kill(fixture.world.WaitForLeader()->name);
+      fixture.world.Run(kCapacityUpdateDelay);
+      BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(5000)) <= 4 * kTaskCpu);
     }
   }
 }
 
-// Guards against starts beside what an earlier leader left to be stopped: it
-// takes room until it has ended.
-BOOST_AUTO_TEST_CASE(Runs_SuccessorStopsThem_CountUntilTheyHaveEnded) {
-  constexpr Millis kStopTakes{900};
+// Guards against starts that ignore runs which an earlier leader left to be
+// stopped: they use capacity until they have ended.
+BOOST_AUTO_TEST_CASE(Runs_StoppedBySuccessor_UseCapacityUntilTheyHaveEnded) {
+  constexpr Millis kStopDuration{900};
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      RoomTrial trial(seed);
-      trial.worker->model.SetStopTakes(kStopTakes);
-      trial.SubmitLasting(kOther, 4);
-      trial.world.Run(Millis(1000));
-      fakes::WorldInstance* leader = trial.world.WaitForLeader();
+      CapacityFixture fixture(seed);
+      fixture.worker->model.SetStopTakes(kStopDuration);
+      fixture.SubmitLongRunning(kOtherJob, 4);
+      fixture.world.Run(Millis(1000));
+      fakes::WorldInstance* leader = fixture.world.WaitForLeader();
       leader->cut_from.insert("w1");
-      leader->cell->Cancel(kOther, [](std::error_code) {});
-      trial.world.Run(Millis(100));
-      trial.world.Kill(leader->name);
-      BOOST_REQUIRE(trial.world.WaitForLeader() != nullptr);
-      trial.world.Submit(fakes::MakePlan(kCellJob, 1, 40, "ms=300"));
-      BOOST_TEST(trial.MostStartedTo(Millis(5000)) <= 8 * kTaskCpu);
-      trial.world.Run(Millis(10'000));
-      const auto state = trial.world.StateOf(kCellJob);
+      leader->cell->Cancel(kOtherJob, [](std::error_code) {});
+      fixture.world.Run(Millis(100));
+      fixture.world.Kill(leader->name);
+      BOOST_REQUIRE(fixture.world.WaitForLeader() != nullptr);
+      fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 40, "ms=300"));
+      BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(5000)) <= 8 * kTaskCpu);
+      fixture.world.Run(Millis(10'000));
+      const auto state = fixture.world.StateOf(kCellJob);
       BOOST_REQUIRE(state.has_value());
       BOOST_TEST(ToString(*state) == "completed");
     }
   }
 }
 
-// Guards against a room that is believed of an entry which can't be read.
-BOOST_AUTO_TEST_CASE(Room_EntryCantBeRead_NothingNewGoesThere) {
-  RoomTrial trial;
-  trial.worker->life.readable = false;
-  trial.worker->life.capacity = {100 * kTaskCpu, 1'000'000, 0};
-  trial.world.Run(Millis(1000));
-  trial.world.Submit(fakes::MakePlan(kCellJob, 1, 20, "ms=500"));
-  BOOST_TEST(trial.MostStartedTo(Millis(2000)) == 0);
-  trial.worker->life.readable = true;
-  trial.worker->life.capacity.cpu_millis = 2 * kTaskCpu;
-  BOOST_TEST(trial.MostStartedTo(Millis(3000)) == 2 * kTaskCpu);
+// Guards against using the capacity of a directory entry that can't be read.
+BOOST_AUTO_TEST_CASE(Capacity_EntryCantBeRead_NothingNewStartsThere) {
+  CapacityFixture fixture;
+  fixture.worker->life.readable = false;
+  fixture.worker->life.capacity = {100 * kTaskCpu, 1'000'000, 0};
+  fixture.world.Run(Millis(1000));
+  fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 20, "ms=500"));
+  BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(2000)) == 0);
+  fixture.worker->life.readable = true;
+  fixture.worker->life.capacity.cpu_millis = 2 * kTaskCpu;
+  BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(3000)) == 2 * kTaskCpu);
 }
 
 }  // namespace
--- a/src/libdoorwood/cell/cell_run_number_test.cpp
+++ b/src/libdoorwood/cell/cell_run_number_test.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Two leaders in a row take over from the same records, so both number their
-// first runs alike. The second one's run is over and was not heard of; its late
-// end must not be taken for that of the third leader's run of the same number.
-// All in virtual time.
+// Two successive leaders take over from the same records, so both give their
+// first runs of a task the same number. The run of the second leader has ended
+// without being reported; its late report must not be taken for the end of the
+// third leader's run of the same number. All tests run in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -21,10 +21,11 @@
 
 constexpr char kJob[] = "00112233aabbccdd";
 
-BOOST_AUTO_TEST_CASE(ThirdLeader_HearsLapsedRunOfSameNumber_TaskRunsOnce) {
+BOOST_AUTO_TEST_CASE(ThirdLeader_ReceivesExpiredRunOfSameNumber_TaskRunsOnce) {
   const std::string task = std::string(kJob) + ".0.0.0";
-  int played = 0;
-  for (int heard_after = 200; heard_after <= 3000; heard_after += 400) {
+  int rounds = 0;
+  for (int reachable_after_ms = 200; reachable_after_ms <= 3000;
+       reachable_after_ms += 400) {
     CellWorld world(5);
     world.SetTable({fakes::MakeQueue("queue", 4)});
     world.AddWorker("w1", 8000);
@@ -33,7 +34,7 @@
     }
     WorldInstance* first = world.WaitForLeader();
     world.Run(Millis(1000));
-    // Nothing may start at the first leader: its job waits for room.
+    // The first leader can't start anything: its job waits for free capacity.
     JobPlan plan = fakes::MakePlan(kJob, 1, 1, "ms=9000");
     plan.steps[0].size.cpu_millis = 9000;
     BOOST_REQUIRE(world.Submit(plan));
@@ -45,30 +46,33 @@
     for (int i = 0; i < 100 && world.starts(task) == 0; ++i) {
       world.Run(Millis(50));
     }
-    const std::string lost = RunnerOf(world, task);
-    BOOST_REQUIRE(lost == "w2");
+    const std::string lost_worker = RunnerOf(world, task);
+    BOOST_REQUIRE(lost_worker == "w2");
     world.Kill(second->name);
-    CutAllFrom(world, lost);
+    CutAllFrom(world, lost_worker);
     world.AddWorker("w3", 16'000);
     for (int i = 0; i < 600 && world.starts(task) == 1; ++i) {
       world.Run(Millis(50));
     }
     BOOST_REQUIRE(world.starts(task) == 2);
-    world.Run(Millis(heard_after));
+    world.Run(Millis(reachable_after_ms));
     for (const auto& [name, instance] : world.instances()) {
       instance->cut_from.clear();
     }
     world.Run(Millis(24'000));
-    ++played;
-    BOOST_TEST(world.starts(task) == 2, "heard after " << heard_after);
+    ++rounds;
+    BOOST_TEST(world.starts(task) == 2,
+               "reachable after " << reachable_after_ms);
   }
-  BOOST_TEST(played > 0);
+  BOOST_TEST(rounds > 0);
 }
 
-// The fourth leader hears both workers, and the lapsed end of one before what
-// the other runs under the same number. It has that one stopped, which takes a
-// while, and may not start the task meanwhile.
-BOOST_AUTO_TEST_CASE(FourthLeader_HearsBothRunsOfOneNumber_NothingRunsTwice) {
+// The fourth leader reaches both workers. One reports a run that ended with its
+// lease before the other reports an active run of the same number. The leader
+// has the active run stopped, which takes a while, and must not start the task
+// before it has ended.
+BOOST_AUTO_TEST_CASE(
+    FourthLeader_ReceivesBothRunsOfOneNumber_NothingRunsTwice) {
   const std::string task = std::string(kJob) + ".0.0.0";
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
@@ -78,7 +82,7 @@
   }
   WorldInstance* first = world.WaitForLeader();
   world.Run(Millis(1000));
-  // Waits for room, so that nothing is recorded of its starts.
+  // The job waits for free capacity, so that no start of it is recorded.
   JobPlan plan = fakes::MakePlan(kJob, 1, 1, "ms=100000");
   plan.steps[0].size.cpu_millis = 9000;
   BOOST_REQUIRE(world.Submit(plan));
--- a/src/libdoorwood/cell/cell_worker_loss_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_loss_test.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Workers that leave, fall silent or lose their entry: when what runs there is
-// started elsewhere, and when it is not. All in virtual time.
+// Workers that leave, become unresponsive or lose their directory entry: when
+// their tasks are started elsewhere, and when they are not. All tests run in
+// virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -16,49 +17,52 @@
 
 constexpr auto& kJob = fakes::kCellJob;
 
-BOOST_FIXTURE_TEST_CASE(Worker_SilentAtTakeover_ItsWorkWaitsForProof,
+BOOST_FIXTURE_TEST_CASE(Worker_UnresponsiveAtTakeover_ItsTaskWaitsForProof,
                         CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 1, "");
   plan.steps[0].lasting = true;
   world.Submit(plan);
   world.Run(Millis(500));
-  std::string home;
+  std::string host;
   for (const auto& [id, worker] : world.workers()) {
     if (worker->model.running() > 0) {
-      home = id;
+      host = id;
     }
   }
   for (const auto& [name, instance] : world.instances()) {
-    instance->cut_from.insert(home);
+    instance->cut_from.insert(host);
   }
   world.Kill(world.Leader()->name);
   BOOST_REQUIRE(world.WaitForLeader() != nullptr);
   world.Run(Millis(12'000));
-  // Started once more, and never beside the first run (checked by the world).
+  // The task is started once more. The world checks that it never runs at the
+  // same time as the first run.
   BOOST_TEST(world.starts(std::string(kJob) + ".0.0.0") == 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(Worker_Draining_LastingWorkMovesAway, CellFixture) {
+BOOST_FIXTURE_TEST_CASE(Worker_Draining_LongRunningTaskMovesAway, CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 1, "");
   plan.steps[0].lasting = true;
   world.Submit(plan);
   world.Run(Millis(500));
-  std::string home;
+  std::string host;
   for (auto& [id, worker] : world.workers()) {
     if (worker->model.running() > 0) {
-      home = id;
+      host = id;
       worker->life.draining = true;
     }
   }
   world.Run(Millis(2500));
-  BOOST_TEST(world.workers().at(home)->model.running() == 0U);
+  BOOST_TEST(world.workers().at(host)->model.running() == 0U);
   BOOST_TEST(world.starts(std::string(kJob) + ".0.0.0") == 2);
 }
 
-// Some workers leave without a word: their entry goes and they serve on for a
-// while, so what lasts is moved before they end.
-BOOST_FIXTURE_TEST_CASE(Worker_EntryGoesWithoutAWord_LastingWorkMovesInTime,
-                        CellFixture) {
+// Some workers leave without announcing it: their entry is removed, and they
+// continue to run for a while. Their long-running tasks must be moved before
+// they stop.
+BOOST_FIXTURE_TEST_CASE(
+    Worker_EntryRemovedWithoutNotice_LongRunningTaskMovesInTime,
+    CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 1, "");
   plan.steps[0].lasting = true;
   world.Submit(plan);
@@ -76,7 +80,7 @@
   BOOST_REQUIRE(!first.empty());
   world.workers().at(first)->listed = false;
   world.Run(Millis(1500));
-  BOOST_TEST(runner() == first);  // it may only have lapsed for a moment
+  BOOST_TEST(runner() == first);  // The entry may come back within moments.
   world.Run(Millis(2500));
   BOOST_TEST(runner() != first);
   BOOST_TEST(!runner().empty());
@@ -98,9 +102,9 @@
   BOOST_TEST(world.starts(std::string(kJob) + ".0.0.0") == 1);
 }
 
-// What runs in a data centre that is cut off for most of a run's lease is heard
-// and prolonged before that is over.
-BOOST_FIXTURE_TEST_CASE(Worker_CutOffForMostOfItsLease_ItsRunsGoOn,
+// A data centre is partitioned for most of the duration of a run's lease. The
+// leader reaches its workers again, and renews the leases, before they expire.
+BOOST_FIXTURE_TEST_CASE(Worker_PartitionedForMostOfItsLease_ItsRunsContinue,
                         CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 6, "");
   plan.steps[0].lasting = true;
@@ -113,9 +117,10 @@
   ExpectStartedOnce(6);
 }
 
-// A data centre is cut off for 4 s: its workers' entries lapse and are back 1.5
-// s after its end, while the leader reaches the workers at once.
-BOOST_FIXTURE_TEST_CASE(Worker_CutOffAndEntryBackLater_NothingMoves,
+// A data centre is partitioned for 4 s. Its workers' entries expire and are
+// back 1.5 s after the end of the partition, while the leader reaches the
+// workers at once.
+BOOST_FIXTURE_TEST_CASE(Worker_PartitionedAndEntryBackLater_NothingMoves,
                         CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 6, "");
   plan.steps[0].lasting = true;
--- a/src/libdoorwood/cell/lasting_walk_fixture.h
+++ b/src/libdoorwood/cell/lasting_walk_fixture.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A seeded random walk of troubles over leaders whose tasks last, so that a
-/// run that was wrongly taken to be over is seen as a second one, also long
-/// after.
+/// A seeded random sequence of faults in a cell with long-running tasks. If a
+/// leader wrongly takes a run to have ended and starts the task again, the two
+/// runs overlap and are detected, even much later.
 
 #ifndef DOORWOOD_LASTING_WALK_FIXTURE_H_
 #define DOORWOOD_LASTING_WALK_FIXTURE_H_
@@ -38,7 +38,7 @@
   LastingWalk(const LastingWalk&) = delete;
   LastingWalk& operator=(const LastingWalk&) = delete;
 
-  /// Ends with all troubles healed.
+  /// Makes `steps` steps, then removes all faults and lets the cell recover.
   void Run(int steps) {
     for (int i = 0; i < steps; ++i) {
       Step();
@@ -51,7 +51,7 @@
   const CellWorld& world() const { return world_; }
 
  protected:
-  /// Makes one trouble, or submits a job.
+  /// Injects one fault, or submits a job.
   virtual void Step() = 0;
 
   uint64_t Pick(uint64_t count) { return world_.random()() % count; }
@@ -61,7 +61,7 @@
     return *std::next(all.begin(), static_cast<long>(Pick(all.size())))->second;
   }
 
-  /// The leader, where there is one, as often as any other.
+  /// The leader, if there is one, in half of the calls; otherwise any instance.
   WorldInstance& LeaderOrOther() {
     auto* leader = world_.Leader();
     return leader != nullptr && Pick(2) == 0 ? *leader : AnInstance();
@@ -81,13 +81,13 @@
     }
   }
 
-  /// The trouble of that number; where there is none of it, submits a job.
-  void Play(uint64_t trouble) {
-    switch (trouble) {
+  /// Injects the fault of that number; submits a job for any other number.
+  void Play(uint64_t fault) {
+    switch (fault) {
       case 0:
-        return KillOne();
+        return ReplaceInstance();
       case 1:
-        return FreezeOne();
+        return FreezeInstance();
       case 2:
         LeaderOrOther().executor->PauseAtNow(
             static_cast<int>(1 + Pick(100)),
@@ -97,17 +97,17 @@
         LeaderOrOther().store_faults.silent = true;
         return;
       case 4:
-        return RegainOne();
+        return RestoreStoreOfOne();
       case 5:
-        return RefuseSome();
+        return FailStoreForSome();
       case 6:
-        return CutPairs();
+        return PartitionInstances();
       case 7:
-        return CutWorker();
+        return PartitionWorker();
       case 8:
-        return CrashOne();
+        return ReplaceWorker();
       case 9:
-        return RevokeOne();
+        return RevokeLease();
       case 10:
         LeaderOrOther().cut_from_peers = Pick(2) == 0;
         return;
@@ -115,7 +115,7 @@
         return Heal();
       case 12:
       case 13:
-        return PartLeader();
+        return PartitionLeader();
       default:
         Submit();
     }
@@ -124,7 +124,7 @@
   CellWorld world_;
 
  private:
-  void KillOne() {
+  void ReplaceInstance() {
     const std::string name = LeaderOrOther().name;
     world_.Kill(name);
     const std::string next =
@@ -132,14 +132,14 @@
     world_.AddInstance(next, LeadTrial::CentreOf(name));
   }
 
-  void FreezeOne() {
+  void FreezeInstance() {
     auto& instance = LeaderOrOther();
     instance.executor->Freeze();
     world_.Run(Millis(static_cast<int64_t>(250 + Pick(8000))));
     instance.executor->Thaw();
   }
 
-  void RegainOne() {
+  void RestoreStoreOfOne() {
     for (const auto& [name, instance] : world_.instances()) {
       if (instance->store_faults.silent || instance->store_faults.down) {
         instance->store_faults = {};
@@ -148,13 +148,13 @@
     }
   }
 
-  void RefuseSome() {
+  void FailStoreForSome() {
     for (const auto& [name, instance] : world_.instances()) {
       instance->store_faults.down = Pick(2) == 0;
     }
   }
 
-  void CutPairs() {
+  void PartitionInstances() {
     for (const auto& [name, instance] : world_.instances()) {
       instance->cut_from_instances.clear();
       for (const auto& [other, ignored] : world_.instances()) {
@@ -165,7 +165,7 @@
     }
   }
 
-  void CutWorker() {
+  void PartitionWorker() {
     const std::string worker = AWorker();
     for (const auto& [name, instance] : world_.instances()) {
       if (Pick(2) == 0) {
@@ -176,20 +176,21 @@
     }
   }
 
-  // The leader and all others reach different workers, and the leader neither
-  // the store nor, of the others, those that the store serves.
-  void PartLeader() {
+  // Partitions the cell. Each worker is reachable either by the leader or by
+  // all other instances. The store serves only some of the other instances, and
+  // the leader reaches neither the store nor those instances.
+  void PartitionLeader() {
     auto* leader = world_.Leader();
     if (leader == nullptr) {
       return;
     }
-    const bool refused = Pick(2) == 0;
-    leader->store_faults.down = refused;
-    leader->store_faults.silent = !refused;
+    const bool store_refuses = Pick(2) == 0;
+    leader->store_faults.down = store_refuses;
+    leader->store_faults.silent = !store_refuses;
     for (const auto& [id, worker] : world_.workers()) {
-      const bool by_leader = Pick(2) == 0;
+      const bool leader_reaches = Pick(2) == 0;
       for (const auto& [name, instance] : world_.instances()) {
-        if (by_leader == (instance == leader)) {
+        if (leader_reaches == (instance == leader)) {
           instance->cut_from.erase(id);
         } else {
           instance->cut_from.insert(id);
@@ -197,22 +198,22 @@
       }
     }
     for (const auto& [name, instance] : world_.instances()) {
-      const bool served = Pick(2) == 0;
-      if (instance != leader && served) {
+      const bool store_serves = Pick(2) == 0;
+      if (instance != leader && store_serves) {
         instance->store_faults = {};
         leader->cut_from_instances.insert(name);
       } else if (instance != leader) {
-        instance->store_faults.down = refused;
+        instance->store_faults.down = store_refuses;
       }
     }
   }
 
-  void CrashOne() {
+  void ReplaceWorker() {
     world_.CrashWorker(AWorker());
     world_.AddWorker("w" + std::to_string(++workers_made_), 4000);
   }
 
-  void RevokeOne() {
+  void RevokeLease() {
     auto& instance = LeaderOrOther();
     if (instance.live->lease()) {
       world_.store().Revoke(*instance.live->lease());
