--- a/src/include/doorwood/run_worker.h
+++ b/src/include/doorwood/run_worker.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Port to workers that run tasks under leases on their own clock and refuse
+/// Port to workers that run tasks under leases on the worker's clock and refuse
 /// orders with a lower fencing token than the highest they have seen.
 
 #ifndef DOORWOOD_RUN_WORKER_H_
@@ -19,27 +19,28 @@
 
 namespace doorwood {
 
-/// One life of a worker, as the platform's directory tells it.
+/// One incarnation of a worker as listed in the platform's directory.
 struct WorkerLife {
-  /// Unique to this life; a restarted worker has another.
+  /// Unique to this incarnation; a restarted worker has a new one.
   std::string id;
   std::string address;
   std::string data_centre;
-  /// Pool of workers that queues name.
+  /// Pool of workers; queues refer to it by name.
   std::string service;
-  /// The machine that this is a life of; may be empty.
+  /// Machine that the worker runs on; may be empty.
   std::string machine;
   Resources capacity;
   std::vector<std::string> labels;
   /// The worker is about to leave and takes no new work.
   bool draining = false;
-  /// Least time until it leaves, once draining.
+  /// Minimum time until the worker leaves, once draining.
   Millis remaining{0};
-  /// False: the entry is not of a worker's form, and only `id` is told.
+  /// False: the entry does not have the form of a worker's entry, and only `id`
+  /// is set.
   bool readable = true;
 };
 
-/// Port to the list of workers.
+/// Port to the directory of workers.
 class WorkerDirectory {
  public:
   using Callback =
@@ -49,45 +50,46 @@
 
   virtual ~WorkerDirectory() = default;
 
-  /// All workers, linearizable, and the ids of entries that can't be read.
-  /// Fails with a KvErrc.
+  /// All workers, linearizable, including the ids of entries that can't be
+  /// parsed. Fails with a KvErrc.
   virtual void ListWorkers(Callback done) = 0;
   /// Data centres that the operators have closed to new work, linearizable.
   /// Fails with a KvErrc.
   virtual void ListClosed(ClosedCallback done) = 0;
 };
 
-/// How a run ended, in the worker's words.
+/// How a run ended, as reported by the worker.
 enum class RunEnd {
   kDone,
   kFailed,
   kStopped,
-  /// The worker's lease was over.
+  /// The run's lease on the worker expired.
   kLapsed,
   /// Another member of the gang ended.
   kBroken,
-  /// The gang's other members did not come in time.
+  /// The other members of the gang did not start in time.
   kAlone,
 };
 
 std::string_view ToString(RunEnd end);
 
-/// A task's run that a worker lists as active.
+/// A run of a task that a worker lists as active.
 struct ActiveRun {
   std::string task;
   uint32_t run = 0;
   /// Newest checkpoint; empty: none.
   std::string checkpoint;
-  /// Progress, 0 to 100; a lasting task is at work at 100.
+  /// Progress, 0 to 100; a long-running task is ready at 100.
   int progress = 0;
-  /// Late and rough: for a serving task the tail of its answers' times in
-  /// milliseconds, otherwise the processor use in thousandths; -1: untold.
+  /// Delayed and approximate. For a serving task the tail latency of its
+  /// answers in milliseconds, otherwise the processor use in thousandths; -1:
+  /// not reported.
   int64_t figure = -1;
 };
 
-/// A task's run that ended on a worker.
+/// A run of a task that ended on a worker.
 struct EndedRun {
-  /// Rises from 1 within one life of the worker.
+  /// Increases from 1 within one incarnation of the worker.
   uint64_t number = 0;
   std::string task;
   uint32_t run = 0;
@@ -101,19 +103,19 @@
   int64_t clock = 0;
   std::vector<ActiveRun> active;
   std::vector<EndedRun> ended;
-  /// More ends wait than the report could list: a run that it does not name may
-  /// be among them.
+  /// The worker has more ends than the report could list; a run that the report
+  /// does not name may be among them.
   bool more_ended = false;
 };
 
 struct HoldOrder {
   uint64_t token = 0;
-  /// Ends up to this number are forgotten by the worker.
+  /// The worker forgets its ends up to this number.
   uint64_t last_seen = 0;
-  /// Extends the lease of all that runs there to this time of the worker's
-  /// clock; 0: leaves it.
+  /// Extends the leases of all runs there to this time on the worker's clock;
+  /// 0: does not extend them.
   int64_t until = 0;
-  /// The answer may wait this long for an end.
+  /// The worker may delay its answer for this long to wait for an end.
   Millis wait{0};
 };
 
@@ -123,9 +125,9 @@
   uint32_t run = 0;
   std::string payload;
   std::string checkpoint;
-  /// Lease, as in `HoldOrder`.
+  /// Lease end, as in `HoldOrder`.
   int64_t until = 0;
-  /// Permission of an adviser, where the queue needs one; else empty.
+  /// Permission of an adviser if the queue needs one; otherwise empty.
   std::string ticket;
 };
 
@@ -139,13 +141,13 @@
   uint64_t token = 0;
   std::string task;
   uint32_t run = 0;
-  /// Share of its speed that the task may work at, 0 to 100.
+  /// Share of its full speed that the task may use, 0 to 100.
   int percent = 100;
 };
 
-/// Calls finish on the control thread, exactly once, with a RunErrc on
-/// failure. The value of starts, stops and pace orders is the worker's clock,
-/// or 0 if it was not told.
+/// Calls complete on the control thread, exactly once, with a RunErrc on
+/// failure. Starts, stops and pace orders return the worker's clock, or 0 if it
+/// was not reported.
 class RunWorkers {
  public:
   template <typename T>
--- a/src/include/doorwood/worker_session.h
+++ b/src/include/doorwood/worker_session.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A leader's dealings with one life of a worker: what runs there, what has
-/// ended, orders under way, and when everything there has surely lapsed.
+/// A leader's session with one incarnation of a worker: which runs are active
+/// there, which have ended, which orders are in flight, and when all leases
+/// there have provably expired.
 
 #ifndef DOORWOOD_WORKER_SESSION_H_
 #define DOORWOOD_WORKER_SESSION_H_
@@ -24,139 +25,146 @@
 namespace doorwood {
 
 enum class RunPhase {
-  /// Ordered; the answer is out.
+  /// The start order was sent and is not answered yet.
   kStarting,
-  /// The order was not answered; it may be carried out, now or later.
+  /// The start order got no answer; the worker may carry it out now or later.
   kUnresolved,
   kRunning,
-  /// Told to stop; its end is not listed yet.
+  /// A stop was ordered; the worker has not listed the end yet.
   kStopping,
 };
 
-/// One run of a task on a worker, from the order to its proved end.
+/// One run of a task on a worker, from the start order until it is certain that
+/// the run has ended.
 struct Run {
   std::string task;
   uint32_t number = 0;
   RunPhase phase = RunPhase::kStarting;
-  /// Not ordered yet: it has its room, and waits for `WorkerSession::Release`.
+  /// The start order is withheld until `WorkerSession::Release`; the run's
+  /// resources are already reserved.
   bool held = false;
-  /// When the start was ordered, and when the worker confirmed it.
+  /// Times at which the start was ordered and the worker confirmed the run.
   Instant ordered{};
   Instant confirmed{};
-  /// The worker will refuse the run from now on: its stop was confirmed.
+  /// The worker has confirmed the stop and refuses this run from now on.
   bool stop_confirmed = false;
   Instant stop_confirmed_at{};
-  bool stop_under_way = false;
+  bool stop_in_flight = false;
   Instant stop_sent{};
-  /// The worker called the number too old: this very run may have ended there
-  /// already, if the order was sent twice.
+  /// The worker refused the start because the run number is too old. If the
+  /// order was delivered twice, this run itself may already have ended there.
   bool called_old = false;
 
-  /// Copied from the step, so that a run outlives its job.
+  /// Copied from the step, since a run may outlive its job.
   Resources size;
   bool fills = false;
   bool lasting = false;
   Millis latency_target{0};
   Millis estimate{0};
-  /// As the leader's model numbers it; set by the leader.
+  /// Index in the leader's interference model; set by the leader.
   ImageId image = 0;
-  /// "JOB.TIME.STEP", for bounds on a step's tasks on one worker.
+  /// "JOB.TIME.STEP"; used to limit the tasks of a step on one worker.
   std::string step;
 
   int progress = 0;
   int64_t figure = -1;
-  /// Of a serving task: its own strain without what fills beside it; below 0:
-  /// not known yet.
+  /// For a serving task: its own load without best-effort work on the same
+  /// worker; negative: not known yet.
   double load = -1;
-  /// Mean of the last figures; below 0: none yet.
+  /// Mean of the most recent figures; negative: none yet.
   double mean_figure = -1;
-  /// Since when that is over the target; zero: it isn't.
+  /// Time since which the mean exceeds the target; zero: it does not.
   Instant over_since{};
   std::string checkpoint;
-  /// Share of its speed that it may work at: wanted, and confirmed.
+  /// Share of its full speed, in percent, that the run may use: as wanted, and
+  /// as confirmed by the worker.
   int wanted_pace = 100;
   int pace = 100;
-  bool pace_under_way = false;
-  /// Since when it is held below its full speed; zero: it isn't.
+  bool pace_in_flight = false;
+  /// Time since which the run is throttled below its full speed; zero: it is
+  /// not.
   Instant paced_since{};
-  /// When it was last logged that it takes far longer than expected.
+  /// Last time that the run was logged as far beyond its expected duration.
   Instant overdue_told{};
-  /// It began from a checkpoint, or was held below its full speed, or was
-  /// ordered by another leader: how long it takes tells little.
+  /// The run began from a checkpoint, was throttled, or was ordered by another
+  /// leader, so its duration says little about the task.
   bool odd_time = false;
-  /// An earlier leader ordered it: how long it has been at work is not known.
+  /// An earlier leader ordered the run, so its duration so far is not known.
   bool adopted = false;
 };
 
 /// A run of `task` that is not ordered yet, without a checkpoint.
 Run MakeRun(const Task& task, uint32_t number);
 
-/// How long a time of a worker's clock may last on ours: it may run 2% slow
-/// (the platform's bound).
+/// The longest time on this process's clock that `on_worker`, measured on a
+/// worker's clock, can take. The platform allows a worker's clock to run 2%
+/// slow.
 Millis LongestOnOurClock(Millis on_worker);
 
 struct WorkerSessionOptions {
-  /// How long runs may go on without word from a leader. Bounded by the
-  /// platform's longest hold; see docs/CONFIGURATION.md.
+  /// How long runs continue without contact with a leader. Bounded by the
+  /// platform's longest run lease; see docs/CONFIGURATION.md.
   Millis run_lease{6000};
-  /// Longest wait of a look that watches what disturbs what, in a small cell.
-  /// Trials on quiet-1 without charge for processors, 5 and 3 seeds: 0.677 and
-  /// 0.658 (two deployments) at 500 ms, 0.712 and 0.666 at 250 ms.
+  /// Longest wait of a poll that watches interference between tasks, in a small
+  /// cell. Trials on quiet-1 without charge for processors, 5 and 3 seeds:
+  /// 0.677 and 0.658 (two deployments) at 500 ms, 0.712 and 0.666 at 250 ms.
   Millis short_wait{250};
-  /// Longest wait of any other look.
+  /// Longest wait of any other poll.
   Millis long_wait{1200};
-  /// Pause between looks while ends wait to be recorded.
+  /// Delay between polls while ends are waiting to be recorded.
   Millis unrecorded_pause{150};
-  /// Pause after a look that was not answered.
+  /// Delay after a poll that was not answered.
   Millis retry_pause{150};
-  /// Pause where another life answers and this one never has. A mended entry
-  /// ends it at once; without one each copy of an entry is asked twice in 10 s.
-  Millis stranger_pause{8000};
-  /// A worker not heard of for so long gets no new work.
-  Millis silence{1500};
-  /// How long a stop may stay without a listed end before it is sent again.
-  Millis stop_patience{1200};
+  /// Delay after a poll where another incarnation answers and this one has
+  /// never answered. A corrected directory entry ends the delay at once;
+  /// otherwise each copy of an entry is polled twice in 10 s.
+  Millis other_incarnation_pause{8000};
+  /// A worker that has not responded for this long gets no new work.
+  Millis unresponsive_after{1500};
+  /// A stop is sent again if the worker has not listed the end after this time.
+  Millis stop_resend_delay{1200};
 };
 
 class WorkerSession;
 
-/// What a session tells its leader, on the control thread.
+/// Notifications of a session to its leader, on the control thread.
 class WorkerSessionListener {
  public:
   virtual ~WorkerSessionListener() = default;
 
-  /// The run is over: `end` is the worker's word, or kLapsed where only its
-  /// lease or the worker's death proves it. `run` is gone from the session.
+  /// The run has ended and is removed from the session. `end` is what the
+  /// worker reported, or kLapsed where only the expired lease or the worker's
+  /// death proves the end.
   virtual void OnRunEnded(WorkerSession& session,
                           const Run& run,
                           RunEnd end,
-                          bool told_by_worker) = 0;
-  /// All runs there are over without the worker's word, and are about to be
-  /// told as ended one by one: it is dead, or was silent until its lease was
-  /// over.
+                          bool reported_by_worker) = 0;
+  /// All runs on the worker have ended without its report, since it is dead or
+  /// was unresponsive until the lease expired. `OnRunEnded` follows for each of
+  /// them.
   virtual void OnWorkerLost(WorkerSession& session) = 0;
-  /// A look was not answered; the one before was, or there was none.
+  /// A poll failed, and the one before succeeded or there was none.
   virtual void OnLookFailed(WorkerSession& session) = 0;
-  /// A look was answered after one that was not.
+  /// A poll was answered after one that failed.
   virtual void OnAnswersAgain(WorkerSession& session) = 0;
-  /// The worker lists the end of a run that this session did not know.
+  /// The worker lists the end of a run that this session does not know.
   virtual void OnUnknownEnd(WorkerSession& session, const EndedRun& end) = 0;
-  /// The worker runs something this session did not know. Returns the run to
-  /// adopt, or nothing: it is stopped.
+  /// The worker runs something that this session does not know. Returns the run
+  /// to adopt; if empty, the session stops it.
   virtual std::optional<Run> OnUnknownRun(WorkerSession& session,
                                           const ActiveRun& run) = 0;
-  /// The start surely did not take place.
+  /// The start was refused; it is certain that the run did not begin.
   virtual void OnStartRefused(WorkerSession& session,
                               const Run& run,
                               std::error_code error) = 0;
-  /// A report was taken in.
+  /// A report was processed.
   virtual void OnReport(WorkerSession& session) = 0;
-  /// The worker has seen a higher token.
+  /// The worker has seen a higher fencing token.
   virtual void OnFenced(WorkerSession& session) = 0;
 };
 
-/// Owned by its leader and by its own open calls. After `Close` it tells
-/// nothing more.
+/// Owned by its leader and by its own pending calls. Sends no notifications
+/// after `Close`.
 class WorkerSession : public std::enable_shared_from_this<WorkerSession> {
  public:
   WorkerSession(Executor& executor,
@@ -167,147 +175,159 @@
                 WorkerLife life,
                 uint64_t token);
 
-  /// Sends the first look, which fences off all lower tokens.
+  /// Sends the first poll, which fences off all lower tokens.
   void Open();
   void Close();
 
-  /// Of a run that is `held` only its room is taken.
+  /// For a run that is `held`, only reserves its resources.
   void Start(Run run, std::string payload, std::string ticket);
-  /// Orders a run that was held.
+  /// Sends the start order of a run that was held.
   void Release(const std::string& task);
   void Stop(const std::string& task);
   void SetPace(const std::string& task, int percent);
 
-  /// Longest wait of a look that watches what disturbs what, from now on.
+  /// Sets the longest wait of a poll that watches interference between tasks.
   void SetShortWait(Millis wait) { short_wait_ = wait; }
-  /// Nothing is prolonged from then on, and no order carries a later lease end
-  /// than one that is sent then: a successor counts on it. A moment and not a
-  /// flag, so that a process that stood still needs nobody to tell it.
+  /// From `until` on, no lease is extended, and no order carries a later lease
+  /// end than one sent at `until`; a successor relies on it. A time rather than
+  /// a flag, so that it also holds after the process was paused and before
+  /// anything else runs.
   void SetExtendUntil(Instant until) { extend_until_ = until; }
-  /// Looks at once, beside a look under way that may have been sent before it
-  /// was allowed to prolong anything.
+  /// Polls at once, in addition to a poll in flight that may have been sent
+  /// before lease extension was allowed.
   void LookNow();
-  /// Nobody else can have prolonged anything there before then, so that a lease
-  /// that ran out earlier, or another life that answered earlier, proves runs
-  /// over. What comes later proves nothing yet: a successor may have adopted
-  /// the runs, kept them, or started them again.
-  void SetLedUntil(Instant until) { led_until_ = until; }
-  /// This life, or all that runs there, is over if nobody else had led before;
-  /// the lead's proof does not reach so far yet.
-  bool awaits_proof() const { return OverSince() >= led_until_; }
-  /// This life is over, and nobody else led before that was heard.
-  bool proved_dead() const { return dead_ && died_at_ < led_until_; }
-  /// Ends what the lead's proof allows to be called over.
+  /// No other leader can have extended a lease there before `until`. A lease
+  /// that expired earlier, or another incarnation that answered earlier,
+  /// therefore proves that runs have ended. Later events prove nothing yet: a
+  /// successor may have adopted the runs, kept them, or started them again.
+  void SetLedUntil(Instant until) { lead_confirmed_until_ = until; }
+  /// This incarnation or all its runs have ended if nobody else led before, but
+  /// leadership is not yet confirmed up to that time.
+  bool awaits_proof() const { return EndedSince() >= lead_confirmed_until_; }
+  /// This incarnation is gone, and nobody else led before that was noticed.
+  bool proved_dead() const {
+    return dead_ && dead_since_ < lead_confirmed_until_;
+  }
+  /// Ends the runs whose end is certain up to the time to which leadership is
+  /// confirmed.
   void Conclude();
-  /// Lists what has ended up to here; only these may be forgotten.
+  /// All ends up to `end_number` are recorded; the worker may forget only
+  /// these.
   void MarkRecorded(uint64_t end_number);
-  /// Newer word from the directory; `life.id` stays. Where this life has
-  /// answered, another address is taken once it has answered there as well.
+  /// Takes a newer directory entry; `life.id` stays the same. If this
+  /// incarnation has already answered somewhere, a different address is used
+  /// only after it has answered there as well.
   void Update(const WorkerLife& life);
-  /// This life has answered an earlier leader at the address it is called at.
+  /// An earlier leader recorded that this incarnation answered at the current
+  /// address.
   void TrustAddress();
-  /// To be called a few times a second: proves runs over, sends orders again.
+  /// To be called a few times a second: ends runs whose end is proved and sends
+  /// orders again.
   void Tick();
 
   const WorkerLife& life() const { return life_; }
   const std::map<std::string, Run>& runs() const { return runs_; }
   Run* FindRun(const std::string& task);
-  /// Rises with each change of what runs there and with each report.
+  /// Increases with each report and with each change of the runs there.
   uint64_t version() const { return version_; }
   uint64_t last_end() const { return last_end_; }
   bool has_unrecorded_ends() const { return last_end_ > recorded_end_; }
-  /// Tasks that may run there, and those whose ends there are not recorded: all
-  /// that a successor has to reckon with, once this leader is heard there and
-  /// starts nothing more. In order, each once.
+  /// Tasks that may run there and tasks whose ends there are not recorded. Once
+  /// this leader has contacted the worker and starts nothing more there, a
+  /// successor has to account for these tasks only. Sorted, without duplicates.
   std::vector<std::string> TasksToReckonWith() const;
-  /// Something runs there that this leader is stopping and does not count: how
-  /// much of the worker it takes is not known.
-  bool has_unwanted() const { return !unwanted_.empty(); }
-  /// Rises with each change of them.
+  /// Something runs there that this leader is stopping and has not reserved
+  /// resources for; how much of the worker it uses is not known.
+  bool has_unwanted() const { return !unwanted_tasks_.empty(); }
+  /// Increases with each change of `TasksToReckonWith`.
   uint64_t tasks_version() const { return tasks_version_; }
   /// The worker has answered this leader at least once.
   bool fenced() const { return fenced_; }
-  /// It has listed all its ends to this leader: a report lists only so many.
-  bool told_all() const { return told_all_; }
-  /// This life is over: another one answers at its address.
+  /// The worker has listed all its ends to this leader; one report lists only a
+  /// limited number.
+  bool told_all() const { return all_ends_listed_; }
+  /// This incarnation is gone: another one answers at its address.
   bool dead() const { return dead_; }
-  /// Heard of lately, or idle and not asked since it last answered.
+  /// The worker responded recently, or is idle and was not polled since its
+  /// last answer.
   bool responsive() const;
-  Instant heard_at() const { return heard_at_; }
-  /// The newest look has failed, so nothing is prolonged there.
-  bool look_failed() const { return look_failed_; }
-  /// When the latest order was sent that may have prolonged anything there;
-  /// zero: none was.
-  Instant promised_at() const { return promised_at_; }
-  /// Since when it answers again after a silence; zero: it was not silent.
-  Instant answers_since() const { return answers_since_; }
-  /// Reserved processors, memory and accelerators. Filling work reserves no
+  Instant heard_at() const { return last_response_at_; }
+  /// The newest poll failed, so no lease is extended there.
+  bool look_failed() const { return last_poll_failed_; }
+  /// When the latest order was sent that may have extended a lease there; zero:
+  /// none was.
+  Instant promised_at() const { return last_lease_order_at_; }
+  /// When the worker began to respond again after being unresponsive; zero: it
+  /// never was.
+  Instant answers_since() const { return responsive_since_; }
+  /// Reserved processors, memory and accelerators. Best-effort work reserves no
   /// processors.
   const Resources& reserved() const { return reserved_; }
   int64_t fill_cpu() const { return fill_cpu_; }
   int serving() const { return serving_; }
-  /// Processors that serving work reserves.
+  /// Processors reserved by serving tasks.
   int64_t serving_cpu() const { return serving_cpu_; }
   int fills() const { return fills_; }
   int CountOfStep(const std::string& step) const;
-  /// For how long the worker was heard of after it had confirmed the run.
+  /// Time between the worker's confirmation of the run and its last response.
   Millis SeenAtWork(const Run& run) const;
 
  private:
-  /// An address that the directory names, at which this life hasn't answered.
+  /// An address named by the directory at which this incarnation has not
+  /// answered yet.
   struct NextAddress {
     std::string address;
-    bool asked = false;
-    bool failure_told = false;
+    bool probe_in_flight = false;
+    bool failure_logged = false;
   };
 
-  void Look(Millis wait);
-  void OnLook(uint64_t sequence,
-              Instant sent,
-              std::error_code error,
-              WorkerReport report);
-  void ScheduleLook(Millis delay);
-  void TakeReport(Instant sent, WorkerReport report);
-  void TakeEnds(const std::vector<EndedRun>& ended);
-  void TakeActive(const std::vector<ActiveRun>& active);
-  void ResolveMissing(Instant sent, const std::vector<ActiveRun>& active);
+  void Poll(Millis wait);
+  void OnPollResponse(uint64_t sequence,
+                      Instant sent,
+                      std::error_code error,
+                      WorkerReport report);
+  void SchedulePoll(Millis delay);
+  void ApplyReport(Instant sent, WorkerReport report);
+  void ApplyEndedRuns(const std::vector<EndedRun>& ended);
+  void ApplyActiveRuns(const std::vector<ActiveRun>& active);
+  void ResolveUnlistedRuns(Instant sent, const std::vector<ActiveRun>& active);
   void OnStartAnswer(const std::string& task,
                      uint32_t number,
                      std::error_code error,
                      int64_t clock);
-  /// What a start carries beside its run.
-  struct StartWords {
+  /// What a start order carries besides its run.
+  struct StartArguments {
     std::string payload;
     std::string ticket;
   };
 
-  void SendStart(Run* run, StartWords words);
+  void SendStart(Run* run, StartArguments arguments);
   void SendStop(const std::string& task, uint32_t number);
   void SendPace(Run* run);
-  void Die();
-  void AskNextAddress();
-  void OnNextAddress(const std::string& address, std::error_code error);
-  void NoteStranger(const std::string& address);
-  /// What the answer to a call to `address` means: another life's is none
-  /// where this life has not answered.
-  std::error_code JudgeAnswer(const std::string& address,
-                              std::error_code error);
-  void TakeClock(int64_t clock);
-  /// The lease end that an order of that moment carries, on the worker's clock.
+  void MarkDead();
+  void ProbeNextAddress();
+  void OnNextAddressResponse(const std::string& address, std::error_code error);
+  void NoteOtherIncarnation(const std::string& address);
+  /// Interprets the answer to a call to `address`: an answer of another
+  /// incarnation counts as none where this one has not answered before.
+  std::error_code ClassifyResponse(const std::string& address,
+                                   std::error_code error);
+  void RecordClock(int64_t clock);
+  /// The lease end, on the worker's clock, of an order sent at `at`.
   int64_t LeaseEnd(Instant at);
-  /// When, on this clock, all leases there are over if nobody else prolongs
-  /// them; nothing: the worker's clock is not known.
-  std::optional<Instant> LapsedAt() const;
-  /// Since when this life, or all that runs there, is over if this leader still
-  /// leads.
-  std::optional<Instant> OverSince() const;
-  Millis NextWait() const;
-  /// Adds (1) or takes off (-1) what the run reserves.
-  void Count(const Run& run, int sign);
+  /// When, on this process's clock, all leases there have expired if nobody
+  /// else extends them; empty: the worker's clock is not known.
+  std::optional<Instant> LeasesExpireAt() const;
+  /// Time since which this incarnation, or all its runs, have ended, provided
+  /// that this leader still leads.
+  std::optional<Instant> EndedSince() const;
+  Millis NextPollWait() const;
+  /// Adds (`sign` 1) or subtracts (-1) what the run reserves.
+  void AdjustReservations(const Run& run, int sign);
   void Insert(Run run);
-  std::optional<Run> TakeOut(const std::string& task);
-  void EndRun(const std::string& task, RunEnd end, bool told_by_worker);
-  void EndAll();
+  std::optional<Run> RemoveRun(const std::string& task);
+  void EndRun(const std::string& task, RunEnd end, bool reported_by_worker);
+  void EndAllRuns();
 
   Executor& executor_;
   RunWorkers& workers_;
@@ -316,26 +336,28 @@
   const WorkerSessionOptions options_;
   WorkerLife life_;
   const uint64_t token_;
-  /// Where this life has answered; nothing: nowhere yet. Then `life_` names it.
+  /// Address at which this incarnation has answered. If empty, it has answered
+  /// nowhere yet, and `life_` has the address to call.
   std::optional<std::string> answered_at_;
   std::optional<NextAddress> next_address_;
-  /// Another life answers where this one, never heard, is said to be.
-  bool stranger_answers_ = false;
+  /// Another incarnation answers at the address of this one, which has never
+  /// answered.
+  bool other_incarnation_answers_ = false;
 
   Millis short_wait_;
   Instant extend_until_{};
-  Instant led_until_{};
+  Instant lead_confirmed_until_{};
   bool closed_ = false;
   bool dead_ = false;
-  /// When another life was heard of.
-  Instant died_at_{};
+  /// When another incarnation was noticed.
+  Instant dead_since_{};
   bool fenced_ = false;
-  bool fence_told_ = false;
-  bool told_all_ = false;
-  bool silent_told_ = false;
+  bool fenced_reported_ = false;
+  bool all_ends_listed_ = false;
+  bool unresponsive_logged_ = false;
   std::map<std::string, Run> runs_;
-  /// Of the runs that are held.
-  std::map<std::string, StartWords> held_;
+  /// Start orders of the runs that are held.
+  std::map<std::string, StartArguments> deferred_starts_;
   Resources reserved_;
   int64_t fill_cpu_ = 0;
   int serving_ = 0;
@@ -346,25 +368,25 @@
   uint64_t tasks_version_ = 0;
   uint64_t last_end_ = 0;
   uint64_t recorded_end_ = 0;
-  /// Tasks of the ends that are not recorded, by the ends' numbers.
-  std::map<uint64_t, std::string> unrecorded_;
-  /// Tasks that the newest report lists and this leader doesn't want there.
-  std::vector<std::string> unwanted_;
-  bool look_under_way_ = false;
-  /// The newest answered or failed look failed.
-  bool look_failed_ = false;
-  uint64_t look_sequence_ = 0;
-  Executor::TimerId look_timer_ = 0;
-  /// When the look was sent whose report was taken in last.
+  /// Tasks whose ends are not recorded, by the number of the end.
+  std::map<uint64_t, std::string> unrecorded_ends_;
+  /// Tasks that the newest report lists and this leader is stopping.
+  std::vector<std::string> unwanted_tasks_;
+  bool poll_in_flight_ = false;
+  /// The poll that completed last failed.
+  bool last_poll_failed_ = false;
+  uint64_t poll_sequence_ = 0;
+  Executor::TimerId poll_timer_ = 0;
+  /// When the poll was sent whose report was processed last.
   Instant report_sent_{};
-  Instant heard_at_{};
-  Instant answers_since_{};
-  /// The worker's clock as last told, and when that was heard.
-  int64_t clock_ = 0;
-  Instant clock_at_{};
+  Instant last_response_at_{};
+  Instant responsive_since_{};
+  /// The worker's clock as last reported, and when that was received.
+  int64_t worker_clock_ = 0;
+  Instant worker_clock_at_{};
   /// The latest lease end that any order has carried.
-  int64_t longest_until_ = 0;
-  Instant promised_at_{};
+  int64_t latest_lease_end_ = 0;
+  Instant last_lease_order_at_{};
 };
 
 }  // namespace doorwood
--- a/src/libdoorwood/cell/cell_world_steps.h
+++ b/src/libdoorwood/cell/cell_world_steps.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What several tests look up or do in a world of leaders and workers.
+/// Queries and actions that several tests use on a world of leaders and
+/// workers.
 
 #ifndef DOORWOOD_CELL_WORLD_STEPS_H_
 #define DOORWOOD_CELL_WORLD_STEPS_H_
@@ -12,7 +13,7 @@
 
 namespace doorwood::fakes {
 
-/// The worker that runs the task; empty: none does.
+/// The id of the worker that runs the task; empty: none does.
 inline std::string RunnerOf(CellWorld& world, const std::string& task) {
   for (const auto& [id, worker] : world.workers()) {
     if (worker->model.Runs(task)) {
@@ -22,7 +23,7 @@
   return "";
 }
 
-/// No instance that is there now reaches the worker any more.
+/// Partitions all instances that exist now from the worker.
 inline void CutAllFrom(CellWorld& world, const std::string& worker) {
   for (const auto& [name, instance] : world.instances()) {
     instance->cut_from.insert(worker);
--- a/src/libdoorwood/cell/worker_address.cpp
+++ b/src/libdoorwood/cell/worker_address.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// At which address a life of a worker is called. Its entry in the directory may
-// be wrong: another life's word counts only where this one has answered.
+// Which address is used to reach an incarnation of a worker. Its directory
+// entry may be wrong, so an answer of another incarnation counts only at an
+// address where this one has answered.
 
 #include <utility>
 
@@ -22,26 +23,28 @@
     return;
   }
   if (!answered_at_) {
-    if (std::exchange(stranger_answers_, false)) {
-      ScheduleLook(Millis(0));
+    if (std::exchange(other_incarnation_answers_, false)) {
+      SchedulePoll(Millis(0));
     }
     return;
   }
-  // What runs here is prolonged here until this life answers there.
+  // Leases are extended at the old address until this incarnation answers at
+  // the new one.
   life_.address = here;
   if (!next_address_ || next_address_->address != life.address) {
     next_address_ = NextAddress{life.address};
-    log_.Write("warn", "worker", "an entry names another address",
+    log_.Write("warn", "worker",
+               "directory entry names another address for the worker",
                {{"worker", life_.id}, {"at", here}, {"named", life.address}});
   }
-  AskNextAddress();
+  ProbeNextAddress();
 }
 
-void WorkerSession::AskNextAddress() {
-  if (closed_ || dead_ || next_address_->asked) {
+void WorkerSession::ProbeNextAddress() {
+  if (closed_ || dead_ || next_address_->probe_in_flight) {
     return;
   }
-  next_address_->asked = true;
+  next_address_->probe_in_flight = true;
   WorkerLife there = life_;
   there.address = next_address_->address;
   HoldOrder order;
@@ -50,20 +53,21 @@
   workers_.Hold(there, order,
                 [self = shared_from_this(), address = there.address](
                     std::error_code error, const WorkerReport&) {
-                  self->OnNextAddress(address, error);
+                  self->OnNextAddressResponse(address, error);
                 });
 }
 
-void WorkerSession::OnNextAddress(const std::string& address,
-                                  std::error_code error) {
+void WorkerSession::OnNextAddressResponse(const std::string& address,
+                                          std::error_code error) {
   if (closed_ || dead_ || !next_address_ || next_address_->address != address) {
     return;
   }
-  next_address_->asked = false;
+  next_address_->probe_in_flight = false;
   if (error) {
-    if (!next_address_->failure_told) {
-      next_address_->failure_told = true;
-      log_.Write("warn", "worker", "this life does not answer where it is said",
+    if (!next_address_->failure_logged) {
+      next_address_->failure_logged = true;
+      log_.Write("warn", "worker",
+                 "worker does not answer at the address in its directory entry",
                  {{"worker", life_.id},
                   {"named", address},
                   {"error", error.message()}});
@@ -71,7 +75,7 @@
     return;
   }
   log_.Write(
-      "info", "worker", "a worker answers at another address",
+      "info", "worker", "worker answers at its new address",
       {{"worker", life_.id}, {"before", life_.address}, {"at", address}});
   life_.address = address;
   answered_at_ = address;
@@ -79,27 +83,28 @@
   ++version_;
 }
 
-void WorkerSession::NoteStranger(const std::string& address) {
-  if (answered_at_ || stranger_answers_ || life_.address != address) {
+void WorkerSession::NoteOtherIncarnation(const std::string& address) {
+  if (answered_at_ || other_incarnation_answers_ || life_.address != address) {
     return;
   }
-  stranger_answers_ = true;
-  log_.Write("warn", "worker", "another life answers where this one is said",
+  other_incarnation_answers_ = true;
+  log_.Write("warn", "worker",
+             "another incarnation answers at the worker's listed address",
              {{"worker", life_.id}, {"named", address}});
 }
 
-std::error_code WorkerSession::JudgeAnswer(const std::string& address,
-                                           std::error_code error) {
+std::error_code WorkerSession::ClassifyResponse(const std::string& address,
+                                                std::error_code error) {
   if (error == make_error_code(RunErrc::kOtherLife) &&
       answered_at_ != address) {
-    NoteStranger(address);
+    NoteOtherIncarnation(address);
     return RunErrc::kNoAnswer;
   }
   if (!error && !answered_at_) {
     answered_at_ = address;
-    stranger_answers_ = false;
+    other_incarnation_answers_ = false;
     if (life_.address != address) {
-      // The entry changed while the first call was out.
+      // The entry changed while the first call was in flight.
       next_address_ = NextAddress{std::exchange(life_.address, address)};
     }
   }
--- a/src/libdoorwood/cell/worker_address_test.cpp
+++ b/src/libdoorwood/cell/worker_address_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// At which address a life of a worker is called, and whose word "another life
-// answers here" is.
+// Which address is used to reach an incarnation of a worker, and where the
+// answer of another incarnation counts.
 
 #include <boost/test/unit_test.hpp>
 #include <map>
@@ -16,9 +16,9 @@
 namespace doorwood {
 namespace {
 
-enum class Holder { kThisLife, kOtherLife, kNobody };
+enum class Responder { kThisIncarnation, kOtherIncarnation, kNobody };
 
-// One life of a worker, and who answers at which address.
+// One incarnation of a worker, and which incarnation answers at each address.
 class AddressedWorker : public RunWorkers {
  public:
   AddressedWorker(fakes::VirtualTime& time, Executor& executor)
@@ -52,7 +52,7 @@
   }
 
   standin::RunWorkerModel model;
-  std::map<std::string, Holder> holders;
+  std::map<std::string, Responder> responders;
   std::map<std::string, int> calls;
 
  private:
@@ -62,11 +62,12 @@
   std::error_code Answer(const WorkerLife& worker, Effect effect) {
     model.Advance(time_.millis());
     ++calls[worker.address];
-    const auto holder = holders.find(worker.address);
-    if (holder == holders.end() || holder->second == Holder::kNobody) {
+    const auto responder = responders.find(worker.address);
+    if (responder == responders.end() ||
+        responder->second == Responder::kNobody) {
       return RunErrc::kNoAnswer;
     }
-    if (holder->second == Holder::kOtherLife) {
+    if (responder->second == Responder::kOtherIncarnation) {
       return RunErrc::kOtherLife;
     }
     return effect();
@@ -84,7 +85,7 @@
 struct AddressFixture : public fakes::QuietListener {
   AddressFixture() : executor(time, 1), worker(time, executor) {
     session = std::make_shared<WorkerSession>(
-        executor, worker, log, *this, WorkerSessionOptions{}, LifeAt("a"), 5);
+        executor, worker, log, *this, WorkerSessionOptions{}, WorkerAt("a"), 5);
     session->SetExtendUntil(Instant::max());
     session->SetLedUntil(Instant::max());
   }
@@ -92,7 +93,7 @@
   AddressFixture(const AddressFixture&) = delete;
   AddressFixture& operator=(const AddressFixture&) = delete;
 
-  static WorkerLife LifeAt(const std::string& address) {
+  static WorkerLife WorkerAt(const std::string& address) {
     WorkerLife life;
     life.id = "w1";
     life.address = address;
@@ -107,14 +108,14 @@
     session->Open();
     Pass(Millis(500));
   }
-  // As the leader does: it reads the directory about once a second.
+  // Like the leader, reads the directory about once a second.
   void Pass(Millis duration) {
     constexpr Millis kStep{100};
     for (Millis passed{0}; passed < duration; passed += kStep) {
       time.Run(kStep);
       session->Tick();
       if (!listed.empty() && passed % Millis(1000) == Millis(0)) {
-        session->Update(LifeAt(listed));
+        session->Update(WorkerAt(listed));
       }
     }
     worker.model.Advance(time.millis());
@@ -134,21 +135,22 @@
   fakes::Trace trace;
   fakes::FakeLog log{time, "session", trace};
   std::shared_ptr<WorkerSession> session;
-  /// Address that the directory names; empty: it isn't read.
+  /// Address that the directory names; empty: the directory is not read.
   std::string listed;
   int ended = 0;
 };
 
-// Longer than a lease: what runs on is prolonged.
-constexpr Millis kLong{15'000};
+// Longer than a lease: a run that is still active has had its lease extended.
+constexpr Millis kLongerThanLease{15'000};
 
-BOOST_FIXTURE_TEST_CASE(Update_OtherLifeAtTheNewAddress_NothingIsOver,
+BOOST_FIXTURE_TEST_CASE(Update_OtherIncarnationAtNewAddress_NoRunEnds,
                         AddressFixture) {
-  worker.holders = {{"a", Holder::kThisLife}, {"b", Holder::kOtherLife}};
+  worker.responders = {{"a", Responder::kThisIncarnation},
+                       {"b", Responder::kOtherIncarnation}};
   Open();
   Start();
   listed = "b";
-  Pass(kLong);
+  Pass(kLongerThanLease);
   BOOST_TEST(ended == 0);
   BOOST_TEST(!session->dead());
   BOOST_TEST(session->responsive());
@@ -156,13 +158,13 @@
   BOOST_TEST(worker.model.Runs("t"));
 }
 
-BOOST_FIXTURE_TEST_CASE(Update_NobodyAtTheNewAddress_RunsOnAtTheOld,
+BOOST_FIXTURE_TEST_CASE(Update_NobodyAtNewAddress_OldAddressIsKept,
                         AddressFixture) {
-  worker.holders = {{"a", Holder::kThisLife}};
+  worker.responders = {{"a", Responder::kThisIncarnation}};
   Open();
   Start();
   listed = "b";
-  Pass(kLong);
+  Pass(kLongerThanLease);
   BOOST_TEST(ended == 0);
   BOOST_TEST(session->responsive());
   BOOST_TEST(worker.model.Runs("t"));
@@ -173,65 +175,70 @@
   BOOST_TEST(worker.calls["b"] == before);
 }
 
-BOOST_FIXTURE_TEST_CASE(Update_ThisLifeAnswersAtTheNewAddress_IsCalledThere,
+BOOST_FIXTURE_TEST_CASE(Update_WorkerAnswersAtNewAddress_IsCalledThere,
                         AddressFixture) {
-  worker.holders = {{"a", Holder::kThisLife}, {"b", Holder::kThisLife}};
+  worker.responders = {{"a", Responder::kThisIncarnation},
+                       {"b", Responder::kThisIncarnation}};
   Open();
   Start();
   listed = "b";
   Pass(Millis(3000));
   BOOST_TEST(session->life().address == "b");
-  worker.holders["a"] = Holder::kOtherLife;
-  Pass(kLong);
+  worker.responders["a"] = Responder::kOtherIncarnation;
+  Pass(kLongerThanLease);
   BOOST_TEST(ended == 0);
   BOOST_TEST(worker.model.Runs("t"));
-  worker.holders["b"] = Holder::kOtherLife;
+  worker.responders["b"] = Responder::kOtherIncarnation;
   Pass(Millis(2000));
   BOOST_TEST(ended == 1);
   BOOST_TEST(session->dead());
 }
 
-BOOST_FIXTURE_TEST_CASE(Update_WorkerMovedAway_IsFoundAtTheNewAddress,
+BOOST_FIXTURE_TEST_CASE(Update_WorkerMoved_IsFoundAtNewAddress,
                         AddressFixture) {
-  worker.holders = {{"a", Holder::kThisLife}};
+  worker.responders = {{"a", Responder::kThisIncarnation}};
   Open();
   Start();
-  worker.holders = {{"b", Holder::kThisLife}};
+  worker.responders = {{"b", Responder::kThisIncarnation}};
   listed = "b";
-  Pass(kLong);
+  Pass(kLongerThanLease);
   BOOST_TEST(ended == 0);
   BOOST_TEST(session->responsive());
   BOOST_TEST(worker.model.Runs("t"));
 }
 
-// The address that answered is proof, whatever a later entry names.
-BOOST_FIXTURE_TEST_CASE(Look_OtherLifeWhereThisOneAnswered_AllIsOver,
+// An answer of another incarnation at the address where this one has answered
+// is a proof, whatever address a later entry names.
+BOOST_FIXTURE_TEST_CASE(Poll_OtherIncarnationAtVerifiedAddress_AllRunsEnd,
                         AddressFixture) {
-  worker.holders = {{"a", Holder::kThisLife}, {"b", Holder::kOtherLife}};
+  worker.responders = {{"a", Responder::kThisIncarnation},
+                       {"b", Responder::kOtherIncarnation}};
   Open();
   Start();
   listed = "b";
   Pass(Millis(2000));
-  worker.holders["a"] = Holder::kOtherLife;
+  worker.responders["a"] = Responder::kOtherIncarnation;
   Pass(Millis(2000));
   BOOST_TEST(ended == 1);
   BOOST_TEST(session->dead());
 }
 
-BOOST_FIXTURE_TEST_CASE(Order_OtherLifeWhereThisOneAnswered_AllIsOver,
+BOOST_FIXTURE_TEST_CASE(Start_OtherIncarnationAtVerifiedAddress_AllRunsEnd,
                         AddressFixture) {
-  worker.holders = {{"a", Holder::kThisLife}};
+  worker.responders = {{"a", Responder::kThisIncarnation}};
   Open();
-  worker.holders["a"] = Holder::kOtherLife;
+  worker.responders["a"] = Responder::kOtherIncarnation;
   Start();
   BOOST_TEST(ended == 1);
   BOOST_TEST(session->dead());
 }
 
-// Where this life has never answered, nobody's word counts but its own.
-BOOST_FIXTURE_TEST_CASE(Look_NeverHeard_OtherLifeProvesNothing,
+// At an address where this incarnation has never answered, the answer of
+// another one proves nothing.
+BOOST_FIXTURE_TEST_CASE(Poll_AddressNotVerified_OtherIncarnationProvesNothing,
                         AddressFixture) {
-  worker.holders = {{"a", Holder::kOtherLife}, {"b", Holder::kThisLife}};
+  worker.responders = {{"a", Responder::kOtherIncarnation},
+                       {"b", Responder::kThisIncarnation}};
   Open();
   Pass(Millis(5000));
   BOOST_TEST(!session->dead());
@@ -243,12 +250,13 @@
   BOOST_TEST(session->life().address == "b");
 }
 
-// A look is under way to the first address when the entry changes.
-BOOST_FIXTURE_TEST_CASE(Look_FirstAnswerAfterAnUpdate_AddressStays,
+// A poll to the first address is in flight when the entry changes.
+BOOST_FIXTURE_TEST_CASE(Poll_FirstAnswerAfterUpdate_AddressIsKept,
                         AddressFixture) {
-  worker.holders = {{"a", Holder::kThisLife}, {"b", Holder::kOtherLife}};
+  worker.responders = {{"a", Responder::kThisIncarnation},
+                       {"b", Responder::kOtherIncarnation}};
   session->Open();
-  session->Update(LifeAt("b"));
+  session->Update(WorkerAt("b"));
   Pass(Millis(500));
   BOOST_TEST(session->fenced());
   Start();
@@ -260,24 +268,26 @@
 
 struct RecordedRow {
   const char* name;
-  Holder recorded;
-  Holder listed;
+  Responder recorded;
+  Responder listed;
   bool dead;
   bool fenced;
 };
 
-// An earlier leader's record names the address at which it heard this life, so
-// that counts as answered.
-BOOST_AUTO_TEST_CASE(Look_RecordedAddress_ProvesAsOneThatAnswered) {
+// The record of an earlier leader has the address at which it was in contact
+// with this incarnation, so that address counts as verified.
+BOOST_AUTO_TEST_CASE(Poll_RecordedAddress_CountsAsVerified) {
   const RecordedRow rows[] = {
-      {"gone", Holder::kOtherLife, Holder::kOtherLife, true, false},
-      {"cut", Holder::kNobody, Holder::kOtherLife, false, false},
-      {"moved", Holder::kNobody, Holder::kThisLife, false, true},
-      {"there", Holder::kThisLife, Holder::kOtherLife, false, true},
+      {"gone", Responder::kOtherIncarnation, Responder::kOtherIncarnation, true,
+       false},
+      {"cut", Responder::kNobody, Responder::kOtherIncarnation, false, false},
+      {"moved", Responder::kNobody, Responder::kThisIncarnation, false, true},
+      {"there", Responder::kThisIncarnation, Responder::kOtherIncarnation,
+       false, true},
   };
   for (const RecordedRow& row : rows) {
     AddressFixture fixture;
-    fixture.worker.holders = {{"a", row.recorded}, {"b", row.listed}};
+    fixture.worker.responders = {{"a", row.recorded}, {"b", row.listed}};
     fixture.session->TrustAddress();
     fixture.session->Open();
     fixture.listed = "b";
--- a/src/libdoorwood/cell/worker_lease_clock_test.cpp
+++ b/src/libdoorwood/cell/worker_lease_clock_test.cpp
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A worker's steady clock may run 2% slow, and an idle worker is not asked. A
-// lease end that is worked out from what its clock said long ago lies later
-// than a run lease from the order on, and a successor's wait knows nothing of
-// that. All in virtual time.
+// Guards against leases that last longer than a successor waits. A worker's
+// steady clock may run 2% slow, and an idle worker is not polled. A lease end
+// computed from an old reading of that clock would lie more than one run lease
+// after the order, which a successor's wait does not include. Runs in virtual
+// time.
 
 #include <boost/test/unit_test.hpp>
 #include <memory>
@@ -26,13 +27,13 @@
   SlowWorkers(fakes::VirtualTime& time, Executor& executor)
       : time_(time), executor_(executor) {}
 
-  // 2% slow.
+  // Runs 2% slow.
   int64_t Clock() const { return time_.millis() * 98 / 100; }
 
   void Hold(const WorkerLife&,
             const HoldOrder& order,
             Callback<WorkerReport> done) override {
-    NoteLease(order.until);
+    RecordLease(order.until);
     model_.Advance(Clock());
     WorkerReport report;
     const auto error = model_.Hold(order, &report);
@@ -43,7 +44,7 @@
   void Start(const WorkerLife&,
              const StartOrder& order,
              Callback<int64_t> done) override {
-    NoteLease(order.until);
+    RecordLease(order.until);
     model_.Advance(Clock());
     const auto error = model_.Start(order);
     executor_.Schedule(Millis(1),
@@ -57,7 +58,7 @@
   int64_t longest_lease() const { return longest_lease_; }
 
  private:
-  void NoteLease(int64_t until) {
+  void RecordLease(int64_t until) {
     if (until > 0) {
       longest_lease_ = std::max(longest_lease_, until - Clock());
     }
@@ -77,7 +78,7 @@
              const Json&) override {}
 };
 
-BOOST_AUTO_TEST_CASE(Start_SlowWorkerWasIdle_LeaseIsNoLongerThanOneOfItsClock) {
+BOOST_AUTO_TEST_CASE(Start_IdleWorkerWithSlowClock_LeaseIsNotLonger) {
   for (const int idle_seconds : {1, 10, 30, 60, 120, 600}) {
     fakes::VirtualTime time;
     fakes::FakeExecutor executor(time, 1);
--- a/src/libdoorwood/cell/worker_orders.cpp
+++ b/src/libdoorwood/cell/worker_orders.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Orders to one life of a worker, and what their answers, or none, mean.
+// Orders to one incarnation of a worker, and how their answers, or missing
+// answers, are handled.
 
 #include <algorithm>
 #include <utility>
@@ -9,7 +10,7 @@
 
 namespace doorwood {
 
-void WorkerSession::Count(const Run& run, int sign) {
+void WorkerSession::AdjustReservations(const Run& run, int sign) {
   ++version_;
   ++tasks_version_;
   reserved_.memory_mib += sign * run.size.memory_mib;
@@ -28,80 +29,80 @@
 
 void WorkerSession::Insert(Run run) {
   const std::string task = run.task;
-  Count(run, 1);
+  AdjustReservations(run, 1);
   runs_.emplace(task, std::move(run));
 }
 
-std::optional<Run> WorkerSession::TakeOut(const std::string& task) {
+std::optional<Run> WorkerSession::RemoveRun(const std::string& task) {
   const auto found = runs_.find(task);
   if (found == runs_.end()) {
     return std::nullopt;
   }
   Run run = std::move(found->second);
   runs_.erase(found);
-  held_.erase(task);
-  Count(run, -1);
+  deferred_starts_.erase(task);
+  AdjustReservations(run, -1);
   return run;
 }
 
 void WorkerSession::EndRun(const std::string& task,
                            RunEnd end,
-                           bool told_by_worker) {
-  const auto run = TakeOut(task);
+                           bool reported_by_worker) {
+  const auto run = RemoveRun(task);
   if (run) {
-    listener_.OnRunEnded(*this, *run, end, told_by_worker);
+    listener_.OnRunEnded(*this, *run, end, reported_by_worker);
   }
 }
 
 void WorkerSession::Start(Run run, std::string payload, std::string ticket) {
   const Instant now = executor_.Now();
   if (runs_.empty()) {
-    heard_at_ = now;
+    last_response_at_ = now;
   }
   run.ordered = now;
   const std::string task = run.task;
   const bool held = run.held;
   Insert(std::move(run));
-  StartWords words{std::move(payload), std::move(ticket)};
+  StartArguments arguments{std::move(payload), std::move(ticket)};
   if (held) {
-    // As if it was ordered: its lease is counted from here on.
+    // The lease counts from now on, as if the order had been sent.
     LeaseEnd(std::min(now, extend_until_));
-    held_.emplace(task, std::move(words));
+    deferred_starts_.emplace(task, std::move(arguments));
   } else {
-    SendStart(FindRun(task), std::move(words));
+    SendStart(FindRun(task), std::move(arguments));
   }
-  if (!look_under_way_ && look_timer_ == 0) {
-    ScheduleLook(Millis(20));
+  if (!poll_in_flight_ && poll_timer_ == 0) {
+    SchedulePoll(Millis(20));
   }
 }
 
 void WorkerSession::Release(const std::string& task) {
-  const auto words = held_.extract(task);
+  const auto arguments = deferred_starts_.extract(task);
   Run* run = FindRun(task);
-  if (words.empty() || run == nullptr || closed_ || dead_) {
+  if (arguments.empty() || run == nullptr || closed_ || dead_) {
     return;
   }
   run->held = false;
   run->ordered = executor_.Now();
-  SendStart(run, std::move(words.mapped()));
+  SendStart(run, std::move(arguments.mapped()));
 }
 
-void WorkerSession::SendStart(Run* run, StartWords words) {
+void WorkerSession::SendStart(Run* run, StartArguments arguments) {
   StartOrder order;
   order.token = token_;
   order.task = run->task;
   order.run = run->number;
-  order.payload = std::move(words.payload);
+  order.payload = std::move(arguments.payload);
   order.checkpoint = run->checkpoint;
   order.until = LeaseEnd(std::min(executor_.Now(), extend_until_));
-  order.ticket = std::move(words.ticket);
+  order.ticket = std::move(arguments.ticket);
   workers_.Start(
       life_, order,
       [self = shared_from_this(), task = order.task, number = order.run,
        address = life_.address](std::error_code error, int64_t clock) {
         if (!self->closed_ && !self->dead_) {
-          self->OnStartAnswer(task, number, self->JudgeAnswer(address, error),
-                              clock);
+          self->OnStartAnswer(task, number,
+                              self->ClassifyResponse(address, error), clock);
         }
       });
 }
@@ -111,11 +112,11 @@
                                   std::error_code error,
                                   int64_t clock) {
   if (error == make_error_code(RunErrc::kOtherLife)) {
-    Die();
+    MarkDead();
     return;
   }
   if (error != make_error_code(RunErrc::kNoAnswer)) {
-    TakeClock(clock);
+    RecordClock(clock);
   }
   Run* run = FindRun(task);
   if (run == nullptr || run->number != number) {
@@ -131,26 +132,28 @@
   if (error == make_error_code(RunErrc::kNoAnswer)) {
     if (run->phase == RunPhase::kStarting) {
       run->phase = RunPhase::kUnresolved;
-      log_.Write("warn", "worker", "a start was not answered",
+      log_.Write("warn", "worker", "start order was not answered",
                  {{"worker", life_.id}, {"task", task}, {"run", number}});
-      Look(Millis(0));
+      Poll(Millis(0));
     }
     return;
   }
   if (error == make_error_code(RunErrc::kOldRun)) {
-    // The next report names its end, or proves that it never began.
+    // The next report lists the run's end, or shows that it never began.
     run->phase = RunPhase::kUnresolved;
     run->called_old = true;
     run->stop_confirmed = true;
     run->stop_confirmed_at = executor_.Now();
-    Look(Millis(0));
+    Poll(Millis(0));
     return;
   }
-  // A definite refusal: nothing runs. Forget the run, then tell.
-  const Run refused = *TakeOut(task);
+  // Definitely refused: nothing runs. Remove the run before notifying the
+  // leader.
+  const Run refused = *RemoveRun(task);
   listener_.OnStartRefused(*this, refused, error);
-  if (error == make_error_code(RunErrc::kFenced) && !closed_ && !fence_told_) {
-    fence_told_ = true;
+  if (error == make_error_code(RunErrc::kFenced) && !closed_ &&
+      !fenced_reported_) {
+    fenced_reported_ = true;
     listener_.OnFenced(*this);
   }
 }
@@ -161,7 +164,7 @@
     return;
   }
   if (run->held) {
-    EndRun(task, RunEnd::kStopped, /*told_by_worker=*/true);
+    EndRun(task, RunEnd::kStopped, /*reported_by_worker=*/true);
     return;
   }
   run->phase = RunPhase::kStopping;
@@ -171,7 +174,7 @@
 void WorkerSession::SendStop(const std::string& task, uint32_t number) {
   Run* run = FindRun(task);
   if (run != nullptr && run->number == number) {
-    run->stop_under_way = true;
+    run->stop_in_flight = true;
     run->stop_sent = executor_.Now();
   }
   const StopOrder order{token_, task, number};
@@ -182,27 +185,27 @@
         if (self->closed_ || self->dead_) {
           return;
         }
-        error = self->JudgeAnswer(address, error);
+        error = self->ClassifyResponse(address, error);
         if (error == make_error_code(RunErrc::kOtherLife)) {
-          self->Die();
+          self->MarkDead();
           return;
         }
         Run* stopped = self->FindRun(task);
         const bool known = stopped != nullptr && stopped->number == number;
         if (known) {
-          stopped->stop_under_way = false;
+          stopped->stop_in_flight = false;
         }
         if (error) {
           return;
         }
-        self->TakeClock(clock);
+        self->RecordClock(clock);
         if (!known) {
           return;
         }
         stopped->stop_confirmed = true;
         stopped->stop_confirmed_at = self->executor_.Now();
         if (stopped->phase == RunPhase::kUnresolved) {
-          self->Look(Millis(0));
+          self->Poll(Millis(0));
         }
       });
 }
@@ -226,11 +229,11 @@
 }
 
 void WorkerSession::SendPace(Run* run) {
-  if (run->pace_under_way || run->wanted_pace == run->pace ||
+  if (run->pace_in_flight || run->wanted_pace == run->pace ||
       run->phase != RunPhase::kRunning) {
     return;
   }
-  run->pace_under_way = true;
+  run->pace_in_flight = true;
   const PaceOrder order{token_, run->task, run->number, run->wanted_pace};
   workers_.Pace(
       life_, order,
@@ -242,11 +245,11 @@
         if (paced == nullptr || paced->number != order.run) {
           return;
         }
-        paced->pace_under_way = false;
+        paced->pace_in_flight = false;
         if (error) {
-          return;  // sent again by Tick
+          return;  // Tick sends it again.
         }
-        self->TakeClock(clock);
+        self->RecordClock(clock);
         paced->pace = order.percent;
         self->SendPace(paced);
       });
--- a/src/libdoorwood/cell/worker_overtaking_test.cpp
+++ b/src/libdoorwood/cell/worker_overtaking_test.cpp
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A start, a stop and looks, each carried out and answered at any time and in
-// any order, or not answered, or carried out after that: whatever the session
-// concludes about the run has to be true.
+// Explores the interleavings of a start, a stop and polls: each call is carried
+// out and answered at any time and in any order, or gets no answer, or is
+// carried out after its time-out. Whatever the session concludes about the run
+// has to be true.
 
 #include <boost/test/unit_test.hpp>
 #include <functional>
@@ -64,7 +65,7 @@
   }
   void Pace(const WorkerLife&, const PaceOrder&, Callback<int64_t>) override {}
 
-  /// The run is there, or may yet begin.
+  /// The run is active, or may still begin.
   bool MayRun() const {
     if (model.Runs(kTask)) {
       return true;
@@ -94,8 +95,8 @@
   }
 };
 
-struct WalkFixture : public fakes::QuietListener {
-  WalkFixture(Millis step, const std::string& payload)
+struct ExplorationFixture : public fakes::QuietListener {
+  ExplorationFixture(Millis step, const std::string& payload)
       : step(step), executor(time, 1) {
     WorkerLife life;
     life.id = "w1";
@@ -115,21 +116,22 @@
     run.number = 1;
     session->Start(run, payload, "");
   }
-  ~WalkFixture() override { session->Close(); }
-  WalkFixture(const WalkFixture&) = delete;
-  WalkFixture& operator=(const WalkFixture&) = delete;
+  ~ExplorationFixture() override { session->Close(); }
+  ExplorationFixture(const ExplorationFixture&) = delete;
+  ExplorationFixture& operator=(const ExplorationFixture&) = delete;
 
-  // Only what is concluded is checked: the worker's own word is true.
-  void OnRunEnded(WorkerSession&, const Run&, RunEnd, bool told) override {
-    over = true;
-    wrong = wrong || (!told && workers.MayRun());
+  // Checks only what the session infers; reports of the worker are true.
+  void OnRunEnded(WorkerSession&, const Run&, RunEnd, bool reported) override {
+    ended = true;
+    wrong = wrong || (!reported && workers.MayRun());
   }
   void OnStartRefused(WorkerSession&, const Run&, std::error_code) override {
-    over = true;
+    ended = true;
     wrong = wrong || workers.MayRun();
   }
 
-  // What may happen next; steps of a call are in order, calls in any.
+  // All possible next steps. The steps of one call are in order, calls are
+  // independent of each other.
   std::vector<std::function<void()>> Choices() {
     std::vector<std::function<void()>> choices;
     for (size_t i = 0; i < workers.calls.size(); ++i) {
@@ -146,7 +148,7 @@
         choices.emplace_back([this, i] { Answer(i, /*lost=*/true); });
       }
     }
-    if (!stopped && !over) {
+    if (!stopped && !ended) {
       choices.emplace_back([this] {
         stopped = true;
         session->Stop(kTask);
@@ -156,7 +158,7 @@
   }
   void Answer(size_t index, bool lost) {
     workers.calls[index].answered = true;
-    // A copy: the answer may add calls.
+    // Copy the call, since the answer may add calls.
     const SteppedWorkers::Pending call = workers.calls[index];
     lost ? call.lose() : call.answer();
   }
@@ -173,71 +175,71 @@
   fakes::FakeLog log{time, "session", trace};
   std::shared_ptr<WorkerSession> session;
   bool stopped = false;
-  bool over = false;
+  bool ended = false;
   bool wrong = false;
 };
 
-struct WalkRow {
+struct ExplorationRow {
   Millis step;
   const char* payload;
 };
 
-struct Tally {
-  int walks = 0;
-  int over = 0;
+struct ExplorationStats {
+  int paths = 0;
+  int ended = 0;
   int began = 0;
   std::vector<std::string> wrong;
 };
 
-// Plays the choices, then tries each that is open after them.
-void Walk(const WalkRow& row,
-          size_t depth,
-          std::vector<size_t>* path,
-          Tally* tally) {
-  WalkFixture fixture(row.step, row.payload);
-  std::string told;
+// Replays the choices of the path, then tries each choice possible after them.
+void Explore(const ExplorationRow& row,
+             size_t depth,
+             std::vector<size_t>* path,
+             ExplorationStats* stats) {
+  ExplorationFixture fixture(row.step, row.payload);
+  std::string steps;
   for (const size_t choice : *path) {
     fixture.Pass();
     fixture.Choices().at(choice)();
-    told += std::to_string(choice) + " ";
+    steps += std::to_string(choice) + " ";
   }
   fixture.Pass();
   if (fixture.wrong) {
-    tally->wrong.push_back(told);
+    stats->wrong.push_back(steps);
     return;
   }
-  const size_t choices = fixture.over ? 0 : fixture.Choices().size();
+  const size_t choices = fixture.ended ? 0 : fixture.Choices().size();
   if (path->size() == depth || choices == 0) {
-    ++tally->walks;
-    tally->over += fixture.over ? 1 : 0;
-    tally->began += fixture.workers.began ? 1 : 0;
+    ++stats->paths;
+    stats->ended += fixture.ended ? 1 : 0;
+    stats->began += fixture.workers.began ? 1 : 0;
     return;
   }
   for (size_t choice = 0; choice < choices; ++choice) {
     path->push_back(choice);
-    Walk(row, depth, path, tally);
+    Explore(row, depth, path, stats);
     path->pop_back();
   }
 }
 
-// Steps in one instant, and steps that let the session's own pauses pass; runs
-// that last, and runs that end by themselves.
-BOOST_AUTO_TEST_CASE(Session_EachOrderOfAnswers_ConcludesWhatIsTrue) {
+// Covers steps without delay and steps long enough for the session's own
+// timers, with runs that do not end by themselves and runs that do.
+BOOST_AUTO_TEST_CASE(Session_EveryInterleaving_ConclusionsAreTrue) {
   constexpr size_t kDepth = 7;
-  const WalkRow rows[] = {{Millis(0), ""},       {Millis(1), ""},
-                          {Millis(25), ""},      {Millis(200), ""},
-                          {Millis(25), "ms=60"}, {Millis(200), "ms=300"}};
-  for (const WalkRow& row : rows) {
-    Tally tally;
+  const ExplorationRow rows[] = {
+      {Millis(0), ""},   {Millis(1), ""},       {Millis(25), ""},
+      {Millis(200), ""}, {Millis(25), "ms=60"}, {Millis(200), "ms=300"}};
+  for (const ExplorationRow& row : rows) {
+    ExplorationStats stats;
     std::vector<size_t> path;
-    Walk(row, kDepth, &path, &tally);
+    Explore(row, kDepth, &path, &stats);
     BOOST_TEST_CONTEXT("steps of " << row.step.count() << " ms "
                                    << row.payload) {
-      BOOST_TEST_MESSAGE(tally.walks << " walks, " << tally.over << " over, "
-                                     << tally.began << " began");
-      BOOST_TEST(tally.over > 0);
-      BOOST_TEST(tally.began > 0);
-      BOOST_TEST(tally.wrong == std::vector<std::string>(),
+      BOOST_TEST_MESSAGE(stats.paths << " paths, " << stats.ended << " ended, "
+                                     << stats.began << " began");
+      BOOST_TEST(stats.ended > 0);
+      BOOST_TEST(stats.began > 0);
+      BOOST_TEST(stats.wrong == std::vector<std::string>(),
                  boost::test_tools::per_element());
     }
   }
--- a/src/libdoorwood/cell/worker_session.cpp
+++ b/src/libdoorwood/cell/worker_session.cpp
@@ -9,19 +9,19 @@
 namespace doorwood {
 namespace {
 
-// Added to the proof that a lease is over, for rounding and timer lateness.
-constexpr Millis kLapseMargin{300};
+// Safety margin before a lease counts as expired, for rounding and late timers.
+constexpr Millis kExpiryMargin{300};
 
 int64_t MillisBetween(Instant from, Instant to) {
   return std::chrono::duration_cast<Millis>(to - from).count();
 }
 
-// The platform's bound on workers' clocks.
-constexpr double kSlowestClock = 0.98;
+// Slowest rate of a worker's clock that the platform allows.
+constexpr double kSlowestClockRate = 0.98;
 
-Millis ShortestOnWorkersClock(Millis on_ours) {
+Millis MinOnWorkerClock(Millis on_ours) {
   return Millis(static_cast<int64_t>(static_cast<double>(on_ours.count()) *
-                                     kSlowestClock));
+                                     kSlowestClockRate));
 }
 
 bool IsListed(const std::vector<ActiveRun>& active, const Run& run) {
@@ -48,7 +48,7 @@
 
 Millis LongestOnOurClock(Millis on_worker) {
   return Millis(static_cast<int64_t>(static_cast<double>(on_worker.count()) /
-                                     kSlowestClock));
+                                     kSlowestClockRate));
 }
 
 WorkerSession::WorkerSession(Executor& executor,
@@ -68,15 +68,15 @@
       short_wait_(options.short_wait) {}
 
 void WorkerSession::Open() {
-  heard_at_ = executor_.Now();
-  Look(Millis(0));
+  last_response_at_ = executor_.Now();
+  Poll(Millis(0));
 }
 
 void WorkerSession::Close() {
   closed_ = true;
-  if (look_timer_ != 0) {
-    executor_.Cancel(look_timer_);
-    look_timer_ = 0;
+  if (poll_timer_ != 0) {
+    executor_.Cancel(poll_timer_);
+    poll_timer_ = 0;
   }
 }
 
@@ -92,172 +92,180 @@
 }
 
 Millis WorkerSession::SeenAtWork(const Run& run) const {
-  if (run.confirmed == Instant{} || heard_at_ <= run.confirmed) {
+  if (run.confirmed == Instant{} || last_response_at_ <= run.confirmed) {
     return Millis(0);
   }
-  return std::chrono::duration_cast<Millis>(heard_at_ - run.confirmed);
+  return std::chrono::duration_cast<Millis>(last_response_at_ - run.confirmed);
 }
 
 bool WorkerSession::responsive() const {
   if (dead_ || !fenced_) {
     return false;
   }
-  // An idle worker is not asked. One whose runs were just ended for its silence
-  // is idle too, but it was asked: up to 814 starts a day with cuts went there,
-  // each of them lost for a lease of 6 s.
-  if (runs_.empty() && !look_under_way_ && !look_failed_) {
+  // An idle worker is not polled. A worker whose runs were just ended because
+  // it was unresponsive is idle too, but its last poll failed: up to 814 starts
+  // a day in runs with partitions went to such workers, each lost for a lease
+  // of 6 s.
+  if (runs_.empty() && !poll_in_flight_ && !last_poll_failed_) {
     return true;
   }
-  return executor_.Now() - heard_at_ < options_.silence + options_.long_wait;
+  return executor_.Now() - last_response_at_ <
+         options_.unresponsive_after + options_.long_wait;
 }
 
 // --- Leases ---
 
-void WorkerSession::TakeClock(int64_t clock) {
-  heard_at_ = executor_.Now();
-  if (silent_told_) {
-    silent_told_ = false;
-    answers_since_ = heard_at_;
-    log_.Write("info", "worker", "a worker answers again",
+void WorkerSession::RecordClock(int64_t clock) {
+  last_response_at_ = executor_.Now();
+  if (unresponsive_logged_) {
+    unresponsive_logged_ = false;
+    responsive_since_ = last_response_at_;
+    log_.Write("info", "worker", "worker responds again",
                {{"worker", life_.id}});
   }
   if (clock > 0) {
-    clock_ = clock;
-    clock_at_ = heard_at_;
+    worker_clock_ = clock;
+    worker_clock_at_ = last_response_at_;
   }
 }
 
 int64_t WorkerSession::LeaseEnd(Instant at) {
-  if (clock_ == 0) {
+  if (worker_clock_ == 0) {
     return 0;
   }
-  // An idle worker is not asked, and by a slow clock less has passed since: its
-  // lease may end earlier than meant, never later than a successor waits.
-  const auto age = ShortestOnWorkersClock(
-      std::chrono::duration_cast<Millis>(at - clock_at_));
-  const int64_t until = clock_ + (age + options_.run_lease).count();
-  longest_until_ = std::max(longest_until_, until);
-  promised_at_ = std::max(promised_at_, at);
+  // An idle worker is not polled, and on a slow clock less time has passed
+  // since its last answer. The lease may end earlier than intended, but never
+  // later than a successor waits.
+  const auto age = MinOnWorkerClock(
+      std::chrono::duration_cast<Millis>(at - worker_clock_at_));
+  const int64_t until = worker_clock_ + (age + options_.run_lease).count();
+  latest_lease_end_ = std::max(latest_lease_end_, until);
+  last_lease_order_at_ = std::max(last_lease_order_at_, at);
   return until;
 }
 
-std::optional<Instant> WorkerSession::LapsedAt() const {
-  if (clock_ == 0) {
+std::optional<Instant> WorkerSession::LeasesExpireAt() const {
+  if (worker_clock_ == 0) {
     return std::nullopt;
   }
-  const Millis left(longest_until_ - clock_);
-  return clock_at_ + LongestOnOurClock(left) + kLapseMargin;
+  const Millis left(latest_lease_end_ - worker_clock_);
+  return worker_clock_at_ + LongestOnOurClock(left) + kExpiryMargin;
 }
 
-// --- Looks ---
+// --- Polls ---
 
-Millis WorkerSession::NextWait() const {
-  // One that may be back is to answer at once: a look that waits for an end
-  // would hear it 1.2 s later, and its runs' lease may be over by then.
-  if (has_unrecorded_ends() || look_failed_) {
+Millis WorkerSession::NextPollWait() const {
+  // A worker that may be back has to answer at once: a poll that waits for an
+  // end would return 1.2 s later, and the lease of its runs may have expired by
+  // then.
+  if (has_unrecorded_ends() || last_poll_failed_) {
     return Millis(0);
   }
-  const bool disturbs = serving_ > 0 && fills_ > 0;
-  return disturbs ? short_wait_ : options_.long_wait;
+  const bool shares_with_best_effort = serving_ > 0 && fills_ > 0;
+  return shares_with_best_effort ? short_wait_ : options_.long_wait;
 }
 
-void WorkerSession::ScheduleLook(Millis delay) {
-  if (closed_ || dead_ || look_under_way_) {
+void WorkerSession::SchedulePoll(Millis delay) {
+  if (closed_ || dead_ || poll_in_flight_) {
     return;
   }
-  if (look_timer_ != 0) {
-    executor_.Cancel(look_timer_);
+  if (poll_timer_ != 0) {
+    executor_.Cancel(poll_timer_);
   }
-  look_timer_ = executor_.Schedule(delay, [self = shared_from_this()] {
-    self->look_timer_ = 0;
-    if (!self->closed_ && !self->dead_ && !self->look_under_way_) {
-      self->Look(self->NextWait());
+  poll_timer_ = executor_.Schedule(delay, [self = shared_from_this()] {
+    self->poll_timer_ = 0;
+    if (!self->closed_ && !self->dead_ && !self->poll_in_flight_) {
+      self->Poll(self->NextPollWait());
     }
   });
 }
 
-void WorkerSession::Look(Millis wait) {
-  look_under_way_ = true;
-  const uint64_t sequence = ++look_sequence_;
+void WorkerSession::Poll(Millis wait) {
+  poll_in_flight_ = true;
+  const uint64_t sequence = ++poll_sequence_;
   const Instant sent = executor_.Now();
   HoldOrder order;
   order.token = token_;
   order.last_seen = recorded_end_;
-  // A silent worker is promised nothing more, so that its lease surely ends.
-  const bool extend = !runs_.empty() && sent < extend_until_ && !look_failed_;
+  // An unresponsive worker gets no extension, so that its leases are certain to
+  // expire.
+  const bool extend =
+      !runs_.empty() && sent < extend_until_ && !last_poll_failed_;
   order.until = extend ? LeaseEnd(sent) : 0;
   order.wait = wait;
   workers_.Hold(
       life_, order,
       [self = shared_from_this(), sequence, sent, address = life_.address](
           std::error_code error, WorkerReport report) {
-        self->OnLook(sequence, sent, self->JudgeAnswer(address, error),
-                     std::move(report));
+        self->OnPollResponse(sequence, sent,
+                             self->ClassifyResponse(address, error),
+                             std::move(report));
       });
 }
 
 void WorkerSession::LookNow() {
   if (!closed_ && !dead_ && !runs_.empty()) {
-    Look(Millis(0));
+    Poll(Millis(0));
   }
 }
 
-void WorkerSession::OnLook(uint64_t sequence,
-                           Instant sent,
-                           std::error_code error,
-                           WorkerReport report) {
+void WorkerSession::OnPollResponse(uint64_t sequence,
+                                   Instant sent,
+                                   std::error_code error,
+                                   WorkerReport report) {
   if (closed_ || dead_) {
     return;
   }
-  // An extra look may run beside the regular one; only the newest one leads
-  // to the next.
-  const bool newest = sequence == look_sequence_;
+  // An extra poll may run beside the regular one; only the newest schedules the
+  // next.
+  const bool newest = sequence == poll_sequence_;
   if (newest) {
-    look_under_way_ = false;
+    poll_in_flight_ = false;
   }
   if (error == make_error_code(RunErrc::kOtherLife)) {
-    Die();
+    MarkDead();
     return;
   }
   if (error == make_error_code(RunErrc::kFenced)) {
-    if (!fence_told_) {
-      fence_told_ = true;
+    if (!fenced_reported_) {
+      fenced_reported_ = true;
       listener_.OnFenced(*this);
     }
     return;
   }
   if (error) {
-    if (!std::exchange(look_failed_, true)) {
+    if (!std::exchange(last_poll_failed_, true)) {
       listener_.OnLookFailed(*this);
     }
-    // Also where a newer look was answered meanwhile: only an answer tells that
-    // the worker is well.
-    if (!look_under_way_) {
-      ScheduleLook(stranger_answers_ ? options_.stranger_pause
-                                     : options_.retry_pause);
+    // Poll again even if a newer poll was answered meanwhile: only an answer
+    // shows that the worker responds.
+    if (!poll_in_flight_) {
+      SchedulePoll(other_incarnation_answers_ ? options_.other_incarnation_pause
+                                              : options_.retry_pause);
     }
     return;
   }
-  if (std::exchange(look_failed_, false)) {
+  if (std::exchange(last_poll_failed_, false)) {
     listener_.OnAnswersAgain(*this);
   }
   const bool first = !fenced_;
   fenced_ = true;
   if (first) {
-    // What an earlier leader may have promised to runs that are adopted now.
-    longest_until_ =
-        std::max(longest_until_, report.clock + options_.run_lease.count());
-    promised_at_ = executor_.Now();
+    // Runs adopted now may have had their lease extended by an earlier leader
+    // up to this time.
+    latest_lease_end_ =
+        std::max(latest_lease_end_, report.clock + options_.run_lease.count());
+    last_lease_order_at_ = executor_.Now();
   }
-  TakeReport(sent, std::move(report));
+  ApplyReport(sent, std::move(report));
   if (closed_ || dead_ || !newest) {
     return;
   }
-  // The first look prolongs nothing, so the next one follows at once.
+  // The first poll extends no lease, so the next one follows at once.
   if (has_unrecorded_ends() && (!first || runs_.empty())) {
-    ScheduleLook(options_.unrecorded_pause);
+    SchedulePoll(options_.unrecorded_pause);
   } else if (!runs_.empty() || has_unwanted()) {
-    ScheduleLook(Millis(0));
+    SchedulePoll(Millis(0));
   }
 }
 
@@ -267,39 +275,40 @@
   }
   recorded_end_ = std::min(end_number, last_end_);
   ++tasks_version_;
-  unrecorded_.erase(unrecorded_.begin(),
-                    unrecorded_.upper_bound(recorded_end_));
-  if (recorded_end_ == last_end_ && !look_under_way_ && !closed_) {
-    // Also with nothing left to run: the ends are to be forgotten.
-    ScheduleLook(Millis(0));
+  unrecorded_ends_.erase(unrecorded_ends_.begin(),
+                         unrecorded_ends_.upper_bound(recorded_end_));
+  if (recorded_end_ == last_end_ && !poll_in_flight_ && !closed_) {
+    // Poll even if nothing runs there, so that the worker forgets the recorded
+    // ends.
+    SchedulePoll(Millis(0));
   }
 }
 
 std::vector<std::string> WorkerSession::TasksToReckonWith() const {
-  std::set<std::string> tasks(unwanted_.begin(), unwanted_.end());
+  std::set<std::string> tasks(unwanted_tasks_.begin(), unwanted_tasks_.end());
   for (const auto& [task, run] : runs_) {
     tasks.insert(task);
   }
-  for (const auto& [number, task] : unrecorded_) {
+  for (const auto& [number, task] : unrecorded_ends_) {
     tasks.insert(task);
   }
   return {tasks.begin(), tasks.end()};
 }
 
-void WorkerSession::TakeReport(Instant sent, WorkerReport report) {
-  TakeClock(report.clock);
-  TakeEnds(report.ended);
+void WorkerSession::ApplyReport(Instant sent, WorkerReport report) {
+  RecordClock(report.clock);
+  ApplyEndedRuns(report.ended);
   if (closed_) {
     return;
   }
-  // A report of an earlier look says less than the one taken in already.
+  // A report of an older poll is outdated once a newer one was processed.
   if (sent >= report_sent_) {
     report_sent_ = sent;
     ++version_;
-    TakeActive(report.active);
+    ApplyActiveRuns(report.active);
     if (!report.more_ended) {
-      told_all_ = true;
-      ResolveMissing(sent, report.active);
+      all_ends_listed_ = true;
+      ResolveUnlistedRuns(sent, report.active);
     }
   }
   if (!closed_) {
@@ -307,7 +316,7 @@
   }
 }
 
-void WorkerSession::TakeEnds(const std::vector<EndedRun>& ended) {
+void WorkerSession::ApplyEndedRuns(const std::vector<EndedRun>& ended) {
   for (const EndedRun& end : ended) {
     if (closed_) {
       return;
@@ -316,7 +325,7 @@
       continue;
     }
     last_end_ = end.number;
-    unrecorded_[end.number] = end.task;
+    unrecorded_ends_[end.number] = end.task;
     ++tasks_version_;
     Run* run = FindRun(end.task);
     if (run == nullptr || run->number != end.run) {
@@ -326,11 +335,11 @@
     if (!end.checkpoint.empty()) {
       run->checkpoint = end.checkpoint;
     }
-    EndRun(end.task, end.end, /*told_by_worker=*/true);
+    EndRun(end.task, end.end, /*reported_by_worker=*/true);
   }
 }
 
-void WorkerSession::TakeActive(const std::vector<ActiveRun>& active) {
+void WorkerSession::ApplyActiveRuns(const std::vector<ActiveRun>& active) {
   std::vector<std::string> unwanted;
   for (const ActiveRun& row : active) {
     if (closed_) {
@@ -355,8 +364,8 @@
     if (run->phase == RunPhase::kStarting ||
         run->phase == RunPhase::kUnresolved) {
       run->phase = RunPhase::kRunning;
-      // Not when the look was sent: a later look may have been answered before
-      // the run began.
+      // Use the time of arrival, not the time the poll was sent: a later poll
+      // may have been answered before the run began.
       run->confirmed = executor_.Now();
     }
     run->progress = row.progress;
@@ -365,90 +374,92 @@
     }
     run->figure = row.figure;
   }
-  if (unwanted != unwanted_) {
-    unwanted_ = std::move(unwanted);
+  if (unwanted != unwanted_tasks_) {
+    unwanted_tasks_ = std::move(unwanted);
     ++tasks_version_;
   }
 }
 
-void WorkerSession::ResolveMissing(Instant sent,
-                                   const std::vector<ActiveRun>& active) {
-  std::vector<std::string> over;
+void WorkerSession::ResolveUnlistedRuns(Instant sent,
+                                        const std::vector<ActiveRun>& active) {
+  std::vector<std::string> ended;
   std::vector<std::pair<std::string, uint32_t>> to_stop;
   for (auto& [task, run] : runs_) {
     if (IsListed(active, run)) {
       continue;
     }
-    const bool surely_refused =
+    const bool will_be_refused =
         run.stop_confirmed && run.stop_confirmed_at < sent;
-    const bool ran_before =
+    const bool confirmed_before_poll =
         run.phase == RunPhase::kRunning && run.confirmed < sent;
-    if (surely_refused || ran_before) {
-      over.push_back(task);
+    if (will_be_refused || confirmed_before_poll) {
+      ended.push_back(task);
     } else if (run.phase == RunPhase::kUnresolved && !run.stop_confirmed &&
-               !run.stop_under_way) {
+               !run.stop_in_flight) {
       to_stop.emplace_back(task, run.number);
     }
   }
   for (const auto& [task, number] : to_stop) {
     SendStop(task, number);
   }
-  for (const std::string& task : over) {
+  for (const std::string& task : ended) {
     if (closed_) {
       return;
     }
-    // The worker no longer has it and did not list its end: it never began,
-    // or the end was listed in a report that overtook this one.
-    EndRun(task, RunEnd::kLapsed, /*told_by_worker=*/false);
+    // The worker no longer has the run and did not list its end: the run never
+    // began, or its end was listed in a report that arrived earlier.
+    EndRun(task, RunEnd::kLapsed, /*reported_by_worker=*/false);
   }
 }
 
-// --- Ends by proof ---
+// --- Ends that are inferred ---
 
-void WorkerSession::Die() {
+void WorkerSession::MarkDead() {
   if (dead_) {
     return;
   }
   dead_ = true;
-  died_at_ = executor_.Now();
-  log_.Write("warn", "worker", "another life answers",
+  dead_since_ = executor_.Now();
+  log_.Write("warn", "worker", "another incarnation of the worker answers",
              {{"worker", life_.id}, {"runs", runs_.size()}});
 }
 
-std::optional<Instant> WorkerSession::OverSince() const {
+std::optional<Instant> WorkerSession::EndedSince() const {
   if (closed_) {
     return std::nullopt;
   }
   if (dead_) {
-    return died_at_;
+    return dead_since_;
   }
-  const std::optional<Instant> lapsed = LapsedAt();
-  const bool passed = lapsed && *lapsed < executor_.Now();
-  return passed && !runs_.empty() ? lapsed : std::nullopt;
+  const std::optional<Instant> expired_at = LeasesExpireAt();
+  const bool has_expired = expired_at && *expired_at < executor_.Now();
+  return has_expired && !runs_.empty() ? expired_at : std::nullopt;
 }
 
-// Whoever took the lead before the runs were over may have kept them; that
-// nobody had is known only from a look at the lead's key that came later.
+// A successor that took over before the runs ended may have kept them. Only a
+// later read of the lead key shows that there was none.
 void WorkerSession::Conclude() {
-  const std::optional<Instant> over = OverSince();
-  if (runs_.empty() || !over || *over >= led_until_) {
+  const std::optional<Instant> ended_since = EndedSince();
+  if (runs_.empty() || !ended_since || *ended_since >= lead_confirmed_until_) {
     return;
   }
-  log_.Write("warn", "worker",
-             dead_ ? "all runs of an earlier life are over"
-                   : "the lease of a silent worker is surely over",
-             {{"worker", life_.id},
-              {"runs", runs_.size()},
-              {"heard_ms_ago", MillisBetween(heard_at_, executor_.Now())},
-              {"over_ms_before_proof", MillisBetween(*over, led_until_)}});
-  EndAll();
+  log_.Write(
+      "warn", "worker",
+      dead_ ? "all runs of a replaced worker incarnation have ended"
+            : "the lease of a silent worker is surely over",
+      {{"worker", life_.id},
+       {"runs", runs_.size()},
+       {"heard_ms_ago", MillisBetween(last_response_at_, executor_.Now())},
+       {"over_ms_before_proof",
+        MillisBetween(*ended_since, lead_confirmed_until_)}});
+  EndAllRuns();
 }
 
-void WorkerSession::EndAll() {
+void WorkerSession::EndAllRuns() {
   listener_.OnWorkerLost(*this);
   while (!runs_.empty() && !closed_) {
     const std::string task = runs_.begin()->first;
-    EndRun(task, RunEnd::kLapsed, /*told_by_worker=*/false);
+    EndRun(task, RunEnd::kLapsed, /*reported_by_worker=*/false);
   }
 }
 
@@ -461,16 +472,16 @@
     return;
   }
   const Instant now = executor_.Now();
-  if (!runs_.empty() && !responsive() && !silent_told_ && fenced_) {
-    silent_told_ = true;
-    log_.Write("warn", "worker", "a worker does not answer",
+  if (!runs_.empty() && !responsive() && !unresponsive_logged_ && fenced_) {
+    unresponsive_logged_ = true;
+    log_.Write("warn", "worker", "worker does not respond",
                {{"worker", life_.id}, {"runs", runs_.size()}});
   }
   for (auto& [task, run] : runs_) {
-    const bool stops =
+    const bool stop_pending =
         run.phase == RunPhase::kStopping || run.phase == RunPhase::kUnresolved;
-    if (stops && !run.stop_under_way && run.stop_sent != Instant{} &&
-        now - run.stop_sent > options_.stop_patience) {
+    if (stop_pending && !run.stop_in_flight && run.stop_sent != Instant{} &&
+        now - run.stop_sent > options_.stop_resend_delay) {
       SendStop(task, run.number);
     }
     SendPace(&run);
--- a/src/libdoorwood/cell/worker_session_test.cpp
+++ b/src/libdoorwood/cell/worker_session_test.cpp
@@ -12,9 +12,15 @@
 namespace doorwood {
 namespace {
 
-enum class Fate { kWell, kSilent, kAnswerLost, kLate, kOtherLife };
+enum class Fault {
+  kNone,
+  kRequestLost,
+  kReplyLost,
+  kDelayed,
+  kOtherIncarnation
+};
 
-// A worker whose calls go wrong as told.
+// A worker whose calls fail as configured.
 class ScriptedWorkers : public RunWorkers {
  public:
   ScriptedWorkers(fakes::VirtualTime& time, Executor& executor)
@@ -28,12 +34,12 @@
     Advance();
     WorkerReport report;
     std::error_code error = RunErrc::kNoAnswer;
-    if (hold_fate == Fate::kOtherLife) {
+    if (hold_fault == Fault::kOtherIncarnation) {
       error = RunErrc::kOtherLife;
-    } else if (hold_fate != Fate::kSilent) {
+    } else if (hold_fault != Fault::kRequestLost) {
       error = model.Hold(order, &report);
     }
-    if (hold_fate == Fate::kAnswerLost) {
+    if (hold_fault == Fault::kReplyLost) {
       error = RunErrc::kNoAnswer;
     }
     const Millis delay = error ? Millis(300) : Millis(100);
@@ -44,44 +50,44 @@
   void Start(const WorkerLife&,
              const StartOrder& order,
              Callback<int64_t> done) override {
-    Order(start_fate, std::move(done),
+    Order(start_fault, std::move(done),
           [this, order] { return model.Start(order); });
   }
   void Stop(const WorkerLife&,
             const StopOrder& order,
             Callback<int64_t> done) override {
     ++stops;
-    Order(stop_fate, std::move(done),
+    Order(stop_fault, std::move(done),
           [this, order] { return model.Stop(order); });
   }
   void Pace(const WorkerLife&,
             const PaceOrder& order,
             Callback<int64_t> done) override {
-    Order(Fate::kWell, std::move(done),
+    Order(Fault::kNone, std::move(done),
           [this, order] { return model.Pace(order); });
   }
 
   void Advance() { model.Advance(time_.millis()); }
 
   standin::RunWorkerModel model;
-  Fate hold_fate = Fate::kWell;
-  Fate start_fate = Fate::kWell;
-  Fate stop_fate = Fate::kWell;
+  Fault hold_fault = Fault::kNone;
+  Fault start_fault = Fault::kNone;
+  Fault stop_fault = Fault::kNone;
   int holds = 0;
   int stops = 0;
   int64_t last_until = 0;
 
  private:
-  void Order(Fate fate,
+  void Order(Fault fault,
              Callback<int64_t> done,
              const std::function<std::error_code()>& effect) {
     Advance();
     std::error_code error = RunErrc::kNoAnswer;
-    if (fate == Fate::kWell) {
+    if (fault == Fault::kNone) {
       error = effect();
-    } else if (fate == Fate::kAnswerLost) {
+    } else if (fault == Fault::kReplyLost) {
       effect();
-    } else if (fate == Fate::kLate) {
+    } else if (fault == Fault::kDelayed) {
       executor_.Schedule(Millis(4000), [this, effect] {
         Advance();
         late_result = effect();
@@ -118,9 +124,9 @@
   void OnRunEnded(WorkerSession&,
                   const Run& run,
                   RunEnd end,
-                  bool told) override {
+                  bool reported) override {
     ends.push_back(run.task + " " + std::string(ToString(end)) +
-                   (told ? " told" : " proved"));
+                   (reported ? " reported" : " inferred"));
     ended_at = time.millis();
   }
   void OnWorkerLost(WorkerSession&) override {}
@@ -134,7 +140,7 @@
     ++refused;
   }
   void OnReport(WorkerSession& reporting) override {
-    if (records) {
+    if (record_at_once) {
       reporting.MarkRecorded(reporting.last_end());
     }
   }
@@ -164,36 +170,36 @@
   int64_t ended_at = 0;
   int refused = 0;
   int fenced = 0;
-  bool records = true;
+  bool record_at_once = true;
 };
 
 struct StartRow {
   const char* name;
-  Fate start;
-  Fate stop;
+  Fault start;
+  Fault stop;
   const char* end;
 };
 
-// Whatever becomes of the order, the run ends once, and the room is free only
-// when the worker can no longer begin it.
-BOOST_AUTO_TEST_CASE(Start_OrderGoesWrong_EndsOnce) {
+// Whichever way the start call fails, the run ends exactly once, and its
+// resources are released only when the worker can no longer begin it.
+BOOST_AUTO_TEST_CASE(Start_CallFails_RunEndsExactlyOnce) {
   const StartRow rows[] = {
-      {"well", Fate::kWell, Fate::kWell, "t done told"},
-      {"answer lost", Fate::kAnswerLost, Fate::kWell, "t done told"},
-      {"order lost", Fate::kSilent, Fate::kWell, "t lapsed proved"},
-      {"order late", Fate::kLate, Fate::kWell, "t lapsed proved"},
+      {"well", Fault::kNone, Fault::kNone, "t done reported"},
+      {"answer lost", Fault::kReplyLost, Fault::kNone, "t done reported"},
+      {"order lost", Fault::kRequestLost, Fault::kNone, "t lapsed inferred"},
+      {"order late", Fault::kDelayed, Fault::kNone, "t lapsed inferred"},
   };
   for (const StartRow& row : rows) {
     SessionFixture fixture;
-    fixture.workers.start_fate = row.start;
-    fixture.workers.stop_fate = row.stop;
+    fixture.workers.start_fault = row.start;
+    fixture.workers.stop_fault = row.stop;
     fixture.Start("ms=2000");
     fixture.Pass(Millis(9000));
     BOOST_TEST_CONTEXT(row.name) {
       BOOST_REQUIRE(fixture.ends.size() == 1U);
       BOOST_TEST(fixture.ends[0] == row.end);
       BOOST_TEST(fixture.session->reserved().cpu_millis == 0);
-      if (row.start == Fate::kLate) {
+      if (row.start == Fault::kDelayed) {
         BOOST_TEST(fixture.workers.late_result ==
                    make_error_code(RunErrc::kOldRun));
       }
@@ -201,7 +207,7 @@
   }
 }
 
-// Calls that the test answers, in whatever order.
+// Calls that the test answers, in any order.
 class ManualWorkers : public RunWorkers {
  public:
   void Hold(const WorkerLife&,
@@ -247,10 +253,10 @@
   ManualWorkers manual;
 };
 
-// A look waits at the worker; the start goes unanswered, so another look is
-// sent. The worker answers that one, begins the run late, and then answers the
-// first look, whose answer comes first.
-BOOST_FIXTURE_TEST_CASE(Look_AnswersOvertake_RunThatBeganBetweenIsNotOver,
+// A poll waits at the worker. The start gets no answer, so another poll is
+// sent. The worker answers that one, then begins the run, then answers the
+// first poll with the run listed. The answer to the first poll arrives first.
+BOOST_FIXTURE_TEST_CASE(Poll_ReportsOutOfOrder_LateRunIsNotEnded,
                         ManualFixture) {
   BOOST_REQUIRE(manual.holds.size() == 2U);
   manual.starts.at(0)(RunErrc::kNoAnswer, 0);
@@ -265,12 +271,12 @@
   BOOST_TEST(session->runs().size() == 1U);
 }
 
-// More ends wait at the worker than one report lists.
-BOOST_FIXTURE_TEST_CASE(Look_NotAllEndsListed_MissingRunIsNotOver,
+// The worker has more ends than one report lists.
+BOOST_FIXTURE_TEST_CASE(Poll_EndListTruncated_UnlistedRunIsNotEnded,
                         ManualFixture) {
   manual.starts.at(0)({}, 1000);
   time.Run(Millis(10));
-  manual.holds.at(1)({}, ReportOf({}));  // sent before the run began
+  manual.holds.at(1)({}, ReportOf({}));  // Sent before the run began.
   time.Run(Millis(10));
   WorkerReport report = ReportOf({});
   report.more_ended = true;
@@ -279,9 +285,11 @@
   BOOST_TEST(ends.empty());
 }
 
-// The order was sent twice, since its connection broke: the first one ran and
-// ended before the second came, and the worker calls that one too old.
-BOOST_FIXTURE_TEST_CASE(Start_CalledOldAfterItRan_ItsEndCounts, ManualFixture) {
+// The start order was delivered twice because its connection broke. The first
+// copy ran and ended before the second arrived, which the worker refused as too
+// old.
+BOOST_FIXTURE_TEST_CASE(Start_RefusedAsOldAfterItRan_ReportedEndCounts,
+                        ManualFixture) {
   manual.starts.at(0)(RunErrc::kOldRun, 1000);
   time.Run(Millis(10));
   BOOST_TEST(refused == 0);
@@ -289,52 +297,52 @@
   report.ended.push_back({1, "t", 1, RunEnd::kDone, ""});
   manual.holds.back()({}, report);
   time.Run(Millis(10));
-  BOOST_TEST(ends == std::vector<std::string>{"t done told"},
+  BOOST_TEST(ends == std::vector<std::string>{"t done reported"},
              boost::test_tools::per_element());
 }
 
-BOOST_FIXTURE_TEST_CASE(Start_CalledOldAndNeverRan_IsProvedOver,
+BOOST_FIXTURE_TEST_CASE(Start_RefusedAsOldAndNeverRan_EndIsInferred,
                         ManualFixture) {
   manual.starts.at(0)(RunErrc::kOldRun, 1000);
   time.Run(Millis(10));
   manual.holds.back()({}, ReportOf({}));
   time.Run(Millis(10));
-  BOOST_TEST(ends.empty());  // sent in the moment of the answer
+  BOOST_TEST(ends.empty());  // Sent at the time of the answer.
   manual.holds.back()({}, ReportOf({}));
   time.Run(Millis(10));
-  BOOST_TEST(ends == std::vector<std::string>{"t lapsed proved"},
+  BOOST_TEST(ends == std::vector<std::string>{"t lapsed inferred"},
              boost::test_tools::per_element());
 }
 
-BOOST_FIXTURE_TEST_CASE(Look_WorkerFallsSilent_LeaseIsNotProlonged,
+BOOST_FIXTURE_TEST_CASE(Poll_WorkerUnresponsive_LeaseIsNotExtended,
                         SessionFixture) {
   Start("");
   Pass(Millis(1000));
-  workers.hold_fate = Fate::kAnswerLost;  // it hears, and would prolong
+  workers.hold_fault = Fault::kReplyLost;  // Requests still reach the worker.
   const int64_t silent_at = time.millis();
   Pass(Millis(12'000));
   BOOST_REQUIRE(ends.size() == 1U);
-  BOOST_TEST(ends[0] == "t lapsed proved");
-  // One lease of 7 s on a clock 2% slow, at most, from the last answer; the
-  // worker itself must have ended it before.
+  BOOST_TEST(ends[0] == "t lapsed inferred");
+  // At most one lease of 7 s on a clock that runs 2% slow, counted from the
+  // last answer. The worker itself must have ended the run before.
   BOOST_TEST(ended_at - silent_at < 9000);
   workers.Advance();
   BOOST_TEST(!workers.model.Runs("t"));
 }
 
-BOOST_FIXTURE_TEST_CASE(Look_OtherLifeAnswers_AllRunsAreOverAtOnce,
+BOOST_FIXTURE_TEST_CASE(Poll_OtherIncarnationAnswers_AllRunsEndAtOnce,
                         SessionFixture) {
   Start("");
   Pass(Millis(500));
-  workers.hold_fate = Fate::kOtherLife;
+  workers.hold_fault = Fault::kOtherIncarnation;
   Pass(Millis(2000));
   BOOST_TEST(ends.size() == 1U);
   BOOST_TEST(session->dead());
 }
 
-BOOST_FIXTURE_TEST_CASE(Look_EndsNotRecorded_AreListedAgainUntilTheyAre,
+BOOST_FIXTURE_TEST_CASE(Poll_EndsNotRecorded_AreListedUntilRecorded,
                         SessionFixture) {
-  records = false;
+  record_at_once = false;
   Start("ms=100");
   Pass(Millis(3000));
   BOOST_TEST(ends.size() == 1U);
@@ -348,7 +356,7 @@
   BOOST_TEST(report.ended.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(Look_HigherTokenSeen_IsToldOnce, SessionFixture) {
+BOOST_FIXTURE_TEST_CASE(Poll_HigherTokenSeen_IsReportedOnce, SessionFixture) {
   Start("");
   WorkerReport ignored;
   workers.model.Hold({6, 0, 0, Millis(0)}, &ignored);
@@ -356,13 +364,13 @@
   BOOST_TEST(fenced == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(Look_NothingRuns_AsksNoMore, SessionFixture) {
+BOOST_FIXTURE_TEST_CASE(Poll_NothingRuns_SendsNoPolls, SessionFixture) {
   const int before = workers.holds;
   Pass(Millis(5000));
   BOOST_TEST(workers.holds == before);
 }
 
-BOOST_FIXTURE_TEST_CASE(SetExtendUntil_MomentHasPassed_PromisesNothing,
+BOOST_FIXTURE_TEST_CASE(SetExtendUntil_DeadlinePassed_NoLeaseIsExtended,
                         SessionFixture) {
   Start("");
   Pass(Millis(500));
@@ -371,19 +379,20 @@
   BOOST_TEST(workers.last_until == 0);
   Pass(Millis(9000));
   BOOST_REQUIRE(ends.size() == 1U);
-  BOOST_TEST(ends[0] == "t lapsed told");
+  BOOST_TEST(ends[0] == "t lapsed reported");
 }
 
-// Whoever may have a successor concludes nothing; what it has heard meanwhile
-// counts once it turns out that nobody else led.
-BOOST_FIXTURE_TEST_CASE(Proofs_LeadIsNotSure_WaitUntilItIs, SessionFixture) {
-  for (const Fate fate : {Fate::kSilent, Fate::kOtherLife}) {
+// While a successor may exist, nothing is concluded. What was observed
+// meanwhile counts once it is certain that nobody else led.
+BOOST_FIXTURE_TEST_CASE(RunEnds_LeadNotConfirmed_WaitForConfirmation,
+                        SessionFixture) {
+  for (const Fault fault : {Fault::kRequestLost, Fault::kOtherIncarnation}) {
     SessionFixture fixture;
     fixture.Start("");
     fixture.Pass(Millis(1000));
     fixture.session->SetLedUntil(Instant{});
-    fixture.workers.hold_fate = fate;
-    fixture.workers.stop_fate = fate;
+    fixture.workers.hold_fault = fault;
+    fixture.workers.stop_fault = fault;
     fixture.Pass(Millis(12'000));
     BOOST_TEST(fixture.ends.empty());
     BOOST_TEST(fixture.session->runs().size() == 1U);
