--- a/src/include/doorwood/cell_journal.h
+++ b/src/include/doorwood/cell_journal.h
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Records of one cell in the store: group commits under the condition that
-/// this process still leads, chained so that a late write can never undo a
-/// newer one.
+/// Records of one cell in the store: group commits, conditional on this process
+/// still leading, and chained so that a late write can never undo a newer one.
 ///
-/// Batches go on lanes, each with a chain key of its own. A batch expects the
-/// lead key and its lane's chain key at the revisions last seen and puts the
-/// chain key with the next sequence number. A batch without an answer is sent
-/// again unchanged: either it takes effect now, and then the earlier one never
-/// will, or the chain key carries its number, and then the earlier one did.
+/// Batches are sent on lanes, each with a chain key of its own. A batch expects
+/// the lead key and its lane's chain key at the revisions last seen, and writes
+/// the chain key with the next sequence number. A batch without an answer is
+/// sent again unchanged. Either it takes effect now, and then the earlier
+/// attempt never will; or the chain key already has its number, and then the
+/// earlier attempt took effect.
 ///
-/// Until a batch's outcome is known, no other lane carries a key of it. A store
-/// that answers in milliseconds gets one batch at a time; one that answers
-/// slowly, or loses answers, gets several (commit_flow.h).
+/// Until a batch's outcome is known, no other lane carries any of its keys. A
+/// store that answers in milliseconds gets one batch at a time; one that
+/// answers slowly, or loses answers, gets several (commit_flow.h).
 
 #ifndef DOORWOOD_CELL_JOURNAL_H_
 #define DOORWOOD_CELL_JOURNAL_H_
@@ -39,87 +39,89 @@
 
 /// "doorwood/cell/CELL/"
 std::string CellPrefix(std::string_view cell);
-/// The key of a lane's chain.
+/// The chain key of a lane.
 std::string ChainKey(std::string_view cell, size_t lane);
-/// The lane whose chain key this is.
+/// The lane that the chain key belongs to; empty: `key` is not a chain key.
 std::optional<size_t> LaneOfChainKey(std::string_view cell,
                                      std::string_view key);
 std::string WorkersKey(std::string_view cell);
 std::string PlanKey(std::string_view cell, std::string_view job);
 std::string StateKey(std::string_view cell, std::string_view job);
-/// Key that tells which cell has a job.
+/// Key that stores which cell has a job.
 std::string JobIdKey(std::string_view job);
 
-/// A worker that a cell's leader may have given orders to.
+/// A worker that a cell's leader may have sent orders to.
 struct KnownWorker {
   std::string id;
   std::string address;
-  /// For how long the leaders since the last one that heard it have led without
-  /// hearing it. None of them prolonged anything there, so that a successor
-  /// need not wait for this time once more. Where the last one that heard it
-  /// recorded the silence itself: the time since its last promise there, and
-  /// what a successor would wait for its orders after that.
+  /// For how long leaders since the last one in contact with the worker have
+  /// led without contacting it. None of them extended a lease there, so a
+  /// successor need not wait for this time again. If the last leader in contact
+  /// recorded the worker as unresponsive itself: the time since its last order
+  /// that extended a lease there, plus what a successor would wait for its
+  /// orders after that.
   Millis unheard{0};
-  /// All tasks that may run there, or whose end there is not recorded, until a
-  /// newer record says otherwise: no leader starts anything else there before.
-  /// Nothing: any task may.
+  /// All tasks that may run there or whose end there is not recorded. No leader
+  /// starts anything else there until a newer record says otherwise. Empty: any
+  /// task may run there.
   std::optional<std::vector<std::string>> tasks;
 };
 
-/// A chain key as it stands.
+/// A chain key as it is stored.
 struct ChainLink {
   int64_t revision = 0;
   uint64_t sequence = 0;
 };
 
-/// What lies under a chain key: the number of its lane's newest batch, and
+/// The value of a chain key: the number of its lane's newest batch, and
 /// JournalOwner::PlacesHoldTo.
 std::string EncodeSequence(uint64_t sequence, int64_t places_hold_to);
-/// 0 if the text is not of that form.
+/// Returns 0 if the text is not of that form.
 uint64_t DecodeSequence(std::string_view text);
-/// Whoever wrote this chain key starts nothing that `KnownWorker::runs`
-/// excludes. Versions that knew of no such names wrote none of this.
+/// The writer of this chain key starts nothing that `KnownWorker::tasks`
+/// excludes. Versions that did not know these task lists did not write the
+/// field.
 bool KeepsToNames(std::string_view text);
-/// JournalOwner::PlacesHoldTo of whoever wrote this chain key; 0: unknown.
+/// JournalOwner::PlacesHoldTo of the writer of this chain key; 0: unknown.
 int64_t DecodePlacesHoldTo(std::string_view text);
 
-/// What lies under the workers' key. It stands apart from the chain, since it
-/// is long and changes seldom.
+/// The value of the workers' key. It is separate from the chain because it is
+/// long and changes seldom.
 std::string EncodeWorkers(const std::vector<KnownWorker>& workers);
 std::vector<KnownWorker> DecodeWorkers(std::string_view text);
 
 struct JournalOptions {
-  /// How long changes that nobody waits for are gathered.
+  /// How long changes that no caller waits for are gathered.
   Millis delay{80};
   Millis retry_pause{120};
-  /// Longest wait of a caller for its job to be recorded.
+  /// Longest time that a caller waits for its job to be recorded.
   Millis patience{2000};
   CommitFlowOptions flow;
 };
 
-/// The cell, as the journal needs it.
+/// The cell as seen by the journal.
 class JournalOwner {
  public:
   virtual ~JournalOwner() = default;
 
   virtual std::string EncodeState(const std::string& job) = 0;
-  /// The recorded places of lasting tasks hold, for instances that had
+  /// Recorded placements of long-running tasks are reliable for instances that
   /// registered in the store up to this revision; 0: for none.
   virtual int64_t PlacesHoldTo() = 0;
-  /// Highest end that a worker has listed, of the workers with ends that are
-  /// not recorded yet; all of what they changed is marked dirty.
+  /// For each worker with ends that are not recorded yet, the highest end it
+  /// has listed. All jobs changed by those ends are marked dirty.
   virtual std::map<std::string, uint64_t> ListedEnds() = 0;
 
   virtual void OnAccepted(const JobPlan& plan) = 0;
-  /// The state stands as it was last encoded; a newer one may wait.
+  /// The state is stored as it was last encoded; a newer one may be pending.
   virtual void OnStateWritten(const std::string& job) = 0;
-  /// The newest state stands.
+  /// The newest state is stored.
   virtual void OnStateRecorded(const std::string& job) = 0;
   virtual void OnEndsRecorded(const std::map<std::string, uint64_t>& ends) = 0;
   virtual void OnWorkersRecorded(const std::vector<KnownWorker>& workers) = 0;
-  /// A batch that was sent then has met the lead key as it is expected.
+  /// A batch sent at that time found the lead key at the expected revision.
   virtual void OnLeadShown(Instant sent) = 0;
-  /// Another instance leads, or nobody.
+  /// Another instance leads, or none does.
   virtual void OnLeadLost(std::string_view reason) = 0;
 };
 
@@ -127,8 +129,8 @@
 
 class CellJournal {
  public:
-  /// Failure: CoreErrc::kStoreUnavailable (surely not accepted), kNoOwner (the
-  /// lead is lost; surely not accepted) or kOutcomeUnknown.
+  /// Errors: CoreErrc::kStoreUnavailable (certainly not accepted), kNoOwner
+  /// (leadership is lost; certainly not accepted) or kOutcomeUnknown.
   using AcceptCallback = std::function<void(std::error_code, AcceptOutcome)>;
 
   CellJournal(Executor& executor,
@@ -138,35 +140,35 @@
               const JournalOptions& options,
               std::string cell);
 
-  /// Begins with the lead key's revision and the chain keys that stand, by
+  /// Starts with the revision of the lead key and the stored chain keys, by
   /// lane.
   void Open(int64_t lead_revision, const std::map<size_t, ChainLink>& chains);
-  /// Answers all that wait; sends nothing more.
+  /// Answers all pending calls; sends nothing more.
   void Close();
 
-  /// Refused at once, as surely not accepted, where the store does not take
-  /// batches, is silent, or would have the job later than callers wait for.
+  /// Refused at once, as certainly not accepted, if the store does not accept
+  /// batches, is unresponsive, or would record the job later than callers wait.
   void Accept(JobPlan plan, AcceptCallback done);
   void MarkDirty(const std::string& job, bool urgent);
-  /// Replaces the workers under the workers' key.
+  /// Replaces the workers stored under the workers' key.
   void SetWorkers(std::vector<KnownWorker> workers);
-  /// For a leader that hands over: what waits now, new jobs and what somebody
-  /// waits for, is still recorded; nothing that comes later is. Ends that are
+  /// For a leader that hands over: new jobs and changes with waiting callers
+  /// that are pending now are still recorded, later ones are not. Ends that are
   /// not recorded stay listed by their workers.
   void Seal();
-  /// After `Seal`: all that was to be recorded is, and no batch is under way.
+  /// After `Seal`: all that had to be recorded is, and no batch is in flight.
   bool settled() const;
-  /// Sends a batch soon, also if there is nothing to record.
+  /// Sends a batch soon, even if there is nothing to record.
   void Touch();
-  /// Removes all keys of a job that is long over.
+  /// Removes all keys of a job that ended long ago.
   void Forget(const std::string& job);
 
-  /// The job is being recorded; it may stand in the store already.
+  /// The job is being recorded and may already be stored.
   bool IsRecording(std::string_view job) const;
   /// Every change is in the store.
   bool idle() const;
   uint64_t commits() const { return commits_; }
-  /// Records that wait to be sent: new jobs and states.
+  /// Records waiting to be sent: new jobs and states.
   size_t waiting() const { return accepts_.size() + dirty_.size(); }
   const CommitFlow& flow() const { return flow_; }
 
@@ -174,69 +176,69 @@
   struct PendingAccept {
     JobPlan plan;
     AcceptCallback done;
-    Instant until{};
+    Instant deadline{};
     bool answered = false;
   };
   struct Batch {
     /// Counts all batches built, on any lane.
     uint64_t number = 0;
-    /// Set where the batch records the workers.
+    /// Set if the batch records the workers.
     std::optional<std::vector<KnownWorker>> workers;
     std::vector<PendingAccept> accepts;
     std::vector<std::string> states;
-    std::vector<std::string> forgotten;
+    std::vector<std::string> removals;
     StoreTransaction transaction;
     Instant sent{};
-    /// An earlier sending was not answered.
+    /// An earlier attempt was not answered.
     bool unanswered = false;
   };
   struct Lane {
-    /// Its key's revision in the store, and the number of the newest batch.
+    /// Revision of the chain key in the store, and number of the newest batch.
     ChainLink chain;
     std::optional<Batch> batch;
-    /// The next batch goes even if it carries nothing: a sending of an earlier
-    /// one may still be on its way, and ends with it.
-    bool probing = false;
+    /// The next batch is sent even if it is empty: an earlier attempt may still
+    /// reach the store, and this batch prevents it from taking effect.
+    bool force_commit = false;
   };
 
-  /// Ends that workers had listed at one moment, and the jobs that they changed
+  /// Ends that workers had listed at one time, and the jobs changed by them
   /// whose new state is not recorded yet, each with the number of the first
-  /// batch that has that state.
+  /// batch that contains that state.
   struct EndsToRecord {
     std::map<std::string, uint64_t> ends;
     std::map<std::string, uint64_t> jobs;
   };
 
-  void Wake(Millis delay);
+  void ScheduleSend(Millis delay);
   void Send();
-  std::optional<size_t> LaneToSend() const;
-  bool HasSomethingToSend() const;
-  bool HasLastUrgent() const;
-  /// Nothing if there is only what other lanes carry already.
+  std::optional<size_t> FindLaneToSend() const;
+  bool HasPendingWork() const;
+  bool HasSealedUrgent() const;
+  /// Empty if there is only what other lanes carry already.
   std::optional<Batch> Build(size_t lane);
-  void NoteEnds();
+  void CaptureEnds();
   void AddWorkers(Batch* batch);
   void AddUrgent(Batch* batch);
   void AddAccepts(Batch* batch);
   void AddStates(Batch* batch);
   void AddState(const std::string& job, Batch* batch);
-  void AddForgotten(Batch* batch);
-  void NoteRecorded(const Batch& batch);
+  void AddRemovals(Batch* batch);
+  void UpdateRecordedEnds(const Batch& batch);
   void Submit(size_t lane);
   void OnAnswer(size_t lane, std::error_code error, const StoreCommit& commit);
-  void OnUnanswered(size_t lane);
+  void ScheduleResend(size_t lane);
   void OnConflict(size_t lane, const StoreCommit& commit);
-  void OnRefused(size_t lane);
-  void Succeed(size_t lane, int64_t revision);
-  /// Takes a batch whose outcome is known off its lane.
-  Batch Settle(size_t lane);
-  /// Puts everything of the batch back that is not answered.
-  void TakeBack(Batch batch);
-  void AnswerOverdue();
-  void RefuseWaiting();
-  void Refuse(PendingAccept* accept);
-  /// A lane carries the job: it may take effect yet.
-  bool IsUnderWay(std::string_view job) const;
+  void OnRejected(size_t lane);
+  void OnCommitted(size_t lane, int64_t revision);
+  /// Removes a batch whose outcome is known from its lane.
+  Batch DetachBatch(size_t lane);
+  /// Puts everything in the batch that is not answered back into the queues.
+  void Requeue(Batch batch);
+  void AnswerExpiredAccepts();
+  void RejectQueuedAccepts();
+  void RejectAccept(PendingAccept* accept);
+  /// A lane carries the job, so it may still take effect.
+  bool IsInFlight(std::string_view job) const;
   static void Answer(PendingAccept* accept,
                      std::error_code error,
                      AcceptOutcome outcome);
@@ -249,7 +251,7 @@
   const std::string cell_;
 
   bool open_ = false;
-  /// Rises with each opening, so that answers to earlier ones are dropped.
+  /// Increases with each opening, so that answers to earlier ones are dropped.
   uint64_t generation_ = 0;
   int64_t lead_revision_ = 0;
   std::vector<Lane> lanes_;
@@ -258,24 +260,24 @@
   std::vector<KnownWorker> workers_;
   bool workers_changed_ = false;
   /// A lane carries the workers.
-  bool workers_under_way_ = false;
-  /// The next batch goes even if it carries nothing, to hear whether the store
-  /// takes batches again.
-  bool probing_ = false;
+  bool workers_in_flight_ = false;
+  /// The next batch is sent even if it is empty, to find out whether the store
+  /// accepts batches again.
+  bool force_commit_ = false;
   std::deque<PendingAccept> accepts_;
   /// Jobs whose state is to be recorded, and the order in which they changed.
   std::set<std::string> dirty_;
   std::deque<std::string> dirty_order_;
-  /// Those of them that somebody waits for.
+  /// Those that a caller waits for.
   std::set<std::string> urgent_;
-  /// Once sealed: those of them that are still to be recorded.
-  std::optional<std::set<std::string>> last_urgent_;
-  /// Jobs that a lane carries a key of.
-  std::set<std::string> under_way_;
-  std::set<std::string> to_forget_;
+  /// Once sealed: the urgent jobs that still have to be recorded.
+  std::optional<std::set<std::string>> sealed_urgent_;
+  /// Jobs with a key in a batch in flight.
+  std::set<std::string> in_flight_jobs_;
+  std::set<std::string> to_remove_;
   std::optional<EndsToRecord> ends_;
-  /// The newest answer says that the store does not take batches.
-  bool refusing_ = false;
+  /// According to its newest answer the store does not accept batches.
+  bool store_unavailable_ = false;
   Instant last_success_{};
   uint64_t commits_ = 0;
   Executor::TimerId timer_ = 0;
--- a/src/include/doorwood/record_store.h
+++ b/src/include/doorwood/record_store.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Port to a key-value store with conditional transactions over many keys.
-/// Everything of doorwood that must last lies in it.
+/// Port to a key-value store with conditional transactions over several keys.
+/// It holds all persistent data of doorwood.
 
 #ifndef DOORWOOD_RECORD_STORE_H_
 #define DOORWOOD_RECORD_STORE_H_
@@ -19,19 +19,19 @@
 namespace doorwood {
 
 /// One key. `revision` is the store-wide number of its last change, `created`
-/// that of its creation; both rise over the store's whole life.
+/// that of its creation; both increase over the whole lifetime of the store.
 struct StoreItem {
   std::string key;
   std::string value;
   int64_t revision = 0;
   int64_t created = 0;
-  /// The key goes with this lease; 0: it stays.
+  /// The key is removed with this lease; 0: it has none.
   int64_t lease = 0;
-  /// Only in the events of a watch: the key is no longer there.
+  /// Set only in events of a watch: the key was removed.
   bool gone = false;
 };
 
-/// A transaction holds only if `key` stands at `revision`; 0: is absent.
+/// Condition of a transaction: `key` is at `revision`; 0: `key` does not exist.
 struct ExpectedRevision {
   std::string key;
   int64_t revision = 0;
@@ -43,7 +43,7 @@
   int64_t lease = 0;
 };
 
-/// Takes effect whole or not at all.
+/// Takes effect completely or not at all.
 struct StoreTransaction {
   std::vector<ExpectedRevision> expected;
   std::vector<StorePut> puts;
@@ -54,14 +54,14 @@
   }
 };
 
-/// Most entries of one transaction (the platform's own bound).
-constexpr size_t kMostTransactionEntries = 32;
+/// Maximum number of entries of one transaction (a limit of the platform).
+constexpr size_t kMaxTransactionEntries = 32;
 
 /// Outcome of a transaction.
 struct StoreCommit {
   /// The revision at which it took effect.
   int64_t revision = 0;
-  /// After KvErrc::kConflict: what stands now under the expected keys.
+  /// After KvErrc::kConflict: the current items of the expected keys.
   std::vector<StoreItem> current;
 };
 
@@ -71,9 +71,9 @@
   int64_t at = 0;
 };
 
-/// Calls finish on the control thread, exactly once, with a KvErrc on
+/// Calls complete on the control thread, exactly once, with a KvErrc on
 /// failure. After KvErrc::kUnknown a transaction may have taken effect, or may
-/// still do so while its expectations hold.
+/// still do so while its conditions hold.
 class RecordStore {
  public:
   template <typename T>
@@ -81,19 +81,19 @@
 
   virtual ~RecordStore() = default;
 
-  /// KvErrc::kNotFound if there is no such key. Linearizable.
+  /// Fails with KvErrc::kNotFound if the key does not exist. Linearizable.
   virtual void Get(const std::string& key, Callback<StoreItem> done) = 0;
-  /// Every item under `prefix`. Linearizable a page, not as a whole.
+  /// All items under `prefix`. Each page is linearizable, the whole is not.
   virtual void List(const std::string& prefix, Callback<StoreItems> done) = 0;
   /// Waits up to `wait` for changes under `prefix` after revision `after`.
-  /// KvErrc::kCompacted: list again.
+  /// After KvErrc::kCompacted the caller has to list again.
   virtual void Watch(const std::string& prefix,
                      int64_t after,
                      Millis wait,
                      Callback<StoreItems> done) = 0;
   virtual void Commit(const StoreTransaction& transaction,
                       Callback<StoreCommit> done) = 0;
-  /// The new lease's id.
+  /// Returns the id of the new lease.
   virtual void GrantLease(Millis lifetime, Callback<int64_t> done) = 0;
   virtual void KeepLease(int64_t lease, Callback<int64_t> done) = 0;
   virtual void EndLease(int64_t lease, Callback<int64_t> done) = 0;
--- a/src/libdoorwood/cell/cell_journal.cpp
+++ b/src/libdoorwood/cell/cell_journal.cpp
@@ -11,13 +11,13 @@
 namespace doorwood {
 namespace {
 
-constexpr std::string_view kCellFolder = "doorwood/cell/";
-constexpr std::string_view kJobFolder = "doorwood/job/";
-constexpr std::string_view kChain = "chain";
-constexpr const char* kKeepsToNames = "keeps_to_names";
-constexpr const char* kPlacesHoldTo = "places_hold_to";
+constexpr std::string_view kCellKeyPrefix = "doorwood/cell/";
+constexpr std::string_view kJobKeyPrefix = "doorwood/job/";
+constexpr std::string_view kChainKeySuffix = "chain";
+constexpr const char* kKeepsToTaskListsField = "keeps_to_names";
+constexpr const char* kPlacementsValidField = "places_hold_to";
 
-// Names of another form than a leader writes: any task may run there.
+// If the list is not of the form that leaders write, any task may run there.
 std::optional<std::vector<std::string>> DecodeTasks(const Json& row) {
   std::vector<std::string> runs;
   for (const Json& name : row) {
@@ -41,8 +41,8 @@
     if (row.size() > 3) {
       worker.tasks = DecodeTasks(row.at(3));
     }
-    const bool usable = IsPlainWord(worker.id) && IsPlainWord(worker.address);
-    return usable ? std::optional(std::move(worker)) : std::nullopt;
+    const bool valid = IsPlainWord(worker.id) && IsPlainWord(worker.address);
+    return valid ? std::optional(std::move(worker)) : std::nullopt;
   } catch (const std::exception&) {
     return std::nullopt;
   }
@@ -51,11 +51,11 @@
 }  // namespace
 
 std::string CellPrefix(std::string_view cell) {
-  return std::string(kCellFolder) + std::string(cell) + "/";
+  return std::string(kCellKeyPrefix) + std::string(cell) + "/";
 }
 
 std::string ChainKey(std::string_view cell, size_t lane) {
-  const std::string first = CellPrefix(cell) + std::string(kChain);
+  const std::string first = CellPrefix(cell) + std::string(kChainKeySuffix);
   return lane == 0 ? first : first + "/" + std::to_string(lane);
 }
 
@@ -88,13 +88,13 @@
 }
 
 std::string JobIdKey(std::string_view job) {
-  return std::string(kJobFolder) + std::string(job);
+  return std::string(kJobKeyPrefix) + std::string(job);
 }
 
 std::string EncodeSequence(uint64_t sequence, int64_t places_hold_to) {
   return Json{{"sequence", sequence},
-              {kKeepsToNames, true},
-              {kPlacesHoldTo, places_hold_to}}
+              {kKeepsToTaskListsField, true},
+              {kPlacementsValidField, places_hold_to}}
       .dump();
 }
 
@@ -108,13 +108,13 @@
 bool KeepsToNames(std::string_view text) {
   const auto json = ParseJson(text);
   const bool is_object = json && json->is_object();
-  return is_object && json->contains(kKeepsToNames) &&
-         json->at(kKeepsToNames) == true;
+  return is_object && json->contains(kKeepsToTaskListsField) &&
+         json->at(kKeepsToTaskListsField) == true;
 }
 
 int64_t DecodePlacesHoldTo(std::string_view text) {
   const auto revision = DecodeObject(text, [](const Json& json) {
-    return ReadWholeOr(json, kPlacesHoldTo, 0);
+    return ReadWholeOr(json, kPlacementsValidField, 0);
   });
   return std::max<int64_t>(revision.value_or(0), 0);
 }
@@ -136,7 +136,7 @@
   const auto json = ParseJson(text);
   if (json && json->is_array()) {
     for (const Json& row : *json) {
-      // A row of another form names no worker; the others hold.
+      // Skip rows of another form; the other rows stay valid.
       if (auto worker = DecodeKnownWorker(row)) {
         workers.push_back(std::move(*worker));
       }
@@ -163,11 +163,11 @@
                        const std::map<size_t, ChainLink>& chains) {
   ++generation_;
   open_ = true;
-  refusing_ = false;
+  store_unavailable_ = false;
   lead_revision_ = lead_revision;
-  lanes_.assign(options_.flow.most_lanes, Lane{});
+  lanes_.assign(options_.flow.max_lanes, Lane{});
   for (const auto& [lane, chain] : chains) {
-    // A later version may have had more lanes; nobody writes those now.
+    // Another version may have had more lanes; nobody writes those now.
     if (lane < lanes_.size()) {
       lanes_[lane].chain = chain;
     }
@@ -190,13 +190,13 @@
   dirty_.clear();
   dirty_order_.clear();
   urgent_.clear();
-  last_urgent_.reset();
-  under_way_.clear();
-  to_forget_.clear();
+  sealed_urgent_.reset();
+  in_flight_jobs_.clear();
+  to_remove_.clear();
   ends_.reset();
   workers_changed_ = false;
-  workers_under_way_ = false;
-  probing_ = false;
+  workers_in_flight_ = false;
+  force_commit_ = false;
   flow_.Clear();
   for (PendingAccept& accept : waiting) {
     Answer(&accept, CoreErrc::kNoOwner, {});
@@ -212,19 +212,19 @@
 }
 
 bool CellJournal::IsRecording(std::string_view job) const {
-  return IsUnderWay(job) || std::any_of(accepts_.begin(), accepts_.end(),
+  return IsInFlight(job) || std::any_of(accepts_.begin(), accepts_.end(),
                                         [job](const PendingAccept& accept) {
                                           return accept.plan.id == job;
                                         });
 }
 
-bool CellJournal::IsUnderWay(std::string_view job) const {
-  const auto is_it = [job](const PendingAccept& accept) {
+bool CellJournal::IsInFlight(std::string_view job) const {
+  const auto is_this_job = [job](const PendingAccept& accept) {
     return accept.plan.id == job;
   };
   return std::any_of(lanes_.begin(), lanes_.end(), [&](const Lane& lane) {
     return lane.batch && std::any_of(lane.batch->accepts.begin(),
-                                     lane.batch->accepts.end(), is_it);
+                                     lane.batch->accepts.end(), is_this_job);
   });
 }
 
@@ -234,20 +234,20 @@
 }
 
 void CellJournal::Seal() {
-  if (!last_urgent_) {
-    last_urgent_ = urgent_;
+  if (!sealed_urgent_) {
+    sealed_urgent_ = urgent_;
   }
 }
 
-bool CellJournal::HasLastUrgent() const {
-  return last_urgent_ && std::any_of(last_urgent_->begin(), last_urgent_->end(),
-                                     [this](const std::string& job) {
-                                       return urgent_.contains(job);
-                                     });
+bool CellJournal::HasSealedUrgent() const {
+  return sealed_urgent_ &&
+         std::any_of(
+             sealed_urgent_->begin(), sealed_urgent_->end(),
+             [this](const std::string& job) { return urgent_.contains(job); });
 }
 
 bool CellJournal::settled() const {
-  return flow_.under_way() == 0 && accepts_.empty() && !HasLastUrgent();
+  return flow_.under_way() == 0 && accepts_.empty() && !HasSealedUrgent();
 }
 
 void CellJournal::Answer(PendingAccept* accept,
@@ -260,21 +260,22 @@
 }
 
 void CellJournal::Accept(JobPlan plan, AcceptCallback done) {
-  if (!open_ || (last_urgent_ && !IsRecording(plan.id))) {
+  if (!open_ || (sealed_urgent_ && !IsRecording(plan.id))) {
     done(CoreErrc::kNoOwner, {});
     return;
   }
-  // A job that a batch carries already is not refused: it may be taken.
+  // A job that a batch in flight carries is not refused, since it may be
+  // accepted.
   const Instant now = executor_.Now();
-  const bool too_late =
-      refusing_ || flow_.IsSilent(now) || !flow_.IsInTime(accepts_.size());
+  const bool too_late = store_unavailable_ || flow_.IsUnresponsive(now) ||
+                        !flow_.IsWithinDeadline(accepts_.size());
   if (too_late && !IsRecording(plan.id)) {
     done(CoreErrc::kStoreUnavailable, {});
     return;
   }
   accepts_.push_back(
       {std::move(plan), std::move(done), now + options_.patience});
-  Wake(Millis(0));
+  ScheduleSend(Millis(0));
 }
 
 void CellJournal::MarkDirty(const std::string& job, bool urgent) {
@@ -287,32 +288,32 @@
   if (urgent) {
     urgent_.insert(job);
   }
-  Wake(urgent ? Millis(0) : options_.delay);
+  ScheduleSend(urgent ? Millis(0) : options_.delay);
 }
 
 void CellJournal::SetWorkers(std::vector<KnownWorker> workers) {
   if (open_) {
     workers_ = std::move(workers);
     workers_changed_ = true;
-    Wake(Millis(0));
+    ScheduleSend(Millis(0));
   }
 }
 
 void CellJournal::Touch() {
   if (open_) {
-    probing_ = true;
-    Wake(Millis(0));
+    force_commit_ = true;
+    ScheduleSend(Millis(0));
   }
 }
 
 void CellJournal::Forget(const std::string& job) {
   if (open_) {
-    to_forget_.insert(job);
-    Wake(options_.delay);
+    to_remove_.insert(job);
+    ScheduleSend(options_.delay);
   }
 }
 
-void CellJournal::Wake(Millis delay) {
+void CellJournal::ScheduleSend(Millis delay) {
   const Instant at = executor_.Now() + delay;
   if (timer_ != 0) {
     if (timer_at_ <= at) {
@@ -329,20 +330,21 @@
 
 // --- Building and sending ---
 
-std::optional<size_t> CellJournal::LaneToSend() const {
-  // While the store refuses, one batch at a time asks whether it still does.
-  const bool may =
-      refusing_ ? flow_.under_way() == 0 : flow_.MaySend(executor_.Now());
-  if (!may) {
+std::optional<size_t> CellJournal::FindLaneToSend() const {
+  // While the store does not accept batches, one batch at a time checks whether
+  // it still does not.
+  const bool may_send = store_unavailable_ ? flow_.under_way() == 0
+                                           : flow_.MaySend(executor_.Now());
+  if (!may_send) {
     return std::nullopt;
   }
-  // A lane that must send goes first; otherwise the first that is free.
+  // A lane that has to send goes first; otherwise the first free one.
   std::optional<size_t> first;
   for (size_t lane = 0; lane < lanes_.size(); ++lane) {
     if (lanes_[lane].batch) {
       continue;
     }
-    if (lanes_[lane].probing) {
+    if (lanes_[lane].force_commit) {
       return lane;
     }
     first = first ? first : lane;
@@ -350,14 +352,14 @@
   return first;
 }
 
-bool CellJournal::HasSomethingToSend() const {
-  if (last_urgent_) {
-    return !accepts_.empty() || HasLastUrgent();
+bool CellJournal::HasPendingWork() const {
+  if (sealed_urgent_) {
+    return !accepts_.empty() || HasSealedUrgent();
   }
-  return !accepts_.empty() || !dirty_.empty() || !to_forget_.empty() ||
-         (workers_changed_ && !workers_under_way_) || probing_ ||
+  return !accepts_.empty() || !dirty_.empty() || !to_remove_.empty() ||
+         (workers_changed_ && !workers_in_flight_) || force_commit_ ||
          std::any_of(lanes_.begin(), lanes_.end(), [](const Lane& lane) {
-           return lane.probing && !lane.batch;
+           return lane.force_commit && !lane.batch;
          });
 }
 
@@ -365,15 +367,16 @@
   if (!open_) {
     return;
   }
-  AnswerOverdue();
-  if (!HasSomethingToSend()) {
+  AnswerExpiredAccepts();
+  if (!HasPendingWork()) {
     return;
   }
-  const auto lane = LaneToSend();
+  const auto lane = FindLaneToSend();
   if (!lane) {
-    // An answer leads on; without one, callers are still told in time.
-    const Millis pause = flow_.SendPause(executor_.Now());
-    Wake(pause > Millis(0) ? pause : options_.flow.doubt_after);
+    // An answer triggers the next send; without one, callers still have to be
+    // answered in time.
+    const Millis pause = flow_.SendDelay(executor_.Now());
+    ScheduleSend(pause > Millis(0) ? pause : options_.flow.min_stall_time);
     return;
   }
   lanes_[*lane].batch = Build(*lane);
@@ -387,7 +390,7 @@
   Batch& batch = *lanes_[lane].batch;
   batch.sent = executor_.Now();
   if (batch.unanswered) {
-    flow_.OnSentAgain(lane, batch.sent);
+    flow_.OnResent(lane, batch.sent);
   } else {
     flow_.OnSent(lane, batch.sent);
   }
@@ -398,10 +401,10 @@
                     OnAnswer(lane, error, commit);
                   }
                 });
-  // What is left goes beside it; callers are told in time even if the store is
-  // not heard of.
-  Wake(HasSomethingToSend() ? options_.flow.spread
-                            : options_.flow.silent_after);
+  // The rest is sent on another lane. The timer also answers callers in time if
+  // the store does not respond.
+  ScheduleSend(HasPendingWork() ? options_.flow.send_interval
+                                : options_.flow.unresponsive_after);
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/cell/cell_journal_answers.cpp
+++ b/src/libdoorwood/cell/cell_journal_answers.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// What the store's answers to batches mean, and what callers are told.
+// How the store's answers to batches are handled, and what callers are
+// answered.
 
 #include <algorithm>
 #include <utility>
@@ -28,7 +29,7 @@
                            const StoreCommit& commit) {
   if (!error) {
     const Instant sent = lanes_[lane].batch->sent;
-    Succeed(lane, commit.revision);
+    OnCommitted(lane, commit.revision);
     owner_.OnLeadShown(sent);
     return;
   }
@@ -38,28 +39,28 @@
   }
   const bool unknown = error == make_error_code(KvErrc::kUnknown);
   Batch& batch = *lanes_[lane].batch;
-  // An answer that was lost while others came says nothing of the store.
-  const bool silent = last_success_ < batch.sent;
-  if (!refusing_ && (!unknown || silent)) {
-    log_.Write("warn", "journal", "the store does not take a batch",
+  // A lost answer while others arrived says nothing about the store.
+  const bool no_success_since_sent = last_success_ < batch.sent;
+  if (!store_unavailable_ && (!unknown || no_success_since_sent)) {
+    log_.Write("warn", "journal", "store did not accept a batch",
                {{"cell", cell_},
                 {"lane", lane},
                 {"sequence", lanes_[lane].chain.sequence},
                 {"waiting", waiting()},
                 {"answer_ms", flow_.answer_time().count()},
                 {"error", error.message()}});
-    refusing_ = true;
+    store_unavailable_ = true;
   }
   batch.unanswered = batch.unanswered || unknown;
   if (batch.unanswered) {
-    OnUnanswered(lane);
+    ScheduleResend(lane);
   } else {
-    OnRefused(lane);
+    OnRejected(lane);
   }
 }
 
-void CellJournal::OnUnanswered(size_t lane) {
-  AnswerOverdue();
+void CellJournal::ScheduleResend(size_t lane) {
+  AnswerExpiredAccepts();
   executor_.Schedule(options_.retry_pause,
                      [this, lane, generation = generation_] {
                        if (generation == generation_ && lanes_[lane].batch) {
@@ -68,45 +69,45 @@
                      });
 }
 
-void CellJournal::OnRefused(size_t lane) {
-  // Surely nothing was done. New jobs are told so at once; what has happened
-  // already is kept for the next batch.
-  Batch batch = Settle(lane);
+void CellJournal::OnRejected(size_t lane) {
+  // The batch certainly had no effect. New jobs are refused at once; changes
+  // that have already happened go into the next batch.
+  Batch batch = DetachBatch(lane);
   for (PendingAccept& accept : batch.accepts) {
-    Refuse(&accept);
+    RejectAccept(&accept);
   }
   batch.accepts.clear();
-  RefuseWaiting();
-  probing_ = true;  // keeps on asking until the store takes batches again
-  TakeBack(std::move(batch));
-  Wake(options_.retry_pause);
+  RejectQueuedAccepts();
+  force_commit_ = true;  // Retry until the store accepts batches again.
+  Requeue(std::move(batch));
+  ScheduleSend(options_.retry_pause);
 }
 
-CellJournal::Batch CellJournal::Settle(size_t lane) {
+CellJournal::Batch CellJournal::DetachBatch(size_t lane) {
   Batch batch = std::move(*lanes_[lane].batch);
   lanes_[lane].batch.reset();
   flow_.OnAnswered(lane, executor_.Now());
   if (batch.workers) {
-    workers_under_way_ = false;
+    workers_in_flight_ = false;
   }
   for (const std::string& job : batch.states) {
-    under_way_.erase(job);
+    in_flight_jobs_.erase(job);
   }
-  for (const std::string& job : batch.forgotten) {
-    under_way_.erase(job);
+  for (const std::string& job : batch.removals) {
+    in_flight_jobs_.erase(job);
   }
   return batch;
 }
 
-void CellJournal::TakeBack(Batch batch) {
+void CellJournal::Requeue(Batch batch) {
   workers_changed_ = workers_changed_ || batch.workers.has_value();
   for (const std::string& job : batch.states) {
     if (dirty_.insert(job).second) {
       dirty_order_.push_front(job);
     }
   }
-  for (const std::string& job : batch.forgotten) {
-    to_forget_.insert(job);
+  for (const std::string& job : batch.removals) {
+    to_remove_.insert(job);
   }
   for (PendingAccept& accept : batch.accepts) {
     if (!accept.answered) {
@@ -116,7 +117,7 @@
 }
 
 void CellJournal::OnConflict(size_t lane, const StoreCommit& commit) {
-  refusing_ = false;
+  store_unavailable_ = false;
   const StoreItem* lead = FindItem(commit, LeadKey(cell_));
   if (RevisionOf(lead) != lead_revision_) {
     owner_.OnLeadLost("another revision of the lead key stands");
@@ -125,41 +126,41 @@
   const StoreItem* chain = FindItem(commit, ChainKey(cell_, lane));
   const int64_t chain_revision = RevisionOf(chain);
   if (chain_revision != lanes_[lane].chain.revision) {
-    const uint64_t stands =
+    const uint64_t stored_sequence =
         DecodeSequence(chain == nullptr ? "" : chain->value);
-    if (stands == lanes_[lane].chain.sequence) {
-      // The sending without an answer took effect.
-      Succeed(lane, chain_revision);
+    if (stored_sequence == lanes_[lane].chain.sequence) {
+      // The attempt that got no answer took effect.
+      OnCommitted(lane, chain_revision);
       return;
     }
     owner_.OnLeadLost("the chain key was written by someone else");
     return;
   }
-  // Some of the jobs are known already, here or in another cell.
-  Batch batch = Settle(lane);
-  std::vector<PendingAccept> fresh;
+  // Some of the jobs are already known, here or in another cell.
+  Batch batch = DetachBatch(lane);
+  std::vector<PendingAccept> new_accepts;
   for (PendingAccept& accept : batch.accepts) {
     if (RevisionOf(FindItem(commit, JobIdKey(accept.plan.id))) != 0) {
       Answer(&accept, {}, AcceptOutcome::kKnownAlready);
     } else {
-      fresh.push_back(std::move(accept));
+      new_accepts.push_back(std::move(accept));
     }
   }
-  batch.accepts = std::move(fresh);
-  lanes_[lane].probing = true;
-  TakeBack(std::move(batch));
-  Wake(Millis(0));
+  batch.accepts = std::move(new_accepts);
+  lanes_[lane].force_commit = true;
+  Requeue(std::move(batch));
+  ScheduleSend(Millis(0));
 }
 
-void CellJournal::Succeed(size_t lane, int64_t revision) {
+void CellJournal::OnCommitted(size_t lane, int64_t revision) {
   last_success_ = executor_.Now();
-  if (refusing_) {
-    refusing_ = false;
-    log_.Write("info", "journal", "the store takes batches again",
+  if (store_unavailable_) {
+    store_unavailable_ = false;
+    log_.Write("info", "journal", "store accepts batches again",
                {{"cell", cell_}, {"lane", lane}, {"revision", revision}});
   }
   lanes_[lane].chain.revision = revision;
-  Batch batch = Settle(lane);
+  Batch batch = DetachBatch(lane);
   for (PendingAccept& accept : batch.accepts) {
     owner_.OnAccepted(accept.plan);
     Answer(&accept, {}, AcceptOutcome::kAccepted);
@@ -170,28 +171,28 @@
       owner_.OnStateRecorded(job);
     }
   }
-  NoteRecorded(batch);
+  UpdateRecordedEnds(batch);
   if (batch.workers) {
     owner_.OnWorkersRecorded(*batch.workers);
   }
-  // What did not fit goes at once; otherwise changes are gathered again.
-  const bool was_full = batch.transaction.entries() >= kMostTransactionEntries;
+  // What did not fit is sent at once; otherwise changes are gathered again.
+  const bool was_full = batch.transaction.entries() >= kMaxTransactionEntries;
   if (!accepts_.empty() || workers_changed_ || !urgent_.empty() ||
       (was_full && !dirty_.empty())) {
-    Wake(Millis(0));
-  } else if (!dirty_.empty() || !to_forget_.empty()) {
-    Wake(options_.delay);
+    ScheduleSend(Millis(0));
+  } else if (!dirty_.empty() || !to_remove_.empty()) {
+    ScheduleSend(options_.delay);
   }
 }
 
-void CellJournal::NoteRecorded(const Batch& batch) {
+void CellJournal::UpdateRecordedEnds(const Batch& batch) {
   if (!ends_) {
     return;
   }
   for (const std::string& job : batch.states) {
-    const auto waited_for = ends_->jobs.find(job);
-    if (waited_for != ends_->jobs.end() && batch.number >= waited_for->second) {
-      ends_->jobs.erase(waited_for);
+    const auto awaited = ends_->jobs.find(job);
+    if (awaited != ends_->jobs.end() && batch.number >= awaited->second) {
+      ends_->jobs.erase(awaited);
     }
   }
   if (ends_->jobs.empty()) {
@@ -200,41 +201,43 @@
   }
 }
 
-void CellJournal::AnswerOverdue() {
+void CellJournal::AnswerExpiredAccepts() {
   const Instant now = executor_.Now();
   for (Lane& lane : lanes_) {
     if (!lane.batch) {
       continue;
     }
     for (PendingAccept& accept : lane.batch->accepts) {
-      if (accept.until <= now) {
+      if (accept.deadline <= now) {
         Answer(&accept, CoreErrc::kOutcomeUnknown, {});
       }
     }
   }
-  if (refusing_ || flow_.IsSilent(now)) {
-    RefuseWaiting();
+  if (store_unavailable_ || flow_.IsUnresponsive(now)) {
+    RejectQueuedAccepts();
   }
-  while (!accepts_.empty() && accepts_.front().until <= now) {
-    Refuse(&accepts_.front());
+  while (!accepts_.empty() && accepts_.front().deadline <= now) {
+    RejectAccept(&accepts_.front());
     accepts_.pop_front();
   }
 }
 
-void CellJournal::RefuseWaiting() {
+void CellJournal::RejectQueuedAccepts() {
   auto waiting = std::move(accepts_);
   accepts_.clear();
   for (PendingAccept& accept : waiting) {
-    Refuse(&accept);
+    RejectAccept(&accept);
   }
 }
 
-// Never sent, or surely without effect: not accepted, unless another lane
+// Never sent, or certainly without effect: not accepted, unless another lane
 // carries the same job for an earlier call.
-void CellJournal::Refuse(PendingAccept* accept) {
-  const bool unsure = IsUnderWay(accept->plan.id);
-  Answer(accept,
-         unsure ? CoreErrc::kOutcomeUnknown : CoreErrc::kStoreUnavailable, {});
+void CellJournal::RejectAccept(PendingAccept* accept) {
+  const bool may_be_stored = IsInFlight(accept->plan.id);
+  Answer(
+      accept,
+      may_be_stored ? CoreErrc::kOutcomeUnknown : CoreErrc::kStoreUnavailable,
+      {});
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/cell/cell_journal_build.cpp
+++ b/src/libdoorwood/cell/cell_journal_build.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// What goes into a batch, and in which order of need.
+// What goes into a batch, in order of priority.
 
 #include <algorithm>
 #include <utility>
@@ -10,14 +10,14 @@
 namespace doorwood {
 namespace {
 
-// Jobs whose keys go in one batch; three keys each.
-constexpr size_t kForgottenAtOnce = 4;
-// Entries that accepting one job takes: one expectation, two puts.
-constexpr size_t kEntriesOfAccept = 3;
-constexpr size_t kEntriesOfForgotten = 3;
-// Entries of a batch that new jobs leave to states that wait, so that ends are
-// recorded while jobs pour in.
-constexpr size_t kEntriesForStates = 8;
+// Jobs whose keys are removed in one batch; three keys each.
+constexpr size_t kRemovalsPerBatch = 4;
+// Entries needed to accept one job: one expectation, two puts.
+constexpr size_t kEntriesPerAccept = 3;
+constexpr size_t kEntriesPerRemoval = 3;
+// Entries of a batch that new jobs leave to pending states, so that ends are
+// recorded while many jobs arrive.
+constexpr size_t kEntriesReservedForStates = 8;
 
 }  // namespace
 
@@ -31,28 +31,29 @@
   transaction.expected.push_back({ChainKey(cell_, lane), chain.revision});
   transaction.puts.push_back(
       {ChainKey(cell_, lane), EncodeSequence(sequence, owner_.PlacesHoldTo())});
-  const size_t bare = transaction.entries();
-  NoteEnds();
+  const size_t base_entries = transaction.entries();
+  CaptureEnds();
   AddWorkers(&batch);
   AddUrgent(&batch);
   AddAccepts(&batch);
   AddStates(&batch);
-  AddForgotten(&batch);
-  if (transaction.entries() == bare && !probing_ && !lanes_[lane].probing) {
+  AddRemovals(&batch);
+  if (transaction.entries() == base_entries && !force_commit_ &&
+      !lanes_[lane].force_commit) {
     return std::nullopt;
   }
-  probing_ = false;
-  lanes_[lane].probing = false;
+  force_commit_ = false;
+  lanes_[lane].force_commit = false;
   chain.sequence = sequence;
   return batch;
 }
 
-void CellJournal::NoteEnds() {
+void CellJournal::CaptureEnds() {
   if (ends_) {
     return;
   }
   ends_ = EndsToRecord{owner_.ListedEnds(), {}};
-  for (const std::string& job : under_way_) {
+  for (const std::string& job : in_flight_jobs_) {
     ends_->jobs[job] = 0;
   }
   for (const std::string& job : dirty_) {
@@ -61,61 +62,62 @@
 }
 
 void CellJournal::AddWorkers(Batch* batch) {
-  if (!workers_changed_ || workers_under_way_) {
+  if (!workers_changed_ || workers_in_flight_) {
     return;
   }
   workers_changed_ = false;
-  workers_under_way_ = true;
+  workers_in_flight_ = true;
   batch->workers = workers_;
   batch->transaction.puts.push_back(
       {WorkersKey(cell_), EncodeWorkers(workers_)});
-  const bool any_unheard = std::any_of(
+  const bool any_not_contacted = std::any_of(
       workers_.begin(), workers_.end(),
       [](const auto& worker) { return worker.unheard > Millis(0); });
-  if (any_unheard) {
+  if (any_not_contacted) {
     batch->transaction.puts.push_back(
         {UnheardKey(cell_), std::to_string(batch->number)});
   }
 }
 
-void CellJournal::AddForgotten(Batch* batch) {
+void CellJournal::AddRemovals(Batch* batch) {
   StoreTransaction& transaction = batch->transaction;
-  for (auto it = to_forget_.begin();
-       it != to_forget_.end() && batch->forgotten.size() < kForgottenAtOnce &&
-       transaction.entries() + kEntriesOfForgotten <=
-           kMostTransactionEntries;) {
-    if (!under_way_.insert(*it).second) {
+  for (auto it = to_remove_.begin();
+       it != to_remove_.end() && batch->removals.size() < kRemovalsPerBatch &&
+       transaction.entries() + kEntriesPerRemoval <= kMaxTransactionEntries;) {
+    if (!in_flight_jobs_.insert(*it).second) {
       ++it;
       continue;
     }
-    batch->forgotten.push_back(*it);
+    batch->removals.push_back(*it);
     transaction.removes.push_back(JobIdKey(*it));
     transaction.removes.push_back(PlanKey(cell_, *it));
     transaction.removes.push_back(StateKey(cell_, *it));
-    it = to_forget_.erase(it);
+    it = to_remove_.erase(it);
   }
 }
 
 void CellJournal::AddAccepts(Batch* batch) {
   StoreTransaction& transaction = batch->transaction;
-  const size_t left_to_states = std::min(kEntriesForStates, dirty_.size());
-  const size_t most = kMostTransactionEntries - left_to_states;
+  const size_t reserved_for_states =
+      std::min(kEntriesReservedForStates, dirty_.size());
+  const size_t limit = kMaxTransactionEntries - reserved_for_states;
   while (!accepts_.empty() &&
-         transaction.entries() + kEntriesOfAccept <= most) {
+         transaction.entries() + kEntriesPerAccept <= limit) {
     PendingAccept accept = std::move(accepts_.front());
     accepts_.pop_front();
     const std::string& id = accept.plan.id;
-    const auto twin = std::find_if(
+    const auto duplicate = std::find_if(
         batch->accepts.begin(), batch->accepts.end(),
         [&id](const PendingAccept& other) { return other.plan.id == id; });
-    if (twin != batch->accepts.end()) {
-      // The same job twice at once: the second shares the first one's fate.
-      auto both = [first = std::move(twin->done), second = accept.done](
+    if (duplicate != batch->accepts.end()) {
+      // The same job twice in one batch: the second call gets the answer of the
+      // first.
+      auto both = [first = std::move(duplicate->done), second = accept.done](
                       std::error_code error, AcceptOutcome outcome) {
         first(error, outcome);
         second(error, outcome);
       };
-      twin->done = std::move(both);
+      duplicate->done = std::move(both);
       continue;
     }
     transaction.expected.push_back({JobIdKey(id), 0});
@@ -128,7 +130,7 @@
 void CellJournal::AddState(const std::string& job, Batch* batch) {
   dirty_.erase(job);
   urgent_.erase(job);
-  under_way_.insert(job);
+  in_flight_jobs_.insert(job);
   batch->transaction.puts.push_back(
       {StateKey(cell_, job), owner_.EncodeState(job)});
   batch->states.push_back(job);
@@ -137,9 +139,9 @@
 void CellJournal::AddUrgent(Batch* batch) {
   for (auto it = urgent_.begin();
        it != urgent_.end() &&
-       batch->transaction.entries() < kMostTransactionEntries;) {
-    const std::string job = *it++;  // adding it takes it out
-    if (!under_way_.contains(job)) {
+       batch->transaction.entries() < kMaxTransactionEntries;) {
+    const std::string job = *it++;  // AddState erases it.
+    if (!in_flight_jobs_.contains(job)) {
       AddState(job, batch);
     }
   }
@@ -148,13 +150,13 @@
 void CellJournal::AddStates(Batch* batch) {
   std::deque<std::string> later;
   while (!dirty_order_.empty() &&
-         batch->transaction.entries() < kMostTransactionEntries) {
+         batch->transaction.entries() < kMaxTransactionEntries) {
     const std::string job = std::move(dirty_order_.front());
     dirty_order_.pop_front();
     if (!dirty_.contains(job)) {
-      continue;  // went as an urgent one
+      continue;  // Already added as urgent.
     }
-    if (under_way_.contains(job)) {
+    if (in_flight_jobs_.contains(job)) {
       later.push_back(job);
     } else {
       AddState(job, batch);
--- a/src/libdoorwood/cell/cell_journal_load_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_load_test.cpp
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A busy cell's records while the store is slow, silent, or both by turns, in
-// virtual time. The load is that of 540 workers: 40 new jobs a second, 250 open
-// ones of which each changes ten times a second, a cancel now and then.
+// The journal of a busy cell while the store is slow, unresponsive, or
+// alternates between both, in virtual time. The load is that of 540 workers: 40
+// new jobs a second, 250 open jobs that each change ten times a second, and an
+// occasional cancel.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -16,7 +17,8 @@
 namespace doorwood {
 namespace {
 
-// A store whose answers take a time, half of it on the way there.
+// A store with a configurable answer time, half of it before the commit takes
+// effect.
 class SlowStore : public fakes::CommitOnlyStore {
  public:
   using CommitOnlyStore::CommitOnlyStore;
@@ -25,19 +27,19 @@
               Callback<StoreCommit> done) override {
     ++commits;
     entries += transaction.entries();
-    under_way_at_most = std::max(under_way_at_most, ++under_way_);
-    const bool loses = lose_every > 0 && commits % lose_every == 0;
-    if (silent || loses) {
-      constexpr Millis kPatience{1000};
-      const bool takes_effect = loses && !silent;
+    max_in_flight = std::max(max_in_flight, ++in_flight_);
+    const bool reply_lost = lose_every_nth > 0 && commits % lose_every_nth == 0;
+    if (unresponsive || reply_lost) {
+      constexpr Millis kTimeout{1000};
+      const bool takes_effect = reply_lost && !unresponsive;
       executor.Schedule(answer_time / 2, [this, transaction, takes_effect] {
         StoreCommit ignored;
         if (takes_effect) {
           model.Commit(transaction, &ignored);
         }
       });
-      executor.Schedule(kPatience, [this, done = std::move(done)] {
-        --under_way_;
+      executor.Schedule(kTimeout, [this, done = std::move(done)] {
+        --in_flight_;
         done(KvErrc::kUnknown, {});
       });
       return;
@@ -47,22 +49,22 @@
           StoreCommit commit;
           const std::error_code error = model.Commit(transaction, &commit);
           executor.Schedule(answer_time / 2, [this, error, commit, done] {
-            --under_way_;
+            --in_flight_;
             done(error, commit);
           });
         });
   }
 
   Millis answer_time{4};
-  bool silent = false;
-  /// Of so many commits one is done, but not answered; 0: none.
-  int lose_every = 0;
+  bool unresponsive = false;
+  /// One in this many commits takes effect without being answered; 0: none.
+  int lose_every_nth = 0;
   int commits = 0;
   size_t entries = 0;
-  int under_way_at_most = 0;
+  int max_in_flight = 0;
 
  private:
-  int under_way_ = 0;
+  int in_flight_ = 0;
 };
 
 struct Answer {
@@ -113,7 +115,7 @@
         });
   }
 
-  // The load for `length`, `arrivals` new jobs a second.
+  // Generates the load for `length`, with `arrivals` new jobs a second.
   void Load(Millis length, int arrivals = 40, int open_jobs = 250) {
     constexpr Millis kStep{25};
     constexpr int kChangesEachStep = 4;
@@ -174,11 +176,11 @@
   int next_change = 0;
 };
 
-const std::error_code taken;
-const std::error_code not_taken = CoreErrc::kStoreUnavailable;
-const std::error_code unsure = CoreErrc::kOutcomeUnknown;
+const std::error_code no_error;
+const std::error_code store_unavailable = CoreErrc::kStoreUnavailable;
+const std::error_code outcome_unknown = CoreErrc::kOutcomeUnknown;
 
-BOOST_AUTO_TEST_CASE(Records_StoreAnswersSlowly_KeepPace) {
+BOOST_AUTO_TEST_CASE(Journal_SlowStore_KeepsUpWithTheLoad) {
   struct Row {
     Millis answer_time;
     Millis accept_within;
@@ -193,18 +195,19 @@
     fixture.store.answer_time = row.answer_time;
     fixture.Load(Millis(6000));
     fixture.time.Run(Millis(2000));
-    // Ends go with the next batch.
+    // Ends are recorded with the next batch.
     fixture.journal.MarkDirty("open0", true);
     fixture.time.Run(Millis(1000));
     BOOST_TEST_CONTEXT(row.answer_time.count() << " ms an answer") {
       BOOST_TEST(fixture.answers.size() == 240U);
-      BOOST_TEST(fixture.Count(taken) == 240);
-      BOOST_TEST(fixture.Slowest(taken).count() <= row.accept_within.count());
+      BOOST_TEST(fixture.Count(no_error) == 240);
+      BOOST_TEST(fixture.Slowest(no_error).count() <=
+                 row.accept_within.count());
       BOOST_TEST(fixture.cancelled.empty());
       BOOST_TEST(std::max_element(fixture.cancel_times.begin(),
                                   fixture.cancel_times.end())
                      ->count() <= row.cancel_within.count());
-      // Everything stands as it is in the end.
+      // The store has the newest state of every job in the end.
       BOOST_TEST((fixture.encoded == fixture.changed));
       BOOST_TEST(fixture.recorded_end == fixture.listed_end);
       BOOST_TEST(!fixture.lost);
@@ -212,56 +215,58 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(Records_StoreAnswersInMilliseconds_OneCommitAtATime) {
+BOOST_AUTO_TEST_CASE(Journal_FastStore_OneCommitAtATime) {
   LoadFixture fixture;
   fixture.Load(Millis(3000));
-  BOOST_TEST(fixture.store.under_way_at_most == 1);
+  BOOST_TEST(fixture.store.max_in_flight == 1);
 }
 
-BOOST_AUTO_TEST_CASE(Accept_MoreThanFits_TheRestIsRefusedEarlyAndTruly) {
+BOOST_AUTO_TEST_CASE(Accept_Overload_ExcessIsRefusedAtOnce) {
   LoadFixture fixture;
   fixture.store.answer_time = Millis(400);
   fixture.Load(Millis(6000), /*arrivals=*/600);
   fixture.time.Run(Millis(3000));
   BOOST_TEST(fixture.answers.size() == 3600U);
-  BOOST_TEST(fixture.Count(unsure) == 0);
-  BOOST_TEST(fixture.Count(taken) >= 600);
-  BOOST_TEST(fixture.Slowest(taken).count() <= 1700);
-  BOOST_TEST(fixture.Slowest(not_taken).count() == 0);
+  BOOST_TEST(fixture.Count(outcome_unknown) == 0);
+  BOOST_TEST(fixture.Count(no_error) >= 600);
+  BOOST_TEST(fixture.Slowest(no_error).count() <= 1700);
+  BOOST_TEST(fixture.Slowest(store_unavailable).count() == 0);
   BOOST_TEST(fixture.accepted.size() ==
-             static_cast<size_t>(fixture.Count(taken)));
+             static_cast<size_t>(fixture.Count(no_error)));
 }
 
-BOOST_AUTO_TEST_CASE(Accept_StoreFallsSilent_FewAreUnsureTheRestRefusedEarly) {
+BOOST_AUTO_TEST_CASE(Accept_StoreStopsAnswering_FewOutcomesAreUnknown) {
   LoadFixture fixture;
   fixture.Load(Millis(1000));
-  fixture.store.silent = true;
+  fixture.store.unresponsive = true;
   fixture.Load(Millis(4000));
-  fixture.store.silent = false;
+  fixture.store.unresponsive = false;
   fixture.Load(Millis(2000));
   fixture.time.Run(Millis(2000));
-  // Those that had left before the silence showed; all others know at once, or
-  // within the time that shows it, that they were not taken.
-  BOOST_TEST(fixture.Count(unsure) <= 10);
-  BOOST_TEST(fixture.Slowest(not_taken).count() <= 800);
-  // Taken again once the calls that were under way in the silence have run out,
-  // 1 s, and have been sent again.
-  BOOST_TEST(fixture.Count(taken) >= 40 + 80 - 45);
+  // The outcome is unknown only for jobs sent before the store was found to be
+  // unresponsive. All others are refused at once, or within the time it takes
+  // to find that out.
+  BOOST_TEST(fixture.Count(outcome_unknown) <= 10);
+  BOOST_TEST(fixture.Slowest(store_unavailable).count() <= 800);
+  // Jobs are accepted again once the calls that were in flight during the
+  // outage have timed out after 1 s and have been sent again.
+  BOOST_TEST(fixture.Count(no_error) >= 40 + 80 - 45);
   BOOST_TEST((fixture.encoded == fixture.changed));
   BOOST_TEST(!fixture.lost);
 }
 
-BOOST_AUTO_TEST_CASE(Accept_EveryThirdAnswerIsLost_OthersAreTakenMeanwhile) {
+BOOST_AUTO_TEST_CASE(Accept_EveryThirdReplyLost_OthersAreAccepted) {
   LoadFixture fixture;
-  fixture.store.lose_every = 3;
+  fixture.store.lose_every_nth = 3;
   fixture.Load(Millis(6000), /*arrivals=*/40, /*open_jobs=*/60);
-  fixture.store.lose_every = 0;
+  fixture.store.lose_every_nth = 0;
   fixture.time.Run(Millis(3000));
   BOOST_TEST(fixture.answers.size() == 240U);
-  BOOST_TEST(fixture.Count(taken) >= 200);
-  // A refusal stays true.
+  BOOST_TEST(fixture.Count(no_error) >= 200);
+  // A refused job is never stored.
   BOOST_TEST(fixture.accepted.size() <=
-             static_cast<size_t>(fixture.Count(taken) + fixture.Count(unsure)));
+             static_cast<size_t>(fixture.Count(no_error) +
+                                 fixture.Count(outcome_unknown)));
   BOOST_TEST((fixture.encoded == fixture.changed));
   BOOST_TEST(!fixture.lost);
 }
--- a/src/libdoorwood/cell/cell_journal_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr char kJob[] = "00112233aabbccdd";
 
-// A store that fails its next commits as told.
+// A store whose next commits fail as scripted.
 class ScriptedStore : public fakes::CommitOnlyStore {
  public:
   enum class Step { kAnswer, kRefuse, kLoseAnswer, kLoseRequest, kDelay };
@@ -123,7 +123,7 @@
   const char* name;
   std::vector<Step> script;
   std::error_code answer;
-  /// Whether the job stands in the store in the end, and is known here.
+  /// Whether the job is stored in the end and the journal's owner knows it.
   bool stored;
 };
 
@@ -162,7 +162,7 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(Accept_StoreSilentForLong_SaysUnknownInTime,
+BOOST_FIXTURE_TEST_CASE(Accept_StoreUnresponsive_OutcomeUnknownInTime,
                         JournalFixture) {
   store.script.assign(40, Step::kLoseRequest);
   Accept();
@@ -170,11 +170,11 @@
   BOOST_TEST(answers == 1);
   BOOST_TEST(answer == make_error_code(CoreErrc::kOutcomeUnknown));
   time.Run(Millis(10'000));
-  // It landed after all, so it runs, and the same id is known.
+  // The batch took effect after all, so the job runs and its id is known.
   BOOST_TEST(accepted.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(Accept_WhileTheStoreRefuses_IsRefusedAtOnce,
+BOOST_FIXTURE_TEST_CASE(Accept_StoreUnavailable_IsRefusedAtOnce,
                         JournalFixture) {
   store.script.assign(20, Step::kRefuse);
   Accept();
@@ -188,9 +188,9 @@
   BOOST_TEST(answer == std::error_code());
 }
 
-// The same job again while the first sending of it may still land: "not run"
-// would not be true.
-BOOST_FIXTURE_TEST_CASE(Accept_SameIdMayStillLand_IsNotCalledRefused,
+// The same job is submitted again while the first attempt to store it may still
+// take effect, so a refusal would be wrong.
+BOOST_FIXTURE_TEST_CASE(Accept_SameIdMayTakeEffect_OutcomeIsUnknown,
                         JournalFixture) {
   store.script = {Step::kDelay};
   store.script.insert(store.script.end(), 20, Step::kRefuse);
@@ -204,7 +204,7 @@
   BOOST_TEST(accepted.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(Accept_IdOfAnotherCell_IsKnownAlready, JournalFixture) {
+BOOST_FIXTURE_TEST_CASE(Accept_IdOfAnotherCell_IsAlreadyKnown, JournalFixture) {
   StoreTransaction other;
   other.puts.push_back({JobIdKey(kJob), "other", 0});
   StoreCommit ignored;
@@ -217,7 +217,7 @@
   BOOST_TEST(!IsStored(PlanKey("all", kJob)));
 }
 
-BOOST_FIXTURE_TEST_CASE(Accept_SameIdTwiceAtOnce_IsOneJob, JournalFixture) {
+BOOST_FIXTURE_TEST_CASE(Accept_SameIdTwiceInOneBatch_IsOneJob, JournalFixture) {
   Accept();
   Accept();
   time.Run(Millis(200));
@@ -225,7 +225,7 @@
   BOOST_TEST(accepted.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(MarkDirty_EarlierBatchLandsLate_NewerStateStays,
+BOOST_FIXTURE_TEST_CASE(MarkDirty_EarlierBatchTakesEffectLate_NewerStateStays,
                         JournalFixture) {
   store.script = {Step::kDelay};
   state = "older";
@@ -240,7 +240,7 @@
   BOOST_TEST(store.late_error == make_error_code(KvErrc::kConflict));
 }
 
-BOOST_FIXTURE_TEST_CASE(MarkDirty_MoreThanABatchHolds_EndsWaitForTheLast,
+BOOST_FIXTURE_TEST_CASE(MarkDirty_MoreThanOneBatch_EndsWaitForTheLast,
                         JournalFixture) {
   for (int i = 0; i < 40; ++i) {
     journal.MarkDirty("job" + std::to_string(i), true);
@@ -252,8 +252,8 @@
   BOOST_TEST(recorded.size() == 40U);
 }
 
-// A busy cell: more jobs change in each moment than a batch holds.
-BOOST_FIXTURE_TEST_CASE(MarkDirty_ChangesNeverPause_EndsAreRecordedAllTheSame,
+// In a busy cell, more jobs change at a time than a batch holds.
+BOOST_FIXTURE_TEST_CASE(MarkDirty_ContinuousChanges_EndsAreRecorded,
                         JournalFixture) {
   constexpr int kJobs = 60;
   std::set<std::string> recorded_early;
@@ -269,7 +269,7 @@
   BOOST_TEST(recorded_early.size() == static_cast<size_t>(kJobs));
 }
 
-BOOST_FIXTURE_TEST_CASE(Workers_Unchanged_AreNotWrittenAgain, JournalFixture) {
+BOOST_FIXTURE_TEST_CASE(SetWorkers_Unchanged_NotWrittenAgain, JournalFixture) {
   journal.SetWorkers({{"w", "address"}});
   time.Run(Millis(50));
   StoreItem first;
@@ -281,7 +281,7 @@
   BOOST_TEST(second.revision == first.revision);
 }
 
-BOOST_FIXTURE_TEST_CASE(Workers_BatchRefused_AreWrittenWithALaterOne,
+BOOST_FIXTURE_TEST_CASE(SetWorkers_BatchRefused_WrittenWithALaterBatch,
                         JournalFixture) {
   store.script = {Step::kRefuse, Step::kRefuse};
   journal.SetWorkers({{"w", "address"}});
@@ -290,7 +290,7 @@
   BOOST_TEST(!store.model.Get(WorkersKey("all"), &item));
 }
 
-BOOST_FIXTURE_TEST_CASE(Commit_AnotherLeads_LeadIsLostAndAnswersAreTrue,
+BOOST_FIXTURE_TEST_CASE(Commit_AnotherInstanceLeads_LeadIsLost,
                         JournalFixture) {
   store.TakeLead("all", "other");
   Accept();
--- a/src/libdoorwood/cell/commit_flow.cpp
+++ b/src/libdoorwood/cell/commit_flow.cpp
@@ -7,11 +7,11 @@
 namespace doorwood {
 namespace {
 
-Millis Between(Instant from, Instant until) {
+Millis Elapsed(Instant from, Instant until) {
   return std::chrono::duration_cast<Millis>(until - from);
 }
 
-Millis Times(Millis time, double factor) {
+Millis Scale(Millis time, double factor) {
   return Millis(
       static_cast<int64_t>(static_cast<double>(time.count()) * factor));
 }
@@ -20,7 +20,7 @@
 
 void CommitFlow::OnSent(size_t lane, Instant now) {
   if (sent_.empty()) {
-    unheard_since_ = now;
+    unanswered_since_ = now;
   }
   sent_[lane] = now;
   last_sent_ = now;
@@ -31,53 +31,55 @@
   if (sent == sent_.end()) {
     return;
   }
-  const Millis taken = Between(sent->second, now);
-  const Millis faster = answer_time_ - taken;
-  answer_time_ = faster > Millis(0)
-                     ? answer_time_ - Times(faster, options_.faster_answer)
-                     : taken;
-  unheard_since_ = now;
+  const Millis taken = Elapsed(sent->second, now);
+  const Millis improvement = answer_time_ - taken;
+  answer_time_ =
+      improvement > Millis(0)
+          ? answer_time_ - Scale(improvement, options_.faster_answer_weight)
+          : taken;
+  unanswered_since_ = now;
   sent_.erase(sent);
 }
 
-void CommitFlow::OnSentAgain(size_t lane, Instant now) {
+void CommitFlow::OnResent(size_t lane, Instant now) {
   sent_[lane] = now;
 }
 
 void CommitFlow::Clear() {
   sent_.clear();
   last_sent_ = Instant{};
-  unheard_since_ = Instant{};
+  unanswered_since_ = Instant{};
   answer_time_ = Millis(0);
 }
 
-Millis CommitFlow::Unheard(Instant now) const {
-  return sent_.empty() ? Millis(0) : Between(unheard_since_, now);
+Millis CommitFlow::TimeWithoutAnswer(Instant now) const {
+  return sent_.empty() ? Millis(0) : Elapsed(unanswered_since_, now);
 }
 
 bool CommitFlow::MaySend(Instant now) const {
   if (sent_.empty()) {
     return true;
   }
-  const Millis doubt = std::max(options_.doubt_after,
-                                Times(answer_time_, options_.doubt_factor));
-  return sent_.size() < options_.most_lanes && Unheard(now) < doubt &&
-         SendPause(now) <= Millis(0);
+  const Millis stall_limit = std::max(
+      options_.min_stall_time, Scale(answer_time_, options_.stall_factor));
+  return sent_.size() < options_.max_lanes &&
+         TimeWithoutAnswer(now) < stall_limit && SendDelay(now) <= Millis(0);
 }
 
-Millis CommitFlow::SendPause(Instant now) const {
-  return std::max(Millis(0), options_.spread - Between(last_sent_, now));
+Millis CommitFlow::SendDelay(Instant now) const {
+  return std::max(Millis(0), options_.send_interval - Elapsed(last_sent_, now));
 }
 
-bool CommitFlow::IsSilent(Instant now) const {
-  return Unheard(now) >= options_.silent_after;
+bool CommitFlow::IsUnresponsive(Instant now) const {
+  return TimeWithoutAnswer(now) >= options_.unresponsive_after;
 }
 
 Millis CommitFlow::ExpectedWait(size_t ahead) const {
-  const auto lanes = static_cast<int64_t>(options_.most_lanes);
-  const Millis step =
-      std::max(std::min(options_.spread, answer_time_), answer_time_ / lanes);
-  const auto commits = static_cast<int64_t>(ahead / options_.records_at_once);
+  const auto lanes = static_cast<int64_t>(options_.max_lanes);
+  const Millis step = std::max(std::min(options_.send_interval, answer_time_),
+                               answer_time_ / lanes);
+  const auto commits =
+      static_cast<int64_t>(ahead / options_.records_per_commit);
   return answer_time_ + step * commits;
 }
 
--- a/src/libdoorwood/cell/commit_flow_test.cpp
+++ b/src/libdoorwood/cell/commit_flow_test.cpp
@@ -13,13 +13,13 @@
   Instant now{std::chrono::hours(1)};
 
   void Pass(int millis) { now += Millis(millis); }
-  // One commit that takes so long.
+  // One commit that is answered after `millis`.
   void Answered(int millis) {
     flow.OnSent(0, now);
     Pass(millis);
     flow.OnAnswered(0, now);
   }
-  // How many commits leave that nobody answers.
+  // Number of commits sent within `millis` while none is answered.
   size_t SentWithin(int millis) {
     constexpr int kStep = 10;
     size_t lane = 0;
@@ -32,43 +32,45 @@
   }
 };
 
-BOOST_FIXTURE_TEST_CASE(MaySend_NothingUnderWay_AtOnce, FlowFixture) {
+BOOST_FIXTURE_TEST_CASE(MaySend_NothingInFlight_AtOnce, FlowFixture) {
   BOOST_TEST(flow.MaySend(now));
   Answered(4);
   BOOST_TEST(flow.MaySend(now));
 }
 
-BOOST_FIXTURE_TEST_CASE(MaySend_OneUnderWay_AfterTheSpread, FlowFixture) {
+BOOST_FIXTURE_TEST_CASE(MaySend_OneInFlight_AfterTheSendInterval, FlowFixture) {
   flow.OnSent(0, now);
   Pass(29);
   BOOST_TEST(!flow.MaySend(now));
-  BOOST_TEST(flow.SendPause(now).count() == 1);
+  BOOST_TEST(flow.SendDelay(now).count() == 1);
   Pass(1);
   BOOST_TEST(flow.MaySend(now));
 }
 
-BOOST_FIXTURE_TEST_CASE(MaySend_QuickStoreFallsSilent_FewAreSent, FlowFixture) {
+BOOST_FIXTURE_TEST_CASE(MaySend_FastStoreStopsAnswering_FewAreSent,
+                        FlowFixture) {
   Answered(4);
   BOOST_TEST(SentWithin(1000) == 4U);
 }
 
 BOOST_FIXTURE_TEST_CASE(MaySend_SlowStore_ManyAreSent, FlowFixture) {
   Answered(364);
-  BOOST_TEST(SentWithin(340) == options.most_lanes);
+  BOOST_TEST(SentWithin(340) == options.max_lanes);
 }
 
-BOOST_FIXTURE_TEST_CASE(IsSilent_AnswersByTurns_OnlyWithoutAny, FlowFixture) {
+BOOST_FIXTURE_TEST_CASE(IsUnresponsive_SomeAnswers_OnlyWithoutAny,
+                        FlowFixture) {
   flow.OnSent(0, now);
   Pass(600);
   flow.OnSent(1, now);
   Pass(99);
-  BOOST_TEST(!flow.IsSilent(now));
+  BOOST_TEST(!flow.IsUnresponsive(now));
   Pass(1);
-  BOOST_TEST(flow.IsSilent(now));
-  flow.OnSentAgain(0, now);  // a new sending is no answer
-  BOOST_TEST(flow.IsSilent(now));
+  BOOST_TEST(flow.IsUnresponsive(now));
+  flow.OnResent(0, now);  // Sending again is not an answer.
+  BOOST_TEST(flow.IsUnresponsive(now));
   flow.OnAnswered(1, now);
-  BOOST_TEST(!flow.IsSilent(now));
+  BOOST_TEST(!flow.IsUnresponsive(now));
 }
 
 BOOST_FIXTURE_TEST_CASE(AnswerTime_SlowerAndFaster_RisesAtOnceFallsSlowly,
@@ -97,7 +99,7 @@
     fixture.Answered(row.answer_ms);
     BOOST_TEST_CONTEXT(row.answer_ms << " ms, " << row.ahead << " ahead") {
       BOOST_TEST(fixture.flow.ExpectedWait(row.ahead).count() == row.wait);
-      BOOST_TEST(fixture.flow.IsInTime(row.ahead) == row.in_time);
+      BOOST_TEST(fixture.flow.IsWithinDeadline(row.ahead) == row.in_time);
     }
   }
 }
