--- a/src/include/doorwood/ticket_book.h
+++ b/src/include/doorwood/ticket_book.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Permissions for queues whose policy only an outside adviser knows: which
-/// workers may run a step. Tickets are asked for in small batches, kept while
-/// they hold, and asked for again when they are over.
+/// Permissions (tickets) for queues whose policy is known only to an external
+/// adviser: which workers may run a step. Tickets are requested in small
+/// batches, kept while they are valid, and requested again after they expire.
 
 #ifndef DOORWOOD_TICKET_BOOK_H_
 #define DOORWOOD_TICKET_BOOK_H_
@@ -20,7 +20,7 @@
 
 namespace doorwood {
 
-/// Permission to run a step on one life of a worker.
+/// Permission to run a step on one incarnation of a worker.
 struct Ticket {
   std::string worker;
   std::string text;
@@ -28,12 +28,12 @@
 
 struct Advice {
   std::vector<Ticket> tickets;
-  /// How long they hold.
+  /// How long the tickets are valid.
   Millis valid{0};
 };
 
-/// Port to the adviser. Fails with PeerErrc, or CoreErrc::kNoOwner if it is
-/// too busy.
+/// Port to the adviser. Fails with PeerErrc, or with CoreErrc::kNoOwner if the
+/// adviser is too busy.
 class Adviser {
  public:
   using Callback = std::function<void(std::error_code, Advice)>;
@@ -46,28 +46,30 @@
 };
 
 struct TicketOptions {
-  /// Workers named in one question; each adds to the adviser's time.
-  size_t workers_a_question = 30;
-  /// Questions out at a time: the adviser takes one at a time of each caller.
-  int questions_at_a_time = 4;
-  /// Tickets are not used this close to their end.
-  Millis margin{200};
+  /// Workers named in one request; each adds to the adviser's answer time.
+  size_t workers_per_request = 30;
+  /// Maximum number of pending requests: the adviser handles one at a time for
+  /// each caller.
+  int max_pending_requests = 4;
+  /// A ticket is not used if it expires within this time.
+  Millis expiry_margin{200};
   Millis retry_pause{250};
 };
 
 class TicketBook {
  public:
   /// `adviser` may be null: then nothing is ever permitted. `on_change` runs
-  /// when tickets came.
+  /// after tickets were received.
   TicketBook(Executor& executor,
              Adviser* adviser,
              EventLog& log,
              const TicketOptions& options,
              std::function<void()> on_change);
 
-  /// The ticket for the step on the worker; empty: none that holds.
+  /// The ticket for the step on the worker; empty: there is no valid one.
   std::string Find(const std::string& step, const std::string& worker) const;
-  /// Asks about workers that were not asked about lately.
+  /// Requests tickets for those workers that have no answer, or one that
+  /// expires soon.
   void Want(const std::string& step, const std::vector<std::string>& workers);
   void Clear();
 
@@ -75,12 +77,12 @@
   struct Answer {
     /// Empty: refused.
     std::string text;
-    Instant until{};
+    Instant expires_at{};
   };
   struct Step {
     std::map<std::string, Answer> answers;
-    bool asking = false;
-    Instant not_before{};
+    bool request_pending = false;
+    Instant retry_at{};
   };
 
   void OnAdvice(const std::string& step,
@@ -94,9 +96,9 @@
   EventLog& log_;
   const TicketOptions options_;
   const std::function<void()> on_change_;
-  /// Rises with each `Clear`; answers to earlier questions are dropped.
+  /// Increases with each `Clear`; answers to earlier requests are dropped.
   uint64_t generation_ = 0;
-  int questions_out_ = 0;
+  int pending_requests_ = 0;
   std::map<std::string, Step> steps_;
 };
 
--- a/src/libdoorwood/cell/ticket_book.cpp
+++ b/src/libdoorwood/cell/ticket_book.cpp
@@ -24,8 +24,9 @@
     return "";
   }
   const auto answer = known->second.answers.find(worker);
-  const bool holds = answer != known->second.answers.end() &&
-                     executor_.Now() + options_.margin < answer->second.until;
+  const bool holds =
+      answer != known->second.answers.end() &&
+      executor_.Now() + options_.expiry_margin < answer->second.expires_at;
   return holds ? answer->second.text : "";
 }
 
@@ -33,29 +34,30 @@
                       const std::vector<std::string>& workers) {
   Step& known = steps_[step];
   const Instant now = executor_.Now();
-  if (adviser_ == nullptr || known.asking || now < known.not_before ||
-      questions_out_ >= options_.questions_at_a_time) {
+  if (adviser_ == nullptr || known.request_pending || now < known.retry_at ||
+      pending_requests_ >= options_.max_pending_requests) {
     return;
   }
   std::vector<std::string> asked;
   for (const std::string& worker : workers) {
     const auto answer = known.answers.find(worker);
-    const bool stale = answer == known.answers.end() ||
-                       answer->second.until <= now + options_.margin;
-    if (stale && asked.size() < options_.workers_a_question) {
+    const bool stale =
+        answer == known.answers.end() ||
+        answer->second.expires_at <= now + options_.expiry_margin;
+    if (stale && asked.size() < options_.workers_per_request) {
       asked.push_back(worker);
     }
   }
   if (asked.empty()) {
     return;
   }
-  known.asking = true;
-  ++questions_out_;
+  known.request_pending = true;
+  ++pending_requests_;
   adviser_->Ask(step, asked,
                 [this, step, asked, now, generation = generation_](
                     std::error_code error, const Advice& advice) {
                   if (generation == generation_) {
-                    --questions_out_;
+                    --pending_requests_;
                     OnAdvice(step, asked, now, error, advice);
                   }
                 });
@@ -67,24 +69,24 @@
                           std::error_code error,
                           const Advice& advice) {
   Step& known = steps_[step];
-  known.asking = false;
+  known.request_pending = false;
   if (error) {
-    known.not_before = executor_.Now() + options_.retry_pause;
-    log_.Write("warn", "tickets", "no advice",
+    known.retry_at = executor_.Now() + options_.retry_pause;
+    log_.Write("warn", "tickets", "adviser returned no tickets",
                {{"step", step}, {"error", error.message()}});
     return;
   }
-  // A ticket holds from the adviser's answer on, so from the question on at
-  // the earliest. A refusal stands as long: which workers may run a step does
-  // not change.
-  const Instant until = sent + advice.valid;
+  // A ticket is valid from the adviser's answer on, so counting from the
+  // request is on the safe side. A refusal is kept for as long, since the
+  // workers that may run a step do not change.
+  const Instant expires_at = sent + advice.valid;
   for (const std::string& worker : asked) {
-    known.answers[worker] = {"", until};
+    known.answers[worker] = {"", expires_at};
   }
   for (const Ticket& ticket : advice.tickets) {
-    known.answers[ticket.worker] = {ticket.text, until};
+    known.answers[ticket.worker] = {ticket.text, expires_at};
   }
-  log_.Write("info", "tickets", "advice taken",
+  log_.Write("info", "tickets", "tickets received from adviser",
              {{"step", step},
               {"asked", asked.size()},
               {"permitted", advice.tickets.size()},
@@ -94,7 +96,7 @@
 
 void TicketBook::Clear() {
   ++generation_;
-  questions_out_ = 0;
+  pending_requests_ = 0;
   steps_.clear();
 }
 
--- a/src/libdoorwood/cell/ticket_book_test.cpp
+++ b/src/libdoorwood/cell/ticket_book_test.cpp
@@ -17,7 +17,7 @@
   void Ask(const std::string& step,
            const std::vector<std::string>& workers,
            Callback done) override {
-    ++questions;
+    ++requests;
     asked = workers;
     Advice advice;
     advice.valid = Millis(3000);
@@ -32,7 +32,7 @@
   }
 
   std::error_code error;
-  int questions = 0;
+  int requests = 0;
   std::vector<std::string> asked;
 
  private:
@@ -52,28 +52,28 @@
 
 BOOST_FIXTURE_TEST_CASE(Want_Answered_TicketHoldsForItsTime, TicketFixture) {
   book.Want("s", {"w1", "refused"});
-  book.Want("s", {"w1", "refused"});  // is asked about already
+  book.Want("s", {"w1", "refused"});  // Already requested.
   time.Run(Millis(100));
-  BOOST_TEST(adviser.questions == 1);
+  BOOST_TEST(adviser.requests == 1);
   BOOST_TEST(changes == 1);
   BOOST_TEST(book.Find("s", "w1") == "s-w1");
   BOOST_TEST(book.Find("s", "refused").empty());
   BOOST_TEST(book.Find("other", "w1").empty());
   book.Want("s", {"w1", "refused"});
-  BOOST_TEST(adviser.questions == 1);
+  BOOST_TEST(adviser.requests == 1);
   time.Run(Millis(2800));
   BOOST_TEST(book.Find("s", "w1").empty());
   book.Want("s", {"w1"});
-  BOOST_TEST(adviser.questions == 2);
+  BOOST_TEST(adviser.requests == 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(Want_AdviserBusy_AsksAgainAfterAPause, TicketFixture) {
+BOOST_FIXTURE_TEST_CASE(Want_AdviserBusy_RetriesAfterAPause, TicketFixture) {
   adviser.error = CoreErrc::kNoOwner;
   book.Want("s", {"w1"});
   time.Run(Millis(100));
   BOOST_TEST(changes == 0);
   book.Want("s", {"w1"});
-  BOOST_TEST(adviser.questions == 1);
+  BOOST_TEST(adviser.requests == 1);
   time.Run(Millis(300));
   adviser.error = {};
   book.Want("s", {"w1"});
@@ -81,7 +81,7 @@
   BOOST_TEST(book.Find("s", "w1") == "s-w1");
 }
 
-BOOST_FIXTURE_TEST_CASE(Want_ManyWorkers_AsksABatchAtATime, TicketFixture) {
+BOOST_FIXTURE_TEST_CASE(Want_ManyWorkers_RequestsInBatches, TicketFixture) {
   std::vector<std::string> workers;
   for (int i = 0; i < 70; ++i) {
     workers.push_back("w" + std::to_string(i));
@@ -90,7 +90,7 @@
     book.Want("s", workers);
     time.Run(Millis(100));
   }
-  BOOST_TEST(adviser.questions == 3);
+  BOOST_TEST(adviser.requests == 3);
   BOOST_TEST(book.Find("s", "w69") == "s-w69");
 }
 
