--- a/src/include/doorwood/cell_policy.h
+++ b/src/include/doorwood/cell_policy.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Decisions of a cell's leader as pure functions: which step comes first,
-/// which worker a task goes to, how fast filling work may go beside serving
-/// work, and which workers are trusted. A table of inputs gives a table of
-/// decisions.
+/// Scheduling decisions of a cell's leader as pure functions: the order of
+/// steps, the choice of a worker for a task, the limits on best-effort work
+/// beside serving tasks, and the quarantine of failing workers. Equal inputs
+/// always give equal decisions.
 
 #ifndef DOORWOOD_CELL_POLICY_H_
 #define DOORWOOD_CELL_POLICY_H_
@@ -26,37 +26,40 @@
 namespace doorwood {
 
 struct PolicyOptions {
-  /// Filling work may ask for this share of the processors that the rest of a
-  /// worker leaves unused. From trials on the standard days; see
-  /// docs/POLICY.md.
-  double fill_share = 1.2;
-  /// A job later than this multiple of its objective is worth nothing.
-  double hopeless_factor = 3.0;
-  /// Failures of distinct jobs within `failure_memory`, without a success
-  /// between, after which a worker rests.
-  int failures_to_rest = 3;
-  Millis failure_memory{6000};
-  Millis rest{4000};
-  /// After its rest a worker gets one start in this time until one succeeds.
+  /// Best-effort work may request up to this multiple of the processors that
+  /// the other work of a worker is expected to leave unused. From simulated
+  /// runs of the standard days; see docs/POLICY.md.
+  double best_effort_cpu_share = 1.2;
+  /// A job that finishes later than this multiple of its objective has no
+  /// value.
+  double max_useful_time_factor = 3.0;
+  /// A worker is quarantined once runs of this many distinct jobs failed there
+  /// within `failure_window` without a success in between.
+  int quarantine_failures = 3;
+  Millis failure_window{6000};
+  Millis quarantine_period{4000};
+  /// After its quarantine a worker gets one start per interval until a run
+  /// succeeds there.
   Millis probe_interval{1000};
-  /// Filling work is placed beside serving work, or let go faster, only where
-  /// the tail is then expected below this share of the target.
+  /// Best-effort work is placed beside serving tasks, or sped up, only where
+  /// their tail latency is then expected below this share of its target.
   double tail_wanted = 0.85;
-  /// Above this share of the target filling work is slowed down.
-  double tail_high = 0.9;
-  /// Above this multiple of the target it all stops.
-  double tail_hopeless = 2.0;
-  /// A serving task whose mean tail is at or above this share of its target
-  /// counts as over it: the figures are rough.
+  /// Above this share of the target best-effort work is slowed down.
+  double throttle_tail_share = 0.9;
+  /// Above this multiple of the target all best-effort work stops.
+  double stop_tail_share = 2.0;
+  /// A serving task whose mean tail latency is at or above this share of its
+  /// target counts as over the target. The share is below 1 because reported
+  /// latencies are noisy.
   double tail_over = 0.95;
-  /// Over its target for so long, all filling work beside it stops. The
-  /// platform's bound is 4 s, of figures that tell of the last half second and
-  /// of orders that work after 0.1 s.
-  Millis over_patience{1600};
-  /// Most that a pace rises in one step.
-  int pace_step = 25;
-  /// Share of the processors that serving tasks reserve which they are taken
-  /// to use. From a trial day: 0.48 on the mean.
+  /// All best-effort work beside a serving task stops once the task has been
+  /// over its target for this long. The platform's bound is 4 s; latencies
+  /// cover the last 0.5 s, and orders take effect after 0.1 s.
+  Millis max_over_target_time{1600};
+  /// Largest increase of a pace in one step, in percent of full speed.
+  int max_pace_increase = 25;
+  /// Share of the processors reserved by serving tasks that they are assumed to
+  /// use. The mean over one simulated day was 0.48.
   double serving_use = 0.45;
   CrashOptions crashes;
   LastingRoomOptions lasting_room;
@@ -64,30 +67,33 @@
   RunTimeOptions run_times;
 };
 
-/// Processors that the lasting steps of a plan reserve, in thousandths.
+/// Processors that the long-running steps of a plan reserve, in thousandths.
 int64_t LastingCpu(const JobPlan& plan);
 
-/// How urgent a step is. Lower sorts first, member by member.
+/// Urgency of a step. Lower sorts first, member by member.
 struct StepRank {
-  /// 0: lasting work; 1: on time; 2: late but worth something; 3: hopeless.
+  /// 0: long-running; 1: on time; 2: late but still of value; 3: too late to be
+  /// of value.
   int group = 0;
   int priority = 0;
-  /// On time: the job's work left, in thousandths of a processor times ms. With
-  /// more work than fits, few jobs are finished in time rather than all of them
-  /// late: callers got 8% more in all on a deployment that was far too full, -1
-  /// to +2% on four others. Late: the latest start that is still worth
-  /// something, ms since 1970. Else: when it was due.
+  /// On time: the job's remaining work, in thousandths of a processor times ms.
+  /// When there is more work than capacity, this finishes some jobs in time
+  /// instead of all of them late: the total value for callers rose by 8% on a
+  /// heavily overloaded deployment and changed by -1% to +2% on four others.
+  /// Late: the latest start that is still of value, in ms since 1970.
+  /// Otherwise: when the step was due, in ms since 1970.
   int64_t order = 0;
 
   friend auto operator<=>(const StepRank&, const StepRank&) = default;
 };
 
-/// Work of the tasks that are not done, at one time of the job: in thousandths
-/// of a processor times milliseconds.
+/// Work of all tasks of one repetition of the job that are not done, in
+/// thousandths of a processor times milliseconds.
 int64_t WorkLeft(const Job& job, int time, std::span<const Millis> run_times);
 
-/// `run_times`: what a task of each step is expected to take; `work_left`: as
-/// WorkLeft tells it.
+/// `run_times` holds the expected run time of one task of each step;
+/// `work_left` is the result of WorkLeft. `due_at` and `now` are in
+/// milliseconds since 1970.
 StepRank RankStep(const JobPlan& plan,
                   const Queue& queue,
                   int step,
@@ -97,53 +103,55 @@
                   int64_t now,
                   const PolicyOptions& options);
 
-/// Expected time from the start of `step` to the end of the job.
+/// Expected time from the start of `step` to the end of the job, along the
+/// longest chain of dependent steps.
 Millis RemainingChain(const JobPlan& plan,
                       int step,
                       std::span<const Millis> run_times);
 
-/// A serving image on a worker: the strain of its worst task there, with what
-/// was started too lately to show in it, and the strain wanted at most.
+/// The serving tasks of one image on a worker: the modelled utilization of the
+/// most loaded one, including best-effort work that was started too recently to
+/// show in reports, and the highest utilization allowed.
 struct ServingStrain {
   ImageId image = 0;
   double strain = 0;
   double wanted = 1;
 };
 
-/// What placement needs to know of a worker.
+/// State of a worker that placement depends on.
 struct WorkerRoom {
   std::string_view id;
   std::string_view service;
   std::string_view rack;
   std::span<const std::string> labels;
   Resources capacity;
-  /// Reserved by everything but filling work's processors.
+  /// Reserved by all work, except for the processors of best-effort work.
   Resources reserved;
-  /// Processors that filling work there asks for.
+  /// Processors that the best-effort work there requests, in thousandths.
   int64_t fill_cpu = 0;
   int serving = 0;
-  /// Processors that serving work reserves.
+  /// Processors that serving tasks reserve, in thousandths.
   int64_t serving_cpu = 0;
   std::vector<ServingStrain> strains;
-  /// Takes new work at all.
+  /// Whether the worker accepts new work.
   bool open = true;
-  /// The scheduling pass that last found it changed.
+  /// The last scheduling pass that found the worker changed.
   uint64_t changed_in = 0;
 };
 
-/// What placement needs to know of a task beside its step's plan.
+/// Properties of a task that placement depends on, besides its step's plan.
 struct TaskNeed {
   std::string_view service;
   /// Of the step's image.
   ImageId image = 0;
-  /// Rack that the step's other tasks are on; empty: any.
+  /// Rack of the step's other tasks; empty: any.
   std::string_view rack;
 };
 
-/// Why a worker can't take a task now.
+/// Why a worker cannot take a task now.
 enum class PlaceProblem {
   kNone,
-  /// It is leaving, silent, resting, or not recorded yet.
+  /// The worker is leaving, unresponsive, quarantined or not recorded yet.
   kClosed,
   kOtherService,
   kStepBound,
@@ -152,17 +160,18 @@
   kNoMemory,
   kNoCpu,
   kNoAccelerators,
-  /// What fills would disturb what serves there.
+  /// Best-effort work would push serving tasks there over their latency target.
   kDisturbs,
-  /// It had no place for something no larger of the same sort, and has not
-  /// changed since.
+  /// The worker had no capacity for a task of the same kind that was no larger,
+  /// and has not changed since.
   kUnchanged,
 };
 
 std::string_view ToString(PlaceProblem problem);
 
-/// Whether `worker` may run the task at all: room, label, service. The bound
-/// on a step's tasks on one worker is the caller's, as `on_worker`.
+/// Checks whether `worker` may run the task: state, service, label, rack and
+/// free capacity. `on_worker` is the number of the step's tasks there, which
+/// the caller counts.
 PlaceProblem FindPlaceProblem(const StepPlan& step,
                               const TaskNeed& need,
                               const WorkerRoom& worker,
@@ -170,21 +179,23 @@
                               const InterferenceModel& model,
                               const PolicyOptions& options);
 
-/// How good a place is; higher is better. Only for workers that may run it.
+/// Preference for a worker; higher is better. Meaningful only for workers that
+/// may run the task.
 double PlaceScore(const StepPlan& step,
                   const TaskNeed& need,
                   const WorkerRoom& worker,
                   const InterferenceModel& model);
 
-/// How much of its wanted strain a worker's serving work would miss (below 0:
-/// has left) if `cores` of filling work of `image` were added.
-double ExcessStrain(const WorkerRoom& worker,
-                    ImageId image,
-                    double cores,
-                    const InterferenceModel& model);
+/// By how much the worst-off serving tasks of a worker would exceed their
+/// allowed utilization if best-effort work of `image` using `cores` were added.
+/// Negative values are headroom.
+double ExcessUtilization(const WorkerRoom& worker,
+                         ImageId image,
+                         double cores,
+                         const InterferenceModel& model);
 
-/// Tells workers that fail whatever they start from jobs that fail wherever
-/// they run.
+/// Quarantines workers on which everything fails, as distinct from jobs that
+/// fail on every worker.
 class WorkerTrust {
  public:
   explicit WorkerTrust(const PolicyOptions& options) : options_(options) {}
@@ -192,15 +203,15 @@
   void OnSuccess(const std::string& worker);
   void OnFailure(const std::string& worker, std::string_view job, Instant now);
   void OnStart(const std::string& worker, Instant now);
-  /// False while the worker rests, or has its probe.
+  /// False while the worker is quarantined, or waits for its next probe.
   bool Allows(const std::string& worker, Instant now) const;
   void Forget(const std::string& worker);
 
  private:
   struct Record {
-    /// When a run of each job failed there last.
+    /// Last failure of each job on the worker.
     std::map<std::string, Instant, std::less<>> failures;
-    Instant rests_until{};
+    Instant quarantined_until{};
   };
 
   const PolicyOptions options_;
--- a/src/include/doorwood/crash_guard.h
+++ b/src/include/doorwood/crash_guard.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Tasks that take their workers down: who is blamed for a crash, when a task
-/// is given up, and which workers are kept for trying a suspect alone. Pure
-/// decisions; the caller passes the time.
+/// Handling of tasks that crash their workers: which runs are suspected after a
+/// crash, when a task is given up, and which workers are reserved to run a
+/// suspect alone. Pure decisions; the caller passes the time.
 
 #ifndef DOORWOOD_CRASH_GUARD_H_
 #define DOORWOOD_CRASH_GUARD_H_
@@ -23,102 +23,110 @@
 namespace doorwood {
 
 struct CrashOptions {
-  /// Seen at work for so long, a run is not suspected at once.
+  /// A run that was observed running for this long is not a suspect after its
+  /// first crash.
   Millis at_work{500};
-  /// Seen at work for so long, a run has nothing to do with a crash, and what
-  /// was noted of its task before is forgotten.
+  /// A run that was observed running for this long is not related to a crash,
+  /// and earlier crash notes of its task are dropped.
   Millis cleared{10'000};
-  /// A suspect is tried for twice as long as it was seen at work before a
-  /// crash, within these bounds: a culprit takes its workers down at about one
-  /// age.
-  Millis shortest_trial{1000};
-  Millis longest_trial{4000};
-  /// Shortest trial where all crashes were among those of many workers.
-  Millis short_trial{300};
-  /// Pause before a likely culprit is started again; doubled by each further
-  /// crash.
-  Millis pause{250};
-  Millis longest_pause{4000};
-  /// Shares of a service's workers, one at least, on which suspects may be
-  /// tried at a time: all of them, and likely culprits.
-  double trial_share = 0.34;
-  double likely_share = 0.1;
-  /// So many workers that go down within `wave` have a cause outside of their
-  /// tasks, or several: no single one of these crashes proves anything.
-  size_t wave_size = 3;
-  Millis wave{1500};
-  /// A worker is kept for a trial that does not begin for at most so long.
-  Millis longest_reservation{3000};
+  /// A trial lasts twice as long as the suspect was observed running before a
+  /// crash, within these bounds: a faulty task crashes its workers at about the
+  /// same age each time.
+  Millis min_trial{1000};
+  Millis max_trial{4000};
+  /// Shortest trial for a task whose crashes all happened while many workers
+  /// crashed.
+  Millis min_mass_crash_trial{300};
+  /// Delay before a likely culprit is restarted; doubled by each further crash.
+  Millis restart_delay{250};
+  Millis max_restart_delay{4000};
+  /// Shares of a service's workers, at least one worker, that may run trials at
+  /// the same time: for all suspects, and for likely culprits.
+  double max_trial_share = 0.34;
+  double max_culprit_trial_share = 0.1;
+  /// When this many workers crash within `mass_crash_window`, the cause lies
+  /// outside their tasks, or there are several causes. None of these crashes
+  /// then counts as evidence against a task.
+  size_t mass_crash_size = 3;
+  Millis mass_crash_window{1500};
+  /// How long a worker stays reserved for a trial that does not start.
+  Millis reservation_timeout{3000};
 };
 
-/// A run that was on a worker when it went down.
+/// A run that was on a worker when the worker crashed.
 struct RunAtCrash {
-  /// For how long the worker was heard of after it had confirmed the run.
+  /// Time for which the worker kept reporting after it had confirmed the run.
   Millis at_work{0};
-  /// It was tried alone there, from its confirmed start on.
+  /// The run was alone on the worker, as a trial, since its confirmed start.
   bool tried = false;
-  /// It had run for some time before it was known.
+  /// The run had been going for some time before this leader learned of it.
   bool adopted = false;
 };
 
-/// What a crash says of one of the runs.
+/// Role of a run in a crash.
 enum class Blame {
   kNone,
-  /// It had not run for long, but was seen at work, or another one was tried
-  /// there.
+  /// The run was recent but had already been observed running, or another run
+  /// was in a trial there.
   kBystander,
   kSuspect,
 };
 
-/// One for each run, in the same order.
+/// Returns one entry per run, in the order of `runs`.
 std::vector<Blame> BlameCrash(std::span<const RunAtCrash> runs,
                               const CrashOptions& options);
 
 enum class CrashVerdict {
-  /// It may run beside others.
+  /// The task may run beside others.
   kSound,
-  /// It is started alone.
+  /// The task is started alone.
   kSuspect,
-  /// It is not started again; its job has failed.
+  /// The task is not started again; its job has failed.
   kGivenUp,
 };
 
 std::string_view ToString(CrashVerdict verdict);
 
-/// Crashes of different machines in trials are proof: two that were seen for
-/// sure, or three. So are five as a suspect, two of them seen for sure. Those
-/// of many workers at a time prove nothing.
+/// A task is given up after crashes in trials on different machines: two with a
+/// confirmed process restart, or three observed in any way. It is also given up
+/// after five crashes as a suspect, two of them confirmed. Crashes while many
+/// workers crashed do not count.
 CrashVerdict JudgeCrashes(std::span<const CrashNote> crashes);
 
-/// It was seen to crash in a trial. Such a task is paused, and few are tried at
-/// a time. Others just happened to be there when a worker went down.
+/// The task crashed a worker in a trial. Such a task is restarted with a delay,
+/// and only few are in trials at a time. Other suspects may merely have been
+/// present at a crash.
 bool IsLikelyCulprit(std::span<const CrashNote> crashes);
 
-/// For how long the task has to be seen at work before its worker gets anything
-/// else that is new.
+/// How long the task must be observed running before its worker accepts other
+/// new work.
 Millis TrialOf(std::span<const CrashNote> crashes, const CrashOptions& options);
 
-/// How long a likely culprit waits after its newest crash. `jitter`: 0 to 1.
+/// Delay before a likely culprit is restarted after its newest crash. `jitter`
+/// lies between 0 and 1.
 Millis PauseAfterCrashes(size_t crashes,
                          double jitter,
                          const CrashOptions& options);
 
-/// Tells crashes that come alone from those of many workers at a time.
+/// Tells isolated crashes from simultaneous crashes of many workers.
 class CrashWave {
  public:
   struct Crash {
     Instant at{};
-    /// Names and numbers of the runs that were blamed for it.
+    /// Task names and run numbers of the suspects.
     std::vector<std::pair<std::string, uint32_t>> blamed;
   };
 
   explicit CrashWave(const CrashOptions& options) : options_(options) {}
 
-  /// Call `Add` for each crash outside of trials, in the order of time, then
-  /// ask: it is one of many.
+  /// Records a crash outside of trials. Calls must be in order of time;
+  /// IsOneOfMany then tells whether the newest one belongs to a mass crash.
   void Add(Crash crash);
-  bool IsOneOfMany() const { return crashes_.size() >= options_.wave_size; }
-  /// Those of the last while, also before it was known that they are many.
+  bool IsOneOfMany() const {
+    return crashes_.size() >= options_.mass_crash_size;
+  }
+  /// The crashes within the last window, including those recorded before the
+  /// mass crash was recognized.
   const std::vector<Crash>& crashes() const { return crashes_; }
   void Clear() { crashes_.clear(); }
 
@@ -127,40 +135,42 @@
   std::vector<Crash> crashes_;
 };
 
-/// Which workers are kept for suspects: one each, from when it is chosen until
-/// the suspect has been seen at work or is gone.
+/// The workers reserved for trials of suspects: one per task, from its
+/// selection until the suspect was observed running for long enough or is gone.
 class CrashTrials {
  public:
   struct Trial {
     std::string worker;
     std::string service;
     Instant since{};
-    /// Of a likely culprit.
+    /// The suspect is a likely culprit.
     bool likely = false;
-    /// It is settled once it was seen at work for so long.
+    /// Time for which the suspect must be observed running.
     Millis length{0};
     bool started = false;
-    /// It was seen at work: its worker is open again.
+    /// The suspect was observed running for `length`, so its worker accepts
+    /// other work again.
     bool settled = false;
   };
 
   explicit CrashTrials(const CrashOptions& options) : options_(options) {}
 
-  /// Keeps a worker for the task, in place of any other.
+  /// Reserves a worker for the task and replaces any earlier reservation.
   void Keep(const std::string& task, Trial trial);
   void Settle(const std::string& task);
   void End(const std::string& task);
-  /// Ends reservations that were not used in time.
+  /// Drops reservations whose trial did not start in time.
   void Expire(Instant now);
   void Clear() { trials_.clear(); }
 
-  /// Null: none.
+  /// Returns null if there is no trial.
   const Trial* Find(const std::string& task) const;
-  /// The worker is kept for a trial.
+  /// Whether the worker is reserved for a trial.
   bool Keeps(std::string_view worker) const;
-  /// The task was started there as a suspect, and its trial goes on.
+  /// Whether the task was started there as a suspect and its trial has not
+  /// finished.
   bool IsTrying(const std::string& task, std::string_view worker) const;
-  /// Another trial may begin on one of the service's `workers` workers.
+  /// Whether another trial may begin on one of the service's `workers` workers.
   bool HasPlace(std::string_view service, int workers, bool likely) const;
   const std::map<std::string, Trial>& trials() const { return trials_; }
 
--- a/src/include/doorwood/interference.h
+++ b/src/include/doorwood/interference.h
@@ -1,15 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What filling work does to serving work beside it, learned for each pair of
-/// images from late and rough figures.
+/// Model of the effect of best-effort work on the serving tasks beside it. It
+/// is learned for each pair of images from delayed, noisy latency reports.
 ///
-/// The tail T of a serving task is taken as that of a queue: B / (1 - x), with
-/// B its best tail and x its strain, 0 (idle) to 1 (stands still). Filling
-/// work adds to the strain in proportion to the processors it uses; the factor
-/// of each pair of images is fitted as reports come, by normalised least mean
-/// squares. Each serving task has a load of its own that drifts over seconds;
-/// it is followed slowly, so that sudden changes are put down to what fills.
+/// The tail latency T of a serving task is modelled as that of a queue: B / (1
+/// - x), where B is its lowest tail latency and x its utilization, from 0
+/// (idle) to 1 (saturated). Best-effort work adds to the utilization in
+/// proportion to the cores it uses. The factor of each pair of images is fitted
+/// by normalized least mean squares as reports arrive. Each serving task also
+/// has a load of its own that drifts over seconds. It is tracked slowly, so
+/// that sudden changes are attributed to the best-effort work.
 
 #ifndef DOORWOOD_INTERFERENCE_H_
 #define DOORWOOD_INTERFERENCE_H_
@@ -26,36 +27,40 @@
 namespace doorwood {
 
 struct InterferenceOptions {
-  /// Strain a core of filling work is taken to add before anything is known.
-  /// From a trial day: the median pair adds 0.01 to 0.03.
-  double unknown_press = 0.025;
-  /// Share of an error that one report corrects. What a pair adds is constant
-  /// over hours; reports scatter by a tenth. 27 days of three sites, played
-  /// twice: callers got 0.9% and 0.8% more in all at 0.15 than at 0.25.
+  /// Utilization assumed per core of best-effort work before there are reports.
+  /// On a simulated day the median pair added 0.01 to 0.03.
+  double default_interference = 0.025;
+  /// Share of an error that one report corrects. The factor of a pair is
+  /// constant over hours, and reports scatter by a tenth. Over 27 days of three
+  /// sites, simulated twice, the total value for callers was 0.9% and 0.8%
+  /// higher at 0.15 than at 0.25.
   double learning_rate = 0.15;
-  /// Bounds of a pair's factor, strain a core. From trial days: 0.00 to 0.02
-  /// for most pairs, 0.03 to 0.11 for those that disturb.
-  double highest_press = 0.12;
-  /// A factor above the one taken first falls back to it within about this
-  /// time, since a pair that is kept apart is never seen to have improved.
-  Millis memory{15'000};
-  /// A best tail is no lower than this share of the target, so that one odd
-  /// report does not spoil it.
-  double lowest_base = 0.1;
-  /// Best tail as a share of the target before anything is known.
-  double first_base = 0.2;
-  /// Weight of a new report in a task's load, beside filling work and without.
-  double load_rate = 0.3;
-  double load_rate_alone = 0.6;
+  /// Upper bound of a pair's factor, in utilization per core. On simulated days
+  /// most pairs had 0.00 to 0.02, and disturbing ones 0.03 to 0.11.
+  double max_interference = 0.12;
+  /// A factor above its initial value decays towards it with this time
+  /// constant, because a pair that is kept apart yields no reports that would
+  /// correct it.
+  Millis decay_time{15'000};
+  /// Lower bound of the lowest tail latency, as a share of the target, so that
+  /// a single outlier does not distort the model.
+  double min_base_share = 0.1;
+  /// Lowest tail latency, as a share of the target, assumed before there are
+  /// reports.
+  double initial_base_share = 0.2;
+  /// Weight of a new report in a task's own load, with and without best-effort
+  /// work beside it.
+  double load_learning_rate = 0.3;
+  double load_learning_rate_alone = 0.6;
   double first_load = 0.45;
 };
 
-/// An image as the model numbers it, from 0. Names are compared once a step and
-/// a run, not for each pair on each worker: that was a sixth of a leader's
-/// processor time in days of 490 workers.
+/// Number of an image in the model, from 0. Names are looked up once per step
+/// and run rather than for each pair on each worker: the latter took a sixth of
+/// a leader's processor time on days with 490 workers.
 using ImageId = int;
 
-/// Filling work on one worker: its image and the cores it uses.
+/// Best-effort work on one worker: its image and the cores it uses.
 struct FillLoad {
   ImageId image = 0;
   double cores = 0;
@@ -66,39 +71,40 @@
   explicit InterferenceModel(const InterferenceOptions& options)
       : options_(options) {}
 
-  /// The image's number, a new one if it is not known yet.
+  /// Returns the image's number and assigns one to an unknown image.
   ImageId Intern(std::string_view image);
 
-  /// Strain that stands for the tail `figure` of an image's task.
+  /// Utilization of a task of `image` whose tail latency is `figure`
+  /// milliseconds.
   double Strain(ImageId image, int64_t figure, Millis target) const;
-  /// Strain at which the tail stands at `share` of the target.
+  /// Utilization at which the tail latency equals `share` of the target.
   double StrainAt(ImageId image, Millis target, double share) const;
-  /// Strain a core of `fill` adds to tasks of `serving`.
-  double Press(ImageId serving, ImageId fill) const {
-    return press_[serving][fill];
+  /// Utilization that a core of `best_effort_image` adds to tasks of `serving`.
+  double Press(ImageId serving, ImageId best_effort_image) const {
+    return interference_[serving][best_effort_image];
   }
 
-  /// Learns from one report of a serving task and the filling work beside it.
-  /// `load` is the task's own strain so far, below 0 if not known yet; gives
-  /// the new one.
+  /// Updates the model from one report of a serving task and the best-effort
+  /// work beside it. `load` is the task's own utilization so far, negative if
+  /// it is not known yet. Returns the new one.
   double Observe(ImageId serving,
                  int64_t figure,
                  Millis target,
-                 std::span<const FillLoad> fills,
+                 std::span<const FillLoad> best_effort,
                  double load);
 
-  /// To be called as time goes by.
+  /// Decays the factors by `passed`; to be called periodically.
   void Relax(Millis passed);
 
  private:
-  double BaseOf(ImageId image, Millis target) const;
+  double BaseLatency(ImageId image, Millis target) const;
 
   const InterferenceOptions options_;
   std::map<std::string, ImageId, std::less<>> ids_;
-  /// Best tail seen of each serving image, in milliseconds; 0: none yet.
-  std::vector<double> base_;
-  /// By serving image, then by filling image: strain a core.
-  std::vector<std::vector<double>> press_;
+  /// Lowest tail latency seen for each serving image, in milliseconds; 0: none.
+  std::vector<double> base_latency_;
+  /// Utilization per core, by serving image, then by best-effort image.
+  std::vector<std::vector<double>> interference_;
 };
 
 }  // namespace doorwood
--- a/src/include/doorwood/lasting_room.h
+++ b/src/include/doorwood/lasting_room.h
@@ -1,15 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How much lasting work a service takes in. Lasting work stays for minutes and
-/// is not ended to make room, so what is taken too much costs other work for as
-/// long; what is taken too little costs the callers who were refused.
+/// Admission control for the long-running work of a service. Such work stays
+/// for minutes and is not stopped to free capacity: admitting too much delays
+/// other work for as long, and admitting too little refuses callers.
 ///
-/// No share of the processors is right for all work: with the same requests,
-/// but another mix of them, callers got most in all at a share of 0.8 and at
-/// one of 0.5 (docs/design/shifted-work.md). So a careful share is taken at
-/// once; more only once other work was seen to leave room for a while, and
-/// nothing while other work presses.
+/// No fixed share of the processors suits all workloads: for the same requests
+/// in different mixes, the total value for callers was highest at a share of
+/// 0.8 in one case and 0.5 in another (docs/design/shifted-work.md). Admission
+/// therefore starts with a conservative share, raises it once other work has
+/// left capacity free for a while, and stops while other work needs the
+/// capacity.
 
 #ifndef DOORWOOD_LASTING_ROOM_H_
 #define DOORWOOD_LASTING_ROOM_H_
@@ -19,34 +20,35 @@
 namespace doorwood {
 
 struct LastingRoomOptions {
-  /// Share of a service's processors that lasting work may reserve before it is
-  /// known what other work needs.
-  double unproved_share = 0.6;
-  /// The same once other work was seen to leave room. From trials on three
-  /// deployments: callers got most in all at 0.8 (20.1 thousand at 0.9, 21.0 at
-  /// 0.8, 20.9 at 0.7, 20.6 at 0.6).
-  double proved_share = 0.8;
-  /// Above this use of what serving work leaves, other work presses: no more
-  /// lasting work is taken. Uses seen on quiet days: 0.4 to 0.97, and 1.13 for
-  /// a moment, where other work was in time; 1.15 rising to 1.68 where it was
-  /// late.
-  double pressed_use = 0.85;
-  /// Below this use there is room for more lasting work.
-  double slack_use = 0.65;
-  /// How long other work must have been there before its use proves anything:
-  /// nearly two of the swings of a day's load that were seen (11 s).
-  Millis proof_time{20'000};
-  /// Other work is there above this use.
-  double seen_use = 0.1;
-  /// A high use is remembered with this time constant.
-  Millis memory{10'000};
+  /// Share of a service's processors that long-running work may reserve before
+  /// the demand of other work is known.
+  double initial_share = 0.6;
+  /// The share once other work was observed to leave capacity free. In trials
+  /// on three deployments the total value for callers was highest at 0.8 (in
+  /// thousands: 20.1 at 0.9, 21.0 at 0.8, 20.9 at 0.7, 20.6 at 0.6).
+  double raised_share = 0.8;
+  /// No more long-running work is admitted while other work uses more than this
+  /// share of what serving work leaves. On quiet days the use was 0.4 to 0.97,
+  /// briefly 1.13, while other work was in time; it rose from 1.15 to 1.68
+  /// where other work was late.
+  double max_use = 0.85;
+  /// Below this use more long-running work may be admitted.
+  double low_use = 0.65;
+  /// How long other work must have been present before its use counts as
+  /// evidence: nearly two periods of the observed daily load swings (11 s).
+  Millis observation_time{20'000};
+  /// Other work counts as present above this use.
+  double min_seen_use = 0.1;
+  /// Time constant with which the recorded peak use decays.
+  Millis peak_decay_time{10'000};
 };
 
 /// Processors of a service, in thousandths.
 struct ServiceLoad {
-  /// What serving work leaves to other work.
+  /// Processors that serving work leaves to other work.
   double left = 0;
-  /// What other work asks for that runs, or waits for nothing but a place.
+  /// Processors requested by other work that runs, or that lacks only a
+  /// placement.
   double asked = 0;
 };
 
@@ -56,25 +58,25 @@
 
   /// To be called a few times a second.
   void Observe(const ServiceLoad& load, Instant now);
-  /// Whether a job that reserves `asked` for as long as it lasts may be taken
-  /// beside `reserved` of its sort. A service whose workers are not known yet
-  /// takes it.
+  /// Whether a job that reserves `asked` until it is cancelled may be admitted
+  /// beside long-running work that reserves `reserved`. Always true while the
+  /// service's capacity is unknown (0).
   bool Allows(int64_t asked,
               int64_t reserved,
               int64_t capacity,
               Instant now) const;
 
-  /// Use of what serving work leaves, the highest of late.
+  /// Recent peak use of the processors that serving work leaves.
   double use() const { return use_; }
-  /// Other work has been there for long enough.
+  /// Whether other work has been present for long enough.
   bool IsProved(Instant now) const;
 
  private:
   const LastingRoomOptions options_;
   double use_ = 0;
   Instant observed_{};
-  /// Since when other work is there; zero: not yet.
-  Instant seen_since_{};
+  /// Since when other work is present; zero: it has not been seen yet.
+  Instant present_since_{};
 };
 
 }  // namespace doorwood
--- a/src/include/doorwood/pacing.h
+++ b/src/include/doorwood/pacing.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How fast filling work may go beside serving work on one worker, as a pure
-/// function of one report.
+/// Speed limits for best-effort work beside serving tasks on one worker, as a
+/// pure function of one report.
 
 #ifndef DOORWOOD_PACING_H_
 #define DOORWOOD_PACING_H_
@@ -15,23 +15,23 @@
 
 namespace doorwood {
 
-/// A serving task, from a report.
+/// A serving task in a report.
 struct PacedServing {
   ImageId image = 0;
   int64_t figure = 0;
   Millis target{0};
-  /// How long its tail has been at or above the target, on the mean of its
-  /// late and rough figures.
+  /// How long its tail latency has been at or above the target, by the mean of
+  /// its delayed and noisy reports.
   Millis over_for{0};
 };
 
-/// A filling task, from a report.
+/// A best-effort task in a report.
 struct PacedFill {
   std::string task;
   ImageId image = 0;
-  /// Processors it would use at full speed.
+  /// Processors that the task would use at full speed.
   double full_cores = 0;
-  /// Processors it uses now.
+  /// Processors that the task uses now.
   double cores = 0;
   int pace = 100;
 };
@@ -41,20 +41,22 @@
   int pace = 100;
 };
 
-/// New paces of the fills whose pace should change. Where a tail is too high,
-/// those that press most on the worst task are slowed down first, until the
-/// model expects it at the wanted share of the target; where all tails are
-/// low, those that press least are let go first, a step each. Where a task has
-/// been over its target for long, everything beside it stops, whatever the
-/// model thinks.
+/// Returns new paces for the best-effort tasks whose pace should change. If a
+/// tail latency is too high, tasks are slowed down in order of their effect on
+/// the worst serving task, until the model expects its tail latency at the
+/// wanted share of the target. If all tail latencies are low, tasks with the
+/// smallest effect are sped up first, by one step each. Once a serving task has
+/// been over its target for long, all best-effort tasks stop, whatever the
+/// model expects.
 std::vector<PaceDecision> DecidePaces(const std::vector<PacedServing>& serving,
-                                      const std::vector<PacedFill>& fills,
+                                      const std::vector<PacedFill>& best_effort,
                                       const InterferenceModel& model,
                                       const PolicyOptions& options);
 
-/// Processors that a fill will take beyond what the newest figures show: all of
-/// a `fresh` one's, whose figures are still to come, and what one is held back
-/// from, which goes before newer work.
+/// Processors that a best-effort task will use beyond those in the newest
+/// report: all of them for a `fresh` task, which is in no report yet, and
+/// otherwise those that its pace withholds. Withheld processors take precedence
+/// over newer work.
 double CoresToCome(double full_cores, bool fresh, int pace);
 
 }  // namespace doorwood
--- a/src/include/doorwood/place_search.h
+++ b/src/include/doorwood/place_search.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Finding places for the tasks of one step without judging every worker for
-/// every task, nor again in the next pass where nothing has changed.
+/// Search for workers for the tasks of one step. It avoids evaluating every
+/// worker for every task, and again in the next pass where nothing has changed.
 
 #ifndef DOORWOOD_PLACE_SEARCH_H_
 #define DOORWOOD_PLACE_SEARCH_H_
@@ -20,66 +20,68 @@
 
 constexpr int kNoWorker = -1;
 
-/// How many workers can't take a task, by reason.
+/// Number of workers that cannot take a task, by reason.
 using ProblemCounts = std::map<PlaceProblem, int>;
 
-/// The workers as the tasks of one step see them. A worker is judged once, and
-/// again only where a task was placed: by a profile, a leader of 490 workers
-/// spent half of its processor time on judging each of them for each task.
+/// The workers as candidates for the tasks of one step. A worker is evaluated
+/// once, and again only after a task was placed there: according to a profile,
+/// a leader of 490 workers spent half of its processor time on evaluating each
+/// worker for each task.
 class StepPlaces {
  public:
-  /// All of `rooms` count as unchanged, and so as no good, until they are
-  /// judged. The arguments must outlive this.
+  /// All of `workers` count as unchanged, and therefore unsuitable, until they
+  /// are evaluated. The arguments must outlive this object.
   StepPlaces(const StepPlan& step,
-             std::span<WorkerRoom* const> rooms,
+             std::span<WorkerRoom* const> workers,
              const InterferenceModel& model,
              const PolicyOptions& options);
 
-  /// `on_worker`: tasks of the step that are there already.
-  void Judge(size_t place, const TaskNeed& need, int on_worker);
-  /// The task may run there.
-  bool IsGood(size_t place) const;
-  /// The best place judged good; the worker `avoid` only if there is no other.
-  /// kNoWorker: there is none.
+  /// Evaluates one worker. `on_worker` is the number of the step's tasks there.
+  void Judge(size_t index, const TaskNeed& need, int on_worker);
+  /// Whether the task may run there.
+  bool IsGood(size_t index) const;
+  /// Index of the best suitable worker, or kNoWorker. `avoid` is returned only
+  /// if no other worker is suitable.
   int Best(std::string_view avoid) const;
   ProblemCounts CountProblems() const;
 
  private:
   const StepPlan& step_;
-  const std::span<WorkerRoom* const> rooms_;
+  const std::span<WorkerRoom* const> workers_;
   const InterferenceModel& model_;
   const PolicyOptions& options_;
   std::vector<PlaceProblem> problems_;
   std::vector<double> scores_;
 };
 
-/// What found no place, and in which pass: no task of the same sort that is at
-/// least as large is tried again on workers that have not changed since.
+/// Remembers which tasks found no worker, and in which pass. A task of the same
+/// kind that is at least as large is not tried again on workers that have not
+/// changed since.
 class HopelessFits {
  public:
-  /// The newest pass in which something no larger found no place on any worker
-  /// of `service`; 0: none.
+  /// The newest pass in which a task of the same kind, no larger than `step`'s,
+  /// found no worker of `service`; 0: none.
   uint64_t TriedIn(const StepPlan& step, std::string_view service) const;
-  /// `step` found no place in `pass`. Kept only if nothing but its size and
-  /// sort ruled workers out.
+  /// Records that `step` found no worker in `pass`. Ignored if constraints
+  /// other than the step's size and kind may have ruled out workers.
   void Add(const StepPlan& step, std::string_view service, uint64_t pass);
 
  private:
-  struct Fit {
+  struct Entry {
     std::string service;
     bool fills = false;
-    /// Of filling work, whose places depend on what it disturbs.
+    /// Set for best-effort work, whose placement depends on its interference.
     std::string image;
     Resources size;
     uint64_t pass = 0;
   };
 
-  /// A place for one of the two depends on size alone.
-  static bool IsSameSort(const Fit& fit,
+  /// Whether the two differ in size only, as far as placement is concerned.
+  static bool IsSameKind(const Entry& entry,
                          const StepPlan& step,
                          std::string_view service);
 
-  std::vector<Fit> fits_;
+  std::vector<Entry> entries_;
 };
 
 }  // namespace doorwood
--- a/src/include/doorwood/run_times.h
+++ b/src/include/doorwood/run_times.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How long tasks really run, learned for each queue from what ended and what
-/// the caller had guessed: some callers' guesses tell much, others' next to
-/// nothing.
+/// Prediction of task run times, learned for each queue from completed tasks
+/// and the callers' estimates. The accuracy of these estimates differs widely
+/// between callers.
 
 #ifndef DOORWOOD_RUN_TIMES_H_
 #define DOORWOOD_RUN_TIMES_H_
@@ -17,27 +17,35 @@
 namespace doorwood {
 
 struct RunTimeOptions {
-  /// After so many steps what was seen weighs as much as the bare guess.
-  double guess_weight = 4;
-  /// Steps after which what was seen counts about a third.
-  double memory = 300;
+  /// After this many steps the observations weigh as much as the estimate
+  /// alone.
+  double estimate_weight = 4;
+  /// After this many further steps the weight of an observation has fallen to
+  /// about a third.
+  double decay_steps = 300;
 };
 
-/// A line fitted, for each queue, through the logarithms of guesses and of run
-/// times. The guess is right at first; where guesses turn out to say little the
-/// line grows flat and the queue's usual run time takes over. In one day's logs
-/// a tenth of the runs took under 0.4 of the guess, and a tenth over 5.9 times.
+/// For each queue, a line fitted through the logarithms of estimates and run
+/// times. Estimates are taken as correct at first. Where they turn out to carry
+/// little information, the line flattens and predictions approach the queue's
+/// usual run time. In one day's logs a tenth of the runs took less than 0.4
+/// times the estimate, and a tenth more than 5.9 times.
 class RunTimeModel {
  public:
   explicit RunTimeModel(const RunTimeOptions& options) : options_(options) {}
 
-  /// A task of a step of `count` equal tasks ran for `taken` at full speed.
-  void Observe(std::string_view queue, int count, Millis guess, Millis taken);
+  /// Records that a task of a step of `count` equal tasks ran for `taken` at
+  /// full speed.
+  void Observe(std::string_view queue,
+               int count,
+               Millis estimate,
+               Millis run_time);
   /// Expected run time of a task.
-  Millis Expect(std::string_view queue, Millis guess) const;
+  Millis Expect(std::string_view queue, Millis estimate) const;
 
  private:
-  /// Weighted sums over what was seen; x: log of the guess, y: of the time.
+  /// Weighted sums over the observations; x: logarithm of the estimate, y: of
+  /// the run time.
   struct Sums {
     double weight = 0;
     double x = 0;
--- a/src/libdoorwood/policy/cell_policy.cpp
+++ b/src/libdoorwood/policy/cell_policy.cpp
@@ -8,11 +8,11 @@
 namespace doorwood {
 namespace {
 
-// Scores of places are sums of terms that lie between 0 and 1, weighted so
-// that an earlier term decides before a later one.
-constexpr double kDecides = 100.0;
-constexpr double kMatters = 10.0;
-constexpr double kMillis = 1000.0;
+// A worker's score is a sum of terms between 0 and 1. The weights make an
+// earlier term outweigh the later ones.
+constexpr double kDecisiveWeight = 100.0;
+constexpr double kStrongWeight = 10.0;
+constexpr double kMillisPerCore = 1000.0;
 
 double ShareUsed(int64_t used, int64_t capacity) {
   return capacity > 0
@@ -25,7 +25,7 @@
          worker.labels.end();
 }
 
-// 1: all serving tasks there are of `image`; 0: none is; half: there are none.
+// Share of the serving images there that equal `image`; 0.5 if there are none.
 double ShareOfImage(const WorkerRoom& worker, ImageId image) {
   constexpr double kEmptyWorker = 0.5;
   if (worker.strains.empty()) {
@@ -37,21 +37,22 @@
   return static_cast<double>(same) / static_cast<double>(worker.strains.size());
 }
 
-// Processors that filling work may ask for on a worker.
-double FillBudget(const WorkerRoom& worker, const PolicyOptions& options) {
+// Processors that best-effort work may request on a worker, in thousandths.
+double BestEffortCpuBudget(const WorkerRoom& worker,
+                           const PolicyOptions& options) {
   const int64_t ordinary = worker.reserved.cpu_millis - worker.serving_cpu;
   const double used =
       static_cast<double>(ordinary) +
       options.serving_use * static_cast<double>(worker.serving_cpu);
   return (static_cast<double>(worker.capacity.cpu_millis) - used) *
-         options.fill_share;
+         options.best_effort_cpu_share;
 }
 
-PlaceProblem FindRoomProblem(const StepPlan& step,
-                             const TaskNeed& need,
-                             const WorkerRoom& worker,
-                             const InterferenceModel& model,
-                             const PolicyOptions& options) {
+PlaceProblem FindCapacityProblem(const StepPlan& step,
+                                 const TaskNeed& need,
+                                 const WorkerRoom& worker,
+                                 const InterferenceModel& model,
+                                 const PolicyOptions& options) {
   const Resources after = worker.reserved + step.size;
   if (after.memory_mib > worker.capacity.memory_mib) {
     return PlaceProblem::kNoMemory;
@@ -65,11 +66,12 @@
   }
   const auto asked = static_cast<double>(worker.fill_cpu) +
                      static_cast<double>(step.size.cpu_millis);
-  if (asked > FillBudget(worker, options)) {
+  if (asked > BestEffortCpuBudget(worker, options)) {
     return PlaceProblem::kNoCpu;
   }
-  const double cores = static_cast<double>(step.size.cpu_millis) / kMillis;
-  return ExcessStrain(worker, need.image, cores, model) > 0
+  const double cores =
+      static_cast<double>(step.size.cpu_millis) / kMillisPerCore;
+  return ExcessUtilization(worker, need.image, cores, model) > 0
              ? PlaceProblem::kDisturbs
              : PlaceProblem::kNone;
 }
@@ -101,14 +103,16 @@
   const double objective =
       queue.stretch * chain + static_cast<double>(queue.latency_target.count());
   const int64_t left = RemainingChain(plan, step, run_times).count();
-  const int64_t on_time = due_at + static_cast<int64_t>(objective) - left;
-  if (now <= on_time) {
+  const int64_t latest_on_time =
+      due_at + static_cast<int64_t>(objective) - left;
+  if (now <= latest_on_time) {
     return {1, queue.priority, work_left};
   }
-  const int64_t useful =
-      due_at + static_cast<int64_t>(objective * options.hopeless_factor) - left;
-  if (now <= useful) {
-    return {2, queue.priority, useful};
+  const int64_t latest_useful =
+      due_at +
+      static_cast<int64_t>(objective * options.max_useful_time_factor) - left;
+  if (now <= latest_useful) {
+    return {2, queue.priority, latest_useful};
   }
   return {3, queue.priority, due_at};
 }
@@ -124,24 +128,24 @@
 Millis RemainingChain(const JobPlan& plan,
                       int step,
                       std::span<const Millis> run_times) {
-  // Longest path from `step` to any end, by walking later steps backwards.
+  // Longest path from `step` to any end, computed from the last step backwards.
   const size_t count = plan.steps.size();
-  std::vector<Millis> rest(count, Millis(0));
+  std::vector<Millis> remaining(count, Millis(0));
   for (size_t i = count; i-- > 0;) {
-    rest[i] += run_times[i];
+    remaining[i] += run_times[i];
     for (const int earlier : plan.steps[i].depends_on) {
-      rest[earlier] = std::max(rest[earlier], rest[i]);
+      remaining[earlier] = std::max(remaining[earlier], remaining[i]);
     }
   }
-  return rest[step];
+  return remaining[step];
 }
 
 std::string_view ToString(PlaceProblem problem) {
-  constexpr std::array<std::string_view, 11> kWords = {
+  constexpr std::array<std::string_view, 11> kNames = {
       "none",       "closed",    "other_service", "step_bound",      "no_label",
       "other_rack", "no_memory", "no_cpu",        "no_accelerators", "disturbs",
       "unchanged"};
-  return kWords[static_cast<size_t>(problem)];
+  return kNames[static_cast<size_t>(problem)];
 }
 
 PlaceProblem FindPlaceProblem(const StepPlan& step,
@@ -165,7 +169,7 @@
   if (step.same_rack && !need.rack.empty() && worker.rack != need.rack) {
     return PlaceProblem::kOtherRack;
   }
-  return FindRoomProblem(step, need, worker, model, options);
+  return FindCapacityProblem(step, need, worker, model, options);
 }
 
 double PlaceScore(const StepPlan& step,
@@ -174,37 +178,41 @@
                   const InterferenceModel& model) {
   double score = 0;
   if (!step.data_rack.empty() && HasLabel(worker, step.data_rack)) {
-    score += kDecides;
+    score += kDecisiveWeight;
   }
   const double reserved =
       ShareUsed(worker.reserved.cpu_millis, worker.capacity.cpu_millis);
-  const double filled = ShareUsed(worker.fill_cpu, worker.capacity.cpu_millis);
+  const double best_effort_share =
+      ShareUsed(worker.fill_cpu, worker.capacity.cpu_millis);
   if (step.latency_target > Millis(0)) {
-    // Worker after worker is filled up, so that whole ones stay free for what
-    // fills; among equals tasks of one image stay together, so that more kinds
-    // of filling work find a worker where they disturb nobody.
-    score += kMatters * reserved;
+    // Serving tasks fill one worker after another, which leaves whole workers
+    // to best-effort work. Among equally full workers, tasks of one image stay
+    // together, so that more kinds of best-effort work find a worker on which
+    // they disturb no serving task.
+    score += kStrongWeight * reserved;
     score += ShareOfImage(worker, need.image);
-    score -= filled;
+    score -= best_effort_share;
   } else if (step.fills) {
-    // To where it disturbs least and most processors are left.
-    const double cores = static_cast<double>(step.size.cpu_millis) / kMillis;
+    // Prefer the worker with the least interference, then the most free
+    // processors.
+    const double cores =
+        static_cast<double>(step.size.cpu_millis) / kMillisPerCore;
     score -= worker.strains.empty()
                  ? 0.0
-                 : 1.0 + ExcessStrain(worker, need.image, cores, model);
-    score -= filled;
+                 : 1.0 + ExcessUtilization(worker, need.image, cores, model);
+    score -= best_effort_share;
   } else {
-    // Short ordinary work leaves whole workers to what fills.
-    score -= kMatters * filled;
+    // Short ordinary tasks leave whole workers to best-effort work.
+    score -= kStrongWeight * best_effort_share;
     score += reserved;
   }
   return score;
 }
 
-double ExcessStrain(const WorkerRoom& worker,
-                    ImageId image,
-                    double cores,
-                    const InterferenceModel& model) {
+double ExcessUtilization(const WorkerRoom& worker,
+                         ImageId image,
+                         double cores,
+                         const InterferenceModel& model) {
   double excess = -1.0;
   for (const ServingStrain& serving : worker.strains) {
     const double added = model.Press(serving.image, image) * cores;
@@ -223,30 +231,32 @@
   Record& record = records_[worker];
   record.failures.insert_or_assign(std::string(job), now);
   std::erase_if(record.failures, [&](const auto& entry) {
-    return now - entry.second > options_.failure_memory;
+    return now - entry.second > options_.failure_window;
   });
-  if (static_cast<int>(record.failures.size()) >= options_.failures_to_rest) {
-    record.rests_until = now + options_.rest;
+  if (static_cast<int>(record.failures.size()) >=
+      options_.quarantine_failures) {
+    record.quarantined_until = now + options_.quarantine_period;
   }
 }
 
 void WorkerTrust::OnStart(const std::string& worker, Instant now) {
   const auto found = records_.find(worker);
-  if (found == records_.end() || found->second.rests_until == Instant{}) {
+  if (found == records_.end() || found->second.quarantined_until == Instant{}) {
     return;
   }
-  // A probe that nobody heard fail gives the worker its trust back.
-  if (now > found->second.rests_until + options_.failure_memory) {
+  // No failure was recorded within the failure window after the last probe, so
+  // the worker counts as healthy again.
+  if (now > found->second.quarantined_until + options_.failure_window) {
     records_.erase(found);
     return;
   }
-  found->second.rests_until =
-      std::max(found->second.rests_until, now + options_.probe_interval);
+  found->second.quarantined_until =
+      std::max(found->second.quarantined_until, now + options_.probe_interval);
 }
 
 bool WorkerTrust::Allows(const std::string& worker, Instant now) const {
   const auto found = records_.find(worker);
-  return found == records_.end() || now >= found->second.rests_until;
+  return found == records_.end() || now >= found->second.quarantined_until;
 }
 
 void WorkerTrust::Forget(const std::string& worker) {
--- a/src/libdoorwood/policy/cell_policy_test.cpp
+++ b/src/libdoorwood/policy/cell_policy_test.cpp
@@ -13,8 +13,9 @@
 
 struct PolicyFixture {
   PolicyFixture() {
-    // Not the tuned shares: rows count in whole workers.
-    options.fill_share = 1.0;
+    // Round shares instead of the defaults, so that rows count in whole
+    // workers.
+    options.best_effort_cpu_share = 1.0;
     options.serving_use = 0.5;
     worker.id = "w1";
     worker.service = "pool";
@@ -106,12 +107,13 @@
   BOOST_TEST(PlaceScore(step, need, other, model) < alone);
 }
 
-BOOST_AUTO_TEST_CASE(RankStep_LateAndLater_FallsBehind) {
+BOOST_AUTO_TEST_CASE(RankStep_Later_RanksLower) {
   JobPlan plan = fakes::MakePlan(kId, 2, 1, "");
   const std::vector<Millis> run_times{Millis(300), Millis(300)};
   Queue queue = fakes::MakeQueue("queue", 3);
   const PolicyOptions options;
-  // Objective: 2 * 600 + 1000 = 2200 ms; nothing is left after three times it.
+  // Objective: 2 * 600 + 1000 = 2200 ms; the value is zero after three times
+  // that.
   const auto rank = [&](int64_t now, bool lasting) {
     plan.steps[0].lasting = lasting;
     return RankStep(plan, queue, 0, 0, run_times, 0, now, options).group;
@@ -123,9 +125,10 @@
   BOOST_TEST(rank(6001, false) == 3);
 }
 
-// Twenty jobs of one size where ten fit in time: by the latest start all go on
-// together and are late together; by the work left ten are in time.
-BOOST_AUTO_TEST_CASE(RankStep_MoreThanFits_LeastWorkLeftGoesFirst) {
+// Twenty jobs of one size where ten fit in time: ordered by the latest start,
+// all progress together and all are late; ordered by remaining work, ten are in
+// time.
+BOOST_AUTO_TEST_CASE(RankStep_MoreThanCapacity_LeastWorkLeftGoesFirst) {
   JobPlan plan = fakes::MakePlan(kId, 2, 10, "");
   const std::vector<Millis> run_times{Millis(300), Millis(300)};
   const Queue queue = fakes::MakeQueue("queue", 3);
@@ -140,13 +143,13 @@
     return RankStep(job.plan, queue, step, due, run_times,
                     WorkLeft(job, 0, run_times), 1000, PolicyOptions{});
   };
-  // Though the other one was due before and has the longer way to go.
+  // Although the other job was due earlier and has more steps to go.
   BOOST_TEST((rank(*begun, 1, 500) < rank(*fresh, 0, 0)));
-  // One that is late waits for all that are not.
+  // A late job comes after all that are on time.
   BOOST_TEST((rank(*fresh, 0, 0) < rank(*begun, 1, -2000)));
 }
 
-BOOST_FIXTURE_TEST_CASE(PlaceScore_ServingTask_FillsUpWorkerAfterWorker,
+BOOST_FIXTURE_TEST_CASE(PlaceScore_ServingTask_FillsOneWorkerAfterAnother,
                         PolicyFixture) {
   step.latency_target = Millis(150);
   need.image = serving;
@@ -168,33 +171,33 @@
   BOOST_TEST(RemainingChain(plan, 2, run_times).count() == 300);
 }
 
-BOOST_AUTO_TEST_CASE(WorkerTrust_ThreeJobsFail_RestsThenProbes) {
-  WorkerTrust trust{PolicyOptions{}};
+BOOST_AUTO_TEST_CASE(WorkerQuarantine_ThreeJobsFail_ClosesThenProbes) {
+  WorkerTrust quarantine{PolicyOptions{}};
   const Instant start(Millis(1'000'000));
-  trust.OnFailure("w", "a", start);
-  trust.OnFailure("w", "a", start);
-  trust.OnFailure("w", "b", start);
-  BOOST_TEST(trust.Allows("w", start));
-  trust.OnFailure("w", "c", start);
-  BOOST_TEST(!trust.Allows("w", start + Millis(3999)));
-  // Also beside lasting tasks that never end: kgs scale-1 left such a worker
-  // closed for good.
-  const Instant rested = start + Millis(4000);
-  BOOST_TEST(trust.Allows("w", rested));
-  trust.OnStart("w", rested);
-  BOOST_TEST(!trust.Allows("w", rested + Millis(999)));
-  BOOST_TEST(trust.Allows("w", rested + Millis(1000)));
-  trust.OnSuccess("w");
-  BOOST_TEST(trust.Allows("w", rested));
+  quarantine.OnFailure("w", "a", start);
+  quarantine.OnFailure("w", "a", start);
+  quarantine.OnFailure("w", "b", start);
+  BOOST_TEST(quarantine.Allows("w", start));
+  quarantine.OnFailure("w", "c", start);
+  BOOST_TEST(!quarantine.Allows("w", start + Millis(3999)));
+  // This also holds beside long-running tasks that never end: in day scale-1 of
+  // site kgs such a worker stayed closed for good.
+  const Instant reopened = start + Millis(4000);
+  BOOST_TEST(quarantine.Allows("w", reopened));
+  quarantine.OnStart("w", reopened);
+  BOOST_TEST(!quarantine.Allows("w", reopened + Millis(999)));
+  BOOST_TEST(quarantine.Allows("w", reopened + Millis(1000)));
+  quarantine.OnSuccess("w");
+  BOOST_TEST(quarantine.Allows("w", reopened));
 }
 
-BOOST_AUTO_TEST_CASE(WorkerTrust_FailuresFarApart_DoNotAddUp) {
-  WorkerTrust trust{PolicyOptions{}};
+BOOST_AUTO_TEST_CASE(WorkerQuarantine_FailuresFarApart_DoNotAddUp) {
+  WorkerTrust quarantine{PolicyOptions{}};
   Instant now(Millis(1'000'000));
   for (const char* job : {"a", "b", "c", "d"}) {
-    trust.OnFailure("w", job, now);
+    quarantine.OnFailure("w", job, now);
     now += Millis(4000);
-    BOOST_TEST(trust.Allows("w", now));
+    BOOST_TEST(quarantine.Allows("w", now));
   }
 }
 
--- a/src/libdoorwood/policy/crash_guard.cpp
+++ b/src/libdoorwood/policy/crash_guard.cpp
@@ -9,21 +9,21 @@
 namespace doorwood {
 namespace {
 
-// Different machines that went down in trials of a task: seen for sure, and
-// all.
-constexpr size_t kSureProofs = 2;
-constexpr size_t kProofs = 3;
-// Crashes of which something else may be the cause, and how many of them must
-// have been seen for sure.
-constexpr size_t kMostCrashes = 5;
-constexpr size_t kSurelySeen = 2;
-
-bool IsSure(const CrashNote& crash) {
+// Number of different machines that crashed in trials of a task after which it
+// is given up: with a confirmed process restart, and in total.
+constexpr size_t kConfirmedTrialCrashesToGiveUp = 2;
+constexpr size_t kTrialCrashesToGiveUp = 3;
+// Number of crashes as a suspect, which may have another cause, after which the
+// task is given up, and how many of them must be confirmed.
+constexpr size_t kSuspectCrashesToGiveUp = 5;
+constexpr size_t kMinConfirmedCrashes = 2;
+
+bool IsConfirmed(const CrashNote& crash) {
   return crash.evidence == CrashEvidence::kOtherLife;
 }
 
-bool IsSeen(const CrashNote& crash) {
-  return IsSure(crash) || crash.evidence == CrashEvidence::kVanished;
+bool IsObserved(const CrashNote& crash) {
+  return IsConfirmed(crash) || crash.evidence == CrashEvidence::kVanished;
 }
 
 }  // namespace
@@ -42,91 +42,93 @@
 
 std::vector<Blame> BlameCrash(std::span<const RunAtCrash> runs,
                               const CrashOptions& options) {
-  const bool any_tried =
+  const bool any_in_trial =
       std::any_of(runs.begin(), runs.end(),
                   [](const RunAtCrash& run) { return run.tried; });
-  std::vector<Blame> blames;
+  std::vector<Blame> roles;
   for (const RunAtCrash& run : runs) {
     const bool is_new = !run.adopted && run.at_work < options.at_work;
-    const bool suspect = any_tried ? run.tried : is_new;
-    const bool young = run.at_work < options.cleared;
-    blames.push_back(suspect ? Blame::kSuspect
-                     : young ? Blame::kBystander
+    const bool suspect = any_in_trial ? run.tried : is_new;
+    const bool recent = run.at_work < options.cleared;
+    roles.push_back(suspect  ? Blame::kSuspect
+                    : recent ? Blame::kBystander
                              : Blame::kNone);
   }
-  return blames;
+  return roles;
 }
 
 CrashVerdict JudgeCrashes(std::span<const CrashNote> crashes) {
-  std::set<std::string_view> proofs;
-  std::set<std::string_view> sure_proofs;
-  size_t notes = 0;
-  size_t bystander = 0;
-  size_t sure = 0;
+  std::set<std::string_view> trial_machines;
+  std::set<std::string_view> confirmed_trial_machines;
+  size_t suspect_crashes = 0;
+  size_t bystander_crashes = 0;
+  size_t confirmed_crashes = 0;
   bool suspect = false;
   for (const CrashNote& crash : crashes) {
     suspect = suspect || crash.suspect;
     if (crash.one_of_many || crash.evidence == CrashEvidence::kTrial) {
       continue;
     }
-    notes += crash.suspect ? 1 : 0;
-    bystander += crash.suspect ? 0 : 1;
-    sure += IsSure(crash) && crash.suspect ? 1 : 0;
-    if (crash.alone && IsSeen(crash)) {
-      proofs.insert(crash.machine);
+    suspect_crashes += crash.suspect ? 1 : 0;
+    bystander_crashes += crash.suspect ? 0 : 1;
+    confirmed_crashes += IsConfirmed(crash) && crash.suspect ? 1 : 0;
+    if (crash.alone && IsObserved(crash)) {
+      trial_machines.insert(crash.machine);
     }
-    if (crash.alone && IsSure(crash)) {
-      sure_proofs.insert(crash.machine);
+    if (crash.alone && IsConfirmed(crash)) {
+      confirmed_trial_machines.insert(crash.machine);
     }
   }
-  const bool too_many = notes >= kMostCrashes && sure >= kSurelySeen;
-  if (sure_proofs.size() >= kSureProofs || proofs.size() >= kProofs ||
-      too_many) {
+  const bool too_many = suspect_crashes >= kSuspectCrashesToGiveUp &&
+                        confirmed_crashes >= kMinConfirmedCrashes;
+  if (confirmed_trial_machines.size() >= kConfirmedTrialCrashesToGiveUp ||
+      trial_machines.size() >= kTrialCrashesToGiveUp || too_many) {
     return CrashVerdict::kGivenUp;
   }
-  return suspect || bystander > 1 ? CrashVerdict::kSuspect
-                                  : CrashVerdict::kSound;
+  return suspect || bystander_crashes > 1 ? CrashVerdict::kSuspect
+                                          : CrashVerdict::kSound;
 }
 
 bool IsLikelyCulprit(std::span<const CrashNote> crashes) {
   return std::any_of(
       crashes.begin(), crashes.end(),
-      [](const CrashNote& crash) { return crash.alone && IsSeen(crash); });
+      [](const CrashNote& crash) { return crash.alone && IsObserved(crash); });
 }
 
 Millis TrialOf(std::span<const CrashNote> crashes,
                const CrashOptions& options) {
   Millis longest{0};
-  Millis shortest = options.short_trial;
+  Millis shortest = options.min_mass_crash_trial;
   for (const CrashNote& crash : crashes) {
     if (crash.evidence == CrashEvidence::kTrial) {
       continue;
     }
-    // What ran for long when many went down has probably not caused it.
-    const Millis most = crash.one_of_many ? options.at_work : crash.at_work;
-    longest = std::max(longest, std::min(crash.at_work, most));
-    shortest = crash.one_of_many ? shortest : options.shortest_trial;
+    // A task that had been running for long when many workers crashed is
+    // unlikely to be the cause.
+    const Millis limit = crash.one_of_many ? options.at_work : crash.at_work;
+    longest = std::max(longest, std::min(crash.at_work, limit));
+    shortest = crash.one_of_many ? shortest : options.min_trial;
   }
-  return std::clamp(2 * longest, shortest, options.longest_trial);
+  return std::clamp(2 * longest, shortest, options.max_trial);
 }
 
 Millis PauseAfterCrashes(size_t crashes,
                          double jitter,
                          const CrashOptions& options) {
   constexpr double kSpread = 0.5;
-  Millis pause = options.pause;
-  for (size_t i = 1; i < crashes && pause < options.longest_pause; ++i) {
-    pause *= 2;
+  Millis delay = options.restart_delay;
+  for (size_t i = 1; i < crashes && delay < options.max_restart_delay; ++i) {
+    delay *= 2;
   }
-  pause = std::min(pause, options.longest_pause);
+  delay = std::min(delay, options.max_restart_delay);
   const double factor = 1.0 + kSpread * (jitter - kSpread);
   return Millis(
-      static_cast<int64_t>(static_cast<double>(pause.count()) * factor));
+      static_cast<int64_t>(static_cast<double>(delay.count()) * factor));
 }
 
 void CrashWave::Add(Crash crash) {
   std::erase_if(crashes_, [&](const Crash& earlier) {
-    return crash.at - earlier.at > options_.wave;
+    return crash.at - earlier.at > options_.mass_crash_window;
   });
   crashes_.push_back(std::move(crash));
 }
@@ -149,7 +151,7 @@
 void CrashTrials::Expire(Instant now) {
   std::erase_if(trials_, [&](const auto& entry) {
     const Trial& trial = entry.second;
-    return !trial.started && now - trial.since > options_.longest_reservation;
+    return !trial.started && now - trial.since > options_.reservation_timeout;
   });
 }
 
@@ -174,19 +176,19 @@
 bool CrashTrials::HasPlace(std::string_view service,
                            int workers,
                            bool likely) const {
-  const auto is_below = [&](bool of_likely, double share) {
-    std::set<std::string_view> kept;
+  const auto has_free_slot = [&](bool of_likely, double share) {
+    std::set<std::string_view> reserved;
     for (const auto& [task, trial] : trials_) {
       if (!trial.settled && trial.service == service &&
           (trial.likely || !of_likely)) {
-        kept.insert(trial.worker);
+        reserved.insert(trial.worker);
       }
     }
-    const auto most = static_cast<size_t>(workers * share);
-    return kept.size() < std::max<size_t>(most, 1);
+    const auto limit = static_cast<size_t>(workers * share);
+    return reserved.size() < std::max<size_t>(limit, 1);
   };
-  return is_below(false, options_.trial_share) &&
-         (!likely || is_below(true, options_.likely_share));
+  return has_free_slot(false, options_.max_trial_share) &&
+         (!likely || has_free_slot(true, options_.max_culprit_trial_share));
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/policy/crash_guard_test.cpp
+++ b/src/libdoorwood/policy/crash_guard_test.cpp
@@ -24,7 +24,7 @@
   return {run, machine, machine + "+", CrashEvidence::kVanished, true, true};
 }
 
-CrashNote Untold(uint32_t run) {
+CrashNote Unconfirmed(uint32_t run) {
   return {run, "", "", CrashEvidence::kUntold, true, false};
 }
 
@@ -32,7 +32,7 @@
   return {run, machine, machine + "+", CrashEvidence::kOtherLife, false, false};
 }
 
-CrashNote OneOfMany(uint32_t run, const std::string& machine) {
+CrashNote MassCrash(uint32_t run, const std::string& machine) {
   return {run,  machine, machine + "+", CrashEvidence::kOtherLife,
           true, false,   true};
 }
@@ -78,15 +78,17 @@
        {Vanished(1, "a"), Vanished(2, "b"), Vanished(3, "c")},
        kGivenUp,
        true},
-      {"starts that nobody told of prove nothing",
-       {Alone(1, "a"), Untold(2), Untold(3), Untold(4), Untold(5)},
+      {"unconfirmed starts prove nothing",
+       {Alone(1, "a"), Unconfirmed(2), Unconfirmed(3), Unconfirmed(4),
+        Unconfirmed(5)},
        kSuspect,
        true},
-      {"they count beside two crashes",
-       {Beside(1, "a"), Beside(2, "b"), Untold(3), Untold(4), Untold(5)},
+      {"unconfirmed starts count beside two crashes",
+       {Beside(1, "a"), Beside(2, "b"), Unconfirmed(3), Unconfirmed(4),
+        Unconfirmed(5)},
        kGivenUp,
        false},
-      {"a bystander many times",
+      {"many times a bystander",
        {Bystander(1, "a"), Bystander(2, "b"), Bystander(3, "c"),
         Bystander(4, "d"), Bystander(5, "e"), Bystander(6, "f")},
        kSuspect,
@@ -96,9 +98,9 @@
        {Bystander(1, "a"), Bystander(2, "b")},
        kSuspect,
        false},
-      {"many workers at a time, again and again",
-       {OneOfMany(1, "a"), OneOfMany(2, "b"), OneOfMany(3, "c"),
-        OneOfMany(4, "d"), OneOfMany(5, "e")},
+      {"repeated mass crashes",
+       {MassCrash(1, "a"), MassCrash(2, "b"), MassCrash(3, "c"),
+        MassCrash(4, "d"), MassCrash(5, "e")},
        kSuspect,
        false},
   };
@@ -110,7 +112,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(BlameCrash_RunsThere_NewestOrTriedAreSuspects) {
+BOOST_AUTO_TEST_CASE(ClassifyRuns_RunsOnWorker_NewestOrInTrialAreSuspects) {
   const RunAtCrash fresh{Millis(0)};
   const RunAtCrash young{Millis(2000)};
   const RunAtCrash old{Millis(60'000)};
@@ -118,7 +120,7 @@
   const struct {
     const char* name;
     std::vector<RunAtCrash> runs;
-    std::vector<Blame> blames;
+    std::vector<Blame> roles;
   } rows[] = {
       {"nothing ran", {}, {}},
       {"one new run beside old ones",
@@ -135,17 +137,17 @@
   };
   for (const auto& row : rows) {
     BOOST_TEST_CONTEXT(row.name) {
-      BOOST_TEST((BlameCrash(row.runs, kOptions) == row.blames));
+      BOOST_TEST((BlameCrash(row.runs, kOptions) == row.roles));
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(TrialOf_CrashesAtAnAge_TwiceTheLongest) {
+BOOST_AUTO_TEST_CASE(TrialDuration_CrashesAtAnAge_IsTwiceTheLongest) {
   CrashNote crash = Beside(1, "a");
-  const auto trial = [&](int at_work, bool many) {
+  const auto trial = [&](int at_work, bool mass_crash) {
     crash.at_work = Millis(at_work);
-    crash.one_of_many = many;
-    return TrialOf(std::vector<CrashNote>{OneOfMany(9, "z"), crash}, kOptions)
+    crash.one_of_many = mass_crash;
+    return TrialOf(std::vector<CrashNote>{MassCrash(9, "z"), crash}, kOptions)
         .count();
   };
   BOOST_TEST(trial(0, false) == 1000);
@@ -157,7 +159,7 @@
   BOOST_TEST(trial(9000, false) == 4000);
 }
 
-BOOST_AUTO_TEST_CASE(PauseAfterCrashes_MoreCrashes_LongerUpToABound) {
+BOOST_AUTO_TEST_CASE(RestartDelay_MoreCrashes_GrowsUpToLimit) {
   constexpr double kMiddle = 0.5;
   BOOST_TEST(PauseAfterCrashes(1, kMiddle, kOptions).count() == 250);
   BOOST_TEST(PauseAfterCrashes(2, kMiddle, kOptions).count() == 500);
@@ -167,7 +169,7 @@
   BOOST_TEST(PauseAfterCrashes(1, 1.0, kOptions).count() == 312);
 }
 
-BOOST_AUTO_TEST_CASE(CrashTrials_WorkersKept_BoundedByShares) {
+BOOST_AUTO_TEST_CASE(CrashTrials_WorkersReserved_LimitedByShares) {
   CrashTrials trials(kOptions);
   constexpr int kWorkers = 20;
   BOOST_TEST(trials.HasPlace("pool", 1, true));
@@ -178,7 +180,7 @@
   trials.Keep("b.0.0.0", {"w2", "pool", kNow, true, Millis(0), true});
   BOOST_TEST(trials.IsTrying("b.0.0.0", "w2"));
   BOOST_TEST(!trials.IsTrying("b.0.0.0", "w1"));
-  // A tenth for likely culprits, a third for all.
+  // A tenth for likely culprits, a third for all suspects.
   BOOST_TEST(!trials.HasPlace("pool", kWorkers, true));
   BOOST_TEST(trials.HasPlace("pool", kWorkers, false));
   BOOST_TEST(trials.HasPlace("other", kWorkers, true));
@@ -192,25 +194,25 @@
   BOOST_TEST(trials.HasPlace("pool", kWorkers, true));
 }
 
-BOOST_AUTO_TEST_CASE(CrashTrials_ReservedButNotBegun_Expires) {
+BOOST_AUTO_TEST_CASE(CrashTrials_ReservedButNotStarted_Expires) {
   CrashTrials trials(kOptions);
   trials.Keep("a.0.0.0", {"w1", "pool", kNow});
   trials.Keep("b.0.0.0", {"w2", "pool", kNow, false, Millis(0), true});
-  trials.Expire(kNow + kOptions.longest_reservation);
+  trials.Expire(kNow + kOptions.reservation_timeout);
   BOOST_TEST(trials.Keeps("w1"));
-  trials.Expire(kNow + kOptions.longest_reservation + Millis(1));
+  trials.Expire(kNow + kOptions.reservation_timeout + Millis(1));
   BOOST_TEST(!trials.Keeps("w1"));
   BOOST_TEST(trials.Keeps("w2"));
 }
 
-BOOST_AUTO_TEST_CASE(CrashWave_ThreeWithinAMoment_IsOneOfMany) {
+BOOST_AUTO_TEST_CASE(MassCrashDetector_ThreeWithinWindow_IsMassCrash) {
   CrashWave wave(kOptions);
   wave.Add({kNow, {}});
-  wave.Add({kNow + kOptions.wave, {}});
+  wave.Add({kNow + kOptions.mass_crash_window, {}});
   BOOST_TEST(!wave.IsOneOfMany());
-  wave.Add({kNow + kOptions.wave + Millis(1), {}});
-  BOOST_TEST(!wave.IsOneOfMany());  // the first one was before
-  wave.Add({kNow + kOptions.wave + Millis(2), {}});
+  wave.Add({kNow + kOptions.mass_crash_window + Millis(1), {}});
+  BOOST_TEST(!wave.IsOneOfMany());  // the first crash is outside the window
+  wave.Add({kNow + kOptions.mass_crash_window + Millis(2), {}});
   BOOST_TEST(wave.IsOneOfMany());
   BOOST_TEST(wave.crashes().size() == 3U);
 }
--- a/src/libdoorwood/policy/interference.cpp
+++ b/src/libdoorwood/policy/interference.cpp
@@ -7,8 +7,8 @@
 namespace doorwood {
 namespace {
 
-// Keeps the correction finite where little filling work runs.
-constexpr double kSmallLoad = 4.0;
+// Keeps the correction bounded where little best-effort work runs.
+constexpr double kRegularization = 4.0;
 
 }  // namespace
 
@@ -19,26 +19,26 @@
   }
   const auto id = static_cast<ImageId>(ids_.size());
   ids_.emplace(image, id);
-  base_.push_back(0);
-  for (std::vector<double>& row : press_) {
-    row.push_back(options_.unknown_press);
+  base_latency_.push_back(0);
+  for (std::vector<double>& row : interference_) {
+    row.push_back(options_.default_interference);
   }
-  press_.emplace_back(ids_.size(), options_.unknown_press);
+  interference_.emplace_back(ids_.size(), options_.default_interference);
   return id;
 }
 
-double InterferenceModel::BaseOf(ImageId image, Millis target) const {
+double InterferenceModel::BaseLatency(ImageId image, Millis target) const {
   const auto bound = static_cast<double>(target.count());
-  if (base_[image] <= 0) {
-    return bound * options_.first_base;
+  if (base_latency_[image] <= 0) {
+    return bound * options_.initial_base_share;
   }
-  return std::max(base_[image], bound * options_.lowest_base);
+  return std::max(base_latency_[image], bound * options_.min_base_share);
 }
 
 double InterferenceModel::Strain(ImageId image,
                                  int64_t figure,
                                  Millis target) const {
-  const double base = BaseOf(image, target);
+  const double base = BaseLatency(image, target);
   const double tail = std::max(base, static_cast<double>(figure));
   return 1.0 - base / tail;
 }
@@ -51,13 +51,14 @@
 }
 
 void InterferenceModel::Relax(Millis passed) {
-  const double kept = 1.0 - static_cast<double>(passed.count()) /
-                                static_cast<double>(options_.memory.count());
-  for (std::vector<double>& row : press_) {
-    for (double& press : row) {
-      const double above = press - options_.unknown_press;
-      if (above > 0) {
-        press = options_.unknown_press + above * kept;
+  const double kept =
+      1.0 - static_cast<double>(passed.count()) /
+                static_cast<double>(options_.decay_time.count());
+  for (std::vector<double>& row : interference_) {
+    for (double& factor : row) {
+      const double excess = factor - options_.default_interference;
+      if (excess > 0) {
+        factor = options_.default_interference + excess * kept;
       }
     }
   }
@@ -66,33 +67,33 @@
 double InterferenceModel::Observe(ImageId serving,
                                   int64_t figure,
                                   Millis target,
-                                  std::span<const FillLoad> fills,
+                                  std::span<const FillLoad> best_effort,
                                   double load) {
   if (figure <= 0 || target <= Millis(0)) {
     return load;
   }
   const auto tail = static_cast<double>(figure);
-  double& base = base_[serving];
+  double& base = base_latency_[serving];
   base = base > 0 ? std::min(base, tail) : tail;
-  const double strain = Strain(serving, figure, target);
-  double pressed = 0;
+  const double utilization = Strain(serving, figure, target);
+  double added = 0;
   double squares = 0;
-  for (const FillLoad& fill : fills) {
-    pressed += Press(serving, fill.image) * fill.cores;
-    squares += fill.cores * fill.cores;
+  for (const FillLoad& item : best_effort) {
+    added += Press(serving, item.image) * item.cores;
+    squares += item.cores * item.cores;
   }
   if (load < 0) {
-    return std::max(0.0, strain - pressed);
+    return std::max(0.0, utilization - added);
   }
-  const double error = strain - std::min(load + pressed, 1.0);
-  for (const FillLoad& fill : fills) {
-    double& press = press_[serving][fill.image];
-    press +=
-        options_.learning_rate * error * fill.cores / (squares + kSmallLoad);
-    press = std::clamp(press, 0.0, options_.highest_press);
+  const double error = utilization - std::min(load + added, 1.0);
+  for (const FillLoad& item : best_effort) {
+    double& factor = interference_[serving][item.image];
+    factor += options_.learning_rate * error * item.cores /
+              (squares + kRegularization);
+    factor = std::clamp(factor, 0.0, options_.max_interference);
   }
-  const double rate =
-      squares > 0 ? options_.load_rate : options_.load_rate_alone;
+  const double rate = squares > 0 ? options_.load_learning_rate
+                                  : options_.load_learning_rate_alone;
   return std::clamp(load + rate * error, 0.0, 1.0);
 }
 
--- a/src/libdoorwood/policy/lasting_room.cpp
+++ b/src/libdoorwood/policy/lasting_room.cpp
@@ -10,18 +10,21 @@
 void LastingRoom::Observe(const ServiceLoad& load, Instant now) {
   const double use = load.left > 0 ? load.asked / load.left : 0;
   const auto passed = std::chrono::duration<double>(now - observed_);
-  const auto memory = std::chrono::duration<double>(options_.memory);
-  const double kept =
-      observed_ == Instant{} ? 0.0 : std::exp(-passed.count() / memory.count());
+  const auto decay_time =
+      std::chrono::duration<double>(options_.peak_decay_time);
+  const double kept = observed_ == Instant{}
+                          ? 0.0
+                          : std::exp(-passed.count() / decay_time.count());
   use_ = use + std::max(0.0, use_ - use) * kept;
   observed_ = now;
-  if (use > options_.seen_use && seen_since_ == Instant{}) {
-    seen_since_ = now;
+  if (use > options_.min_seen_use && present_since_ == Instant{}) {
+    present_since_ = now;
   }
 }
 
 bool LastingRoom::IsProved(Instant now) const {
-  return seen_since_ != Instant{} && now - seen_since_ >= options_.proof_time;
+  return present_since_ != Instant{} &&
+         now - present_since_ >= options_.observation_time;
 }
 
 bool LastingRoom::Allows(int64_t asked,
@@ -33,11 +36,12 @@
   }
   const double share =
       static_cast<double>(asked + reserved) / static_cast<double>(capacity);
-  if (use_ > options_.pressed_use) {
+  if (use_ > options_.max_use) {
     return false;
   }
-  const bool has_slack = IsProved(now) && use_ <= options_.slack_use;
-  return share <= (has_slack ? options_.proved_share : options_.unproved_share);
+  const bool has_free_capacity = IsProved(now) && use_ <= options_.low_use;
+  return share <=
+         (has_free_capacity ? options_.raised_share : options_.initial_share);
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/policy/lasting_room_test.cpp
+++ b/src/libdoorwood/policy/lasting_room_test.cpp
@@ -9,69 +9,72 @@
 
 constexpr Millis kStep{300};
 
-struct RoomFixture {
-  // Other work asks for `use` of what serving work leaves, for so long.
-  void Pass(double use, Millis duration) {
+struct AdmissionFixture {
+  // Other work requests `use` times what serving work leaves, for `duration`.
+  void Simulate(double use, Millis duration) {
     for (Millis passed{0}; passed < duration; passed += kStep) {
       now += kStep;
-      room.Observe({1000.0, 1000.0 * use}, now);
+      admission.Observe({1000.0, 1000.0 * use}, now);
     }
   }
-  // Largest share, in hundredths, that may be reserved.
+  // Largest share, in percent, that may be reserved.
   int Share() const {
     int share = 0;
-    while (share < 100 && room.Allows(1, share, 100, now)) {
+    while (share < 100 && admission.Allows(1, share, 100, now)) {
       ++share;
     }
     return share;
   }
 
   LastingRoomOptions options;
-  LastingRoom room{options};
+  LastingRoom admission{options};
   Instant now = Instant{} + std::chrono::hours(1);
 };
 
-BOOST_FIXTURE_TEST_CASE(Allows_NothingSeenYet_IsCareful, RoomFixture) {
+BOOST_FIXTURE_TEST_CASE(Allows_NothingObserved_UsesInitialShare,
+                        AdmissionFixture) {
   BOOST_TEST(Share() == 60);
-  BOOST_TEST(room.Allows(1'000'000, 0, 0, now));
+  BOOST_TEST(admission.Allows(1'000'000, 0, 0, now));
 }
 
-BOOST_FIXTURE_TEST_CASE(Allows_NoOtherWorkForLong_StaysCareful, RoomFixture) {
-  Pass(0.0, Millis(60'000));
+BOOST_FIXTURE_TEST_CASE(Allows_NoOtherWorkForLong_KeepsInitialShare,
+                        AdmissionFixture) {
+  Simulate(0.0, Millis(60'000));
   BOOST_TEST(Share() == 60);
 }
 
-BOOST_FIXTURE_TEST_CASE(Allows_OtherWorkLeavesRoomForLong_TakesMore,
-                        RoomFixture) {
-  Pass(0.5, Millis(19'000));
+BOOST_FIXTURE_TEST_CASE(Allows_CapacityFreeForLong_RaisesShare,
+                        AdmissionFixture) {
+  Simulate(0.5, Millis(19'000));
   BOOST_TEST(Share() == 60);
-  Pass(0.5, Millis(2000));
+  Simulate(0.5, Millis(2000));
   BOOST_TEST(Share() == 80);
 }
 
-BOOST_FIXTURE_TEST_CASE(Allows_OtherWorkPresses_TakesNone, RoomFixture) {
-  Pass(0.5, Millis(25'000));
-  Pass(1.2, Millis(300));
+BOOST_FIXTURE_TEST_CASE(Allows_OtherWorkOverloaded_AdmitsNone,
+                        AdmissionFixture) {
+  Simulate(0.5, Millis(25'000));
+  Simulate(1.2, Millis(300));
   BOOST_TEST(Share() == 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(Allows_BurstIsOver_ReturnsByAndBy, RoomFixture) {
-  Pass(0.5, Millis(25'000));
-  Pass(1.2, Millis(4000));
-  Pass(0.5, Millis(3000));
+BOOST_FIXTURE_TEST_CASE(Allows_BurstEnded_RecoversGradually, AdmissionFixture) {
+  Simulate(0.5, Millis(25'000));
+  Simulate(1.2, Millis(4000));
+  Simulate(0.5, Millis(3000));
   BOOST_TEST(Share() == 0);
-  Pass(0.5, Millis(6000));
+  Simulate(0.5, Millis(6000));
   BOOST_TEST(Share() == 60);
-  Pass(0.5, Millis(15'000));
+  Simulate(0.5, Millis(15'000));
   BOOST_TEST(Share() == 80);
 }
 
-// The load of a deployment that is full on a quiet day: other work came to use
-// 0.77 of what a share of 0.6 left it, and to ask for 1.68 of what 0.8 did.
-BOOST_FIXTURE_TEST_CASE(Allows_LoadThatRises_StaysCarefulAndThenTakesNone,
-                        RoomFixture) {
+// Load of a deployment that is full on a quiet day: other work came to use 0.77
+// of what a share of 0.6 left, and requested 1.68 of what a share of 0.8 left.
+BOOST_FIXTURE_TEST_CASE(Allows_RisingLoad_KeepsInitialShareThenAdmitsNone,
+                        AdmissionFixture) {
   for (const double use : {0.25, 0.31, 0.54, 0.77, 0.78, 0.87}) {
-    Pass(use, Millis(5000));
+    Simulate(use, Millis(5000));
     BOOST_TEST(Share() <= 60);
   }
   BOOST_TEST(Share() == 0);
--- a/src/libdoorwood/policy/pacing_test.cpp
+++ b/src/libdoorwood/policy/pacing_test.cpp
@@ -9,8 +9,7 @@
 
 constexpr Millis kTarget{150};
 
-// What the model takes for truth here: heavy work adds 0.06 a core, light work
-// 0.005.
+// The model learns that heavy work adds 0.06 per core and light work 0.005.
 struct PacingFixture {
   PacingFixture() {
     model.Observe(serving, 30, kTarget, {}, -1);
@@ -34,20 +33,21 @@
   const ImageId serving = model.Intern("s");
   const ImageId heavy = model.Intern("heavy");
   const ImageId light = model.Intern("light");
-  std::vector<PacedFill> fills{{"h", heavy, 4.0, 4.0, 100},
-                               {"l", light, 4.0, 4.0, 100}};
+  std::vector<PacedFill> best_effort{{"h", heavy, 4.0, 4.0, 100},
+                                     {"l", light, 4.0, 4.0, 100}};
 };
 
-BOOST_FIXTURE_TEST_CASE(Press_AfterReports_TellsHeavyFromLight, PacingFixture) {
+BOOST_FIXTURE_TEST_CASE(Interference_AfterReports_HeavyExceedsLight,
+                        PacingFixture) {
   BOOST_TEST(model.Press(serving, heavy) > 3 * model.Press(serving, light));
   BOOST_TEST(model.Press(serving, model.Intern("never seen")) ==
-             options.interference.unknown_press);
+             options.interference.default_interference);
 }
 
-BOOST_FIXTURE_TEST_CASE(DecidePaces_TailAboveTarget_SlowsTheHeavyOneFirst,
+BOOST_FIXTURE_TEST_CASE(DecidePaces_TailAboveTarget_SlowsHeavyTaskFirst,
                         PacingFixture) {
   const std::vector<PacedServing> tasks{{serving, 160, kTarget}};
-  const auto decisions = DecidePaces(tasks, fills, model, options);
+  const auto decisions = DecidePaces(tasks, best_effort, model, options);
   BOOST_REQUIRE(!decisions.empty());
   BOOST_TEST(decisions[0].task == "h");
   BOOST_TEST(decisions[0].pace < 100);
@@ -56,51 +56,53 @@
 BOOST_FIXTURE_TEST_CASE(DecidePaces_TailFarAboveTarget_StopsAll,
                         PacingFixture) {
   const std::vector<PacedServing> tasks{{serving, 3000, kTarget}};
-  const auto decisions = DecidePaces(tasks, fills, model, options);
+  const auto decisions = DecidePaces(tasks, best_effort, model, options);
   BOOST_TEST(decisions.size() == 2U);
   for (const PaceDecision& decision : decisions) {
     BOOST_TEST(decision.pace == 0);
   }
 }
 
-// The model holds both fills for harmless enough, and the last figure happens
-// to be low.
+// The model considers both best-effort tasks harmless enough, and the last
+// reported latency happens to be low.
 BOOST_FIXTURE_TEST_CASE(DecidePaces_OverTargetForLong_StopsAll, PacingFixture) {
   const std::vector<PacedServing> tasks{
-      {serving, 120, kTarget, options.over_patience}, {serving, 140, kTarget}};
-  const auto decisions = DecidePaces(tasks, fills, model, options);
+      {serving, 120, kTarget, options.max_over_target_time},
+      {serving, 140, kTarget}};
+  const auto decisions = DecidePaces(tasks, best_effort, model, options);
   BOOST_TEST(decisions.size() == 2U);
   for (const PaceDecision& decision : decisions) {
     BOOST_TEST(decision.pace == 0);
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(DecidePaces_TailLow_LetsGoInSteps, PacingFixture) {
-  fills[0].pace = 0;
-  fills[1].pace = 0;
+BOOST_FIXTURE_TEST_CASE(DecidePaces_TailLow_SpeedsUpInSteps, PacingFixture) {
+  best_effort[0].pace = 0;
+  best_effort[1].pace = 0;
   const std::vector<PacedServing> tasks{{serving, 40, kTarget}};
-  const auto decisions = DecidePaces(tasks, fills, model, options);
+  const auto decisions = DecidePaces(tasks, best_effort, model, options);
   BOOST_REQUIRE(!decisions.empty());
   BOOST_TEST(decisions[0].task == "l");
-  BOOST_TEST(decisions[0].pace == options.pace_step);
+  BOOST_TEST(decisions[0].pace == options.max_pace_increase);
 }
 
-BOOST_FIXTURE_TEST_CASE(DecidePaces_NobodyServes_LetsGo, PacingFixture) {
-  fills[0].pace = 0;
-  const auto decisions = DecidePaces({}, fills, model, options);
+BOOST_FIXTURE_TEST_CASE(DecidePaces_NoServingTask_SpeedsUp, PacingFixture) {
+  best_effort[0].pace = 0;
+  const auto decisions = DecidePaces({}, best_effort, model, options);
   BOOST_REQUIRE(decisions.size() == 1U);
-  BOOST_TEST(decisions[0].pace == options.pace_step);
+  BOOST_TEST(decisions[0].pace == options.max_pace_increase);
 }
 
-// Filling work that does not save its progress was held still beside serving
-// work for up to 20 s, nine tenths done, while newer filling work was started
-// on the same worker at full speed and ended: what is held presses on nobody,
-// so its place looked free. The newer ones then used up what it waited for.
+// Guards against best-effort work starving when it is paused beside serving
+// tasks. A task that does not save its progress was paused for up to 20 s at
+// 90% progress, while newer best-effort work was started on the same worker at
+// full speed and ended: the paused task added no interference, so its
+// processors looked free, and the newer work used up the headroom it waited
+// for.
 //
-// What showed it: "a run takes far longer than expected" with pace 0, paced_ms
-// 20,129 and progress 90, and ten "start ordered" and "run ended" pairs on that
-// worker meanwhile.
-BOOST_AUTO_TEST_CASE(CoresToCome_HeldFill_KeepsItsPlace) {
+// In the log, the run was reported as overdue with pace 0, paced_ms 20,129 and
+// progress 90, while ten other runs started and ended on that worker.
+BOOST_AUTO_TEST_CASE(PendingCores_PausedTask_KeepsItsCores) {
   struct Row {
     const char* name;
     bool fresh;
@@ -109,24 +111,25 @@
   };
   const Row rows[] = {
       {"just ordered", true, 100, 4.0},
-      {"just ordered and held", true, 25, 4.0},
-      {"its figures tell all", false, 100, 0.0},
-      {"held still", false, 0, 4.0},
-      {"held at a quarter", false, 25, 3.0},
+      {"just ordered and slowed down", true, 25, 4.0},
+      {"fully reported", false, 100, 0.0},
+      {"slowed down to zero", false, 0, 4.0},
+      {"slowed down to a quarter", false, 25, 3.0},
   };
   for (const Row& row : rows) {
     BOOST_TEST(CoresToCome(4.0, row.fresh, row.pace) == row.cores, row.name);
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(HeldFill_NewerOneBesideIt_WouldDisturb, PacingFixture) {
-  WorkerRoom room;
-  room.strains = {{serving, 0.40, 0.60}};
-  // There is room for the light one as long as the heavy one is held for good.
-  BOOST_TEST(ExcessStrain(room, light, 4.0, model) < 0);
-  room.strains[0].strain +=
+BOOST_FIXTURE_TEST_CASE(PausedTask_NewerOneBesideIt_WouldDisturb,
+                        PacingFixture) {
+  WorkerRoom worker;
+  worker.strains = {{serving, 0.40, 0.60}};
+  // The light task fits only if the paused heavy one is ignored.
+  BOOST_TEST(ExcessUtilization(worker, light, 4.0, model) < 0);
+  worker.strains[0].strain +=
       model.Press(serving, heavy) * CoresToCome(4.0, /*fresh=*/false, 0);
-  BOOST_TEST(ExcessStrain(room, light, 4.0, model) > 0);
+  BOOST_TEST(ExcessUtilization(worker, light, 4.0, model) > 0);
 }
 
 }  // namespace
--- a/src/libdoorwood/policy/place_search.cpp
+++ b/src/libdoorwood/policy/place_search.cpp
@@ -9,9 +9,10 @@
 namespace {
 
 constexpr double kNoScore = -std::numeric_limits<double>::infinity();
-// Sorts remembered at most; the one tried longest ago goes first. Bounds what
-// a pass compares each step with: a day of 490 workers keeps some 20.
-constexpr size_t kMostFits = 128;
+// Maximum number of entries; the one with the oldest pass is evicted first.
+// Bounds the comparisons per step and pass: a day with 490 workers needs about
+// 20.
+constexpr size_t kMaxEntries = 128;
 
 bool IsAtLeast(const Resources& size, const Resources& least) {
   return size.cpu_millis >= least.cpu_millis &&
@@ -22,41 +23,41 @@
 }  // namespace
 
 StepPlaces::StepPlaces(const StepPlan& step,
-                       std::span<WorkerRoom* const> rooms,
+                       std::span<WorkerRoom* const> workers,
                        const InterferenceModel& model,
                        const PolicyOptions& options)
     : step_(step),
-      rooms_(rooms),
+      workers_(workers),
       model_(model),
       options_(options),
-      problems_(rooms.size(), PlaceProblem::kUnchanged),
-      scores_(rooms.size(), kNoScore) {}
+      problems_(workers.size(), PlaceProblem::kUnchanged),
+      scores_(workers.size(), kNoScore) {}
 
-void StepPlaces::Judge(size_t place, const TaskNeed& need, int on_worker) {
-  const WorkerRoom& room = *rooms_[place];
-  problems_[place] =
-      FindPlaceProblem(step_, need, room, on_worker, model_, options_);
-  scores_[place] =
-      IsGood(place) ? PlaceScore(step_, need, room, model_) : kNoScore;
+void StepPlaces::Judge(size_t index, const TaskNeed& need, int on_worker) {
+  const WorkerRoom& worker = *workers_[index];
+  problems_[index] =
+      FindPlaceProblem(step_, need, worker, on_worker, model_, options_);
+  scores_[index] =
+      IsGood(index) ? PlaceScore(step_, need, worker, model_) : kNoScore;
 }
 
-bool StepPlaces::IsGood(size_t place) const {
-  return problems_[place] == PlaceProblem::kNone;
+bool StepPlaces::IsGood(size_t index) const {
+  return problems_[index] == PlaceProblem::kNone;
 }
 
 int StepPlaces::Best(std::string_view avoid) const {
   int best = kNoWorker;
   int avoided = kNoWorker;
-  for (size_t place = 0; place < scores_.size(); ++place) {
-    if (scores_[place] == kNoScore) {
+  for (size_t index = 0; index < scores_.size(); ++index) {
+    if (scores_[index] == kNoScore) {
       continue;
     }
-    if (!avoid.empty() && rooms_[place]->id == avoid) {
-      avoided = static_cast<int>(place);
+    if (!avoid.empty() && workers_[index]->id == avoid) {
+      avoided = static_cast<int>(index);
       continue;
     }
-    if (best == kNoWorker || scores_[place] > scores_[best]) {
-      best = static_cast<int>(place);
+    if (best == kNoWorker || scores_[index] > scores_[best]) {
+      best = static_cast<int>(index);
     }
   }
   return best == kNoWorker ? avoided : best;
@@ -72,20 +73,20 @@
   return counts;
 }
 
-bool HopelessFits::IsSameSort(const Fit& fit,
+bool HopelessFits::IsSameKind(const Entry& entry,
                               const StepPlan& step,
                               std::string_view service) {
-  return fit.service == service && fit.fills == step.fills &&
-         (!fit.fills || fit.image == step.image);
+  return entry.service == service && entry.fills == step.fills &&
+         (!entry.fills || entry.image == step.image);
 }
 
 uint64_t HopelessFits::TriedIn(const StepPlan& step,
                                std::string_view service) const {
   uint64_t newest = 0;
-  for (const Fit& fit : fits_) {
-    if (fit.pass > newest && IsSameSort(fit, step, service) &&
-        IsAtLeast(step.size, fit.size)) {
-      newest = fit.pass;
+  for (const Entry& entry : entries_) {
+    if (entry.pass > newest && IsSameKind(entry, step, service) &&
+        IsAtLeast(step.size, entry.size)) {
+      newest = entry.pass;
     }
   }
   return newest;
@@ -99,16 +100,17 @@
   if (constrained) {
     return;
   }
-  // What is no smaller was tried no later, so it tells nothing more.
-  std::erase_if(fits_, [&](const Fit& older) {
-    return IsSameSort(older, step, service) && IsAtLeast(older.size, step.size);
+  // Entries of the same kind that are no smaller come from an earlier or the
+  // same pass, so the new entry covers them.
+  std::erase_if(entries_, [&](const Entry& older) {
+    return IsSameKind(older, step, service) && IsAtLeast(older.size, step.size);
   });
-  if (fits_.size() >= kMostFits) {
-    fits_.erase(std::min_element(
-        fits_.begin(), fits_.end(),
-        [](const Fit& a, const Fit& b) { return a.pass < b.pass; }));
+  if (entries_.size() >= kMaxEntries) {
+    entries_.erase(std::min_element(
+        entries_.begin(), entries_.end(),
+        [](const Entry& a, const Entry& b) { return a.pass < b.pass; }));
   }
-  fits_.push_back(
+  entries_.push_back(
       {std::string(service), step.fills, step.image, step.size, pass});
 }
 
--- a/src/libdoorwood/policy/run_times.cpp
+++ b/src/libdoorwood/policy/run_times.cpp
@@ -8,9 +8,10 @@
 namespace doorwood {
 namespace {
 
-// Variance of the logarithm of guesses that the first, undoubting line is
-// taken to rest on: guesses of one queue differ by about half their size.
-constexpr double kFirstVariance = 0.25;
+// Variance of the logarithm of the estimates that the initial line, which takes
+// estimates as correct, is assumed to be based on: the estimates of one queue
+// differ by about half their size.
+constexpr double kPriorVariance = 0.25;
 
 double LogOf(Millis time) {
   return std::log(static_cast<double>(std::max<int64_t>(1, time.count())));
@@ -20,18 +21,18 @@
 
 void RunTimeModel::Observe(std::string_view queue,
                            int count,
-                           Millis guess,
-                           Millis taken) {
+                           Millis estimate,
+                           Millis run_time) {
   auto found = queues_.find(queue);
   if (found == queues_.end()) {
     found = queues_.emplace(std::string(queue), Sums{}).first;
   }
   Sums& sums = found->second;
-  // The tasks of one step are alike, so all of them count as one.
+  // Tasks of one step behave alike, so together they weigh as one observation.
   const double weight = 1.0 / std::max(1, count);
-  const double kept = 1.0 - weight / options_.memory;
-  const double x = LogOf(guess);
-  const double y = LogOf(taken);
+  const double kept = 1.0 - weight / options_.decay_steps;
+  const double x = LogOf(estimate);
+  const double y = LogOf(run_time);
   sums.weight = sums.weight * kept + weight;
   sums.x = sums.x * kept + weight * x;
   sums.y = sums.y * kept + weight * y;
@@ -39,23 +40,25 @@
   sums.xy = sums.xy * kept + weight * x * y;
 }
 
-Millis RunTimeModel::Expect(std::string_view queue, Millis guess) const {
+Millis RunTimeModel::Expect(std::string_view queue, Millis estimate) const {
   const auto found = queues_.find(queue);
   if (found == queues_.end() || found->second.weight <= 0) {
-    return guess;
+    return estimate;
   }
   const Sums& sums = found->second;
-  const double x = LogOf(guess);
+  const double x = LogOf(estimate);
   const double mean_x = sums.x / sums.weight;
   const double mean_y = sums.y / sums.weight;
-  const double spread = std::max(0.0, sums.xx - sums.weight * mean_x * mean_x);
-  const double common = sums.xy - sums.weight * mean_x * mean_y;
-  const double first = options_.guess_weight * kFirstVariance;
+  const double variance =
+      std::max(0.0, sums.xx - sums.weight * mean_x * mean_x);
+  const double covariance = sums.xy - sums.weight * mean_x * mean_y;
+  const double prior = options_.estimate_weight * kPriorVariance;
   const double slope =
-      std::clamp((common + first) / (spread + first), 0.0, 1.0);
-  const double seen = mean_y + slope * (x - mean_x);
-  const double expected = (sums.weight * seen + options_.guess_weight * x) /
-                          (sums.weight + options_.guess_weight);
+      std::clamp((covariance + prior) / (variance + prior), 0.0, 1.0);
+  const double fitted = mean_y + slope * (x - mean_x);
+  const double expected =
+      (sums.weight * fitted + options_.estimate_weight * x) /
+      (sums.weight + options_.estimate_weight);
   return Millis(static_cast<int64_t>(std::exp(expected)));
 }
 
--- a/src/libdoorwood/policy/run_times_test.cpp
+++ b/src/libdoorwood/policy/run_times_test.cpp
@@ -9,26 +9,26 @@
 
 constexpr char kQueue[] = "queue";
 
-BOOST_AUTO_TEST_CASE(Expect_NothingSeen_IsTheGuess) {
+BOOST_AUTO_TEST_CASE(Expect_NothingObserved_IsTheEstimate) {
   const RunTimeModel model{RunTimeOptions{}};
   BOOST_TEST(model.Expect(kQueue, Millis(700)).count() == 700);
 }
 
-BOOST_AUTO_TEST_CASE(Expect_GuessesTellNothing_IsTheUsualTime) {
+BOOST_AUTO_TEST_CASE(Expect_UninformativeEstimates_IsTheUsualTime) {
   RunTimeModel model{RunTimeOptions{}};
-  const int64_t guesses[] = {100, 300, 1000, 3000, 9000};
+  const int64_t estimates[] = {100, 300, 1000, 3000, 9000};
   for (int i = 0; i < 200; ++i) {
-    model.Observe(kQueue, 1, Millis(guesses[i % 5]), Millis(1500));
+    model.Observe(kQueue, 1, Millis(estimates[i % 5]), Millis(1500));
   }
   BOOST_TEST(model.Expect(kQueue, Millis(100)).count() > 1200);
   BOOST_TEST(model.Expect(kQueue, Millis(9000)).count() < 1900);
 }
 
-BOOST_AUTO_TEST_CASE(Expect_GuessesHalfTheTime_DoublesThem) {
+BOOST_AUTO_TEST_CASE(Expect_EstimatesHalfTheTime_DoublesThem) {
   RunTimeModel model{RunTimeOptions{}};
   for (int i = 0; i < 200; ++i) {
-    const Millis guess(100 + 150 * (i % 20));
-    model.Observe(kQueue, 1, guess, 2 * guess);
+    const Millis estimate(100 + 150 * (i % 20));
+    model.Observe(kQueue, 1, estimate, 2 * estimate);
   }
   const auto expected = model.Expect(kQueue, Millis(1000)).count();
   BOOST_TEST(expected > 1900);
@@ -48,9 +48,9 @@
     wide.Observe(kQueue, 20, Millis(1000), Millis(3000));
   }
   single.Observe(kQueue, 1, Millis(1000), Millis(3000));
-  const auto apart =
+  const auto difference =
       wide.Expect(kQueue, Millis(1000)) - single.Expect(kQueue, Millis(1000));
-  BOOST_TEST(std::abs(apart.count()) < 20);
+  BOOST_TEST(std::abs(difference.count()) < 20);
 }
 
 }  // namespace
