--- a/src/include/doorwood/job_plan.h
+++ b/src/include/doorwood/job_plan.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a caller hands in: a job of steps, each of equal tasks.
+/// The plan of a job as submitted by a caller: steps, each of equal tasks.
 
 #ifndef DOORWOOD_JOB_PLAN_H_
 #define DOORWOOD_JOB_PLAN_H_
@@ -18,43 +18,44 @@
 
 namespace doorwood {
 
-/// Bounds of a plan, so that one job cannot take an instance's memory.
+/// Limits on a plan, so that a single job cannot exhaust an instance's memory.
 constexpr int kMostTasksOfJob = 20'000;
-constexpr int kMostStepsOfJob = 200;
-constexpr int kMostTimesOfJob = 10'000;
-constexpr size_t kLargestPayload = 4'000;
+constexpr int kMaxStepsPerJob = 200;
+constexpr int kMaxRepetitionsPerJob = 10'000;
+constexpr size_t kMaxPayloadBytes = 4'000;
 
 /// Equal tasks that become ready together.
 struct StepPlan {
   int count = 1;
   Resources size;
-  /// The caller's rough guess of one task's run time.
+  /// The caller's rough estimate of the run time of one task.
   Millis estimate{0};
-  /// Earlier steps all of whose tasks must be done first.
+  /// Indices of earlier steps all of whose tasks must be done first.
   std::vector<int> depends_on;
-  /// Tasks save their progress and can continue elsewhere.
+  /// Tasks save their progress and can continue on another worker.
   bool checkpoints = false;
-  /// Tasks run only all together.
+  /// Tasks run only all at the same time.
   bool gang = false;
   /// Tasks are slow unless they share a rack.
   bool same_rack = false;
-  /// Tasks run until the job is cancelled.
+  /// Long-running: tasks run until the job is cancelled.
   bool lasting = false;
-  /// The processors of these tasks are not reserved; they use what is left.
+  /// Best-effort: the processors of these tasks are not reserved; they use what
+  /// other work leaves.
   bool fills = false;
-  /// Copies of a task may run side by side.
+  /// Copies of a task may run at the same time.
   bool duplicates = false;
-  /// Label that a worker must have; empty: any.
+  /// Label that a worker must have; empty: any worker.
   std::string required_label;
-  /// Rack on which the data lies; empty: none.
+  /// Rack that holds the data; empty: none.
   std::string data_rack;
-  /// Most tasks of this step on one worker; 0: no bound.
+  /// Most tasks of this step on one worker; 0: no limit.
   int most_per_worker = 0;
-  /// Most tasks of a lasting step that planned work may take away at a time.
+  /// Most tasks of a long-running step that planned work may stop at a time.
   std::optional<int> may_miss;
   /// Tasks of one image behave alike.
   std::string image;
-  /// Bound on the tail of a serving task's answer times; 0: none.
+  /// Upper bound on the tail latency of a serving task; 0: none.
   Millis latency_target{0};
 };
 
@@ -62,39 +63,40 @@
   /// Chosen by the caller; unique.
   std::string id;
   std::string queue;
-  /// Handed to workers unread.
+  /// Opaque to the scheduler; passed to workers.
   std::string payload;
   std::vector<StepPlan> steps;
-  /// Above 0: the steps run this many times, time K due at
+  /// If positive, the steps run this many times; repetition K is due at
   /// `first_due` + K * `interval`.
   int times = 0;
   /// Milliseconds since 1970.
   int64_t first_due = 0;
   Millis interval{0};
-  /// When the job was accepted, milliseconds since 1970.
+  /// When the job was accepted, in milliseconds since 1970.
   int64_t accepted_at = 0;
 
-  /// How often the steps run in all.
+  /// How many times the steps run in total.
   int repetitions() const { return times > 0 ? times : 1; }
 };
 
-/// A sentence that names the field at fault, or nothing if the plan is good.
+/// Returns a sentence that names the invalid field, or nothing if the plan is
+/// valid.
 std::optional<std::string> FindProblem(const JobPlan& plan);
 
-/// Longest chain of work through the steps, with `run_times[i]` for a task of
-/// step `i`.
+/// Length of the longest chain of dependent steps, where a task of step `i`
+/// takes `run_times[i]`.
 Millis LongestChain(const JobPlan& plan, std::span<const Millis> run_times);
 
-/// Processor time of all tasks of one repetition, in core-seconds, by the
-/// caller's estimates.
+/// Processor time of all tasks of one repetition by the caller's estimates, in
+/// core-seconds.
 double EstimatedWork(const JobPlan& plan);
 
-/// Form under which a plan lies in the store.
+/// Form in which a plan is kept in the store.
 void to_json(Json& json, const StepPlan& step);
 void from_json(const Json& json, StepPlan& step);
 void to_json(Json& json, const JobPlan& plan);
 void from_json(const Json& json, JobPlan& plan);
-/// Nothing if the text is not of that form.
+/// Returns nothing if the text is malformed or the plan is invalid.
 std::optional<JobPlan> ParsePlan(std::string_view text);
 
 }  // namespace doorwood
--- a/src/include/doorwood/job_table.h
+++ b/src/include/doorwood/job_table.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What is known of each job and task of a cell. Pure state: events in,
-/// changed state out; no time, no calls.
+/// State of each job and task of a cell. A pure data structure: events change
+/// its state; it keeps no time and makes no calls.
 
 #ifndef DOORWOOD_JOB_TABLE_H_
 #define DOORWOOD_JOB_TABLE_H_
@@ -25,52 +25,53 @@
 
 struct Job;
 
-/// How it is known that a worker went down while a task was there.
+/// Evidence for a crash of a worker while a task was there.
 enum class CrashEvidence {
-  /// Another life answered in its place.
+  /// Another incarnation of the worker answered in its place.
   kOtherLife,
-  /// It fell silent, and its entry went without its having said that it leaves,
-  /// or it was about to leave when another life answered.
+  /// The worker became unresponsive and its entry disappeared without a planned
+  /// shutdown, or another incarnation answered after a shutdown had been
+  /// announced.
   kVanished,
-  /// Its worker fell silent when the run was new, or an earlier leader may have
-  /// started the task since it recorded the last crash; nobody has told more.
+  /// Whether the worker crashed is not known yet: it became unresponsive when
+  /// the run was new, or an earlier leader may have started the task after it
+  /// recorded the last crash.
   kUntold,
-  /// The run is tried there, or is about to be: no crash as far as this leader
-  /// knows. To a successor it is untold.
+  /// A trial of the run is in progress or about to start; this leader knows of
+  /// no crash. A successor reads it as kUntold.
   kTrial,
 };
 
-/// A worker that went down while a run of the task was there, soon after the
-/// run began.
+/// A crash of a worker soon after a run of the task began there.
 struct CrashNote {
   uint32_t run = 0;
-  /// Of the worker; where none is known, the worker's id.
+  /// The worker's machine, or the worker's id if the machine is unknown.
   std::string machine;
   std::string worker;
   CrashEvidence evidence = CrashEvidence::kOtherLife;
-  /// The run was among the newest there.
+  /// The run was among the newest on the worker.
   bool suspect = false;
-  /// It was tried alone there.
+  /// The run was alone on the worker, as a trial.
   bool alone = false;
-  /// Other workers went down at about the same time.
+  /// Many workers crashed at about the same time.
   bool one_of_many = false;
-  /// For how long the run was seen at work before.
+  /// How long the run had been observed running.
   Millis at_work{0};
 
   friend bool operator==(const CrashNote&, const CrashNote&) = default;
 };
 
-/// How far the store holds `Task::place`.
+/// To what extent `Task::place` is recorded in the store.
 enum class PlaceRecord {
-  /// The newest record of the job names it.
+  /// The newest record of the job holds it.
   kRecorded,
-  /// A batch whose outcome is not known carries it.
+  /// A batch whose outcome is not known yet holds it.
   kWritten,
   kChanged,
 };
 
-/// One task. `last_run`, `place` and what stands between them are kept in the
-/// store; the rest is not.
+/// One task. The fields from `last_run` to `place` are kept in the store; the
+/// others are not.
 struct Task {
   Job* job = nullptr;
   int time = 0;
@@ -78,52 +79,56 @@
   int index = 0;
 
   bool done = false;
-  /// Highest run number given out or heard of.
+  /// Highest run number assigned or reported.
   uint32_t last_run = 0;
-  /// Highest run whose end is counted. An end at or below it is a repeat, or
-  /// comes after the run was given up: then only `done` still counts, a failure
-  /// that is not counted yet, and what the newest run saved.
+  /// Highest run whose end is counted. An end at or below it is a duplicate, or
+  /// arrives after the run was given up. Of such an end only these still count:
+  /// `done`, a failure that is not counted yet, and the checkpoint of the
+  /// newest run.
   uint32_t counted_run = 0;
-  /// Runs that ended in failure, each once, in the order in which they were
-  /// heard of: after a takeover an earlier run's end may be heard later. Of a
-  /// gang, the first task counts for all.
+  /// Runs that failed, each once, in the order of their reports: after a
+  /// takeover the end of an earlier run may be reported later. For a gang, the
+  /// first task holds the failures of all.
   std::vector<uint32_t> failed_runs;
   std::string checkpoint;
-  /// Crashes since it was last seen at work for long, each run once.
+  /// Crashes since the task was last observed running for long, one per run.
   std::vector<CrashNote> crashes;
 
-  /// Of a lasting task: the only worker on which a run of it may go on; empty:
-  /// none. Recorded before the task is ordered there, so that a successor need
-  /// not reckon with any other.
+  /// For a long-running task: the only worker on which a run of it may be
+  /// active; empty: none. It is recorded before the task is ordered there, so
+  /// that a successor need not consider other workers.
   std::string place;
   PlaceRecord place_record = PlaceRecord::kRecorded;
 
   /// The store does not hold the newest crash yet.
   bool crash_unrecorded = false;
-  /// See CrashEvidence::kUntold: not noted yet.
+  /// A crash of kind CrashEvidence::kUntold is possible but not noted yet.
   bool crash_untold = false;
-  /// After a crash it is not started before then.
+  /// The task is not started before this time after a crash.
   Instant rests_until{};
-  /// True while a run is ordered, active, or not proved to be over. Changed
+  /// True while a run is ordered, active, or not known to have ended. Changed
   /// by JobTable::SetPlaced.
   bool placed = false;
-  /// Set at takeover while an unheard worker may still run the task.
+  /// Set at takeover while a worker that was not contacted yet may still run
+  /// the task.
   bool unaccounted = false;
-  /// After a takeover: the run that was adopted (0: none), the one up to which
-  /// records tell all ends, and those between whose ends workers have told.
-  /// Each other one between may have failed on a worker that is not heard yet.
+  /// After a takeover: the adopted run (0: none); the highest run up to which
+  /// all ends are recorded; and the runs between these two whose ends workers
+  /// have reported. Each other run between them may have failed on a worker
+  /// that was not contacted yet.
   uint32_t adopted_run = 0;
   uint32_t recorded_run = 0;
   std::vector<uint32_t> told_runs;
-  /// Worker where it failed last; another one is tried first.
+  /// Worker where the task failed last; others are preferred.
   std::string failed_on;
-  /// When the task last became ready, for waiting times.
+  /// When the task last became ready; for measuring waiting times.
   Instant ready_since{};
 
-  /// How many runs before the adopted one may have failed unheard of.
+  /// Number of runs before the adopted one that may have failed without a
+  /// report.
   uint32_t UnheardEnds() const;
 
-  /// What is noted of a trial with that run; null: nothing.
+  /// Returns the note of a trial with that run, or null.
   const CrashNote* FindTrial(uint32_t run) const;
 
   const StepPlan& plan() const;
@@ -135,11 +140,11 @@
   int done = 0;
   /// Tasks that are neither done nor placed.
   int idle = 0;
-  /// What its tasks took that ran at full speed from their beginning: the sum,
-  /// and of how many.
+  /// Total run time of the tasks that ran at full speed from their start, and
+  /// the number of these tasks.
   Millis taken{0};
   int taken_of = 0;
-  /// When it was last logged that the step waits for a place.
+  /// When it was last logged that the step waits for a worker.
   Instant waiting_told{};
   std::vector<Task> tasks;
 };
@@ -155,37 +160,37 @@
   JobPlan plan;
   std::deque<TimeState> times;
   JobOutcome outcome = JobOutcome::kOpen;
-  /// The outcome stands in the store.
+  /// The outcome is recorded in the store.
   bool outcome_recorded = false;
-  /// Why it failed, if not for its tasks' failures; else empty.
+  /// Why the job failed, unless its tasks' failures are the reason; else empty.
   std::string reason;
-  /// Milliseconds since 1970; 0: not over.
+  /// Milliseconds since 1970; 0: not finished.
   int64_t finished_at = 0;
-  /// A task has begun.
+  /// A task of the job has started.
   bool begun = false;
-  int times_done = 0;
+  int repetitions_done = 0;
   /// The store does not hold the newest state yet.
   bool dirty = false;
-  /// The store does not hold a crash yet that a task of the job waits for.
+  /// A task of the job waits until its newest crash is recorded in the store.
   bool crash_unrecorded = false;
 };
 
 /// "JOB.TIME.STEP"
 std::string StepName(const Job& job, int time, int step);
 
-/// When the steps of that time may start, in milliseconds since 1970; without
-/// times: when the job was accepted.
+/// When the steps of repetition `time` may start, in milliseconds since 1970.
+/// For a job without repetitions, when it was accepted.
 int64_t DueAt(const Job& job, int time);
 bool IsDue(const Job& job, int time, int64_t now);
 
-/// Processors, in thousandths, of the job's tasks that wait for nothing but a
-/// place and do not last. `now`: milliseconds since 1970.
+/// Processors, in thousandths, of the job's tasks that lack only a placement
+/// and are not long-running. `now` is in milliseconds since 1970.
 int64_t WaitingCpu(const Job& job, int64_t now);
 
-/// Calls `each` with every task of every time of the job.
+/// Calls `each` with every task of every repetition of the job.
 void ForEachTask(Job* job, const std::function<void(Task*)>& each);
 
-/// "JOB.TIME.STEP.INDEX" taken apart.
+/// The parts of "JOB.TIME.STEP.INDEX".
 struct TaskName {
   std::string_view job;
   int time = 0;
@@ -195,55 +200,57 @@
 
 std::optional<TaskName> ParseTaskName(std::string_view name);
 
-/// What an ended run means for its task.
+/// Consequence of the end of a run for its task.
 enum class EndEffect {
-  /// Already counted, or of a run given up before, or of a task that is done.
+  /// The end was already counted, the run was given up before, or the task is
+  /// done.
   kIgnored,
-  /// The task is done.
   kDone,
   /// The task waits for another run.
-  kAgain,
-  /// The job has failed: the task's attempts are used up.
+  kRetry,
+  /// The job has failed, because the task has used up its attempts.
   kJobFailed,
 };
 
 class JobTable {
  public:
-  /// Adds a job; null if its id is known already.
+  /// Returns null if the job's id is already known.
   Job* Add(JobPlan plan);
   Job* Find(std::string_view id);
   Task* FindTask(std::string_view name);
-  /// Forgets a job that is over.
+  /// Removes a finished job.
   void Remove(const std::string& id);
   void Clear();
 
-  /// Jobs that are not over yet.
+  /// Jobs that are not finished.
   const std::vector<Job*>& OpenJobs();
 
   static void SetPlaced(Task* task, bool placed);
-  /// All steps that it waits for are done, at this time of the job.
+  /// Whether all steps that `step` depends on are done in repetition `time`.
   static bool IsUnblocked(const Job& job, int time, int step);
 
-  /// Counts the end of a run, also of one that was given up before its worker
-  /// told. `max_attempts` is the queue's; lasting tasks have no limit. A gang's
-  /// end counts once for all of its tasks.
+  /// Counts the end of a run, including one that was given up before its worker
+  /// reported. `max_attempts` is the queue's limit; long-running tasks have
+  /// none. The end of a gang's run counts once for all of its tasks.
   EndEffect CountEnd(Task* task,
                      uint32_t run,
                      RunEnd end,
                      const std::string& checkpoint,
                      int max_attempts);
-  /// Adds the crash, or changes what is noted of that run; false: it was noted
-  /// so already, or the task is done.
+  /// Adds the crash, or replaces the note of that run. Returns false if the
+  /// note is unchanged or final, or if the task is done.
   static bool NoteCrash(Task* task, CrashNote crash);
-  /// Takes back what was noted untold of the run; true: something was.
+  /// Removes a kUntold note of the run. Returns whether there was one.
   static bool DropUntold(Task* task, uint32_t run);
-  /// Notes on which worker the task is tried next, in place of any other trial.
+  /// Notes the worker of the task's next trial and replaces any other trial.
   static void NoteTrial(Task* task, CrashNote trial);
-  /// The trial is over without a crash, or did not begin; true: there was one.
+  /// Removes the note of a trial that ended without a crash or did not start.
+  /// Returns whether there was one.
   static bool DropTrial(Task* task);
-  /// Changes where the task may run; false: the store holds that already.
+  /// Changes where the task may run. Returns false if the store already holds
+  /// this value.
   static bool SetPlace(Task* task, const std::string& worker);
-  /// Ends the job; false if it is over already.
+  /// Finishes the job. Returns false if it is already finished.
   bool Finish(Job* job, JobOutcome outcome);
 
   const std::unordered_map<std::string, std::unique_ptr<Job>>& jobs() const {
@@ -251,20 +258,21 @@
   }
 
  private:
-  /// Counts a failure of `run`; true if the attempts are used up.
+  /// Counts a failure of `run`. Returns true if the attempts are used up.
   static bool CountFailure(Task* task, uint32_t run, int max_attempts);
   void MarkDone(Task* task);
   void MarkOneDone(Task* task);
 
   std::unordered_map<std::string, std::unique_ptr<Job>> jobs_;
-  /// Every open job, and some that are over since the last call of OpenJobs.
+  /// Every open job, and jobs that have finished since the last call of
+  /// OpenJobs.
   std::vector<Job*> open_;
 };
 
-/// The lasting part of a job's state, as kept in the store.
+/// Encodes the part of a job's state that is kept in the store.
 std::string EncodeJobState(const Job& job);
-/// Fills a freshly added job from `text`; false if the text is not of that
-/// form.
+/// Restores the state of a newly added job from `text`. Returns false if the
+/// text is malformed; the part before the fault is restored.
 bool DecodeJobState(std::string_view text, Job* job);
 
 }  // namespace doorwood
--- a/src/libdoorwood/job/job_plan.cpp
+++ b/src/libdoorwood/job/job_plan.cpp
@@ -13,7 +13,7 @@
 constexpr size_t kIdLength = 16;
 constexpr double kMillisPerSecond = 1000.0;
 
-std::string FieldOf(size_t step, std::string_view field) {
+std::string FieldPath(size_t step, std::string_view field) {
   return "steps[" + std::to_string(step) + "]." + std::string(field);
 }
 
@@ -25,25 +25,25 @@
 std::optional<std::string> FindStepProblem(const JobPlan& plan, size_t index) {
   const StepPlan& step = plan.steps[index];
   if (step.count < 1) {
-    return FieldOf(index, "count") + " must be at least 1";
+    return FieldPath(index, "count") + " must be at least 1";
   }
   const Resources& size = step.size;
   if (size.cpu_millis < 0 || size.memory_mib < 0 || size.accelerators < 0) {
-    return FieldOf(index, "cpu") + " and other sizes may not be negative";
+    return FieldPath(index, "cpu") + " and other sizes may not be negative";
   }
   if (step.estimate < Millis(0)) {
-    return FieldOf(index, "estimate") + " may not be negative";
+    return FieldPath(index, "estimate") + " may not be negative";
   }
   if (step.most_per_worker < 0) {
-    return FieldOf(index, "most_per_worker") + " may not be negative";
+    return FieldPath(index, "most_per_worker") + " may not be negative";
   }
   for (const int earlier : step.depends_on) {
     if (earlier < 0 || static_cast<size_t>(earlier) >= index) {
-      return FieldOf(index, "depends_on") + " may name earlier steps only";
+      return FieldPath(index, "depends_on") + " may name earlier steps only";
     }
   }
   if (step.lasting && plan.times > 0) {
-    return FieldOf(index, "lasting") + " contradicts a job of several times";
+    return FieldPath(index, "lasting") + " contradicts a job of several times";
   }
   return std::nullopt;
 }
@@ -54,16 +54,16 @@
   if (!IsHexId(plan.id)) {
     return "id must be 16 hexadecimal digits";
   }
-  if (plan.payload.size() > kLargestPayload) {
+  if (plan.payload.size() > kMaxPayloadBytes) {
     return "payload may hold at most 4000 bytes";
   }
   if (plan.steps.empty()) {
     return "steps must hold at least one step";
   }
-  if (plan.steps.size() > kMostStepsOfJob) {
+  if (plan.steps.size() > kMaxStepsPerJob) {
     return "steps may hold at most 200 steps";
   }
-  if (plan.times < 0 || plan.times > kMostTimesOfJob) {
+  if (plan.times < 0 || plan.times > kMaxRepetitionsPerJob) {
     return "times must lie between 0 and 10000";
   }
   if (plan.times > 1 && plan.interval <= Millis(0)) {
@@ -83,15 +83,15 @@
 }
 
 Millis LongestChain(const JobPlan& plan, std::span<const Millis> run_times) {
-  std::vector<Millis> until(plan.steps.size(), Millis(0));
+  std::vector<Millis> ends(plan.steps.size(), Millis(0));
   Millis longest{0};
   for (size_t i = 0; i < plan.steps.size(); ++i) {
     Millis begin{0};
     for (const int earlier : plan.steps[i].depends_on) {
-      begin = std::max(begin, until[earlier]);
+      begin = std::max(begin, ends[earlier]);
     }
-    until[i] = begin + run_times[i];
-    longest = std::max(longest, until[i]);
+    ends[i] = begin + run_times[i];
+    longest = std::max(longest, ends[i]);
   }
   return longest;
 }
@@ -163,7 +163,7 @@
   step.estimate = ReadMillis(json, "estimate_ms");
   for (const Json& earlier : ReadListOr(json, "depends_on")) {
     step.depends_on.push_back(
-        static_cast<int>(ToWhole(earlier, "depends_on", {0, kMostStepsOfJob})));
+        static_cast<int>(ToWhole(earlier, "depends_on", {0, kMaxStepsPerJob})));
   }
   step.checkpoints = json.value("checkpoints", false);
   step.gang = json.value("gang", false);
@@ -208,8 +208,8 @@
 std::optional<JobPlan> ParsePlan(std::string_view text) {
   auto plan =
       DecodeObject(text, [](const Json& json) { return json.get<JobPlan>(); });
-  // Every plan was looked at before it was recorded: another writer's is not
-  // to be worked with.
+  // Every accepted plan was validated before it was recorded. An invalid one
+  // was written by something else and is not used.
   return plan && !FindProblem(*plan) ? plan : std::nullopt;
 }
 
--- a/src/libdoorwood/job/job_plan_test.cpp
+++ b/src/libdoorwood/job/job_plan_test.cpp
@@ -17,7 +17,7 @@
   const char* names_field;
 };
 
-BOOST_AUTO_TEST_CASE(FindProblem_OneFieldAtFault_NamesIt) {
+BOOST_AUTO_TEST_CASE(FindProblem_OneInvalidField_NamesIt) {
   const ProblemRow rows[] = {
       {"short id", [](JobPlan* p) { p->id = "12"; }, "id"},
       {"no hex", [](JobPlan* p) { p->id = "zz112233aabbccdd"; }, "id"},
@@ -55,11 +55,11 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(FindProblem_GoodPlan_FindsNone) {
+BOOST_AUTO_TEST_CASE(FindProblem_ValidPlan_FindsNone) {
   BOOST_TEST(!FindProblem(fakes::MakePlan(kId, 3, 4, "ms=10")).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(Plan_WrittenAndRead_IsTheSame) {
+BOOST_AUTO_TEST_CASE(JobPlan_EncodedAndDecoded_IsUnchanged) {
   JobPlan plan = fakes::MakePlan(kId, 2, 3, "ms=10");
   StepPlan& step = plan.steps[1];
   step.checkpoints = step.gang = step.same_rack = step.fills = true;
@@ -78,13 +78,14 @@
   BOOST_TEST(Json(written.get<JobPlan>()).dump() == written.dump());
 }
 
-// What is recorded or sent by another instance was looked at before; another
-// writer's text was not, and would be worked with out of bounds.
-BOOST_AUTO_TEST_CASE(ParsePlan_ThatNobodyAccepted_GivesNothing) {
-  const Json good = fakes::MakePlan(kId, 2, 2, "");
-  BOOST_REQUIRE(ParsePlan(good.dump()).has_value());
-  const auto with_step = [&good](const char* field, const Json& value) {
-    Json changed = good;
+// Guards against plans from another writer. Recorded plans, and those sent by
+// other instances, were validated before; unvalidated text would cause
+// out-of-bounds access.
+BOOST_AUTO_TEST_CASE(ParsePlan_InvalidPlan_IsRejected) {
+  const Json valid = fakes::MakePlan(kId, 2, 2, "");
+  BOOST_REQUIRE(ParsePlan(valid.dump()).has_value());
+  const auto with_step = [&valid](const char* field, const Json& value) {
+    Json changed = valid;
     changed["steps"][1][field] = value;
     return changed.dump();
   };
--- a/src/libdoorwood/job/job_table.cpp
+++ b/src/libdoorwood/job/job_table.cpp
@@ -25,10 +25,10 @@
   if (adopted_run <= recorded_run) {
     return 0;
   }
-  const auto told = std::count_if(
+  const auto reported = std::count_if(
       told_runs.begin(), told_runs.end(),
       [this](uint32_t run) { return run > recorded_run && run < adopted_run; });
-  return adopted_run - recorded_run - 1 - static_cast<uint32_t>(told);
+  return adopted_run - recorded_run - 1 - static_cast<uint32_t>(reported);
 }
 
 std::string Task::name() const {
@@ -138,11 +138,11 @@
     }
   }
   const std::string id = job->plan.id;
-  const auto [place, added] = jobs_.try_emplace(id, std::move(job));
+  const auto [entry, added] = jobs_.try_emplace(id, std::move(job));
   if (!added) {
     return nullptr;
   }
-  open_.push_back(place->second.get());
+  open_.push_back(entry->second.get());
   return open_.back();
 }
 
@@ -226,8 +226,8 @@
   if (time.steps_done < static_cast<int>(job->plan.steps.size())) {
     return;
   }
-  ++job->times_done;
-  if (job->times_done == job->plan.repetitions()) {
+  ++job->repetitions_done;
+  if (job->repetitions_done == job->plan.repetitions()) {
     Finish(job, JobOutcome::kCompleted);
   }
 }
@@ -276,10 +276,11 @@
   }
   const bool given_up = run <= task->counted_run;
   task->counted_run = std::max(task->counted_run, run);
-  // Also of a run that was given up unheard: its worker ended it within its
-  // lease, and what is done is done, whatever was ordered since. Without this
-  // 3,400 to 4,681 tasks were started again in 80 s of an overload with cut
-  // workers (five plays, counted in the leader's log).
+  // This includes a run that was given up without a report: its worker
+  // completed it within its lease, and the result stands, whatever was ordered
+  // since. Without this rule 3,400 to 4,681 tasks were started again within 80
+  // s of an overload with unreachable workers (five simulated runs, counted in
+  // the leader's log).
   if (end == RunEnd::kDone && !task->plan().lasting) {
     job->dirty = true;
     MarkDone(task);
@@ -289,7 +290,7 @@
   if (!checkpoint.empty() && (!given_up || newest)) {
     task->checkpoint = checkpoint;
   }
-  return given_up ? EndEffect::kIgnored : EndEffect::kAgain;
+  return given_up ? EndEffect::kIgnored : EndEffect::kRetry;
 }
 
 bool JobTable::NoteCrash(Task* task, CrashNote crash) {
@@ -365,7 +366,7 @@
      {JobOutcome::kFailed, 'f'},
      {JobOutcome::kCancelled, 'c'}}};
 
-bool HasHistory(const Task& task) {
+bool HasStoredState(const Task& task) {
   return task.done || task.last_run > 0;
 }
 
@@ -401,8 +402,8 @@
 }
 
 // [time, step, index, last run, counted run, failed runs, checkpoint, done],
-// and the crashes and the place where there are any: readers of older versions
-// pass over them.
+// followed by the crashes and the place where there are any. Older versions
+// ignore these extra columns.
 Json EncodeTask(const Task& task) {
   Json row = Json::array({task.time, task.step, task.index, task.last_run,
                           task.counted_run, task.failed_runs, task.checkpoint,
@@ -425,12 +426,12 @@
 
 std::string EncodeJobState(const Job& job) {
   Json tasks = Json::array();
-  // A finished job's tasks are of no more use.
+  // The tasks of a finished job are not needed any more.
   if (job.outcome == JobOutcome::kOpen) {
     for (const TimeState& time : job.times) {
       for (const StepState& step : time.steps) {
         for (const Task& task : step.tasks) {
-          if (HasHistory(task)) {
+          if (HasStoredState(task)) {
             tasks.push_back(EncodeTask(task));
           }
         }
@@ -458,7 +459,7 @@
   if (!json) {
     return false;
   }
-  bool whole = true;
+  bool valid = true;
   try {
     const std::string letter = json->at("outcome").get<std::string>();
     job->finished_at = json->at("finished_at").get<int64_t>();
@@ -491,9 +492,9 @@
       }
     }
   } catch (const std::exception&) {
-    whole = false;  // what was read up to here counts
+    valid = false;  // keeps what was read before the fault
   }
-  job->times_done = 0;
+  job->repetitions_done = 0;
   for (TimeState& time : job->times) {
     time.steps_done = 0;
     for (size_t step = 0; step < time.steps.size(); ++step) {
@@ -508,11 +509,11 @@
       }
     }
     if (time.steps_done == static_cast<int>(time.steps.size())) {
-      ++job->times_done;
+      ++job->repetitions_done;
     }
   }
   job->outcome_recorded = job->outcome != JobOutcome::kOpen;
-  return whole;
+  return valid;
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/job/job_table_test.cpp
+++ b/src/libdoorwood/job/job_table_test.cpp
@@ -30,7 +30,7 @@
       {"done", {{1, RunEnd::kDone}}, true, 0, JobOutcome::kCompleted},
       {"stopped", {{1, RunEnd::kStopped}}, false, 0, JobOutcome::kOpen},
       {"failed", {{1, RunEnd::kFailed}}, false, 1, JobOutcome::kOpen},
-      {"failed, told twice",
+      {"failed, reported twice",
        {{1, RunEnd::kFailed}, {1, RunEnd::kFailed}},
        false,
        1,
@@ -40,9 +40,9 @@
        false,
        3,
        JobOutcome::kFailed},
-      // A new leader hears the workers in any order: kgs trouble-1, seed
-      // 134162069050, started a task after three failed runs.
-      {"attempts used up, heard backwards",
+      // A new leader gets the workers' reports in any order: day trouble-1 of
+      // site kgs, seed 134162069050, started a task after three failed runs.
+      {"attempts used up, reported in reverse order",
        {{3, RunEnd::kFailed}, {2, RunEnd::kFailed}, {1, RunEnd::kFailed}},
        false,
        3,
@@ -57,23 +57,24 @@
        true,
        1,
        JobOutcome::kCompleted},
-      // The worker's word is later than the leader's own count, and truer.
-      {"done, heard after its lease was proved over",
+      // The worker's report arrives after the leader's own conclusion and is
+      // more accurate.
+      {"done, reported after its lease had expired",
        {{1, RunEnd::kLapsed}, {1, RunEnd::kDone}},
        true,
        0,
        JobOutcome::kCompleted},
-      {"done, heard after a later run had lapsed as well",
+      {"done, reported after a later run had lapsed as well",
        {{1, RunEnd::kLapsed}, {2, RunEnd::kLapsed}, {1, RunEnd::kDone}},
        true,
        0,
        JobOutcome::kCompleted},
-      {"done, heard after a later run had failed",
+      {"done, reported after a later run had failed",
        {{1, RunEnd::kLapsed}, {2, RunEnd::kFailed}, {1, RunEnd::kDone}},
        true,
        1,
        JobOutcome::kCompleted},
-      {"done, heard after the attempts were used up",
+      {"done, reported after the attempts were used up",
        {{1, RunEnd::kLapsed},
         {2, RunEnd::kFailed},
         {3, RunEnd::kFailed},
@@ -82,7 +83,7 @@
        true,
        3,
        JobOutcome::kFailed},
-      {"stopped, heard after its lease was proved over",
+      {"stopped, reported after its lease had expired",
        {{1, RunEnd::kLapsed}, {1, RunEnd::kStopped}},
        false,
        0,
@@ -104,23 +105,23 @@
   }
 }
 
-struct SavedRow {
+struct CheckpointRow {
   const char* name;
-  /// Runs whose ends were counted before, none with a saved text.
+  /// Runs whose ends were counted before, with the checkpoint "earlier".
   std::vector<uint32_t> lapsed;
   bool placed;
   const char* checkpoint;
 };
 
-// A run that was given up worked on until its lease was over; what it saved
-// meanwhile comes with its end.
-BOOST_AUTO_TEST_CASE(CountEnd_SavedTextOfARunGivenUp_CountsWhileItIsTheNewest) {
-  const SavedRow rows[] = {
+// A run that was given up continued until its lease expired; what it saved
+// meanwhile is reported with its end.
+BOOST_AUTO_TEST_CASE(CountEnd_CheckpointOfRunGivenUp_CountsWhileNewest) {
+  const CheckpointRow rows[] = {
       {"no later run", {1}, false, "later"},
       {"a later run is placed", {1}, true, "earlier"},
       {"a later run has ended", {1, 2}, false, "earlier"},
   };
-  for (const SavedRow& row : rows) {
+  for (const CheckpointRow& row : rows) {
     JobTable table;
     table.Add(fakes::MakePlan(kId, 1, 1, ""));
     Task* task = table.FindTask(std::string(kId) + ".0.0.0");
@@ -148,7 +149,7 @@
              static_cast<int>(JobOutcome::kOpen));
 }
 
-BOOST_AUTO_TEST_CASE(CountEnd_GangMemberDone_StandsForAll) {
+BOOST_AUTO_TEST_CASE(CountEnd_GangMemberDone_FinishesWholeGang) {
   JobTable table;
   JobPlan plan = fakes::MakePlan(kId, 1, 4, "");
   plan.steps[0].gang = true;
@@ -184,7 +185,7 @@
   BOOST_TEST(JobTable::IsUnblocked(*job, 0, 1));
 }
 
-BOOST_AUTO_TEST_CASE(State_WrittenAndRead_Continues) {
+BOOST_AUTO_TEST_CASE(JobState_EncodedAndDecoded_IsRestored) {
   JobTable before;
   const JobPlan plan = fakes::MakePlan(kId, 2, 2, "");
   Job* job = before.Add(plan);
@@ -195,16 +196,16 @@
   JobTable after;
   Job* read = after.Add(plan);
   BOOST_TEST(DecodeJobState(EncodeJobState(*job), read));
-  const auto& again = read->times[0].steps[0];
-  BOOST_TEST(again.done == 1);
-  BOOST_TEST(again.tasks[0].done);
-  BOOST_TEST(again.tasks[1].failed_runs.size() == 1U);
-  BOOST_TEST(again.tasks[1].checkpoint == "saved");
-  BOOST_TEST(again.tasks[1].counted_run == 2U);
+  const auto& restored = read->times[0].steps[0];
+  BOOST_TEST(restored.done == 1);
+  BOOST_TEST(restored.tasks[0].done);
+  BOOST_TEST(restored.tasks[1].failed_runs.size() == 1U);
+  BOOST_TEST(restored.tasks[1].checkpoint == "saved");
+  BOOST_TEST(restored.tasks[1].counted_run == 2U);
   BOOST_TEST(read->begun);
 }
 
-BOOST_AUTO_TEST_CASE(DecodeJobState_BadText_IsRefused) {
+BOOST_AUTO_TEST_CASE(DecodeJobState_MalformedText_IsRejected) {
   JobTable table;
   Job* job = table.Add(fakes::MakePlan(kId, 1, 1, ""));
   for (const char* text : {"", "[]", "{}",
@@ -214,7 +215,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(DecodeJobState_BadRowAfterADoneTask_CountsFit) {
+BOOST_AUTO_TEST_CASE(DecodeJobState_BadRowAfterDoneTask_CountsAreConsistent) {
   JobTable table;
   Job* job = table.Add(fakes::MakePlan(kId, 1, 2, ""));
   BOOST_TEST(
@@ -227,15 +228,15 @@
   BOOST_TEST(step.idle == 1);
 }
 
-BOOST_AUTO_TEST_CASE(ParseTaskName_AnyText_OnlyTakesFourParts) {
+BOOST_AUTO_TEST_CASE(ParseTaskName_AnyText_RequiresFourParts) {
   BOOST_TEST(ParseTaskName("ab.0.1.17").has_value());
   for (const char* text : {"", "ab", "ab.0.1", "ab.0.1.x", "ab..1.2"}) {
     BOOST_TEST(!ParseTaskName(text).has_value(), text);
   }
 }
 
-// Guards against a successor that counts a task's crashes anew.
-BOOST_AUTO_TEST_CASE(EncodeJobState_CrashesAndReason_AreReadAgain) {
+// Guards against a successor that loses count of a task's crashes.
+BOOST_AUTO_TEST_CASE(EncodeJobState_CrashesAndReason_AreRestored) {
   JobTable table;
   Job* job = table.Add(fakes::MakePlan(kId, 1, 2, ""));
   Task* task = &job->times[0].steps[0].tasks[1];
@@ -266,8 +267,8 @@
   BOOST_TEST(read->times[0].steps[0].tasks[0].crashes.empty());
 }
 
-// Guards against records of an older version that can't be read.
-BOOST_AUTO_TEST_CASE(DecodeJobState_NoCrashesColumn_IsWhole) {
+// Guards against rejecting records of an older version.
+BOOST_AUTO_TEST_CASE(DecodeJobState_NoCrashesColumn_IsAccepted) {
   JobTable table;
   Job* job = table.Add(fakes::MakePlan(kId, 1, 1, ""));
   BOOST_TEST(DecodeJobState(R"({"outcome":"o","finished_at":0,"begun":true,)"
