--- a/src/include/doorwood/machine_platform.h
+++ b/src/include/doorwood/machine_platform.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Port to the platform that runs the workers' machines: which there are, and
-/// orders to take one down for its upkeep or to move it to another pool.
+/// Port to the platform that runs the workers' machines. It lists the machines
+/// and takes orders to take one down for upkeep or to move it to another pool.
 
 #ifndef DOORWOOD_MACHINE_PLATFORM_H_
 #define DOORWOOD_MACHINE_PLATFORM_H_
@@ -29,17 +29,17 @@
   std::string data_centre;
   std::vector<std::string> labels;
   Resources capacity;
-  /// The worker that is the machine's present life; may be empty.
+  /// Id of the machine's current worker incarnation; may be empty.
   std::string worker;
 };
 
-/// Machines that the operators want taken down for upkeep, each once.
+/// Machines that the operators want taken down for upkeep, each of them once.
 struct UpkeepWave {
   int64_t number = 0;
   std::vector<std::string> machines;
-  /// Time within which all of them should have had it.
+  /// Time within which all machines should have been down.
   Millis duration{0};
-  /// Most machines of the wave that may be down at a time.
+  /// Most machines of the wave that may be down at the same time.
   int most_at_once = 1;
 };
 
@@ -48,7 +48,7 @@
 struct UpkeepOrder {
   std::string machine;
   int64_t wave = 0;
-  /// Who orders, and the fencing token of its lead.
+  /// The ordering leader and the fencing token of its term.
   std::string holder;
   uint64_t token = 0;
 };
@@ -60,10 +60,10 @@
   uint64_t token = 0;
 };
 
-/// Calls finish on the control thread, exactly once. Orders fail with a
-/// RunErrc: kNoAnswer (may be carried out, now or later), kFenced, kBusy (not
-/// now), kRejected (no such machine, or not of that wave). Reads fail with a
-/// KvErrc or PeerErrc.
+/// Callbacks run on the control thread, exactly once. Orders fail with a
+/// RunErrc: kNoAnswer (the order may be carried out, now or later), kFenced,
+/// kBusy (not possible now), kRejected (no such machine, or it is not part of
+/// that wave). Reads fail with a KvErrc or PeerErrc.
 class MachinePlatform {
  public:
   using ListCallback =
@@ -75,12 +75,13 @@
   virtual ~MachinePlatform() = default;
 
   virtual void ListMachines(ListCallback done) = 0;
-  /// Ends all that runs there at once. Succeeds also if it was done before.
+  /// Stops everything that runs on the machine at once. Succeeds also if the
+  /// order was carried out before.
   virtual void OrderUpkeep(const UpkeepOrder& order, OrderCallback done) = 0;
   virtual void OrderMove(const MoveOrder& order, OrderCallback done) = 0;
-  /// The operators' waves.
+  /// Lists the operators' upkeep waves.
   virtual void ListWaves(WavesCallback done) = 0;
-  /// Key and value by which the operators are told how a wave is.
+  /// Key and value that report the state of a wave to the operators.
   virtual StorePut WaveStatus(int64_t wave, WaveState state) const = 0;
 };
 
--- a/src/include/doorwood/wave_keeper.h
+++ b/src/include/doorwood/wave_keeper.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Takes the machines of the operators' upkeep waves down, a few at a time,
-/// after their work has left them, and tells the operators when all had it.
+/// Carries out the operators' upkeep waves: evacuates machines and takes them
+/// down, a few at a time, and reports to the operators when all were down.
 
 #ifndef DOORWOOD_WAVE_KEEPER_H_
 #define DOORWOOD_WAVE_KEEPER_H_
@@ -24,41 +24,43 @@
 struct WaveOptions {
   /// How often the operators' waves are read.
   Millis read_interval{2000};
-  /// How often machines are read while a wave is open.
+  /// How often machines are listed while a wave is open.
   Millis list_interval{500};
-  /// A new leader orders nothing before: an earlier one's orders may still be
-  /// under way. The platform's lease of a machine's holder.
+  /// A new leader sends no orders for this long, because orders of an earlier
+  /// leader may still be in flight. Equals the platform's lease on a machine's
+  /// holder.
   Millis holder_lease{3000};
-  /// Work that neither saves nor lasts may finish for so long before its
-  /// machine goes down.
-  Millis empty_patience{6000};
-  /// Pause before an order is sent again.
+  /// How long work that neither saves its progress nor is long-running may
+  /// continue before its machine is taken down.
+  Millis evacuation_grace{6000};
+  /// Delay before an order is sent again.
   Millis retry_pause{500};
 };
 
-/// What still runs on a worker that is to be emptied.
+/// Work that still runs on a worker that is being evacuated.
 enum class Occupancy {
   kEmpty,
-  /// Only work that may be lost and run again.
+  /// Only work that may be stopped and run again.
   kExpendable,
-  /// Work that must not be ended now.
+  /// Work that must not be stopped now.
   kNeeded,
 };
 
-/// The cell, as the keeper needs it.
+/// The cell's part in a wave: evacuating workers.
 class WaveHost {
  public:
   virtual ~WaveHost() = default;
 
-  /// Gives the worker nothing new and moves its work away, as far as the work
-  /// may be missed. To be called again until it is empty.
+  /// Places no new work on the worker and moves its work away, as far as the
+  /// limits of that work allow. To be called again until the worker is empty.
   virtual Occupancy EmptyWorker(const std::string& worker) = 0;
 };
 
-/// Works only between `Open` and `Close`, that is, while this process leads.
+/// Active only between `Open` and `Close`, that is, while this process leads
+/// the cell.
 class WaveKeeper {
  public:
-  /// `platform` may be null: then there are no waves.
+  /// Without a `platform` (null) there are no waves.
   WaveKeeper(Executor& executor,
              RecordStore& store,
              MachinePlatform* platform,
@@ -69,34 +71,34 @@
 
   void Open(std::string holder, int64_t epoch);
   void Close();
-  /// To be called a few times a second while orders may be given.
+  /// To be called a few times a second while the leader may send orders.
   void Tick();
 
  private:
   enum class Stage {
     kWaiting,
-    kEmptying,
-    /// Ordered; not known to be carried out.
+    kEvacuating,
+    /// The order was sent; it is not known whether it was carried out.
     kOrdered,
-    /// Down for its upkeep.
+    /// Down for upkeep.
     kDown,
     kDone,
   };
   struct Progress {
     Stage stage = Stage::kWaiting;
     Instant since{};
-    bool order_out = false;
+    bool order_in_flight = false;
     Instant retry_at{};
-    /// Lists in a row that did not name the machine.
+    /// Number of consecutive lists without the machine.
     int missed_lists = 0;
   };
   struct Wave {
     UpkeepWave plan;
     std::map<std::string, Progress> machines;
-    bool told_running = false;
-    bool told_completed = false;
-    bool telling = false;
-    /// Revision of the key that tells the operators; 0: not there yet.
+    bool reported_running = false;
+    bool reported_completed = false;
+    bool reporting = false;
+    /// Store revision of the wave's status key; 0: the key does not exist yet.
     int64_t status_revision = 0;
   };
 
@@ -106,19 +108,19 @@
   void ListMachines();
   void OnMachines(const std::vector<Machine>& machines, Instant sent);
   void Advance(Wave* wave);
-  void StartEmptying(Wave* wave);
-  void Empty(Wave* wave, const std::string& machine, Progress* progress);
+  void StartEvacuations(Wave* wave);
+  void Evacuate(Wave* wave, const std::string& machine, Progress* progress);
   void Order(int64_t number, const std::string& machine);
   void OnOrdered(int64_t number,
                  const std::string& machine,
                  std::error_code error);
   void Record(const Wave& wave);
-  void Tell(Wave* wave, WaveState state);
-  void OnTold(int64_t number,
-              WaveState state,
-              std::error_code error,
-              const StoreCommit& commit);
-  bool AnyOpen() const;
+  void ReportState(Wave* wave, WaveState state);
+  void OnStateReported(int64_t number,
+                       WaveState state,
+                       std::error_code error,
+                       const StoreCommit& commit);
+  bool HasOpenWave() const;
   static int CountIn(const Wave& wave, std::initializer_list<Stage> stages);
 
   Executor& executor_;
@@ -130,7 +132,8 @@
   const std::string cell_;
 
   bool open_ = false;
-  /// Rises with each opening and closing; answers to earlier calls are dropped.
+  /// Incremented by each Open and Close; answers to calls of an earlier
+  /// generation are ignored.
   uint64_t generation_ = 0;
   std::string holder_;
   int64_t epoch_ = 0;
@@ -142,7 +145,7 @@
   std::map<int64_t, Wave> waves_;
   /// Waves whose record is being read.
   std::set<int64_t> reading_records_;
-  /// By machine, as listed last.
+  /// The newest list, by machine id.
   std::map<std::string, Machine> machines_;
 };
 
--- a/src/libdoorwood/pool/wave_keeper.cpp
+++ b/src/libdoorwood/pool/wave_keeper.cpp
@@ -11,8 +11,8 @@
 namespace doorwood {
 namespace {
 
-// A machine that so many lists in a row did not name is gone for good.
-constexpr int kListsToBeGone = 3;
+// A machine that is missing from this many consecutive lists is gone for good.
+constexpr int kMissedListsUntilGone = 3;
 
 std::string WaveKey(std::string_view cell, int64_t wave) {
   return CellPrefix(cell) + "wave/" + std::to_string(wave);
@@ -68,9 +68,9 @@
   listed_ = Instant{};
 }
 
-bool WaveKeeper::AnyOpen() const {
+bool WaveKeeper::HasOpenWave() const {
   return std::any_of(waves_.begin(), waves_.end(), [](const auto& entry) {
-    return !entry.second.told_completed;
+    return !entry.second.reported_completed;
   });
 }
 
@@ -90,7 +90,7 @@
   if (now - waves_read_ >= options_.read_interval) {
     ReadWaves();
   }
-  if (!AnyOpen()) {
+  if (!HasOpenWave()) {
     return;
   }
   if (now - listed_ >= options_.list_interval) {
@@ -100,13 +100,13 @@
     return;
   }
   for (auto& [number, wave] : waves_) {
-    if (!wave.told_completed) {
+    if (!wave.reported_completed) {
       Advance(&wave);
     }
   }
 }
 
-// --- What the operators want ---
+// --- Waves requested by the operators ---
 
 void WaveKeeper::ReadWaves() {
   if (reading_waves_) {
@@ -138,13 +138,13 @@
     wave.plan = plan;
     for (const std::string& machine : plan.machines) {
       if (wave.machines.try_emplace(machine).second) {
-        wave.told_completed = false;
+        wave.reported_completed = false;
       }
     }
   }
 }
 
-// An earlier leader may have taken some of the machines down already.
+// An earlier leader may already have taken some of the machines down.
 void WaveKeeper::ReadRecord(const UpkeepWave& plan) {
   if (!reading_records_.insert(plan.number).second) {
     return;
@@ -166,7 +166,7 @@
                  wave.machines[machine].stage =
                      done.contains(machine) ? Stage::kDone : Stage::kWaiting;
                }
-               log_.Write("info", "pool", "upkeep wave taken up",
+               log_.Write("info", "pool", "upkeep wave loaded",
                           {{"wave", plan.number},
                            {"machines", plan.machines.size()},
                            {"done", done.size()},
@@ -176,7 +176,7 @@
              });
 }
 
-// --- What the machines do ---
+// --- Progress of the machines ---
 
 void WaveKeeper::ListMachines() {
   if (listing_) {
@@ -214,7 +214,7 @@
       const bool up = listed->second.state == MachineState::kUp;
       if (progress.stage == Stage::kDown && up && progress.since < sent) {
         progress.stage = Stage::kDone;
-        log_.Write("info", "pool", "machine is back from its upkeep",
+        log_.Write("info", "pool", "machine is up again after upkeep",
                    {{"wave", number}, {"machine", id}});
       }
     }
@@ -222,64 +222,65 @@
 }
 
 void WaveKeeper::Advance(Wave* wave) {
-  if (!wave->told_running) {
-    Tell(wave, WaveState::kRunning);
+  if (!wave->reported_running) {
+    ReportState(wave, WaveState::kRunning);
   }
-  bool all_begun = true;
+  bool all_down = true;
   for (auto& [machine, progress] : wave->machines) {
-    if (progress.missed_lists >= kListsToBeGone) {
+    if (progress.missed_lists >= kMissedListsUntilGone) {
       continue;
     }
-    if (progress.stage == Stage::kEmptying) {
-      Empty(wave, machine, &progress);
-    } else if (progress.stage == Stage::kOrdered && !progress.order_out &&
+    if (progress.stage == Stage::kEvacuating) {
+      Evacuate(wave, machine, &progress);
+    } else if (progress.stage == Stage::kOrdered && !progress.order_in_flight &&
                executor_.Now() >= progress.retry_at) {
       Order(wave->plan.number, machine);
     }
-    all_begun = all_begun && (progress.stage == Stage::kDown ||
-                              progress.stage == Stage::kDone);
+    all_down = all_down && (progress.stage == Stage::kDown ||
+                            progress.stage == Stage::kDone);
   }
-  StartEmptying(wave);
-  if (all_begun) {
-    Tell(wave, WaveState::kCompleted);
+  StartEvacuations(wave);
+  if (all_down) {
+    ReportState(wave, WaveState::kCompleted);
   }
 }
 
-void WaveKeeper::StartEmptying(Wave* wave) {
-  // As many are emptied beside those that are down, so that the next ones are
-  // ready when these are back.
-  int room = wave->plan.most_at_once - CountIn(*wave, {Stage::kEmptying});
+void WaveKeeper::StartEvacuations(Wave* wave) {
+  // As many machines are evacuated as may be down at a time, so that the next
+  // ones are ready when the current ones are back.
+  int free_slots =
+      wave->plan.most_at_once - CountIn(*wave, {Stage::kEvacuating});
   for (auto& [machine, progress] : wave->machines) {
     const auto listed = machines_.find(machine);
-    if (room <= 0) {
+    if (free_slots <= 0) {
       return;
     }
     if (progress.stage != Stage::kWaiting || listed == machines_.end()) {
       continue;
     }
-    progress.stage = Stage::kEmptying;
+    progress.stage = Stage::kEvacuating;
     progress.since = executor_.Now();
-    --room;
-    log_.Write("info", "pool", "machine is emptied for its upkeep",
+    --free_slots;
+    log_.Write("info", "pool", "evacuating machine for upkeep",
                {{"wave", wave->plan.number},
                 {"machine", machine},
                 {"worker", listed->second.worker}});
   }
 }
 
-void WaveKeeper::Empty(Wave* wave,
-                       const std::string& machine,
-                       Progress* progress) {
+void WaveKeeper::Evacuate(Wave* wave,
+                          const std::string& machine,
+                          Progress* progress) {
   const auto listed = machines_.find(machine);
   if (listed == machines_.end()) {
     return;
   }
   const Occupancy occupancy = host_.EmptyWorker(listed->second.worker);
-  const bool patient =
-      executor_.Now() - progress->since < options_.empty_patience;
-  const bool may_go = occupancy == Occupancy::kEmpty ||
-                      (occupancy == Occupancy::kExpendable && !patient);
-  // A machine that is down for another reason counts as one of its wave.
+  const bool in_grace =
+      executor_.Now() - progress->since < options_.evacuation_grace;
+  const bool may_stop = occupancy == Occupancy::kEmpty ||
+                        (occupancy == Occupancy::kExpendable && !in_grace);
+  // A machine of the wave that is down for another reason counts as well.
   int down = CountIn(*wave, {Stage::kOrdered, Stage::kDown});
   for (const auto& [id, other] : wave->machines) {
     const auto seen = machines_.find(id);
@@ -290,7 +291,7 @@
                 ? 1
                 : 0;
   }
-  if (may_go && down < wave->plan.most_at_once &&
+  if (may_stop && down < wave->plan.most_at_once &&
       listed->second.state == MachineState::kUp) {
     progress->stage = Stage::kOrdered;
     Order(wave->plan.number, machine);
@@ -298,7 +299,7 @@
 }
 
 void WaveKeeper::Order(int64_t number, const std::string& machine) {
-  waves_.at(number).machines.at(machine).order_out = true;
+  waves_.at(number).machines.at(machine).order_in_flight = true;
   platform_->OrderUpkeep(
       {machine, number, holder_, static_cast<uint64_t>(epoch_)},
       [this, number, machine, generation = generation_](std::error_code error) {
@@ -313,7 +314,7 @@
                            std::error_code error) {
   Wave& wave = waves_.at(number);
   Progress& progress = wave.machines.at(machine);
-  progress.order_out = false;
+  progress.order_in_flight = false;
   log_.Write(error ? "warn" : "info", "pool", "upkeep ordered",
              {{"wave", number},
               {"machine", machine},
@@ -325,15 +326,15 @@
     Record(wave);
     return;
   }
-  // Without an answer it may be down already, so it keeps its place among
-  // those that are; a refusal gives it up.
+  // Without an answer the machine may already be down, so it still counts as
+  // down. After a refusal it does not.
   progress.retry_at = executor_.Now() + options_.retry_pause;
   if (error != make_error_code(RunErrc::kNoAnswer)) {
-    progress.stage = Stage::kEmptying;
+    progress.stage = Stage::kEvacuating;
   }
 }
 
-// --- What is kept and told ---
+// --- Records and status reports ---
 
 void WaveKeeper::Record(const Wave& wave) {
   Json done = Json::array();
@@ -345,26 +346,27 @@
   StoreTransaction transaction;
   transaction.expected.push_back({LeadKey(cell_), epoch_});
   transaction.puts.push_back({WaveKey(cell_, wave.plan.number), done.dump()});
-  // Lost records only cost a successor's emptying: the platform takes no
-  // machine down twice for one wave.
+  // If a record is lost, a successor only evacuates the machines again: the
+  // platform takes no machine down twice for one wave.
   store_.Commit(transaction, [this, number = wave.plan.number](
                                  std::error_code error, const StoreCommit&) {
     if (error) {
-      log_.Write("warn", "pool", "progress of a wave is not recorded",
+      log_.Write("warn", "pool",
+                 "failed to record the progress of an upkeep wave",
                  {{"wave", number}, {"error", error.message()}});
     }
   });
 }
 
-void WaveKeeper::Tell(Wave* wave, WaveState state) {
-  if (wave->telling) {
+void WaveKeeper::ReportState(Wave* wave, WaveState state) {
+  if (wave->reporting) {
     return;
   }
-  wave->telling = true;
+  wave->reporting = true;
   const int64_t number = wave->plan.number;
   StoreTransaction transaction;
   const StorePut put = platform_->WaveStatus(number, state);
-  // Under these conditions a late write can't undo a newer one.
+  // With these conditions a delayed write cannot overwrite a newer one.
   transaction.expected.push_back({LeadKey(cell_), epoch_});
   transaction.expected.push_back({put.key, wave->status_revision});
   transaction.puts.push_back(put);
@@ -372,19 +374,19 @@
                 [this, number, state, generation = generation_](
                     std::error_code error, const StoreCommit& commit) {
                   if (generation == generation_) {
-                    OnTold(number, state, error, commit);
+                    OnStateReported(number, state, error, commit);
                   }
                 });
 }
 
-void WaveKeeper::OnTold(int64_t number,
-                        WaveState state,
-                        std::error_code error,
-                        const StoreCommit& commit) {
+void WaveKeeper::OnStateReported(int64_t number,
+                                 WaveState state,
+                                 std::error_code error,
+                                 const StoreCommit& commit) {
   Wave& wave = waves_.at(number);
-  wave.telling = false;
+  wave.reporting = false;
   if (error) {
-    // Told again with the next step, from the revision that stands.
+    // Reported again in the next step, based on the current revision.
     for (const StoreItem& item : commit.current) {
       if (item.key == platform_->WaveStatus(number, state).key) {
         wave.status_revision = item.gone ? 0 : item.revision;
@@ -393,10 +395,10 @@
     return;
   }
   wave.status_revision = commit.revision;
-  wave.told_running = true;
-  wave.told_completed = state == WaveState::kCompleted;
+  wave.reported_running = true;
+  wave.reported_completed = state == WaveState::kCompleted;
   log_.Write(
-      "info", "pool", "operators told of a wave",
+      "info", "pool", "upkeep wave state reported",
       {{"wave", number},
        {"state", state == WaveState::kCompleted ? "completed" : "running"}});
 }
--- a/src/libdoorwood/pool/wave_keeper_test.cpp
+++ b/src/libdoorwood/pool/wave_keeper_test.cpp
@@ -12,8 +12,8 @@
 
 constexpr char kJob[] = "00112233aabbccdd";
 
-// Six workers on six machines; the world itself reports a broken rule where
-// more machines of a wave are down than may be, or a task runs twice.
+// Six workers on six machines. The simulation itself reports a violation if
+// more machines of a wave are down than allowed, or if a task runs twice.
 struct WaveFixture {
   WaveFixture() : world(7) {
     world.SetTable({fakes::MakeQueue("queue", 3)});
@@ -34,7 +34,7 @@
   WaveFixture(const WaveFixture&) = delete;
   WaveFixture& operator=(const WaveFixture&) = delete;
 
-  void AskForWave(int most_at_once) {
+  void RequestWave(int most_at_once) {
     UpkeepWave wave;
     wave.number = 1;
     for (const auto& [id, machine] : world.machines()) {
@@ -44,7 +44,7 @@
     wave.most_at_once = most_at_once;
     world.waves().push_back(wave);
   }
-  // How many machines have had the wave's upkeep exactly once.
+  // Number of machines that were taken down for the wave exactly once.
   int TakenDownOnce() {
     int once = 0;
     for (const auto& [id, machine] : world.machines()) {
@@ -57,8 +57,8 @@
     StoreItem item;
     return world.store().Get("wave-status/1", &item) ? "" : item.value;
   }
-  // A job of lasting tasks, each alone on its worker.
-  void SubmitLasting(int count, std::optional<int> may_miss) {
+  // Submits a job of long-running tasks, at most one per worker.
+  void SubmitLongRunning(int count, std::optional<int> may_miss) {
     JobPlan plan = fakes::MakePlan(kJob, 1, count, "");
     plan.steps[0].lasting = true;
     plan.steps[0].may_miss = may_miss;
@@ -70,9 +70,9 @@
   fakes::CellWorld world;
 };
 
-BOOST_FIXTURE_TEST_CASE(Wave_IdleMachines_AllGoDownOnceAndItIsTold,
+BOOST_FIXTURE_TEST_CASE(Wave_IdleMachines_AllGoDownOnceAndStateIsReported,
                         WaveFixture) {
-  AskForWave(2);
+  RequestWave(2);
   world.Run(Millis(2500));
   BOOST_TEST(Status() == "running");
   world.Run(Millis(25'000));
@@ -82,17 +82,17 @@
 
 BOOST_FIXTURE_TEST_CASE(Wave_WorkRuns_MachinesGoDownEmpty, WaveFixture) {
   world.Submit(fakes::MakePlan(kJob, 4, 12, "ms=1500"));
-  AskForWave(2);
+  RequestWave(2);
   world.Run(Millis(40'000));
   BOOST_TEST(TakenDownOnce() == 6);
   BOOST_TEST(world.lost_runs() == 0);
   BOOST_TEST((world.StateOf(kJob) == JobPhase::kCompleted));
 }
 
-BOOST_FIXTURE_TEST_CASE(Wave_LastingWorkMayMissOne_OneIsAwayAtATime,
+BOOST_FIXTURE_TEST_CASE(Wave_LongRunningMayMissOne_OneIsStoppedAtATime,
                         WaveFixture) {
-  SubmitLasting(3, 1);
-  AskForWave(3);
+  SubmitLongRunning(3, 1);
+  RequestWave(3);
   int fewest = 3;
   for (int i = 0; i < 400; ++i) {
     world.Run(Millis(100));
@@ -111,27 +111,27 @@
   BOOST_TEST(Status() == "completed");
 }
 
-BOOST_FIXTURE_TEST_CASE(Wave_LastingWorkMayMissNone_ItStaysAndWaveRunsOn,
+BOOST_FIXTURE_TEST_CASE(Wave_LongRunningMayMissNone_StaysAndWaveContinues,
                         WaveFixture) {
-  SubmitLasting(1, 0);
-  AskForWave(2);
+  SubmitLongRunning(1, 0);
+  RequestWave(2);
   world.Run(Millis(40'000));
   BOOST_TEST(TakenDownOnce() == 5);
   BOOST_TEST(world.lost_runs() == 0);
   BOOST_TEST(Status() == "running");
 }
 
-BOOST_FIXTURE_TEST_CASE(Wave_OrdersNotAnswered_NoMoreAreDownThanMayBe,
+BOOST_FIXTURE_TEST_CASE(Wave_OrdersNotAnswered_LimitOfDownMachinesHolds,
                         WaveFixture) {
   world.Leader()->machine_answers_lost = 4;
-  AskForWave(1);
+  RequestWave(1);
   world.Run(Millis(40'000));
   BOOST_TEST(TakenDownOnce() == 6);
   BOOST_TEST(Status() == "completed");
 }
 
-BOOST_FIXTURE_TEST_CASE(Wave_LeaderDies_SuccessorFinishesIt, WaveFixture) {
-  AskForWave(1);
+BOOST_FIXTURE_TEST_CASE(Wave_LeaderDies_SuccessorCompletesIt, WaveFixture) {
+  RequestWave(1);
   world.Run(Millis(9000));
   BOOST_TEST(TakenDownOnce() > 0);
   world.Kill(world.Leader()->name);
@@ -140,8 +140,8 @@
   BOOST_TEST(Status() == "completed");
 }
 
-BOOST_FIXTURE_TEST_CASE(Wave_MachineIsGone_IsNotWaitedFor, WaveFixture) {
-  AskForWave(2);
+BOOST_FIXTURE_TEST_CASE(Wave_MachineGone_DoesNotBlockCompletion, WaveFixture) {
+  RequestWave(2);
   world.machines().erase("m-w3");
   world.CrashWorker("w3");
   world.Run(Millis(30'000));
