--- a/src/include/doorwood/types.h
+++ b/src/include/doorwood/types.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Value types that every part of doorwood shares: time, sizes, identities,
-/// tasks and jobs. They hold data only; rules about them live elsewhere.
+/// Value types shared by all parts of doorwood: time, sizes, identities, tasks
+/// and jobs. They hold data only and have no rules of their own.
 
 #ifndef DOORWOOD_TYPES_H_
 #define DOORWOOD_TYPES_H_
@@ -17,28 +17,28 @@
 
 namespace doorwood {
 
-/// Time since the machine was booted, with what it spent suspended: other
-/// machines' leases run out meanwhile, and `std::chrono::steady_clock` stands
-/// still.
+/// Time since the machine was booted, including time suspended.
+/// `std::chrono::steady_clock` does not advance during a suspension, while the
+/// leases on other machines do expire.
 struct BootClock : public std::chrono::steady_clock {
   using time_point = std::chrono::time_point<BootClock>;
 
   static time_point now() noexcept;
 };
 
-/// Monotonic time of this machine. Never sent to another one: ages and
-/// lifetimes are sent instead.
+/// Monotonic time of this machine. It is never sent to another machine; ages
+/// and lifetimes are sent instead.
 using Instant = BootClock::time_point;
 using Millis = std::chrono::milliseconds;
 
-/// Labels of a task or an instance, key to value.
+/// Labels of a task or an instance, from key to value.
 using Labels = std::map<std::string, std::string>;
 
-/// An amount of what a worker carries.
+/// An amount of a worker's resources.
 struct Resources {
   /// Thousandths of a processor.
   int64_t cpu_millis = 0;
-  /// Mebibytes of memory.
+  /// Mebibytes.
   int64_t memory_mib = 0;
   /// Whole accelerators.
   int64_t accelerators = 0;
@@ -46,14 +46,14 @@
   friend bool operator==(const Resources&, const Resources&) = default;
 };
 
-/// Adds or subtracts each part.
+/// Adds or subtracts each component.
 Resources operator+(const Resources& a, const Resources& b);
 Resources operator-(const Resources& a, const Resources& b);
 
-/// True if `need` is no larger than `room` in every part.
+/// Whether `need` is at most `room` in each component.
 bool Fits(const Resources& need, const Resources& room);
 
-/// One share of a data centre's jobs, owned by one entry instance at a time.
+/// A shard of a data centre's jobs, owned by one entry instance at a time.
 struct ShardId {
   std::string data_centre;
   uint32_t index = 0;
@@ -64,10 +64,10 @@
 /// "plaka/3"
 std::string ToString(const ShardId& shard);
 
-/// Identity of one try to run a task. Unique within a shard: the epoch rises
-/// with each change of owner, the counter with each attempt of that owner.
-/// Attempts are ordered, so one attempt id also serves as a fence: a holder
-/// refuses any attempt below it.
+/// Identity of one attempt to run a task. It is unique within a shard: the
+/// epoch rises with each change of owner, and the counter with each attempt by
+/// that owner. Attempts are ordered, so an attempt id also serves as a fencing
+/// token: a holder refuses any attempt below the highest it has seen.
 struct AttemptId {
   uint64_t epoch = 0;
   uint64_t counter = 0;
@@ -78,45 +78,46 @@
 /// "7.42"
 std::string ToString(const AttemptId& attempt);
 
-/// Whether work must answer quickly or must finish.
+/// Batch work must finish; a service must answer quickly.
 enum class WorkClass { kBatch, kService };
 
 std::string_view ToString(WorkClass work_class);
 
-/// What is to run, as declared by its submitter.
+/// A task as declared by its submitter.
 struct TaskSpec {
   /// Unique within the job.
   std::string name;
   WorkClass work_class = WorkClass::kBatch;
   Resources size;
-  /// Labels that other work's `beside` selectors see.
+  /// Labels that `beside` selectors of other tasks are matched against.
   Labels labels;
   /// Selector over the labels of other tasks on the same worker.
   std::string beside;
   /// Selector over the labels of workers.
   std::string on;
-  /// Work with a higher number is evicted first; 0 to 100.
+  /// Tasks with a higher number are evicted first; 0 to 100.
   int yields = 50;
-  /// False: the task is started at most once unless it is proved that the
+  /// If false, the task is started at most once, unless it is proved that the
   /// earlier start never took place.
   bool repeatable = true;
   /// Highest number of starts that may end in failure.
   int max_attempts = 3;
-  /// Handed to the worker unread.
+  /// Opaque to the scheduler; passed to the worker.
   std::string payload;
 };
 
-/// A set of tasks submitted together by one member.
+/// A set of tasks submitted together by one workspace.
 struct JobSpec {
-  /// "<data centre>.<shard>.<random>": tells any instance who owns it.
+  /// "<data centre>.<shard>.<random>", from which any instance can find the
+  /// owner.
   std::string id;
   std::string member;
-  /// The data centre whose owner decides about the job.
+  /// The data centre whose owner schedules the job.
   std::string home;
   std::vector<TaskSpec> tasks;
 };
 
-/// Identity of a task in its job, for logs and calls.
+/// Identity of a task, for logs and calls.
 struct TaskId {
   std::string job;
   std::string name;
@@ -127,40 +128,40 @@
 /// "JOB/TASK"
 std::string ToString(const TaskId& task);
 
-/// How an attempt ended, in the words of the worker that ran it.
+/// How an attempt ended, as reported by the worker that ran it.
 enum class AttemptEnd {
-  /// Ran to its end with exit code 0.
+  /// Exited with code 0.
   kSucceeded,
-  /// Ran and failed.
   kFailed,
-  /// Stopped on order, after a checkpoint if one was asked for.
+  /// Stopped on order, after a checkpoint if one was requested.
   kStopped,
-  /// Proved never to have begun.
+  /// Proved never to have started.
   kNotStarted,
-  /// Ended without the worker's word: its lease lapsed or it restarted.
+  /// Ended without a report from the worker: its lease expired or the worker
+  /// restarted.
   kLost,
 };
 
 std::string_view ToString(AttemptEnd end);
 
-/// Role of an instance in the platform's list.
+/// Role of an instance in the platform's directory.
 enum class InstanceRole { kEntry, kWorker, kBackend };
 
-/// One line of the platform's lagging list of instances.
+/// One entry of the platform's directory of instances, which lags behind.
 struct InstanceInfo {
   std::string id;
   InstanceRole role = InstanceRole::kWorker;
   std::string data_centre;
   std::string rack;
-  /// IP number and port.
+  /// IP address and port.
   std::string address;
-  /// Entry instances only: IP number and port for calls between instances.
+  /// Entry instances only: IP address and port for calls between instances.
   std::string peer_address;
-  /// True once the platform is taking it away.
+  /// Whether the platform is shutting the instance down.
   bool leaving = false;
   Labels labels;
-  /// Backend servers only: the service, the worker it sits on, and how many
-  /// requests and connections it takes at a time.
+  /// Backend servers only: the service, the worker that hosts the server, and
+  /// how many requests and connections it accepts at a time.
   std::string service;
   std::string worker;
   int slots = 0;
