--- a/src/include/doorwood/cell_policy.h
+++ b/src/include/doorwood/cell_policy.h
@@ -89,7 +89,9 @@
 
 /// Work of all tasks of one repetition of the job that are not done, in
 /// thousandths of a processor times milliseconds.
-int64_t WorkLeft(const Job& job, int time, std::span<const Millis> run_times);
+int64_t WorkLeft(const Job& job,
+                 int repetition,
+                 std::span<const Millis> run_times);
 
 /// `run_times` holds the expected run time of one task of each step;
 /// `work_left` is the result of WorkLeft. `due_at` and `now` are in
--- a/src/include/doorwood/job_table.h
+++ b/src/include/doorwood/job_table.h
@@ -176,12 +176,12 @@
 };
 
 /// "JOB.TIME.STEP"
-std::string StepName(const Job& job, int time, int step);
+std::string StepName(const Job& job, int repetition, int step);
 
-/// When the steps of repetition `time` may start, in milliseconds since 1970.
-/// For a job without repetitions, when it was accepted.
-int64_t DueAt(const Job& job, int time);
-bool IsDue(const Job& job, int time, int64_t now);
+/// When the steps of the given repetition may start, in milliseconds since
+/// 1970. For a job without repetitions, when it was accepted.
+int64_t DueAt(const Job& job, int repetition);
+bool IsDue(const Job& job, int repetition, int64_t now);
 
 /// Processors, in thousandths, of the job's tasks that lack only a placement
 /// and are not long-running. `now` is in milliseconds since 1970.
@@ -226,8 +226,8 @@
   const std::vector<Job*>& OpenJobs();
 
   static void SetPlaced(Task* task, bool placed);
-  /// Whether all steps that `step` depends on are done in repetition `time`.
-  static bool IsUnblocked(const Job& job, int time, int step);
+  /// Whether all steps that `step` depends on are done in the given repetition.
+  static bool IsUnblocked(const Job& job, int repetition, int step);
 
   /// Counts the end of a run, including one that was given up before its worker
   /// reported. `max_attempts` is the queue's limit; long-running tasks have
--- a/src/libdoorwood/job/job_table.cpp
+++ b/src/libdoorwood/job/job_table.cpp
@@ -35,30 +35,32 @@
   return StepName(*job, time, step) + "." + std::to_string(index);
 }
 
-std::string StepName(const Job& job, int time, int step) {
-  return job.plan.id + "." + std::to_string(time) + "." + std::to_string(step);
+std::string StepName(const Job& job, int repetition, int step) {
+  return job.plan.id + "." + std::to_string(repetition) + "." +
+         std::to_string(step);
 }
 
-int64_t DueAt(const Job& job, int time) {
+int64_t DueAt(const Job& job, int repetition) {
   return job.plan.times > 0
-             ? job.plan.first_due + time * job.plan.interval.count()
+             ? job.plan.first_due + repetition * job.plan.interval.count()
              : job.plan.accepted_at;
 }
 
-bool IsDue(const Job& job, int time, int64_t now) {
-  return job.plan.times <= 0 || now >= DueAt(job, time);
+bool IsDue(const Job& job, int repetition, int64_t now) {
+  return job.plan.times <= 0 || now >= DueAt(job, repetition);
 }
 
 int64_t WaitingCpu(const Job& job, int64_t now) {
   int64_t cpu = 0;
-  for (int time = 0; time < job.plan.repetitions(); ++time) {
-    if (!IsDue(job, time, now)) {
+  for (int repetition = 0; repetition < job.plan.repetitions(); ++repetition) {
+    if (!IsDue(job, repetition, now)) {
       break;
     }
     for (int step = 0; step < static_cast<int>(job.plan.steps.size()); ++step) {
       const StepPlan& plan = job.plan.steps[step];
-      const int idle = job.times[time].steps[step].idle;
-      if (idle > 0 && !plan.lasting && JobTable::IsUnblocked(job, time, step)) {
+      const int idle = job.times[repetition].steps[step].idle;
+      if (idle > 0 && !plan.lasting &&
+          JobTable::IsUnblocked(job, repetition, step)) {
         cpu += idle * plan.size.cpu_millis;
       }
     }
@@ -67,8 +69,8 @@
 }
 
 void ForEachTask(Job* job, const std::function<void(Task*)>& each) {
-  for (TimeState& time : job->times) {
-    for (StepState& step : time.steps) {
+  for (TimeState& repetition : job->times) {
+    for (StepState& step : repetition.steps) {
       for (Task& task : step.tasks) {
         each(&task);
       }
@@ -122,7 +124,7 @@
 Job* JobTable::Add(JobPlan plan) {
   auto job = std::make_unique<Job>();
   job->plan = std::move(plan);
-  for (int time = 0; time < job->plan.repetitions(); ++time) {
+  for (int repetition = 0; repetition < job->plan.repetitions(); ++repetition) {
     TimeState& state = job->times.emplace_back();
     state.steps.resize(job->plan.steps.size());
     for (size_t step = 0; step < state.steps.size(); ++step) {
@@ -131,7 +133,7 @@
       state.steps[step].idle = job->plan.steps[step].count;
       for (size_t index = 0; index < tasks.size(); ++index) {
         tasks[index].job = job.get();
-        tasks[index].time = time;
+        tasks[index].time = repetition;
         tasks[index].step = static_cast<int>(step);
         tasks[index].index = static_cast<int>(index);
       }
@@ -200,8 +202,8 @@
   jobs_.clear();
 }
 
-bool JobTable::IsUnblocked(const Job& job, int time, int step) {
-  const TimeState& state = job.times[time];
+bool JobTable::IsUnblocked(const Job& job, int repetition, int step) {
+  const TimeState& state = job.times[repetition];
   const auto& earlier = job.plan.steps[step].depends_on;
   return std::all_of(earlier.begin(), earlier.end(), [&](int needed) {
     return state.steps[needed].done == job.plan.steps[needed].count;
@@ -215,15 +217,15 @@
   task->done = true;
   task->checkpoint.clear();
   Job* job = task->job;
-  TimeState& time = job->times[task->time];
-  StepState& step = time.steps[task->step];
+  TimeState& repetition = job->times[task->time];
+  StepState& step = repetition.steps[task->step];
   ++step.done;
   step.idle -= task->placed ? 0 : 1;
   if (step.done < task->plan().count) {
     return;
   }
-  ++time.steps_done;
-  if (time.steps_done < static_cast<int>(job->plan.steps.size())) {
+  ++repetition.steps_done;
+  if (repetition.steps_done < static_cast<int>(job->plan.steps.size())) {
     return;
   }
   ++job->repetitions_done;
@@ -428,8 +430,8 @@
   Json tasks = Json::array();
   // The tasks of a finished job are not needed any more.
   if (job.outcome == JobOutcome::kOpen) {
-    for (const TimeState& time : job.times) {
-      for (const StepState& step : time.steps) {
+    for (const TimeState& repetition : job.times) {
+      for (const StepState& step : repetition.steps) {
         for (const Task& task : step.tasks) {
           if (HasStoredState(task)) {
             tasks.push_back(EncodeTask(task));
@@ -468,10 +470,10 @@
       job->reason = json->at("reason").get<std::string>();
     }
     for (const Json& row : json->at("tasks")) {
-      const size_t time = row.at(0).get<size_t>();
+      const size_t repetition = row.at(0).get<size_t>();
       const size_t step = row.at(1).get<size_t>();
       const size_t index = row.at(2).get<size_t>();
-      Task& task = job->times.at(time).steps.at(step).tasks.at(index);
+      Task& task = job->times.at(repetition).steps.at(step).tasks.at(index);
       row.at(3).get_to(task.last_run);
       row.at(4).get_to(task.counted_run);
       row.at(5).get_to(task.failed_runs);
@@ -495,20 +497,20 @@
     valid = false;  // keeps what was read before the fault
   }
   job->repetitions_done = 0;
-  for (TimeState& time : job->times) {
-    time.steps_done = 0;
-    for (size_t step = 0; step < time.steps.size(); ++step) {
-      const auto& tasks = time.steps[step].tasks;
-      time.steps[step].done = static_cast<int>(
+  for (TimeState& repetition : job->times) {
+    repetition.steps_done = 0;
+    for (size_t step = 0; step < repetition.steps.size(); ++step) {
+      const auto& tasks = repetition.steps[step].tasks;
+      repetition.steps[step].done = static_cast<int>(
           std::count_if(tasks.begin(), tasks.end(),
                         [](const Task& task) { return task.done; }));
-      time.steps[step].idle =
-          job->plan.steps[step].count - time.steps[step].done;
-      if (time.steps[step].done == job->plan.steps[step].count) {
-        ++time.steps_done;
+      repetition.steps[step].idle =
+          job->plan.steps[step].count - repetition.steps[step].done;
+      if (repetition.steps[step].done == job->plan.steps[step].count) {
+        ++repetition.steps_done;
       }
     }
-    if (time.steps_done == static_cast<int>(time.steps.size())) {
+    if (repetition.steps_done == static_cast<int>(repetition.steps.size())) {
       ++job->repetitions_done;
     }
   }
--- a/src/libdoorwood/policy/cell_policy.cpp
+++ b/src/libdoorwood/policy/cell_policy.cpp
@@ -78,11 +78,13 @@
 
 }  // namespace
 
-int64_t WorkLeft(const Job& job, int time, std::span<const Millis> run_times) {
+int64_t WorkLeft(const Job& job,
+                 int repetition,
+                 std::span<const Millis> run_times) {
   int64_t work = 0;
   for (size_t step = 0; step < job.plan.steps.size(); ++step) {
     const StepPlan& plan = job.plan.steps[step];
-    const int left = plan.count - job.times[time].steps[step].done;
+    const int left = plan.count - job.times[repetition].steps[step].done;
     work += left * plan.size.cpu_millis * run_times[step].count();
   }
   return work;
