--- a/src/libdoorwood/job/job_table.cpp
+++ b/src/libdoorwood/job/job_table.cpp
@@ -25,40 +25,42 @@
   if (adopted_run <= recorded_run) {
     return 0;
   }
-  const auto told = std::count_if(
+  const auto reported = std::count_if(
       told_runs.begin(), told_runs.end(),
       [this](uint32_t run) { return run > recorded_run && run < adopted_run; });
-  return adopted_run - recorded_run - 1 - static_cast<uint32_t>(told);
+  return adopted_run - recorded_run - 1 - static_cast<uint32_t>(reported);
 }
 
 std::string Task::name() const {
   return StepName(*job, time, step) + "." + std::to_string(index);
 }
 
-std::string StepName(const Job& job, int time, int step) {
-  return job.plan.id + "." + std::to_string(time) + "." + std::to_string(step);
+std::string StepName(const Job& job, int repetition, int step) {
+  return job.plan.id + "." + std::to_string(repetition) + "." +
+         std::to_string(step);
 }
 
-int64_t DueAt(const Job& job, int time) {
+int64_t DueAt(const Job& job, int repetition) {
   return job.plan.times > 0
-             ? job.plan.first_due + time * job.plan.interval.count()
+             ? job.plan.first_due + repetition * job.plan.interval.count()
              : job.plan.accepted_at;
 }
 
-bool IsDue(const Job& job, int time, int64_t now) {
-  return job.plan.times <= 0 || now >= DueAt(job, time);
+bool IsDue(const Job& job, int repetition, int64_t now) {
+  return job.plan.times <= 0 || now >= DueAt(job, repetition);
 }
 
 int64_t WaitingCpu(const Job& job, int64_t now) {
   int64_t cpu = 0;
-  for (int time = 0; time < job.plan.repetitions(); ++time) {
-    if (!IsDue(job, time, now)) {
+  for (int repetition = 0; repetition < job.plan.repetitions(); ++repetition) {
+    if (!IsDue(job, repetition, now)) {
       break;
     }
     for (int step = 0; step < static_cast<int>(job.plan.steps.size()); ++step) {
       const StepPlan& plan = job.plan.steps[step];
-      const int idle = job.times[time].steps[step].idle;
-      if (idle > 0 && !plan.lasting && JobTable::IsUnblocked(job, time, step)) {
+      const int idle = job.times[repetition].steps[step].idle;
+      if (idle > 0 && !plan.lasting &&
+          JobTable::IsUnblocked(job, repetition, step)) {
         cpu += idle * plan.size.cpu_millis;
       }
     }
@@ -67,8 +69,8 @@
 }
 
 void ForEachTask(Job* job, const std::function<void(Task*)>& each) {
-  for (TimeState& time : job->times) {
-    for (StepState& step : time.steps) {
+  for (TimeState& repetition : job->times) {
+    for (StepState& step : repetition.steps) {
       for (Task& task : step.tasks) {
         each(&task);
       }
@@ -122,7 +124,7 @@
 Job* JobTable::Add(JobPlan plan) {
   auto job = std::make_unique<Job>();
   job->plan = std::move(plan);
-  for (int time = 0; time < job->plan.repetitions(); ++time) {
+  for (int repetition = 0; repetition < job->plan.repetitions(); ++repetition) {
     TimeState& state = job->times.emplace_back();
     state.steps.resize(job->plan.steps.size());
     for (size_t step = 0; step < state.steps.size(); ++step) {
@@ -131,18 +133,18 @@
       state.steps[step].idle = job->plan.steps[step].count;
       for (size_t index = 0; index < tasks.size(); ++index) {
         tasks[index].job = job.get();
-        tasks[index].time = time;
+        tasks[index].time = repetition;
         tasks[index].step = static_cast<int>(step);
         tasks[index].index = static_cast<int>(index);
       }
     }
   }
   const std::string id = job->plan.id;
-  const auto [place, added] = jobs_.try_emplace(id, std::move(job));
+  const auto [entry, added] = jobs_.try_emplace(id, std::move(job));
   if (!added) {
     return nullptr;
   }
-  open_.push_back(place->second.get());
+  open_.push_back(entry->second.get());
   return open_.back();
 }
 
@@ -200,8 +202,8 @@
   jobs_.clear();
 }
 
-bool JobTable::IsUnblocked(const Job& job, int time, int step) {
-  const TimeState& state = job.times[time];
+bool JobTable::IsUnblocked(const Job& job, int repetition, int step) {
+  const TimeState& state = job.times[repetition];
   const auto& earlier = job.plan.steps[step].depends_on;
   return std::all_of(earlier.begin(), earlier.end(), [&](int needed) {
     return state.steps[needed].done == job.plan.steps[needed].count;
@@ -215,19 +217,19 @@
   task->done = true;
   task->checkpoint.clear();
   Job* job = task->job;
-  TimeState& time = job->times[task->time];
-  StepState& step = time.steps[task->step];
+  TimeState& repetition = job->times[task->time];
+  StepState& step = repetition.steps[task->step];
   ++step.done;
   step.idle -= task->placed ? 0 : 1;
   if (step.done < task->plan().count) {
     return;
   }
-  ++time.steps_done;
-  if (time.steps_done < static_cast<int>(job->plan.steps.size())) {
+  ++repetition.steps_done;
+  if (repetition.steps_done < static_cast<int>(job->plan.steps.size())) {
     return;
   }
-  ++job->times_done;
-  if (job->times_done == job->plan.repetitions()) {
+  ++job->repetitions_done;
+  if (job->repetitions_done == job->plan.repetitions()) {
     Finish(job, JobOutcome::kCompleted);
   }
 }
@@ -276,10 +278,11 @@
   }
   const bool given_up = run <= task->counted_run;
   task->counted_run = std::max(task->counted_run, run);
-  // Also of a run that was given up unheard: its worker ended it within its
-  // lease, and what is done is done, whatever was ordered since. Without this
-  // 3,400 to 4,681 tasks were started again in 80 s of an overload with cut
-  // workers (five plays, counted in the leader's log).
+  // This includes a run that was given up without a report: its worker
+  // completed it within its lease, and the result stands, whatever was ordered
+  // since. Without this rule 3,400 to 4,681 tasks were started again within 80
+  // s of an overload with unreachable workers (five simulated runs, counted in
+  // the leader's log).
   if (end == RunEnd::kDone && !task->plan().lasting) {
     job->dirty = true;
     MarkDone(task);
@@ -289,7 +292,7 @@
   if (!checkpoint.empty() && (!given_up || newest)) {
     task->checkpoint = checkpoint;
   }
-  return given_up ? EndEffect::kIgnored : EndEffect::kAgain;
+  return given_up ? EndEffect::kIgnored : EndEffect::kRetry;
 }
 
 bool JobTable::NoteCrash(Task* task, CrashNote crash) {
@@ -365,7 +368,7 @@
      {JobOutcome::kFailed, 'f'},
      {JobOutcome::kCancelled, 'c'}}};
 
-bool HasHistory(const Task& task) {
+bool HasStoredState(const Task& task) {
   return task.done || task.last_run > 0;
 }
 
@@ -401,8 +404,8 @@
 }
 
 // [time, step, index, last run, counted run, failed runs, checkpoint, done],
-// and the crashes and the place where there are any: readers of older versions
-// pass over them.
+// followed by the crashes and the place where there are any. Older versions
+// ignore these extra columns.
 Json EncodeTask(const Task& task) {
   Json row = Json::array({task.time, task.step, task.index, task.last_run,
                           task.counted_run, task.failed_runs, task.checkpoint,
@@ -425,12 +428,12 @@
 
 std::string EncodeJobState(const Job& job) {
   Json tasks = Json::array();
-  // A finished job's tasks are of no more use.
+  // The tasks of a finished job are not needed any more.
   if (job.outcome == JobOutcome::kOpen) {
-    for (const TimeState& time : job.times) {
-      for (const StepState& step : time.steps) {
+    for (const TimeState& repetition : job.times) {
+      for (const StepState& step : repetition.steps) {
         for (const Task& task : step.tasks) {
-          if (HasHistory(task)) {
+          if (HasStoredState(task)) {
             tasks.push_back(EncodeTask(task));
           }
         }
@@ -458,7 +461,7 @@
   if (!json) {
     return false;
   }
-  bool whole = true;
+  bool valid = true;
   try {
     const std::string letter = json->at("outcome").get<std::string>();
     job->finished_at = json->at("finished_at").get<int64_t>();
@@ -467,10 +470,10 @@
       job->reason = json->at("reason").get<std::string>();
     }
     for (const Json& row : json->at("tasks")) {
-      const size_t time = row.at(0).get<size_t>();
+      const size_t repetition = row.at(0).get<size_t>();
       const size_t step = row.at(1).get<size_t>();
       const size_t index = row.at(2).get<size_t>();
-      Task& task = job->times.at(time).steps.at(step).tasks.at(index);
+      Task& task = job->times.at(repetition).steps.at(step).tasks.at(index);
       row.at(3).get_to(task.last_run);
       row.at(4).get_to(task.counted_run);
       row.at(5).get_to(task.failed_runs);
@@ -491,28 +494,28 @@
       }
     }
   } catch (const std::exception&) {
-    whole = false;  // what was read up to here counts
-  }
-  job->times_done = 0;
-  for (TimeState& time : job->times) {
-    time.steps_done = 0;
-    for (size_t step = 0; step < time.steps.size(); ++step) {
-      const auto& tasks = time.steps[step].tasks;
-      time.steps[step].done = static_cast<int>(
+    valid = false;  // keeps what was read before the fault
+  }
+  job->repetitions_done = 0;
+  for (TimeState& repetition : job->times) {
+    repetition.steps_done = 0;
+    for (size_t step = 0; step < repetition.steps.size(); ++step) {
+      const auto& tasks = repetition.steps[step].tasks;
+      repetition.steps[step].done = static_cast<int>(
           std::count_if(tasks.begin(), tasks.end(),
                         [](const Task& task) { return task.done; }));
-      time.steps[step].idle =
-          job->plan.steps[step].count - time.steps[step].done;
-      if (time.steps[step].done == job->plan.steps[step].count) {
-        ++time.steps_done;
+      repetition.steps[step].idle =
+          job->plan.steps[step].count - repetition.steps[step].done;
+      if (repetition.steps[step].done == job->plan.steps[step].count) {
+        ++repetition.steps_done;
       }
     }
-    if (time.steps_done == static_cast<int>(time.steps.size())) {
-      ++job->times_done;
+    if (repetition.steps_done == static_cast<int>(repetition.steps.size())) {
+      ++job->repetitions_done;
     }
   }
   job->outcome_recorded = job->outcome != JobOutcome::kOpen;
-  return whole;
+  return valid;
 }
 
 }  // namespace doorwood
