--- a/src/fakes/cell_world.cpp
+++ b/src/fakes/cell_world.cpp
@@ -11,19 +11,19 @@
 
 namespace doorwood::fakes {
 
-void DoneWatcher::OnEnded(const EndedRun& end) {
+void CompletionRecorder::OnEnded(const EndedRun& end) {
   if (end.end == RunEnd::kDone) {
-    listed_.insert(end.task);
+    unacknowledged_.insert(end.task);
   }
 }
 
-void DoneWatcher::OnNoted(const EndedRun& end) {
+void CompletionRecorder::OnNoted(const EndedRun& end) {
   if (end.end == RunEnd::kDone) {
-    // What is noted after the worker's lease ran out does not count.
+    // An acknowledgement after the worker's lease expired does not count.
     if (end.number > model_.lapsed_end()) {
-      noted_->insert(end.task);
+      acknowledged_->insert(end.task);
     }
-    listed_.erase(listed_.find(end.task));
+    unacknowledged_.erase(unacknowledged_.find(end.task));
   }
 }
 
@@ -32,8 +32,8 @@
 CellWorld::~CellWorld() = default;
 
 void CellWorld::Trace(const std::string& line) const {
-  static const bool wanted = std::getenv("DOORWOOD_TRACE") != nullptr;
-  if (wanted) {
+  static const bool enabled = std::getenv("DOORWOOD_TRACE") != nullptr;
+  if (enabled) {
     std::cerr << time_.millis() << " " << line << "\n";
   }
 }
@@ -48,7 +48,7 @@
   self.store = MakeWorldStore(*this, self);
   self.directory = MakeWorldDirectory(*this, self);
   self.workers = MakeWorldWorkers(*this, self);
-  self.hearing = MakeWorldHearing(*this, self);
+  self.hearing = MakeWorldPeers(*this, self);
   self.adviser = MakeWorldAdviser(self);
   self.machines = MakeWorldMachines(*this, self);
   self.log = MakeWorldLog(*this, name);
@@ -84,7 +84,8 @@
   worker->life.capacity = {cpu_millis, 1'000'000, 0};
   worker->life.labels = {"a", "r1"};
   worker->model.Advance(time_.millis());
-  worker->done = std::make_unique<DoneWatcher>(worker->model, &noted_done_);
+  worker->done = std::make_unique<CompletionRecorder>(
+      worker->model, &acknowledged_completions_);
   worker->model.SetWatcher(worker->done.get());
   WorldWorker& added = *worker;
   workers_[id] = std::move(worker);
@@ -103,15 +104,15 @@
 }
 
 void CellWorld::CrashAndReturn(const std::string& id) {
-  constexpr Millis kEntryGoes{600};
-  constexpr Millis kBack{2000};
+  constexpr Millis kEntryRemovalDelay{600};
+  constexpr Millis kRestartDelay{2000};
   WorldWorker& worker = *workers_.at(id);
   const bool was_listed = worker.listed;
-  constexpr Millis kJustBegun{400};
-  const auto just_begun = std::count_if(
+  constexpr Millis kRecentStart{400};
+  const auto recent_starts = std::count_if(
       worker.starts.begin(), worker.starts.end(),
-      [&](Instant start) { return time_.now() - start <= kJustBegun; });
-  crowded_crashes_ += just_begun > 1 ? 1 : 0;
+      [&](Instant start) { return time_.now() - start <= kRecentStart; });
+  crowded_crashes_ += recent_starts > 1 ? 1 : 0;
   Trace("world: " + id + " crashes");
   ++crashes_;
   for (const std::string& task : worker.model.running_tasks()) {
@@ -119,26 +120,27 @@
     ++runs_crashed_;
   }
   TakeAway(id);
-  worker.refuses = crashed_refuse_;
+  worker.refuses = crashed_refuse_calls_;
   worker.listed = was_listed;
-  time_.At(time_.now() + kEntryGoes,
+  time_.At(time_.now() + kEntryRemovalDelay,
            [this, id] { workers_.at(id)->listed = false; });
-  time_.At(time_.now() + kBack, [this, id] {
+  time_.At(time_.now() + kRestartDelay, [this, id] {
     const WorkerLife life = workers_.at(id)->life;
     if (addresses_reused_) {
       CrashWorker(id);
     }
-    WorldWorker& back = AddWorker(id + "+", life.capacity.cpu_millis);
-    back.life.machine = life.machine;
-    back.life.data_centre = life.data_centre;
-    back.life.labels = life.labels;
+    WorldWorker& restarted = AddWorker(id + "+", life.capacity.cpu_millis);
+    restarted.life.machine = life.machine;
+    restarted.life.data_centre = life.data_centre;
+    restarted.life.labels = life.labels;
   });
 }
 
 void CellWorld::TakeAway(const std::string& id) {
   WorldWorker& worker = *workers_.at(id);
   worker.model = standin::RunWorkerModel();
-  worker.done = std::make_unique<DoneWatcher>(worker.model, &noted_done_);
+  worker.done = std::make_unique<CompletionRecorder>(
+      worker.model, &acknowledged_completions_);
   worker.up = false;
   worker.listed = false;
 }
@@ -149,7 +151,7 @@
   }
 }
 
-void CellWorld::TakeDown(const std::string& name, int64_t wave) {
+void CellWorld::StartUpkeep(const std::string& name, int64_t wave) {
   constexpr Millis kUpkeep{2000};
   WorldMachine& machine = machines_.at(name);
   if (machine.upkeeps.contains(wave)) {
@@ -165,7 +167,7 @@
                known->second.state == MachineState::kUpkeep;
       });
   if (down >= plan->most_at_once) {
-    broken_.push_back("too many machines of a wave are down");
+    broken_.push_back("more machines of a wave are down than it allows");
   }
   ++machine.upkeeps[wave];
   machine.state = MachineState::kUpkeep;
@@ -173,10 +175,11 @@
   lost_runs_ += static_cast<int>(workers_.at(machine.worker)->model.running());
   CrashWorker(machine.worker);
   time_.At(time_.now() + kUpkeep, [this, name, life] {
-    WorldMachine& back = machines_.at(name);
-    back.state = MachineState::kUp;
-    back.worker += "+";
-    AddWorker(back.worker, life.capacity.cpu_millis).life.labels = life.labels;
+    WorldMachine& restarted = machines_.at(name);
+    restarted.state = MachineState::kUp;
+    restarted.worker += "+";
+    AddWorker(restarted.worker, life.capacity.cpu_millis).life.labels =
+        life.labels;
   });
 }
 
@@ -189,8 +192,8 @@
 }
 
 int CellWorld::logged(const std::string& message) const {
-  const auto found = logged_.find(message);
-  return found == logged_.end() ? 0 : found->second;
+  const auto found = log_counts_.find(message);
+  return found == log_counts_.end() ? 0 : found->second;
 }
 
 void CellWorld::AdvanceAll() {
@@ -226,8 +229,8 @@
 }
 
 WorldInstance* CellWorld::WaitForLeader() {
-  constexpr int kTries = 100;
-  for (int i = 0; i < kTries && Leader() == nullptr; ++i) {
+  constexpr int kMaxSteps = 100;
+  for (int i = 0; i < kMaxSteps && Leader() == nullptr; ++i) {
     Run(Millis(100));
   }
   return Leader();
@@ -271,12 +274,12 @@
   Trace("world: " + order.task + " run " + std::to_string(order.run) +
         " starts on " + worker);
   AdvanceAll();
-  CheckRuns(order.task);
-  CheckNamed(worker, order.task);
-  CheckCrashes(order.task);
+  CheckSingleRun(order.task);
+  CheckWorkersRecord(worker, order.task);
+  CheckCrashLimit(order.task);
   workers_.at(worker)->starts.push_back(time_.now());
   if (!late) {
-    CheckDone(order.task);
+    CheckNotCompleted(order.task);
   }
   std::optional<Millis> after = standin::CrashesAfter(order);
   if (crashing_machines_.contains(workers_.at(worker)->life.machine)) {
@@ -297,20 +300,22 @@
   return found == crashes_under_.end() ? 0 : found->second;
 }
 
-void CellWorld::CheckCrashes(const std::string& task) {
-  constexpr int kCrashes = 3;
-  constexpr int kStartsMore = 3;
-  if (crashes_under(task) >= kCrashes &&
-      ++starts_since_third_crash_[task] == kStartsMore) {
+void CellWorld::CheckCrashLimit(const std::string& task) {
+  constexpr int kCrashLimit = 3;
+  constexpr int kFurtherStarts = 3;
+  if (crashes_under(task) >= kCrashLimit &&
+      ++starts_after_three_crashes_[task] == kFurtherStarts) {
     broken_.push_back(task +
-                      " was started three times more after three workers had "
-                      "crashed under it, at " +
+                      " was started three more times after three workers had "
+                      "crashed while running it, at " +
                       std::to_string(time_.millis()));
   }
 }
 
-// Whoever reads the record takes it that nothing else runs there.
-void CellWorld::CheckNamed(const std::string& worker, const std::string& task) {
+// A successor assumes that no task runs on a worker whose row in the workers'
+// record does not name it.
+void CellWorld::CheckWorkersRecord(const std::string& worker,
+                                   const std::string& task) {
   StoreItem record;
   if (store_.Get(WorkersKey("all"), &record)) {
     return;
@@ -319,14 +324,14 @@
     if (row.id == worker && row.tasks &&
         std::find(row.tasks->begin(), row.tasks->end(), task) ==
             row.tasks->end()) {
-      broken_.push_back("the record names what may run on " + worker +
-                        " and not " + task + " at " +
+      broken_.push_back("the record of tasks that may run on " + worker +
+                        " does not name " + task + " at " +
                         std::to_string(time_.millis()));
     }
   }
 }
 
-void CellWorld::CheckRuns(const std::string& task) {
+void CellWorld::CheckSingleRun(const std::string& task) {
   int running = 0;
   for (const auto& [id, worker] : workers_) {
     running += worker->model.Runs(task) ? 1 : 0;
@@ -337,18 +342,18 @@
   }
 }
 
-// A worker whose lease has run out, and that nobody has heard since, may have
-// been given up.
-void CellWorld::CheckDone(const std::string& task) {
+// A worker whose lease has expired and that has not been contacted since may
+// have been declared lost, so its unacknowledged completions do not count.
+void CellWorld::CheckNotCompleted(const std::string& task) {
   const bool listed =
       std::any_of(workers_.begin(), workers_.end(), [&](const auto& entry) {
         const WorldWorker& worker = *entry.second;
-        return worker.done->Lists(task) &&
+        return worker.done->IsUnacknowledged(task) &&
                worker.model.lease_until() > worker.model.now();
       });
-  if (listed || noted_done_.contains(task)) {
-    started_done_.push_back(task + (listed ? " listed" : " noted") +
-                            " as done, started at " +
+  if (listed || acknowledged_completions_.contains(task)) {
+    started_done_.push_back(task + (listed ? " reported" : " acknowledged") +
+                            " as completed, started at " +
                             std::to_string(time_.millis()));
   }
 }
--- a/src/fakes/cell_world.h
+++ b/src/fakes/cell_world.h
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A small world for tests of cells, in virtual time: a store, workers and
-/// entry instances, with switches for what goes wrong between them. It keeps
-/// its own record of what ran, which tests trust.
+/// Simulates a cell in virtual time for tests: a key-value store, workers and
+/// entry instances, with fault injection on the connections between them. It
+/// records what ran independently of the code under test, and tests check the
+/// scheduler against that record.
 
 #ifndef DOORWOOD_FAKES_CELL_WORLD_H_
 #define DOORWOOD_FAKES_CELL_WORLD_H_
@@ -27,16 +28,18 @@
 
 /// Faults between one instance and the store.
 struct StoreFaults {
+  /// Calls fail at once as unavailable.
   bool down = false;
-  /// Calls are neither answered nor carried out.
+  /// Calls are neither answered nor executed; they time out.
   bool silent = false;
-  /// Share of writes that are carried out but not answered, and of those that
-  /// are carried out seconds later if they still hold.
+  /// Share (0 to 1) of writes that are executed but not answered, and of those
+  /// that are not answered and executed seconds later, if their conditions
+  /// still hold.
   double answer_lost = 0;
   double late = 0;
 };
 
-/// One entry instance of the world.
+/// One simulated entry instance.
 struct WorldInstance {
   std::string name;
   std::unique_ptr<FakeExecutor> executor;
@@ -50,65 +53,68 @@
   std::unique_ptr<LiveDirectory> live;
   std::unique_ptr<CellLeader> cell;
   StoreFaults store_faults;
-  /// Share of orders to workers that get no answer and are carried out
-  /// seconds later.
+  /// Share of orders to workers that get no answer and are executed after
+  /// `orders_late_by`.
   double late_orders = 0;
   Millis orders_late_by{6000};
-  /// Share of orders to workers that are carried out at once, but not answered.
+  /// Share of orders to workers that are executed at once but not answered.
   double order_answers_lost = 0;
-  /// The next so many orders to machines are carried out but not answered.
+  /// Number of further orders to machines that are executed but not answered.
   int machine_answers_lost = 0;
-  /// Workers that it can't reach.
+  /// Workers that it cannot reach.
   std::set<std::string> cut_from;
-  /// It and the other instances don't reach each other.
+  /// It is partitioned from all other instances.
   bool cut_from_peers = false;
-  /// Single instances that it doesn't reach, nor they it.
+  /// Instances that it is partitioned from, in both directions.
   std::set<std::string> cut_from_instances;
   bool alive = true;
 };
 
-/// Notes which tasks were done on a worker.
-class DoneWatcher : public standin::RunWatcher {
+/// Records the completions of tasks on one worker.
+class CompletionRecorder : public standin::RunWatcher {
  public:
-  DoneWatcher(const standin::RunWorkerModel& model,
-              std::set<std::string>* noted)
-      : model_(model), noted_(noted) {}
+  CompletionRecorder(const standin::RunWorkerModel& model,
+                     std::set<std::string>* acknowledged)
+      : model_(model), acknowledged_(acknowledged) {}
 
   void OnStarted(const StartOrder&) override {}
   void OnEnded(const EndedRun& end) override;
   void OnNoted(const EndedRun& end) override;
-  /// It was done here, and whoever holds the worker has not noted that yet.
-  bool Lists(const std::string& task) const { return listed_.contains(task); }
+  /// The task completed here, and the leader that holds the worker has not yet
+  /// acknowledged that.
+  bool IsUnacknowledged(const std::string& task) const {
+    return unacknowledged_.contains(task);
+  }
 
  private:
   const standin::RunWorkerModel& model_;
-  std::set<std::string>* noted_;
-  std::multiset<std::string> listed_;
+  std::set<std::string>* acknowledged_;
+  std::multiset<std::string> unacknowledged_;
 };
 
 struct WorldWorker {
   WorkerLife life;
   standin::RunWorkerModel model;
-  std::unique_ptr<DoneWatcher> done;
+  std::unique_ptr<CompletionRecorder> done;
   bool up = true;
-  /// Not up, and its machine says so at once.
+  /// Not up, and its machine refuses calls at once instead of timing out.
   bool refuses = false;
-  /// The directory names it.
+  /// The worker directory has an entry for it.
   bool listed = true;
-  /// Address that the directory names, if not its own: another life answers
-  /// there.
+  /// Address in the directory entry, if it is not the worker's own: another
+  /// process answers there.
   std::string listed_address;
-  /// Calls that reached it, and runs that it began.
+  /// Number of calls that reached it, and of runs that it started.
   int calls = 0;
   int started = 0;
   std::vector<Instant> starts{};
 };
 
-/// A machine of the world; its worker's id rises with each life.
+/// A simulated machine. Each restart of its worker gets a new worker id.
 struct WorldMachine {
   std::string worker;
   MachineState state = MachineState::kUp;
-  /// Waves of which it has had its upkeep, each with how often.
+  /// Number of upkeeps by upkeep wave.
   std::map<int64_t, int> upkeeps;
 };
 
@@ -121,34 +127,38 @@
                              const std::string& data_centre,
                              double cpu_share = 1.0);
   WorldWorker& AddWorker(const std::string& id, int64_t cpu_millis);
-  /// Ends a process at once; its name may be added again.
+  /// Ends an instance's process at once; the name may be added again.
   void Kill(const std::string& name);
+  /// Removes the worker: calls to it are answered by another incarnation.
   void CrashWorker(const std::string& id);
-  /// What runs there dies and nobody answers; its entry goes a moment later,
-  /// and after a while its machine has another life, with a "+" behind its id.
+  /// All runs on the worker end and nothing answers at its address. Its
+  /// directory entry disappears 0.6 s later, and 2 s after the crash its
+  /// machine starts another incarnation, whose id is the old one with a "+"
+  /// appended.
   void CrashAndReturn(const std::string& id);
-  /// After a crash nobody uses the worker's address again.
+  /// A crashed worker's address is not used by another incarnation.
   void KeepAddressesFree() { addresses_reused_ = false; }
-  /// A crashed worker's machine does not refuse calls: it does not answer.
-  void KeepCrashedSilent() { crashed_refuse_ = false; }
-  /// What runs there dies, and nobody answers at its address any more.
+  /// Calls to a crashed worker's machine time out instead of being refused.
+  void KeepCrashedSilent() { crashed_refuse_calls_ = false; }
+  /// All runs on the worker end, its directory entry is removed, and nothing
+  /// answers at its address any more.
   void TakeAway(const std::string& id);
-  /// Makes a machine of each worker, named "m-" and the worker's id.
+  /// Adds one machine for each worker, named "m-" followed by the worker's id.
   void MakeMachines();
   void SetTable(const std::vector<Queue>& queues);
 
-  /// In steps of 50 ms; the last one is not cut short.
+  /// Advances time in steps of 50 ms; the last step is not shortened.
   void Run(Millis duration);
   void RunExactly(Millis duration);
-  /// The instance that leads, if any.
+  /// The instance that leads and is not frozen; null if there is none.
   WorldInstance* Leader();
-  /// Runs until somebody leads, at most ten seconds.
+  /// Advances time until an instance leads, by ten seconds at most.
   WorldInstance* WaitForLeader();
-  /// Hands a job in at the leader; true if it was accepted.
+  /// Submits a job to the leader; true if it was accepted within 0.1 s.
   bool Submit(const JobPlan& plan);
   std::optional<JobPhase> StateOf(const std::string& job);
 
-  /// Of instances that are added from now on.
+  /// Options of instances that are added later.
   CellOptions& options() { return options_; }
   VirtualTime& time() { return time_; }
   standin::RecordStoreModel& store() { return store_; }
@@ -158,50 +168,52 @@
   }
   std::map<std::string, WorldMachine>& machines() { return machines_; }
   std::vector<UpkeepWave>& waves() { return waves_; }
-  /// Data centres that the operators have closed to new work.
+  /// Data centres that operators have closed to new work.
   std::set<std::string>& closed() { return closed_; }
-  /// Entries of other writers in the directory.
+  /// Directory entries that were written by other programs.
   std::vector<WorkerLife>& foreign() { return foreign_; }
   std::mt19937_64& random() { return random_; }
-  /// Rules that were broken, in words.
+  /// Descriptions of violated invariants.
   const std::vector<std::string>& broken() const { return broken_; }
   int starts(const std::string& task) const;
-  /// Machines that crash with each start.
+  /// Machines whose workers crash 10 ms after each start of a run.
   std::set<std::string>& crashing_machines() { return crashing_machines_; }
-  /// Workers that crashed while the task ran there.
+  /// Number of worker crashes while the task ran there.
   int crashes_under(const std::string& task) const;
-  /// All crashes, and the runs that they ended.
+  /// Number of all crashes, and of the runs that they ended.
   int crashes() const { return crashes_; }
   int runs_crashed() const { return runs_crashed_; }
-  /// Crashes of workers on which several runs had begun within 0.4 s before.
+  /// Number of crashes of workers that had started several runs within the
+  /// last 0.4 s.
   int crowded_crashes() const { return crowded_crashes_; }
-  /// Starts of tasks that were done: noted as done, or listed as done by a
-  /// worker whose lease still holds. Not those that a worker carried out late.
+  /// Starts of tasks that had completed: the completion was acknowledged, or
+  /// is reported by a worker whose lease has not expired. Excludes starts that
+  /// a worker executed late.
   const std::vector<std::string>& started_done() const { return started_done_; }
-  /// Calls that another life or nobody answered.
+  /// Number of calls that were answered by another incarnation or process.
   int calls_elsewhere() const { return calls_elsewhere_; }
-  /// Lines of the log with this message, of all instances.
+  /// Number of log lines with this message, over all instances.
   int logged(const std::string& message) const;
-  /// Runs that machines' upkeep ended.
+  /// Number of runs that ended because of upkeep of machines.
   int lost_runs() const { return lost_runs_; }
-  /// Ticket that the task's newest start carried.
+  /// Ticket that the task's latest start carried.
   std::string ticket(const std::string& task) const;
-  /// What is logged, where DOORWOOD_TRACE is set.
+  /// Writes the line to stderr if DOORWOOD_TRACE is set in the environment.
   void Trace(const std::string& line) const;
 
-  // For the fakes.
-  void TakeDown(const std::string& machine, int64_t wave);
+  // Called by the fake ports.
+  void StartUpkeep(const std::string& machine, int64_t wave);
   void OnStarted(const std::string& worker, const StartOrder& order, bool late);
   void AdvanceAll();
   double Chance();
   void CountCallElsewhere() { ++calls_elsewhere_; }
-  void CountLine(const std::string& message) { ++logged_[message]; }
+  void CountLine(const std::string& message) { ++log_counts_[message]; }
 
  private:
-  void CheckRuns(const std::string& task);
-  void CheckNamed(const std::string& worker, const std::string& task);
-  void CheckDone(const std::string& task);
-  void CheckCrashes(const std::string& task);
+  void CheckSingleRun(const std::string& task);
+  void CheckWorkersRecord(const std::string& worker, const std::string& task);
+  void CheckNotCompleted(const std::string& task);
+  void CheckCrashLimit(const std::string& task);
 
   CellOptions options_;
   VirtualTime time_;
@@ -216,24 +228,25 @@
   std::vector<WorkerLife> foreign_;
   int lost_runs_ = 0;
   int calls_elsewhere_ = 0;
-  std::map<std::string, int> logged_;
+  std::map<std::string, int> log_counts_;
   std::shared_ptr<const QueueTable> table_;
   std::map<std::string, int> starts_;
   std::map<std::string, std::string> tickets_;
   std::map<std::string, int> crashes_under_;
-  std::map<std::string, int> starts_since_third_crash_;
+  std::map<std::string, int> starts_after_three_crashes_;
   std::set<std::string> crashing_machines_;
   int crashes_ = 0;
   int runs_crashed_ = 0;
   int crowded_crashes_ = 0;
   bool addresses_reused_ = true;
-  bool crashed_refuse_ = true;
+  bool crashed_refuse_calls_ = true;
   std::vector<std::string> broken_;
-  std::set<std::string> noted_done_;
+  std::set<std::string> acknowledged_completions_;
   std::vector<std::string> started_done_;
 };
 
-/// A plan of `steps` dependent steps of `count` tasks each.
+/// A job plan of `steps` steps of `count` tasks each; each step depends on the
+/// one before it.
 JobPlan MakePlan(const std::string& id,
                  int steps,
                  int count,
--- a/src/fakes/cell_world_ports.cpp
+++ b/src/fakes/cell_world_ports.cpp
@@ -11,10 +11,10 @@
 constexpr Millis kStoreDelay{2};
 constexpr Millis kWorkerDelay{1};
 constexpr Millis kNoAnswer{700};
-constexpr Millis kLatest{6000};
-constexpr Millis kWatchStep{20};
+constexpr Millis kExecutionDelay{6000};
+constexpr Millis kPollInterval{20};
 
-// The store as one instance sees it.
+// The store as one instance reaches it.
 class WorldStore : public RecordStore {
  public:
   WorldStore(CellWorld& world, WorldInstance& self)
@@ -46,11 +46,11 @@
       Answer<StoreItems>(kStoreDelay, error, events, std::move(done));
       return;
     }
-    // The store waits, also while this process stands still.
+    // The wait takes place in the store, also while this process is frozen.
     world_.time().At(
-        world_.time().now() + kWatchStep,
+        world_.time().now() + kPollInterval,
         [this, prefix, after, wait, done = std::move(done)]() mutable {
-          Watch(prefix, after, wait - kWatchStep, std::move(done));
+          Watch(prefix, after, wait - kPollInterval, std::move(done));
         });
   }
   void Commit(const StoreTransaction& transaction,
@@ -97,9 +97,9 @@
       Answer<T>(kNoAnswer, KvErrc::kUnknown, {}, std::move(done));
       return;
     }
-    const double dice = writes ? world_.Chance() : 1.0;
-    if (dice < faults.late) {
-      world_.time().At(world_.time().now() + kLatest, [this, effect] {
+    const double draw = writes ? world_.Chance() : 1.0;
+    if (draw < faults.late) {
+      world_.time().At(world_.time().now() + kExecutionDelay, [this, effect] {
         T ignored{};
         world_.AdvanceAll();
         effect(&ignored);
@@ -110,11 +110,11 @@
     world_.AdvanceAll();
     T value{};
     const std::error_code error = effect(&value);
-    if (dice < faults.late + faults.answer_lost) {
+    if (draw < faults.late + faults.answer_lost) {
       Answer<T>(kNoAnswer, KvErrc::kUnknown, {}, std::move(done));
       return;
     }
-    // Answers on different connections overtake each other.
+    // The jitter reorders answers, as if they came on different connections.
     const auto jitter = Millis(static_cast<int>(world_.Chance() * 25));
     Answer<T>(kStoreDelay + jitter, error, std::move(value), std::move(done));
   }
@@ -142,9 +142,9 @@
     const auto error = target->model.Hold(order, &report);
     if (!error && report.ended.empty() && order.wait > Millis(0)) {
       HoldOrder rest = order;
-      rest.wait = std::max(Millis(0), order.wait - kWatchStep);
-      // The worker waits, also while this process stands still.
-      world_.time().At(world_.time().now() + kWatchStep,
+      rest.wait = std::max(Millis(0), order.wait - kPollInterval);
+      // The wait takes place in the worker, also while this process is frozen.
+      world_.time().At(world_.time().now() + kPollInterval,
                        [this, worker, rest, done = std::move(done)]() mutable {
                          Hold(worker, rest, std::move(done));
                        });
@@ -159,9 +159,9 @@
              Callback<int64_t> done) override {
     Order(worker, std::move(done),
           [this, order, id = worker.id](WorldWorker& target, bool late) {
-            const bool ran = target.model.Runs(order.task);
+            const bool already_running = target.model.Runs(order.task);
             const auto error = target.model.Start(order);
-            if (!error && !ran) {
+            if (!error && !already_running) {
               world_.OnStarted(id, order, late);
               ++target.started;
             }
@@ -185,7 +185,7 @@
 
  private:
   WorldWorker* Reach(const WorkerLife& worker) {
-    if (IsElsewhere(worker)) {
+    if (IsMisdirected(worker)) {
       world_.CountCallElsewhere();
       return nullptr;
     }
@@ -197,18 +197,19 @@
     return found;
   }
 
-  // A crashed worker's address is answered by its next life, and one that the
-  // worker never had by somebody else.
-  bool IsElsewhere(const WorkerLife& worker) const {
+  // A crashed worker's address is answered by its next incarnation, and an
+  // address that the worker never had by another process.
+  bool IsMisdirected(const WorkerLife& worker) const {
     return !world_.workers().contains(worker.id) || worker.address != worker.id;
   }
 
   template <typename T>
   void Fail(const WorkerLife& worker, Callback<T> done) {
-    const bool over = IsElsewhere(worker);
-    const bool at_once = over || (world_.workers().at(worker.id)->refuses &&
-                                  !self_.cut_from.contains(worker.id));
-    const auto error = over ? RunErrc::kOtherLife : RunErrc::kNoAnswer;
+    const bool misdirected = IsMisdirected(worker);
+    const bool at_once =
+        misdirected || (world_.workers().at(worker.id)->refuses &&
+                        !self_.cut_from.contains(worker.id));
+    const auto error = misdirected ? RunErrc::kOtherLife : RunErrc::kNoAnswer;
     self_.executor->Deliver(
         at_once ? kWorkerDelay : kNoAnswer,
         [error, done = std::move(done)] { done(error, T{}); });
@@ -221,8 +222,8 @@
       Fail<int64_t>(worker, std::move(done));
       return;
     }
-    const double dice = world_.Chance();
-    if (dice < self_.late_orders) {
+    const double draw = world_.Chance();
+    if (draw < self_.late_orders) {
       world_.time().At(world_.time().now() + self_.orders_late_by,
                        [this, worker, effect] {
                          if (WorldWorker* later = Reach(worker)) {
@@ -236,7 +237,7 @@
     }
     target->model.Advance(world_.time().millis());
     const auto error = effect(*target, /*late=*/false);
-    if (dice < self_.late_orders + self_.order_answers_lost) {
+    if (draw < self_.late_orders + self_.order_answers_lost) {
       self_.executor->Deliver(
           kNoAnswer, [done = std::move(done)] { done(RunErrc::kNoAnswer, 0); });
       return;
@@ -290,9 +291,9 @@
   WorldInstance& self_;
 };
 
-class WorldHearing : public StoreHearing {
+class WorldPeers : public StoreHearing {
  public:
-  WorldHearing(CellWorld& world, WorldInstance& self)
+  WorldPeers(CellWorld& world, WorldInstance& self)
       : world_(world), self_(self) {}
 
   void Ask(const LiveInstance& instance, Callback done) override {
@@ -387,7 +388,7 @@
     });
   }
   void OrderUpkeep(const UpkeepOrder& order, OrderCallback done) override {
-    world_.TakeDown(order.machine, order.wave);
+    world_.StartUpkeep(order.machine, order.wave);
     const bool lost = self_.machine_answers_lost > 0;
     self_.machine_answers_lost -= lost ? 1 : 0;
     self_.executor->Deliver(
@@ -452,9 +453,9 @@
   return std::make_unique<WorldDirectory>(world, self);
 }
 
-std::unique_ptr<StoreHearing> MakeWorldHearing(CellWorld& world,
-                                               WorldInstance& self) {
-  return std::make_unique<WorldHearing>(world, self);
+std::unique_ptr<StoreHearing> MakeWorldPeers(CellWorld& world,
+                                             WorldInstance& self) {
+  return std::make_unique<WorldPeers>(world, self);
 }
 
 std::unique_ptr<Adviser> MakeWorldAdviser(WorldInstance& self) {
--- a/src/fakes/cell_world_ports.h
+++ b/src/fakes/cell_world_ports.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The ports of one instance of a `CellWorld`, with the world's faults.
+/// The ports through which one instance of a `CellWorld` reaches the store,
+/// workers, peers and machines, with the faults that the world injects.
 
 #ifndef DOORWOOD_FAKES_CELL_WORLD_PORTS_H_
 #define DOORWOOD_FAKES_CELL_WORLD_PORTS_H_
@@ -19,9 +20,9 @@
                                              WorldInstance& self);
 std::unique_ptr<WorkerDirectory> MakeWorldDirectory(CellWorld& world,
                                                     WorldInstance& self);
-std::unique_ptr<StoreHearing> MakeWorldHearing(CellWorld& world,
-                                               WorldInstance& self);
-/// Permits every worker whose id does not end in "x".
+std::unique_ptr<StoreHearing> MakeWorldPeers(CellWorld& world,
+                                             WorldInstance& self);
+/// An adviser that permits every worker whose id does not end in "x".
 std::unique_ptr<Adviser> MakeWorldAdviser(WorldInstance& self);
 std::unique_ptr<MachinePlatform> MakeWorldMachines(CellWorld& world,
                                                    WorldInstance& self);
--- a/src/fakes/commit_only_store.h
+++ b/src/fakes/commit_only_store.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Base of stores that tests script commit by commit: whatever else is asked of
-/// them is never answered.
+/// Base class of fake stores for which a test scripts each commit. All other
+/// calls are never answered.
 
 #ifndef DOORWOOD_FAKES_COMMIT_ONLY_STORE_H_
 #define DOORWOOD_FAKES_COMMIT_ONLY_STORE_H_
@@ -30,7 +30,7 @@
   void KeepLease(int64_t, Callback<int64_t>) override {}
   void EndLease(int64_t, Callback<int64_t>) override {}
 
-  /// Writes the cell's lead key; gives its revision.
+  /// Writes the cell's leader key; returns its revision.
   int64_t TakeLead(const std::string& cell, const std::string& instance) {
     StoreTransaction lead;
     lead.puts.push_back({LeadKey(cell), instance, 0});
