--- a/src/fakes/cell_world.cpp
+++ b/src/fakes/cell_world.cpp
@@ -48,7 +48,7 @@
   self.store = MakeWorldStore(*this, self);
   self.directory = MakeWorldDirectory(*this, self);
   self.workers = MakeWorldWorkers(*this, self);
-  self.hearing = MakeWorldPeers(*this, self);
+  self.peer_calls = MakeWorldPeers(*this, self);
   self.adviser = MakeWorldAdviser(self);
   self.machines = MakeWorldMachines(*this, self);
   self.log = MakeWorldLog(*this, name);
@@ -58,7 +58,7 @@
   live.address = name;
   live.cpu_share = cpu_share;
   self.live = std::make_unique<LiveDirectory>(*self.executor, *self.store,
-                                              *self.hearing, *self.log,
+                                              *self.peer_calls, *self.log,
                                               LiveOptions{}, live);
   options_.cell = "all";
   self.cell = std::make_unique<CellLeader>(
@@ -84,9 +84,9 @@
   worker->life.capacity = {cpu_millis, 1'000'000, 0};
   worker->life.labels = {"a", "r1"};
   worker->model.Advance(time_.millis());
-  worker->done = std::make_unique<CompletionRecorder>(
+  worker->completions = std::make_unique<CompletionRecorder>(
       worker->model, &acknowledged_completions_);
-  worker->model.SetWatcher(worker->done.get());
+  worker->model.SetWatcher(worker->completions.get());
   WorldWorker& added = *worker;
   workers_[id] = std::move(worker);
   return added;
@@ -110,17 +110,17 @@
   const bool was_listed = worker.listed;
   constexpr Millis kRecentStart{400};
   const auto recent_starts = std::count_if(
-      worker.starts.begin(), worker.starts.end(),
+      worker.start_times.begin(), worker.start_times.end(),
       [&](Instant start) { return time_.now() - start <= kRecentStart; });
-  crowded_crashes_ += recent_starts > 1 ? 1 : 0;
+  crashes_after_several_starts_ += recent_starts > 1 ? 1 : 0;
   Trace("world: " + id + " crashes");
   ++crashes_;
   for (const std::string& task : worker.model.running_tasks()) {
-    ++crashes_under_[task];
+    ++crashes_while_running_[task];
     ++runs_crashed_;
   }
   TakeAway(id);
-  worker.refuses = crashed_refuse_calls_;
+  worker.refuses_calls = crashed_refuse_calls_;
   worker.listed = was_listed;
   time_.At(time_.now() + kEntryRemovalDelay,
            [this, id] { workers_.at(id)->listed = false; });
@@ -139,7 +139,7 @@
 void CellWorld::TakeAway(const std::string& id) {
   WorldWorker& worker = *workers_.at(id);
   worker.model = standin::RunWorkerModel();
-  worker.done = std::make_unique<CompletionRecorder>(
+  worker.completions = std::make_unique<CompletionRecorder>(
       worker.model, &acknowledged_completions_);
   worker.up = false;
   worker.listed = false;
@@ -167,12 +167,13 @@
                known->second.state == MachineState::kUpkeep;
       });
   if (down >= plan->most_at_once) {
-    broken_.push_back("more machines of a wave are down than it allows");
+    violations_.push_back("more machines of a wave are down than it allows");
   }
   ++machine.upkeeps[wave];
   machine.state = MachineState::kUpkeep;
   const WorkerLife life = workers_.at(machine.worker)->life;
-  lost_runs_ += static_cast<int>(workers_.at(machine.worker)->model.running());
+  runs_lost_to_upkeep_ +=
+      static_cast<int>(workers_.at(machine.worker)->model.running());
   CrashWorker(machine.worker);
   time_.At(time_.now() + kUpkeep, [this, name, life] {
     WorldMachine& restarted = machines_.at(name);
@@ -277,7 +278,7 @@
   CheckSingleRun(order.task);
   CheckWorkersRecord(worker, order.task);
   CheckCrashLimit(order.task);
-  workers_.at(worker)->starts.push_back(time_.now());
+  workers_.at(worker)->start_times.push_back(time_.now());
   if (!late) {
     CheckNotCompleted(order.task);
   }
@@ -296,8 +297,8 @@
 }
 
 int CellWorld::crashes_under(const std::string& task) const {
-  const auto found = crashes_under_.find(task);
-  return found == crashes_under_.end() ? 0 : found->second;
+  const auto found = crashes_while_running_.find(task);
+  return found == crashes_while_running_.end() ? 0 : found->second;
 }
 
 void CellWorld::CheckCrashLimit(const std::string& task) {
@@ -305,10 +306,11 @@
   constexpr int kFurtherStarts = 3;
   if (crashes_under(task) >= kCrashLimit &&
       ++starts_after_three_crashes_[task] == kFurtherStarts) {
-    broken_.push_back(task +
-                      " was started three more times after three workers had "
-                      "crashed while running it, at " +
-                      std::to_string(time_.millis()));
+    violations_.push_back(
+        task +
+        " was started three more times after three workers had "
+        "crashed while running it, at " +
+        std::to_string(time_.millis()));
   }
 }
 
@@ -324,9 +326,9 @@
     if (row.id == worker && row.tasks &&
         std::find(row.tasks->begin(), row.tasks->end(), task) ==
             row.tasks->end()) {
-      broken_.push_back("the record of tasks that may run on " + worker +
-                        " does not name " + task + " at " +
-                        std::to_string(time_.millis()));
+      violations_.push_back("the record of tasks that may run on " + worker +
+                            " does not name " + task + " at " +
+                            std::to_string(time_.millis()));
     }
   }
 }
@@ -337,24 +339,24 @@
     running += worker->model.Runs(task) ? 1 : 0;
   }
   if (running > 1) {
-    broken_.push_back("two runs of " + task + " at " +
-                      std::to_string(time_.millis()));
+    violations_.push_back("two runs of " + task + " at " +
+                          std::to_string(time_.millis()));
   }
 }
 
 // A worker whose lease has expired and that has not been contacted since may
 // have been declared lost, so its unacknowledged completions do not count.
 void CellWorld::CheckNotCompleted(const std::string& task) {
-  const bool listed =
+  const bool reported =
       std::any_of(workers_.begin(), workers_.end(), [&](const auto& entry) {
         const WorldWorker& worker = *entry.second;
-        return worker.done->IsUnacknowledged(task) &&
+        return worker.completions->IsUnacknowledged(task) &&
                worker.model.lease_until() > worker.model.now();
       });
-  if (listed || acknowledged_completions_.contains(task)) {
-    started_done_.push_back(task + (listed ? " reported" : " acknowledged") +
-                            " as completed, started at " +
-                            std::to_string(time_.millis()));
+  if (reported || acknowledged_completions_.contains(task)) {
+    completed_task_starts_.push_back(
+        task + (reported ? " reported" : " acknowledged") +
+        " as completed, started at " + std::to_string(time_.millis()));
   }
 }
 
--- a/src/fakes/cell_world.h
+++ b/src/fakes/cell_world.h
@@ -46,7 +46,7 @@
   std::unique_ptr<RecordStore> store;
   std::unique_ptr<WorkerDirectory> directory;
   std::unique_ptr<RunWorkers> workers;
-  std::unique_ptr<StoreHearing> hearing;
+  std::unique_ptr<StoreHearing> peer_calls;
   std::unique_ptr<Adviser> adviser;
   std::unique_ptr<MachinePlatform> machines;
   std::unique_ptr<EventLog> log;
@@ -95,10 +95,10 @@
 struct WorldWorker {
   WorkerLife life;
   standin::RunWorkerModel model;
-  std::unique_ptr<CompletionRecorder> done;
+  std::unique_ptr<CompletionRecorder> completions;
   bool up = true;
   /// Not up, and its machine refuses calls at once instead of timing out.
-  bool refuses = false;
+  bool refuses_calls = false;
   /// The worker directory has an entry for it.
   bool listed = true;
   /// Address in the directory entry, if it is not the worker's own: another
@@ -107,7 +107,7 @@
   /// Number of calls that reached it, and of runs that it started.
   int calls = 0;
   int started = 0;
-  std::vector<Instant> starts{};
+  std::vector<Instant> start_times{};
 };
 
 /// A simulated machine. Each restart of its worker gets a new worker id.
@@ -169,12 +169,12 @@
   std::map<std::string, WorldMachine>& machines() { return machines_; }
   std::vector<UpkeepWave>& waves() { return waves_; }
   /// Data centres that operators have closed to new work.
-  std::set<std::string>& closed() { return closed_; }
+  std::set<std::string>& closed() { return closed_data_centres_; }
   /// Directory entries that were written by other programs.
-  std::vector<WorkerLife>& foreign() { return foreign_; }
+  std::vector<WorkerLife>& foreign() { return foreign_entries_; }
   std::mt19937_64& random() { return random_; }
   /// Descriptions of violated invariants.
-  const std::vector<std::string>& broken() const { return broken_; }
+  const std::vector<std::string>& broken() const { return violations_; }
   int starts(const std::string& task) const;
   /// Machines whose workers crash 10 ms after each start of a run.
   std::set<std::string>& crashing_machines() { return crashing_machines_; }
@@ -185,17 +185,19 @@
   int runs_crashed() const { return runs_crashed_; }
   /// Number of crashes of workers that had started several runs within the
   /// last 0.4 s.
-  int crowded_crashes() const { return crowded_crashes_; }
+  int crowded_crashes() const { return crashes_after_several_starts_; }
   /// Starts of tasks that had completed: the completion was acknowledged, or
   /// is reported by a worker whose lease has not expired. Excludes starts that
   /// a worker executed late.
-  const std::vector<std::string>& started_done() const { return started_done_; }
+  const std::vector<std::string>& started_done() const {
+    return completed_task_starts_;
+  }
   /// Number of calls that were answered by another incarnation or process.
-  int calls_elsewhere() const { return calls_elsewhere_; }
+  int calls_elsewhere() const { return misdirected_calls_; }
   /// Number of log lines with this message, over all instances.
   int logged(const std::string& message) const;
   /// Number of runs that ended because of upkeep of machines.
-  int lost_runs() const { return lost_runs_; }
+  int lost_runs() const { return runs_lost_to_upkeep_; }
   /// Ticket that the task's latest start carried.
   std::string ticket(const std::string& task) const;
   /// Writes the line to stderr if DOORWOOD_TRACE is set in the environment.
@@ -206,8 +208,8 @@
   void OnStarted(const std::string& worker, const StartOrder& order, bool late);
   void AdvanceAll();
   double Chance();
-  void CountCallElsewhere() { ++calls_elsewhere_; }
-  void CountLine(const std::string& message) { ++log_counts_[message]; }
+  void CountMisdirectedCall() { ++misdirected_calls_; }
+  void CountLogLine(const std::string& message) { ++log_counts_[message]; }
 
  private:
   void CheckSingleRun(const std::string& task);
@@ -224,25 +226,25 @@
   std::map<std::string, std::unique_ptr<WorldWorker>> workers_;
   std::map<std::string, WorldMachine> machines_;
   std::vector<UpkeepWave> waves_;
-  std::set<std::string> closed_;
-  std::vector<WorkerLife> foreign_;
-  int lost_runs_ = 0;
-  int calls_elsewhere_ = 0;
+  std::set<std::string> closed_data_centres_;
+  std::vector<WorkerLife> foreign_entries_;
+  int runs_lost_to_upkeep_ = 0;
+  int misdirected_calls_ = 0;
   std::map<std::string, int> log_counts_;
   std::shared_ptr<const QueueTable> table_;
   std::map<std::string, int> starts_;
   std::map<std::string, std::string> tickets_;
-  std::map<std::string, int> crashes_under_;
+  std::map<std::string, int> crashes_while_running_;
   std::map<std::string, int> starts_after_three_crashes_;
   std::set<std::string> crashing_machines_;
   int crashes_ = 0;
   int runs_crashed_ = 0;
-  int crowded_crashes_ = 0;
+  int crashes_after_several_starts_ = 0;
   bool addresses_reused_ = true;
   bool crashed_refuse_calls_ = true;
-  std::vector<std::string> broken_;
+  std::vector<std::string> violations_;
   std::set<std::string> acknowledged_completions_;
-  std::vector<std::string> started_done_;
+  std::vector<std::string> completed_task_starts_;
 };
 
 /// A job plan of `steps` steps of `count` tasks each; each step depends on the
--- a/src/fakes/cell_world_ports.cpp
+++ b/src/fakes/cell_world_ports.cpp
@@ -186,7 +186,7 @@
  private:
   WorldWorker* Reach(const WorkerLife& worker) {
     if (IsMisdirected(worker)) {
-      world_.CountCallElsewhere();
+      world_.CountMisdirectedCall();
       return nullptr;
     }
     WorldWorker* found = world_.workers().at(worker.id).get();
@@ -207,7 +207,7 @@
   void Fail(const WorkerLife& worker, Callback<T> done) {
     const bool misdirected = IsMisdirected(worker);
     const bool at_once =
-        misdirected || (world_.workers().at(worker.id)->refuses &&
+        misdirected || (world_.workers().at(worker.id)->refuses_calls &&
                         !self_.cut_from.contains(worker.id));
     const auto error = misdirected ? RunErrc::kOtherLife : RunErrc::kNoAnswer;
     self_.executor->Deliver(
@@ -425,7 +425,7 @@
              std::string_view component,
              std::string_view message,
              const Json& fields) override {
-    world_.CountLine(std::string(message));
+    world_.CountLogLine(std::string(message));
     world_.Trace(name_ + " " + std::string(level) + " " +
                  std::string(component) + ": " + std::string(message) + " " +
                  fields.dump());
