--- a/src/libdoorwood/cell/cell_address_test.cpp
+++ b/src/libdoorwood/cell/cell_address_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Entries that name a worker at an address where another life answers: what
-// that one says is no word of the worker's runs.
+// Entries that name a worker at an address where another process answers: that
+// answer says nothing about the worker's runs.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -14,8 +14,8 @@
 constexpr const char* kElsewhere = "elsewhere";
 constexpr const char* kTask = "00112233aabbccdd.0.0.0";
 
-struct AddressFixture {
-  AddressFixture() : world(5) {
+struct WrongAddressFixture {
+  WrongAddressFixture() : world(5) {
     world.SetTable({fakes::MakeQueue("queue", 3)});
     for (const char* worker : {"w1", "w2"}) {
       world.AddWorker(worker, 8000);
@@ -25,8 +25,8 @@
     }
   }
 
-  // Runs a lasting task; the worker that has it.
-  std::string StartOne() {
+  // Starts a long-running task; returns the worker that runs it.
+  std::string StartLongRunningTask() {
     world.WaitForLeader();
     world.Run(Millis(1000));
     JobPlan plan = fakes::MakePlan("00112233aabbccdd", 1, 1, "");
@@ -40,7 +40,7 @@
     }
     return "";
   }
-  void CutAll(const std::string& worker) {
+  void PartitionAllFrom(const std::string& worker) {
     for (auto& [name, instance] : world.instances()) {
       instance->cut_from.insert(worker);
     }
@@ -59,21 +59,21 @@
 struct EntryRow {
   const char* name;
   bool takeover;
-  /// The successor doesn't reach the worker.
-  bool cut;
+  /// The successor cannot reach the worker.
+  bool unreachable;
 };
 
-BOOST_AUTO_TEST_CASE(Entry_NamesAnothersAddress_RunIsNotStartedAgain) {
+BOOST_AUTO_TEST_CASE(Entry_NamesAnotherAddress_RunIsNotStartedAgain) {
   const EntryRow rows[] = {{"one leader", false, false},
                            {"a takeover", true, false},
-                           {"a takeover, worker unheard", true, true}};
+                           {"a takeover, worker not contacted", true, true}};
   for (const EntryRow& row : rows) {
-    AddressFixture fixture;
-    const std::string at = fixture.StartOne();
-    BOOST_REQUIRE(!at.empty());
-    fixture.world.workers()[at]->listed_address = kElsewhere;
-    if (row.cut) {
-      fixture.CutAll(at);
+    WrongAddressFixture fixture;
+    const std::string runner = fixture.StartLongRunningTask();
+    BOOST_REQUIRE(!runner.empty());
+    fixture.world.workers()[runner]->listed_address = kElsewhere;
+    if (row.unreachable) {
+      fixture.PartitionAllFrom(runner);
     }
     if (row.takeover) {
       fixture.world.Kill(fixture.world.Leader()->name);
@@ -82,17 +82,18 @@
     BOOST_TEST_CONTEXT(row.name) {
       BOOST_TEST(fixture.world.broken().empty());
       BOOST_TEST(fixture.Running() == 1U);
-      // Only a worker that nobody reaches is given up, by its lease.
-      BOOST_TEST(fixture.world.starts(kTask) == (row.cut ? 2 : 1));
+      // Only a worker that no instance reaches is declared lost, once its lease
+      // has expired.
+      BOOST_TEST(fixture.world.starts(kTask) == (row.unreachable ? 2 : 1));
     }
   }
 }
 
-// The first entry that a leader reads is wrong, and is mended before the worker
-// is given work: the record that a successor reads must name the address at
-// which the worker was heard.
-BOOST_AUTO_TEST_CASE(Entry_IsMendedBeforeWork_SuccessorKnowsTheAddress) {
-  AddressFixture fixture;
+// The first entry that a leader reads is wrong and is corrected before the
+// worker gets a task: the record that a successor reads must name the address
+// at which the worker answered.
+BOOST_AUTO_TEST_CASE(Entry_CorrectedBeforeFirstTask_SuccessorKnowsTheAddress) {
+  WrongAddressFixture fixture;
   for (auto& [id, worker] : fixture.world.workers()) {
     worker->listed_address = kElsewhere;
   }
@@ -102,26 +103,26 @@
     worker->listed_address.clear();
   }
   fixture.world.Run(Millis(3000));
-  const std::string at = fixture.StartOne();
-  BOOST_REQUIRE(!at.empty());
-  fixture.CutAll(at);
+  const std::string runner = fixture.StartLongRunningTask();
+  BOOST_REQUIRE(!runner.empty());
+  fixture.PartitionAllFrom(runner);
   fixture.world.Kill(fixture.world.Leader()->name);
   fixture.world.Run(Millis(20'000));
   BOOST_TEST(fixture.world.broken().empty());
   BOOST_TEST(fixture.Running() == 1U);
 }
 
-// The proof that is left: a crashed worker's own address is answered by
-// another life, so that nothing waits for a lease.
-BOOST_AUTO_TEST_CASE(Worker_CrashedAtTakeover_IsProvedGoneAtOnce) {
-  constexpr Millis kSoon{6000};
-  AddressFixture fixture;
-  const std::string at = fixture.StartOne();
-  BOOST_REQUIRE(!at.empty());
+// The remaining proof of a crash: another incarnation answers at the crashed
+// worker's own address, so that no task waits for a lease.
+BOOST_AUTO_TEST_CASE(Worker_CrashedAtTakeover_IsKnownLostAtOnce) {
+  constexpr Millis kRestartBound{6000};
+  WrongAddressFixture fixture;
+  const std::string runner = fixture.StartLongRunningTask();
+  BOOST_REQUIRE(!runner.empty());
   fixture.world.Kill(fixture.world.Leader()->name);
-  fixture.world.CrashWorker(at);
+  fixture.world.CrashWorker(runner);
   BOOST_REQUIRE(fixture.world.WaitForLeader() != nullptr);
-  fixture.world.Run(kSoon);
+  fixture.world.Run(kRestartBound);
   BOOST_TEST(fixture.world.broken().empty());
   BOOST_TEST(fixture.Running() == 1U);
 }
--- a/src/libdoorwood/cell/cell_concluded_silence_test.cpp
+++ b/src/libdoorwood/cell/cell_concluded_silence_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A worker that stays silent after its leader has called its runs over holds
-// nothing back at a takeover: nothing can run there.
+// A worker that stays unresponsive after its leader has declared its runs ended
+// holds no task back at a takeover, because nothing can run there.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -18,13 +18,16 @@
 
 constexpr char kJob[] = "00112233aabbccdd";
 constexpr char kWaitingJob[] = "00112233aabbccee";
-// The lead falls vacant for 3 s at most, and a leader that waits for nobody
-// starts within another 1.5 s.
-constexpr Millis kStartsWithin{4500};
+// There is no leader for 3 s at most, and a leader that waits for no worker
+// starts tasks within another 1.5 s.
+constexpr Millis kStartBound{4500};
 
-// Guards against a full wait for a silent worker whose runs were called over.
-BOOST_AUTO_TEST_CASE(SilentWorker_RunsCalledOver_SuccessorDoesNotWait) {
-  for (int silent_for = 8000; silent_for <= 20'000; silent_for += 1000) {
+// Guards against a full wait for an unresponsive worker whose runs were
+// declared ended.
+BOOST_AUTO_TEST_CASE(
+    UnresponsiveWorker_RunsDeclaredEnded_SuccessorDoesNotWait) {
+  for (int unresponsive_ms = 8000; unresponsive_ms <= 20'000;
+       unresponsive_ms += 1000) {
     for (uint64_t seed = 1; seed <= 4; ++seed) {
       CellWorld world(seed);
       world.SetTable({fakes::MakeQueue("queue", 4)});
@@ -42,12 +45,13 @@
       world.Run(Millis(1000));
       BOOST_REQUIRE(world.workers().at("silent")->model.running() == 1U);
       fakes::CutAllFrom(world, "silent");
-      world.Run(Millis(silent_for));
+      world.Run(Millis(unresponsive_ms));
       BOOST_TEST(RunnerOf(world, std::string(kJob) + ".0.0.0") == "heard");
       world.Kill(first->name);
       world.AddWorker("large", 16'000);
-      world.Run(kStartsWithin);
-      BOOST_TEST_CONTEXT("silent for " << silent_for << ", seed " << seed) {
+      world.Run(kStartBound);
+      BOOST_TEST_CONTEXT("unresponsive for " << unresponsive_ms << ", seed "
+                                             << seed) {
         BOOST_TEST(RunnerOf(world, std::string(kWaitingJob) + ".0.0.0") ==
                    "large");
         BOOST_TEST(world.broken().empty());
--- a/src/libdoorwood/cell/cell_doubt_test.cpp
+++ b/src/libdoorwood/cell/cell_doubt_test.cpp
@@ -1,7 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Two leaders at once, of which one is cut off: who may conclude what from a
-// worker's silence. All in virtual time, on both sides of each bound.
+// Two instances lead at once because the old leader is partitioned from the
+// store and its peers. Checks which of them may conclude that the runs on an
+// unresponsive worker have ended, for times on both sides of each bound, in
+// virtual time.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -17,16 +19,17 @@
 using fakes::CutLeaderFixture;
 using fakes::kLastingJob;
 
-// The worker falls silent to the old leader 0 to 6 s before that one is cut
-// off; the successor reaches it, adopts what runs there and prolongs it.
-BOOST_AUTO_TEST_CASE(CutLeader_SilentWorkerIsHeldByItsSuccessor_StartsNothing) {
+// The worker becomes unresponsive to the old leader 0 to 6 s before that leader
+// is partitioned. The successor reaches the worker, adopts the runs there and
+// extends their lease.
+BOOST_AUTO_TEST_CASE(PartitionedLeader_SuccessorHoldsTheWorker_StartsNothing) {
   for (int before = 0; before <= 6000; before += 500) {
     CutLeaderFixture fixture;
     fixture.old->cut_from.insert("shared");
     fixture.world.Run(Millis(before));
     fixture.CutOldLeader();
     fixture.world.Run(Millis(14'000));
-    fixture.ExpectNothingBroken("silent for " + std::to_string(before));
+    fixture.ExpectNothingBroken("unresponsive for " + std::to_string(before));
     fixture.Heal();
     fixture.world.Run(Millis(8000));
     fixture.ExpectNothingBroken("healed, " + std::to_string(before));
@@ -36,9 +39,11 @@
   }
 }
 
-// A worker crashes 0 to 6 s after the cut. Both leaders hear its next life;
-// only the successor, which had adopted what ran there, may start it again.
-BOOST_AUTO_TEST_CASE(CutLeader_SharedWorkerCrashes_OneLeaderStartsAgain) {
+// A worker crashes 0 to 6 s after the partition. Its next incarnation answers
+// both leaders; only the successor, which had adopted the runs there, may start
+// the tasks again.
+BOOST_AUTO_TEST_CASE(
+    PartitionedLeader_SharedWorkerCrashes_OneLeaderStartsAgain) {
   for (int after = 0; after <= 6000; after += 250) {
     CutLeaderFixture fixture;
     fixture.CutOldLeader();
@@ -52,21 +57,23 @@
   }
 }
 
-// While its lease is sure a leader still concludes from silence.
-BOOST_FIXTURE_TEST_CASE(SureLeader_WorkerSilentForItsLease_StartsElsewhere,
-                        CutLeaderFixture) {
+// A leader that is certain of its lease may conclude that the runs on an
+// unresponsive worker have ended.
+BOOST_FIXTURE_TEST_CASE(
+    LeaseIsCertain_WorkerUnresponsiveForItsLease_StartsElsewhere,
+    CutLeaderFixture) {
   for (const auto& [name, instance] : world.instances()) {
     instance->cut_from.insert("shared");
   }
   world.Run(Millis(9000));
   BOOST_TEST(world.workers().at("near")->model.Runs(std::string(kLastingJob) +
                                                     ".0.0.0"));
-  ExpectNothingBroken("sure leader");
+  ExpectNothingBroken("certain of its lease");
 }
 
-// An outage of the store for all: silence proves nothing meanwhile, and counts
-// at once when the lease turns out to have been kept.
-BOOST_FIXTURE_TEST_CASE(Store_DownForAllAndWorkerCrashes_WorkReturnsWithIt,
+// During a store outage for all instances an unresponsive worker proves
+// nothing. The time counts at once when the lease turns out to have been kept.
+BOOST_FIXTURE_TEST_CASE(Store_DownForAllAndWorkerCrashes_TasksRestartWithStore,
                         CutLeaderFixture) {
   for (const auto& [name, instance] : world.instances()) {
     instance->store_faults.down = true;
@@ -83,9 +90,10 @@
   ExpectNothingBroken("store down");
 }
 
-// Two takeovers, with a worker that is gone for good and whose runs stand in
-// the way: the second leader goes on with the first one's wait.
-BOOST_FIXTURE_TEST_CASE(Successor_WorkerIsGoneForTwoLeaders_WaitIsServedOnce,
+// Two takeovers while a worker that is gone for good may still hold runs: the
+// second successor continues the first one's wait instead of starting a new
+// one.
+BOOST_FIXTURE_TEST_CASE(Successor_WorkerIsGoneForTwoLeaders_WaitIsContinued,
                         CutLeaderFixture) {
   world.AddInstance("d1", "plaka");
   world.AddInstance("e1", "pireas");
@@ -104,43 +112,45 @@
     BOOST_TEST(world.workers().at("near")->model.Runs(kLastingJob +
                                                       std::string(task)));
   }
-  ExpectNothingBroken("served once");
+  ExpectNothingBroken("wait continued");
 }
 
-// The first successor hears the worker after 1 to 5.5 s, prolongs what runs
-// there for 0.1 to 2.1 s, and is gone; the worker is silent again. What it was
-// told counts, not what the record said before. With the store away when the
-// worker is heard, nothing is prolonged. Leaders that leave in order are
-// followed at once, which leaves the least time.
-struct HeardAndLost {
-  int unheard;
-  int heard;
-  bool leaves;
-  bool store_away;
+// The first successor reaches the worker after 1 to 5.5 s, extends the lease of
+// the runs there for 0.1 to 2.1 s, and is lost; the worker is unresponsive
+// again. The lease that the worker was last given counts, not the older record.
+// If the store is unreachable when the worker answers, no lease is extended.
+// Leaders with a planned shutdown are succeeded at once, which leaves the least
+// time.
+struct ContactedAndLost {
+  int not_contacted_ms;
+  int contacted_ms;
+  bool planned_shutdown;
+  bool store_unreachable;
 };
 
-std::vector<HeardAndLost> HeardAndLostRows() {
-  std::vector<HeardAndLost> rows;
-  for (int unheard = 1000; unheard <= 5500; unheard += 500) {
-    for (int heard = 100; heard <= 2100; heard += 400) {
-      rows.push_back({unheard, heard, false, false});
-      rows.push_back({unheard, heard, false, true});
-      rows.push_back({unheard, heard, true, false});
-      rows.push_back({unheard, heard, true, true});
+std::vector<ContactedAndLost> ContactedAndLostRows() {
+  std::vector<ContactedAndLost> rows;
+  for (int not_contacted_ms = 1000; not_contacted_ms <= 5500;
+       not_contacted_ms += 500) {
+    for (int contacted_ms = 100; contacted_ms <= 2100; contacted_ms += 400) {
+      rows.push_back({not_contacted_ms, contacted_ms, false, false});
+      rows.push_back({not_contacted_ms, contacted_ms, false, true});
+      rows.push_back({not_contacted_ms, contacted_ms, true, false});
+      rows.push_back({not_contacted_ms, contacted_ms, true, true});
     }
   }
   return rows;
 }
 
-BOOST_AUTO_TEST_CASE(Successor_UnheardWorkerIsHeardAndLost_NothingRunsTwice) {
-  for (const HeardAndLost& row : HeardAndLostRows()) {
+BOOST_AUTO_TEST_CASE(Successor_WorkerIsContactedAndLost_NothingRunsTwice) {
+  for (const ContactedAndLost& row : ContactedAndLostRows()) {
     CutLeaderFixture fixture;
     fakes::CellWorld& world = fixture.world;
     world.AddInstance("d1", "plaka");
     world.AddInstance("e1", "pireas");
     world.Run(Millis(1000));
-    const auto end = [&](fakes::WorldInstance* leader) {
-      if (row.leaves && !leader->store_faults.silent) {
+    const auto end_leader = [&](fakes::WorldInstance* leader) {
+      if (row.planned_shutdown && !leader->store_faults.silent) {
         leader->live->AnnounceLeaving();
         leader->cell->Leave([] {});
         world.Run(Millis(300));
@@ -148,55 +158,59 @@
         world.Kill(leader->name);
       }
     };
-    const auto cut = [&] {
+    const auto partition_worker = [&] {
       for (const auto& [name, instance] : world.instances()) {
         instance->cut_from.insert("shared");
       }
     };
-    cut();
-    end(fixture.old);
+    partition_worker();
+    end_leader(fixture.old);
     BOOST_REQUIRE(world.WaitForLeader() != nullptr);
     fakes::WorldInstance* first = world.Leader();
-    world.Run(Millis(row.unheard));
-    first->store_faults.silent = row.store_away;
+    world.Run(Millis(row.not_contacted_ms));
+    first->store_faults.silent = row.store_unreachable;
     first->cut_from.clear();
-    world.Run(Millis(row.heard));
-    cut();
-    end(first);
+    world.Run(Millis(row.contacted_ms));
+    partition_worker();
+    end_leader(first);
     world.Run(Millis(16'000));
     for (const auto& [name, instance] : world.instances()) {
       instance->cut_from.clear();
     }
     world.Run(Millis(3000));
     const std::string context =
-        std::to_string(row.unheard) + " " + std::to_string(row.heard) +
-        (row.leaves ? " leaves" : "") + (row.store_away ? " store away" : "");
+        std::to_string(row.not_contacted_ms) + " " +
+        std::to_string(row.contacted_ms) +
+        (row.planned_shutdown ? " planned shutdown" : "") +
+        (row.store_unreachable ? " store unreachable" : "");
     fixture.ExpectNothingBroken(context);
     BOOST_TEST(fixture.Runs(std::string(kLastingJob) + ".0.0.0"), context);
   }
 }
 
-// Runs 1 and 2 fail while the store is away, or only the second does, so that
-// one or both failures stand in no record; the worker of one is cut off from
-// the successor. Four attempts are four also then.
-struct UnheardFailure {
+// Runs 1 and 2 fail, both or only the second while the store is unreachable, so
+// that one or both failures are not recorded. The successor cannot reach the
+// worker of one of them. The limit of four attempts must still hold.
+struct UnreportedFailure {
   int recorded;
-  int cut_run;
-  int cut_for;
+  int partitioned_run;
+  int partitioned_ms;
 };
 
-std::vector<UnheardFailure> UnheardFailures() {
-  std::vector<UnheardFailure> rows;
-  for (int cut_for = 1000; cut_for <= 8000; cut_for += 1000) {
-    rows.push_back({1, 2, cut_for});
-    rows.push_back({0, 2, cut_for});
-    rows.push_back({0, 1, cut_for});
+std::vector<UnreportedFailure> UnreportedFailures() {
+  std::vector<UnreportedFailure> rows;
+  for (int partitioned_ms = 1000; partitioned_ms <= 8000;
+       partitioned_ms += 1000) {
+    rows.push_back({1, 2, partitioned_ms});
+    rows.push_back({0, 2, partitioned_ms});
+    rows.push_back({0, 1, partitioned_ms});
   }
   return rows;
 }
 
-BOOST_AUTO_TEST_CASE(Successor_FailureUnheardOf_AttemptsAreNotExceeded) {
-  for (const auto& [recorded, cut_run, cut_for] : UnheardFailures()) {
+BOOST_AUTO_TEST_CASE(Successor_FailureNotReported_AttemptsAreNotExceeded) {
+  for (const auto& [recorded, partitioned_run, partitioned_ms] :
+       UnreportedFailures()) {
     fakes::CellWorld world(3);
     world.SetTable({fakes::MakeQueue("queue", 4)});
     for (const char* id : {"w1", "w2", "w3", "w4", "w5", "w6"}) {
@@ -224,11 +238,12 @@
         world.Run(Millis(50));
       }
     };
-    std::string silent;
+    std::string partitioned_worker;
     for (int run = 1; run <= 2; ++run) {
       run_until(run);
       world.Run(Millis(300));
-      silent = run == cut_run ? runner() : silent;
+      partitioned_worker =
+          run == partitioned_run ? runner() : partitioned_worker;
       for (const auto& [name, instance] : world.instances()) {
         instance->store_faults.down = run > recorded;
       }
@@ -239,17 +254,18 @@
     for (const auto& [name, instance] : world.instances()) {
       if (instance != old) {
         instance->store_faults.down = false;
-        instance->cut_from.insert(silent);
+        instance->cut_from.insert(partitioned_worker);
       }
     }
     world.Kill(old->name);
-    world.Run(Millis(cut_for));
+    world.Run(Millis(partitioned_ms));
     for (const auto& [name, instance] : world.instances()) {
       instance->cut_from.clear();
     }
     world.Run(Millis(16'000));
-    BOOST_TEST_CONTEXT("recorded " << recorded << ", cut run " << cut_run
-                                   << " for " << cut_for) {
+    BOOST_TEST_CONTEXT("recorded " << recorded << ", partitioned run "
+                                   << partitioned_run << " for "
+                                   << partitioned_ms) {
       BOOST_TEST(world.starts(task) == 4);
       const auto state = world.StateOf(kLastingJob);
       BOOST_TEST((state ? ToString(*state) : "not known") == "failed");
--- a/src/libdoorwood/cell/cell_foreign_test.cpp
+++ b/src/libdoorwood/cell/cell_foreign_test.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Entries of other writers, among those of workers and among this system's
-// own: they name no worker to use, the others hold, and no run is lost.
+// Entries that other programs wrote among those of workers and among this
+// system's own: they are not used as workers, the other entries stay valid, and
+// no run is lost.
 
 #include <boost/test/unit_test.hpp>
 #include <functional>
@@ -19,27 +20,28 @@
 constexpr char kOtherJob[] = "00112233aabbccde";
 constexpr char kTask[] = "00112233aabbccdd.0.0.0";
 
-struct ForeignFixture : public fakes::CellFixture {
-  ForeignFixture() : CellFixture(29, {{"a1", "plaka"}, {"b1", "kerameikos"}}) {}
+struct ForeignEntriesFixture : public fakes::CellFixture {
+  ForeignEntriesFixture()
+      : CellFixture(29, {{"a1", "plaka"}, {"b1", "kerameikos"}}) {}
 
   std::string Runner() { return fakes::RunnerOf(world, kTask); }
-  fakes::WorldWorker& StartLastingTask() {
+  fakes::WorldWorker& StartLongRunningTask() {
     JobPlan plan = fakes::MakePlan(kJob, 1, 1, "");
     plan.steps[0].lasting = true;
     world.Submit(plan);
     world.Run(Millis(500));
-    first = Runner();
-    BOOST_REQUIRE(!first.empty());
-    return *world.workers().at(first);
+    original_worker = Runner();
+    BOOST_REQUIRE(!original_worker.empty());
+    return *world.workers().at(original_worker);
   }
-  // Each of the job's tasks takes a whole worker.
-  void FillWithWork() {
+  // Submits a job whose tasks need 4 of a worker's 8 CPUs each.
+  void SubmitLargeTasks() {
     JobPlan plan = fakes::MakePlan(kOtherJob, 1, 6, "ms=200");
     plan.steps[0].size.cpu_millis = 4000;
     BOOST_TEST(world.Submit(plan));
   }
-  void ExpectStayed() {
-    BOOST_TEST(Runner() == first);
+  void ExpectRunNotMoved() {
+    BOOST_TEST(Runner() == original_worker);
     BOOST_TEST(world.starts(kTask) == 1);
   }
   void PutRecord(const std::string& key, const std::string& value) {
@@ -49,15 +51,15 @@
     BOOST_TEST(!world.store().Commit(transaction, &ignored));
   }
 
-  std::string first;
+  std::string original_worker;
 };
 
-struct DoubtRow {
+struct EntryChange {
   const char* name;
   std::function<void(WorkerLife*)> change;
 };
 
-const DoubtRow doubts[] = {
+const EntryChange entry_changes[] = {
     {"another address", [](WorkerLife* life) { life->address = "10.0.0.9:1"; }},
     {"another service", [](WorkerLife* life) { life->service = "other"; }},
     {"another data centre",
@@ -70,67 +72,67 @@
        *life = unreadable;
      }}};
 
-BOOST_AUTO_TEST_CASE(Worker_EntryIsAnotherWriters_RunGoesOnAndNothingNew) {
-  for (const DoubtRow& row : doubts) {
+BOOST_AUTO_TEST_CASE(Worker_EntryOverwritten_RunContinuesAndNothingNewStarts) {
+  for (const EntryChange& row : entry_changes) {
     BOOST_TEST_INFO_SCOPE(row.name);
-    ForeignFixture fixture;
-    fakes::WorldWorker& worker = fixture.StartLastingTask();
+    ForeignEntriesFixture fixture;
+    fakes::WorldWorker& worker = fixture.StartLongRunningTask();
     worker.life.machine = "m-1";
     fixture.world.Run(Millis(3000));
-    const WorkerLife real = worker.life;
+    const WorkerLife original_entry = worker.life;
     row.change(&worker.life);
     fixture.world.Run(Millis(3000));
-    fixture.ExpectStayed();
-    fixture.FillWithWork();
+    fixture.ExpectRunNotMoved();
+    fixture.SubmitLargeTasks();
     const int before = worker.started;
     fixture.world.Run(Millis(6000));
-    fixture.ExpectStayed();
+    fixture.ExpectRunNotMoved();
     BOOST_TEST(worker.started == before, row.name);
-    // The worker writes its entry again.
-    worker.life = real;
+    // The worker rewrites its entry.
+    worker.life = original_entry;
     fixture.world.Run(Millis(3000));
     JobPlan wide = fakes::MakePlan("00112233aabbccdf", 1, 20, "ms=500");
     BOOST_TEST(fixture.world.Submit(wide));
     fixture.world.Run(Millis(1500));
     BOOST_TEST(worker.started > before, row.name);
-    fixture.ExpectStayed();
+    fixture.ExpectRunNotMoved();
   }
 }
 
-BOOST_AUTO_TEST_CASE(Worker_EntryIsAnotherWritersAtATakeover_RunGoesOn) {
-  for (const DoubtRow& row : doubts) {
+BOOST_AUTO_TEST_CASE(Worker_EntryOverwrittenAtTakeover_RunContinues) {
+  for (const EntryChange& row : entry_changes) {
     BOOST_TEST_INFO_SCOPE(row.name);
-    ForeignFixture fixture;
-    fakes::WorldWorker& worker = fixture.StartLastingTask();
+    ForeignEntriesFixture fixture;
+    fakes::WorldWorker& worker = fixture.StartLongRunningTask();
     row.change(&worker.life);
     fixture.world.Kill(fixture.world.Leader()->name);
     BOOST_REQUIRE(fixture.world.WaitForLeader() != nullptr);
     fixture.world.Run(Millis(8000));
-    BOOST_TEST(fixture.Runner() == fixture.first, row.name);
-    fixture.ExpectStayed();
+    BOOST_TEST(fixture.Runner() == fixture.original_worker, row.name);
+    fixture.ExpectRunNotMoved();
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(Worker_EntryIsAnotherWritersAndItCrashes_RunMoves,
-                        ForeignFixture) {
-  fakes::WorldWorker& worker = StartLastingTask();
+BOOST_FIXTURE_TEST_CASE(Worker_EntryOverwrittenAndItCrashes_RunMoves,
+                        ForeignEntriesFixture) {
+  fakes::WorldWorker& worker = StartLongRunningTask();
   world.foreign().push_back(worker.life);
   world.foreign().back().address = "10.0.0.9:1";
   worker.listed = false;
   world.Run(Millis(2000));
-  world.CrashWorker(first);
+  world.CrashWorker(original_worker);
   world.Run(Millis(8000));
   BOOST_TEST(!Runner().empty());
-  BOOST_TEST(Runner() != first);
+  BOOST_TEST(Runner() != original_worker);
 }
 
-BOOST_FIXTURE_TEST_CASE(Worker_ServiceThatNoQueueNames_IsLeftAlone,
-                        ForeignFixture) {
+BOOST_FIXTURE_TEST_CASE(Worker_ServiceThatNoQueueNames_IsNotCalled,
+                        ForeignEntriesFixture) {
   fakes::WorldWorker& other = world.AddWorker("w9", 8000);
   other.life.service = "unnamed";
   world.Run(Millis(3000));
   BOOST_TEST(other.calls == 0);
-  // Once a queue names it, it is a worker like the others.
+  // Once a queue names its service, it is used like the other workers.
   Queue queue = fakes::MakeQueue("late", 3);
   queue.service = "unnamed";
   world.SetTable({fakes::MakeQueue("queue", 3), queue});
@@ -138,9 +140,10 @@
   BOOST_TEST(other.calls > 0);
 }
 
-// Entries of lives that answer as somebody else: a copy of a worker's entry
-// under another id.
-BOOST_FIXTURE_TEST_CASE(Workers_CopiesOfAnEntry_AreCalledOnce, ForeignFixture) {
+// Entries at whose address another incarnation answers: copies of a worker's
+// entry under other ids.
+BOOST_FIXTURE_TEST_CASE(Workers_CopiesOfAnEntry_AreCalledOnce,
+                        ForeignEntriesFixture) {
   constexpr int kCopies = 20;
   for (int n = 0; n < kCopies; ++n) {
     WorkerLife copy = world.workers().at("w1")->life;
@@ -150,13 +153,13 @@
   world.Run(Millis(10000));
   BOOST_TEST(world.logged("a worker is gone") <= kCopies);
   BOOST_TEST(world.calls_elsewhere() <= 2 * kCopies);
-  FillWithWork();
+  SubmitLargeTasks();
   world.Run(Millis(3000));
   BOOST_TEST((world.StateOf(kOtherJob) == JobPhase::kCompleted));
 }
 
-BOOST_FIXTURE_TEST_CASE(Workers_AThousandForeignEntries_OthersGoOn,
-                        ForeignFixture) {
+BOOST_FIXTURE_TEST_CASE(Workers_ThousandForeignEntries_OthersContinue,
+                        ForeignEntriesFixture) {
   constexpr int kEntries = 1000;
   for (int n = 0; n < kEntries; ++n) {
     WorkerLife life;
@@ -167,11 +170,11 @@
     life.service = "unnamed";
     world.foreign().push_back(life);
   }
-  StartLastingTask();
-  FillWithWork();
+  StartLongRunningTask();
+  SubmitLargeTasks();
   world.Run(Millis(10000));
   BOOST_TEST((world.StateOf(kOtherJob) == JobPhase::kCompleted));
-  ExpectStayed();
+  ExpectRunNotMoved();
   BOOST_TEST(world.calls_elsewhere() == 0);
   BOOST_TEST(world.logged("an entry is not used") <= 256);
   BOOST_TEST(world.logged("an entry is not used") > 0);
@@ -180,22 +183,23 @@
 
 // --- This system's own keys ---
 
-constexpr const char* kOddValues[] = {"",
-                                      "null",
-                                      "[]",
-                                      "7",
-                                      "\"x\"",
-                                      R"({"address":5})",
-                                      "\xff",
-                                      R"({"nonce":-1})",
-                                      R"({"leaving":"x","address":"y"})",
-                                      "[[1]]",
-                                      R"({"cpu_share":"x","data_centre":1})"};
+constexpr const char* kMalformedValues[] = {
+    "",
+    "null",
+    "[]",
+    "7",
+    "\"x\"",
+    R"({"address":5})",
+    "\xff",
+    R"({"nonce":-1})",
+    R"({"leaving":"x","address":"y"})",
+    "[[1]]",
+    R"({"cpu_share":"x","data_centre":1})"};
 
-BOOST_FIXTURE_TEST_CASE(LiveKeys_OfAnotherWriter_DoNotStopTheInstances,
-                        ForeignFixture) {
+BOOST_FIXTURE_TEST_CASE(LiveKeys_OfAnotherProgram_DoNotStopTheInstances,
+                        ForeignEntriesFixture) {
   int n = 0;
-  for (const char* value : kOddValues) {
+  for (const char* value : kMalformedValues) {
     const std::string name = "odd" + std::to_string(n++);
     PutRecord(InstanceKey(name), value);
     PutRecord(LeadKey(name), value);
@@ -214,13 +218,13 @@
   world.Kill(world.Leader()->name);
   BOOST_REQUIRE(world.WaitForLeader() != nullptr);
   world.Run(Millis(1000));
-  FillWithWork();
+  SubmitLargeTasks();
   world.Run(Millis(3000));
   BOOST_TEST((world.StateOf(kOtherJob) == JobPhase::kCompleted));
 }
 
 BOOST_FIXTURE_TEST_CASE(LiveKeys_ChangedAtRandom_DoNotStopTheInstances,
-                        ForeignFixture) {
+                        ForeignEntriesFixture) {
   constexpr uint64_t kSeed = 20261203;
   constexpr int kKeys = 2000;
   const std::string instance =
@@ -241,13 +245,13 @@
     BOOST_TEST(known->live->instances().contains("b1"), name);
     BOOST_TEST(known->live->leads().contains("all"), name);
   }
-  FillWithWork();
+  SubmitLargeTasks();
   world.Run(Millis(3000));
   BOOST_TEST((world.StateOf(kOtherJob) == JobPhase::kCompleted));
 }
 
 BOOST_FIXTURE_TEST_CASE(OwnInstanceKey_Overwritten_IsWrittenAgain,
-                        ForeignFixture) {
+                        ForeignEntriesFixture) {
   PutRecord(InstanceKey("a1"), "[]");
   BOOST_CHECK_NO_THROW(world.Run(Millis(2000)));
   for (const auto& [name, instance] : world.instances()) {
@@ -255,7 +259,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(DecodeWorkers_RowsOfAnotherForm_OthersHold) {
+BOOST_AUTO_TEST_CASE(DecodeWorkers_MalformedRows_OthersAreValid) {
   const auto known = DecodeWorkers(
       R"([["w1","a:1",0],5,null,[],["w2"],[1,2],["w3","a:3","x"],)"
       R"(["w4","a:4",-1],["","a:5"],["w6","a 6"],["w7","a:7",1e300],)"
@@ -270,7 +274,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(DecodeSequence_OfAnotherForm_IsNone) {
+BOOST_AUTO_TEST_CASE(DecodeSequence_Malformed_IsZero) {
   BOOST_TEST(DecodeSequence(R"({"sequence":17})") == 17U);
   for (const char* text :
        {"", "[]", "7", R"({"sequence":"17"})", R"({"sequence":-1})",
--- a/src/libdoorwood/cell/cell_known_workers_test.cpp
+++ b/src/libdoorwood/cell/cell_known_workers_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The form of what is recorded of a cell's workers, and how long it gets.
+// The format of the record of a cell's workers, and the bounds on its size.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -16,31 +16,31 @@
 
 using Names = std::vector<std::string>;
 
-constexpr size_t kManyNames = 4000;
-// A bound for the names of a small cell.
-constexpr size_t kNameBytes = 100'000;
-// What the store takes as one value.
-constexpr size_t kMostBytes = 1'048'576;
-// Of the names that a leader writes at most, and usual names.
-constexpr size_t kUsualBytes = kMostBytes / 8;
+constexpr size_t kNameCount = 4000;
+// Bound on the bytes of task names in these tests.
+constexpr size_t kNameBytesLimit = 100'000;
+// The largest value that the store accepts.
+constexpr size_t kStoreValueLimit = 1'048'576;
+// Bound on a whole record whose task names have the usual length.
+constexpr size_t kUsualRecordLimit = kStoreValueLimit / 8;
 
 KnownWorker MakeWorker(const std::string& id,
                        Millis unheard,
-                       std::optional<Names> runs) {
+                       std::optional<Names> task_names) {
   KnownWorker worker;
   worker.id = id;
   worker.address = "http://" + id + ":80";
   worker.unheard = unheard;
-  worker.tasks = std::move(runs);
+  worker.tasks = std::move(task_names);
   return worker;
 }
 
-std::string Show(const std::optional<Names>& runs) {
-  if (!runs) {
+std::string Show(const std::optional<Names>& task_names) {
+  if (!task_names) {
     return "any";
   }
   std::string text = "[";
-  for (const std::string& name : *runs) {
+  for (const std::string& name : *task_names) {
     text += name + ",";
   }
   return text + "]";
@@ -68,21 +68,21 @@
   BOOST_TEST(DecodeWorkers(EncodeWorkers({})).empty());
 }
 
-// A name as a task's is written, but with what has to be escaped.
-BOOST_AUTO_TEST_CASE(Workers_NamesOfAnyText_AreReadAsWritten) {
+// Task names that contain characters which must be escaped.
+BOOST_AUTO_TEST_CASE(Workers_NamesWithEscapes_AreReadAsWritten) {
   const std::vector<KnownWorker> workers = {MakeWorker(
       "w1", Millis(0), Names{"", "\"", "\\", "a,b", "[]", "\xce\xb1"})};
   BOOST_TEST(Show(DecodeWorkers(EncodeWorkers(workers))) == Show(workers));
 }
 
-struct FormRow {
+struct FormatRow {
   const char* text;
-  /// Empty: the row names no worker.
-  const char* runs;
+  /// Expected task names; empty if the row is invalid and describes no worker.
+  const char* expected_names;
 };
 
-BOOST_AUTO_TEST_CASE(Workers_RowsOfOtherForms_NamesHoldOrAnyTaskMayRun) {
-  const FormRow rows[] = {
+BOOST_AUTO_TEST_CASE(Workers_RowsOfOtherFormats_NamesAreKeptOrAnyTaskMayRun) {
+  const FormatRow rows[] = {
       // As earlier versions wrote them.
       {R"(["w","a"])", "any"},
       {R"(["w","a",0])", "any"},
@@ -90,7 +90,7 @@
       {R"(["w","a",0,[]])", "[]"},
       {R"(["w","a",0,["x"]])", "[x,]"},
       {R"(["w","a",0,["x","y"]])", "[x,y,]"},
-      // Names of another form never hold less back.
+      // Malformed names mean that any task may run there.
       {R"(["w","a",0,null])", "any"},
       {R"(["w","a",0,false])", "any"},
       {R"(["w","a",0,0])", "any"},
@@ -104,10 +104,10 @@
       {R"(["w","a",0,["x",null]])", "any"},
       {R"(["w","a",0,["x",["y"]]])", "any"},
       {R"(["w","a",0,[[]]])", "any"},
-      // Later versions may write more.
+      // Later versions may write further elements.
       {R"(["w","a",0,["x"],5])", "[x,]"},
       {R"(["w","a",0,["x"],["z"]])", "[x,]"},
-      // No worker.
+      // Invalid rows.
       {R"(["w","a",-1,["x"]])", ""},
       {R"(["w","a","0",["x"]])", ""},
       {R"(["w","a",[],["x"]])", ""},
@@ -119,26 +119,26 @@
       {R"({"w":"a"})", ""},
       {R"("w")", ""},
   };
-  for (const FormRow& row : rows) {
+  for (const FormatRow& row : rows) {
     BOOST_TEST_CONTEXT(row.text) {
-      // The rows beside it hold.
+      // The rows before and after it are valid.
       const auto workers =
           DecodeWorkers(R"([["before","a",0,["b"]],)" + std::string(row.text) +
                         R"(,["after","a",0]])");
-      const bool named = *row.runs != '\0';
+      const bool named = *row.expected_names != '\0';
       BOOST_REQUIRE(workers.size() == (named ? 3U : 2U));
       BOOST_TEST(Show(workers.front().tasks) == "[b,]");
       BOOST_TEST(Show(workers.back().tasks) == "any");
       if (named) {
         BOOST_TEST(workers[1].id == "w");
         BOOST_TEST(workers[1].address == "a");
-        BOOST_TEST(Show(workers[1].tasks) == row.runs);
+        BOOST_TEST(Show(workers[1].tasks) == row.expected_names);
       }
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(Workers_TextIsNoList_NamesNobody) {
+BOOST_AUTO_TEST_CASE(Workers_TextIsNotAList_DescribesNoWorker) {
   for (const char* text : {"", "{}", "null", "7", "\"w\"", "[",
                            "[[\"w\",\"a\"]", "[[\"w\",\"a\",0,[\"x\"]"}) {
     BOOST_TEST_CONTEXT(text) {
@@ -147,13 +147,13 @@
   }
 }
 
-// A key of the store has 200 bytes at most, so a task's name, that begins with
-// its job's, has fewer.
-BOOST_AUTO_TEST_CASE(Workers_MostNamesAndLongOnes_FitIntoTheStoresValue) {
+// A store key has 200 bytes at most, so a task's name, which begins with its
+// job's name, is shorter.
+BOOST_AUTO_TEST_CASE(Workers_MostAndLongestNames_FitIntoAStoreValue) {
   constexpr size_t kLongName = 200;
   constexpr int kWorkers = 1500;
   Names names;
-  for (size_t i = 0; i < kManyNames; ++i) {
+  for (size_t i = 0; i < kNameCount; ++i) {
     names.push_back(std::string(kLongName - 5, 'f') +
                     std::to_string(10000 + i));
   }
@@ -164,15 +164,15 @@
                                  std::nullopt));
   }
   const std::string text = EncodeWorkers(workers);
-  BOOST_TEST(text.size() <= kMostBytes);
+  BOOST_TEST(text.size() <= kStoreValueLimit);
   BOOST_TEST(DecodeWorkers(text).size() == workers.size());
 }
 
-/// Workers with so many tasks each, that all leave.
+/// Workers with the given numbers of tasks, all of which are draining.
 struct LargeCell {
   explicit LargeCell(const std::vector<int>& tasks) : world(5) {
     world.SetTable({fakes::MakeQueue("queue", 4)});
-    world.options().most_name_bytes = kNameBytes;
+    world.options().most_name_bytes = kNameBytesLimit;
     world.AddInstance("a1", "plaka");
     world.WaitForLeader();
     world.Run(Millis(1000));
@@ -205,12 +205,12 @@
 
 struct BoundRow {
   std::vector<int> tasks;
-  /// Names in each row; -1: any task may run there.
+  /// Number of names in each row; -1 if any task may run there.
   std::vector<int> named;
 };
 
-// A name takes 25 bytes, with its quotes and a comma, for each of the first ten
-// tasks of a step, and 28 from the thousandth on.
+// With its quotes and a comma a name takes 25 bytes for the first ten tasks of
+// a step, and 28 bytes from the thousandth on.
 BOOST_AUTO_TEST_CASE(Record_ManyTasks_LargestRowsLoseTheirNames) {
   const BoundRow rows[] = {
       {{100, 3518}, {100, 3518}},
@@ -229,12 +229,12 @@
                                    : -1);
     }
     BOOST_TEST(named == row.named, boost::test_tools::per_element());
-    BOOST_TEST(bytes <= kUsualBytes);
+    BOOST_TEST(bytes <= kUsualRecordLimit);
   }
 }
 
-// What has ended and is recorded is no longer named, also where rows that had
-// lost their names get them back.
+// A run whose end is recorded is no longer named. Rows that had lost their
+// names to the size bound get them back.
 BOOST_AUTO_TEST_CASE(Record_TasksEnd_LargeRowGetsItsNamesBack) {
   LargeCell cell({4100, 20});
   size_t bytes = 0;
--- a/src/libdoorwood/cell/cell_large_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_large_takeover_test.cpp
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A large cell: 7,500 runs on 60 workers. Two thirds of the workers leave and
-// are gone when the next leader takes over. The record names what may run on
-// them, up to a bound; one worker beyond it holds all tasks back for 9.9 s.
+// A takeover in a large cell of 7,500 runs on 60 workers. Two thirds of the
+// workers drain and are gone when the next leader takes over. The workers'
+// record names the tasks that may run on them, up to a size bound; a single
+// worker whose tasks exceed the bound would hold all tasks back for 9.9 s.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdio>
@@ -16,11 +17,12 @@
 using fakes::CellWorld;
 
 constexpr char kJob[] = "00112233aabbccdd";
-constexpr int kSoon = 2000;
+constexpr int kReleaseBoundMs = 2000;
 
-// Two thirds of the workers are gone: how long after the takeover tasks go
-// free.
-int FreeAfter() {
+// Loses the leader and two thirds of the workers. Returns the time in ms from
+// the takeover until the tasks that cannot run on the lost workers are
+// released.
+int ReleaseTime() {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
   for (int i = 0; i < 60; ++i) {
@@ -46,8 +48,8 @@
   }
   world.Run(Millis(3000));
   BOOST_REQUIRE(world.Submit(fakes::MakePlan(kJob, 1, 1, "ms=1")));
-  const char* freeing = "tasks that unheard workers can't run are free";
-  const int before = world.logged(freeing);
+  const char* release_message = "tasks that unheard workers can't run are free";
+  const int before = world.logged(release_message);
   world.Kill(world.Leader()->name);
   for (const auto& [id, worker] : world.workers()) {
     if (worker->life.draining) {
@@ -55,17 +57,17 @@
     }
   }
   BOOST_REQUIRE(world.WaitForLeader() != nullptr);
-  int freed = 0;
-  while (world.logged(freeing) == before && freed < 20'000) {
+  int released_ms = 0;
+  while (world.logged(release_message) == before && released_ms < 20'000) {
     world.Run(Millis(50));
-    freed += 50;
+    released_ms += 50;
   }
   BOOST_TEST(world.broken().empty());
-  return freed;
+  return released_ms;
 }
 
-BOOST_AUTO_TEST_CASE(LargeTakeover_MostWorkersGone_TasksGoFreeSoon) {
-  BOOST_TEST(FreeAfter() <= kSoon);
+BOOST_AUTO_TEST_CASE(LargeTakeover_MostWorkersGone_TasksAreReleasedInTime) {
+  BOOST_TEST(ReleaseTime() <= kReleaseBoundMs);
 }
 
 }  // namespace
--- a/src/libdoorwood/cell/cell_named_runs_test.cpp
+++ b/src/libdoorwood/cell/cell_named_runs_test.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// What the record names on workers that leave, leader by leader: the leader
-// that wrote a row is gone right before or after it is confirmed, the worker
-// answers its successors or not, and the worker is taken back. Nothing may run
-// twice, nothing that is done may be started again, and what may run is to be
-// at work again in time. All in virtual time.
+// The workers' record names the tasks that may run on each draining worker.
+// These tests lose the leader right before or after a row is confirmed, let the
+// worker answer the successors or not, and cancel the drain. No task may run
+// twice, no completed task may be started again, and tasks must restart in
+// time. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <functional>
@@ -29,48 +29,49 @@
 constexpr char kTask[] = "00112233aabbccdd.0.0.0";
 constexpr char kWaitingJob[] = "00112233aabbccee";
 constexpr char kWaitingTask[] = "00112233aabbccee.0.0.0";
-constexpr char kLateJob[] = "00112233aabbccff";
-constexpr char kLateTask[] = "00112233aabbccff.0.0.0";
-constexpr Millis kAfterwards{18'000};
-// The lead falls vacant for 3 s at most, and a leader that hears all workers
-// starts within another 1.5 s.
-constexpr Millis kHeardAgain{4500};
-// Beside that, the longest promise of any earlier leader.
-constexpr Millis kUnheardAgain{13'500};
-
-enum class Gone { kKilled, kCutOff, kFrozen };
-
-std::string_view ToString(Gone gone) {
-  switch (gone) {
-    case Gone::kKilled:
+constexpr char kNewJob[] = "00112233aabbccff";
+constexpr char kNewTask[] = "00112233aabbccff.0.0.0";
+constexpr Millis kSettleTime{18'000};
+// There is no leader for 3 s at most, and a leader that reaches all workers
+// starts tasks within another 1.5 s.
+constexpr Millis kReachableBound{4500};
+// In addition, the longest lease that any earlier leader may have granted.
+constexpr Millis kUnreachableBound{13'500};
+
+enum class LeaderLoss { kKilled, kPartitioned, kFrozen };
+
+std::string_view ToString(LeaderLoss loss) {
+  switch (loss) {
+    case LeaderLoss::kKilled:
       return "killed";
-    case Gone::kCutOff:
-      return "cut off";
-    case Gone::kFrozen:
+    case LeaderLoss::kPartitioned:
+      return "network partition";
+    case LeaderLoss::kFrozen:
       return "frozen";
   }
   return "";
 }
 
-JobPlan LastingPlan() {
+JobPlan LongRunningPlan() {
   JobPlan plan = fakes::MakePlan(kJob, 1, 1, "");
   plan.steps[0].lasting = true;
   return plan;
 }
 
-/// A task that goes on until it is stopped, and is taken without room for it.
-JobPlan LongPlan(const std::string& id, int64_t cpu_millis) {
+/// A job whose task runs until it is stopped, and which is accepted even when
+/// there is no free capacity for it.
+JobPlan UnboundedPlan(const std::string& id, int64_t cpu_millis) {
   JobPlan plan = fakes::MakePlan(id, 1, 1, "");
   plan.steps[0].size.cpu_millis = cpu_millis;
   return plan;
 }
 
-/// The task runs on "leaves"; "stays" comes then or later. Another job waits
-/// for a worker that is large enough.
-struct NamedRuns {
-  explicit NamedRuns(const JobPlan& plan,
-                     Millis stop_takes = Millis(0),
-                     bool stays = true)
+/// The task runs on the worker "leaves"; the worker "stays" joins next or
+/// later. Another job waits for a worker that is large enough.
+struct NamedRunsScenario {
+  explicit NamedRunsScenario(const JobPlan& plan,
+                             Millis stop_takes = Millis(0),
+                             bool stays = true)
       : world(7) {
     world.SetTable({fakes::MakeQueue("queue", 4)});
     world.AddWorker("leaves", 4000).model.SetStopTakes(stop_takes);
@@ -87,7 +88,7 @@
     if (stays) {
       AddStays();
     }
-    BOOST_REQUIRE(world.Submit(LongPlan(kWaitingJob, 12'000)));
+    BOOST_REQUIRE(world.Submit(UnboundedPlan(kWaitingJob, 12'000)));
     world.Run(Millis(1000));
   }
 
@@ -95,21 +96,22 @@
 
   void AddStays() const { world.AddWorker("stays", 8000); }
 
-  void Drain(bool drains) const { leaves().life.draining = drains; }
+  void SetDraining(bool drains) const { leaves().life.draining = drains; }
 
-  /// Runs in small steps and notes for how long the tasks ran nowhere.
+  /// Advances time in small steps and records for how long the tasks ran
+  /// nowhere.
   void Run(Millis duration) {
     constexpr Millis kStep{25};
     for (Millis passed{0}; passed < duration; passed += kStep) {
       world.time().Run(kStep);
       world.AdvanceAll();
-      away = RunnerOf(world, kTask).empty() ? away + kStep : Millis(0);
-      longest_away = std::max(longest_away, away);
+      downtime = RunnerOf(world, kTask).empty() ? downtime + kStep : Millis(0);
+      longest_downtime = std::max(longest_downtime, downtime);
       waited += world.starts(kWaitingTask) == 0 ? kStep : Millis(0);
     }
   }
 
-  void CutFromOthers(const WorldInstance* reaches) const {
+  void PartitionFromOthers(const WorldInstance* reaches) const {
     for (const auto& [name, instance] : world.instances()) {
       if (instance != reaches) {
         instance->cut_from.insert("leaves");
@@ -117,7 +119,7 @@
     }
   }
 
-  void HealAll() const {
+  void ClearFaults() const {
     for (const auto& [name, instance] : world.instances()) {
       instance->store_faults = {};
       instance->cut_from_peers = false;
@@ -126,15 +128,15 @@
     }
   }
 
-  /// The first leader goes; whoever follows it reaches "leaves" or doesn't.
-  void End(Gone gone, bool heard) {
-    if (!heard) {
-      CutFromOthers(old);
+  /// The first leader is lost; its successors can reach "leaves" or cannot.
+  void LoseLeader(LeaderLoss loss, bool reachable) {
+    if (!reachable) {
+      PartitionFromOthers(old);
     }
-    if (gone == Gone::kKilled) {
+    if (loss == LeaderLoss::kKilled) {
       world.Kill(old->name);
       old = nullptr;
-    } else if (gone == Gone::kCutOff) {
+    } else if (loss == LeaderLoss::kPartitioned) {
       old->store_faults.silent = true;
       old->cut_from_peers = true;
     } else {
@@ -154,144 +156,149 @@
 
   mutable CellWorld world;
   WorldInstance* old = nullptr;
-  Millis away{0};
-  Millis longest_away{0};
-  /// For how long the other job has waited.
+  Millis downtime{0};
+  Millis longest_downtime{0};
+  /// How long the other job has waited.
   Millis waited{0};
 };
 
-std::string Context(Gone gone, bool heard, int at) {
-  return std::string(ToString(gone)) + " at " + std::to_string(at) +
-         (heard ? " heard" : " not heard");
+std::string Context(LeaderLoss loss, bool reachable, int at) {
+  return std::string(ToString(loss)) + " at " + std::to_string(at) +
+         (reachable ? " reachable" : " unreachable");
 }
 
-void ForEachEnd(const std::function<void(Gone, bool, int)>& play,
-                int most,
-                int step) {
-  for (const Gone gone : {Gone::kKilled, Gone::kCutOff, Gone::kFrozen}) {
-    for (const bool heard : {true, false}) {
-      for (int at = 0; at <= most; at += step) {
-        play(gone, heard, at);
+void ForEachLeaderLoss(
+    const std::function<void(LeaderLoss, bool, int)>& run_case,
+    int last_ms,
+    int step_ms) {
+  for (const LeaderLoss loss :
+       {LeaderLoss::kKilled, LeaderLoss::kPartitioned, LeaderLoss::kFrozen}) {
+    for (const bool reachable : {true, false}) {
+      for (int at = 0; at <= last_ms; at += step_ms) {
+        run_case(loss, reachable, at);
       }
     }
   }
 }
 
-// The leader goes 0 to 1.5 s after the worker's entry says that it leaves, so
-// before and after the row that names the task is confirmed.
-BOOST_AUTO_TEST_CASE(NamedRun_LeaderGoneAroundItsRecord_OnceAndInTime) {
+// The leader is lost 0 to 1.5 s after the worker's entry says that it drains,
+// so before or after the row that names the task is confirmed.
+BOOST_AUTO_TEST_CASE(NamedRun_LeaderLostAroundItsRecord_RunsOnceAndInTime) {
   Tally tally;
-  Millis longest_heard{0};
-  Millis longest_unheard{0};
+  Millis longest_reachable{0};
+  Millis longest_unreachable{0};
   for (const int stop_takes : {0, 2500}) {
-    ForEachEnd(
-        [&](Gone gone, bool heard, int at) {
-          NamedRuns trial(LastingPlan(), Millis(stop_takes));
-          trial.Drain(true);
-          trial.Run(Millis(at));
-          trial.End(gone, heard);
-          trial.Run(kAfterwards);
-          const std::string context = Context(gone, heard, at) +
-                                      " stop takes " +
+    ForEachLeaderLoss(
+        [&](LeaderLoss loss, bool reachable, int at) {
+          NamedRunsScenario scenario(LongRunningPlan(), Millis(stop_takes));
+          scenario.SetDraining(true);
+          scenario.Run(Millis(at));
+          scenario.LoseLeader(loss, reachable);
+          scenario.Run(kSettleTime);
+          const std::string context = Context(loss, reachable, at) +
+                                      " stop takes ms " +
                                       std::to_string(stop_takes);
-          trial.Take(&tally, context);
-          const Millis bound = heard ? kHeardAgain : kUnheardAgain;
-          Millis& longest = heard ? longest_heard : longest_unheard;
-          longest = std::max(longest, trial.longest_away);
+          scenario.Take(&tally, context);
+          const Millis bound = reachable ? kReachableBound : kUnreachableBound;
+          Millis& longest = reachable ? longest_reachable : longest_unreachable;
+          longest = std::max(longest, scenario.longest_downtime);
           BOOST_TEST_CONTEXT(context) {
-            BOOST_TEST(trial.longest_away.count() <= bound.count());
-            BOOST_TEST(!RunnerOf(trial.world, kTask).empty());
+            BOOST_TEST(scenario.longest_downtime.count() <= bound.count());
+            BOOST_TEST(!RunnerOf(scenario.world, kTask).empty());
           }
         },
         1500, 50);
   }
-  BOOST_TEST_MESSAGE("longest away: heard " << longest_heard.count()
-                                            << " ms, not heard "
-                                            << longest_unheard.count());
+  BOOST_TEST_MESSAGE("longest downtime: reachable "
+                     << longest_reachable.count() << " ms, unreachable "
+                     << longest_unreachable.count());
 }
 
-// A job that waited before has nothing to do with what the row names: the room
-// for it comes while the successor does not hear the worker.
+// A waiting job that the row does not name must not be held back: free capacity
+// for it appears while the successor cannot reach the worker.
 BOOST_AUTO_TEST_CASE(OtherTask_RowNamesWhatMayRun_StartsWithoutWait) {
   Tally tally;
-  for (const Gone gone : {Gone::kKilled, Gone::kCutOff}) {
+  for (const LeaderLoss loss :
+       {LeaderLoss::kKilled, LeaderLoss::kPartitioned}) {
     for (int at = 900; at <= 4000; at += 100) {
-      NamedRuns trial(LastingPlan(), Millis(2500));
-      trial.Drain(true);
-      trial.Run(Millis(at));
-      trial.End(gone, /*heard=*/false);
-      trial.world.AddWorker("large", 16'000);
-      if (gone == Gone::kCutOff) {
-        trial.old->cut_from.insert("large");
+      NamedRunsScenario scenario(LongRunningPlan(), Millis(2500));
+      scenario.SetDraining(true);
+      scenario.Run(Millis(at));
+      scenario.LoseLeader(loss, /*reachable=*/false);
+      scenario.world.AddWorker("large", 16'000);
+      if (loss == LeaderLoss::kPartitioned) {
+        scenario.old->cut_from.insert("large");
       }
-      trial.waited = Millis(0);
-      trial.Run(kAfterwards);
-      const std::string context = Context(gone, false, at);
-      trial.Take(&tally, context);
+      scenario.waited = Millis(0);
+      scenario.Run(kSettleTime);
+      const std::string context = Context(loss, false, at);
+      scenario.Take(&tally, context);
       BOOST_TEST_CONTEXT(context) {
-        BOOST_TEST(trial.waited.count() <= kHeardAgain.count());
+        BOOST_TEST(scenario.waited.count() <= kReachableBound.count());
       }
     }
   }
 }
 
-// A task that has left the worker, by its word, is named no more: it is not
-// held back when its next worker is lost together with the leader.
-BOOST_AUTO_TEST_CASE(MovedTask_RowNamesItNoMore_StartsWithoutWait) {
+// A task whose run the worker has reported as ended is no longer named in its
+// row, so it is not held back when its next worker is lost together with the
+// leader.
+BOOST_AUTO_TEST_CASE(MovedTask_NoLongerInRow_StartsWithoutWait) {
   Tally tally;
   for (int at = 3500; at <= 6500; at += 100) {
-    NamedRuns trial(LastingPlan(), Millis(1500));
-    trial.Drain(true);
-    trial.Run(Millis(at));
-    BOOST_REQUIRE(RunnerOf(trial.world, kTask) == "stays");
-    trial.End(Gone::kKilled, /*heard=*/false);
-    trial.world.CrashWorker("stays");
-    trial.world.AddWorker("spare", 4000);
-    trial.Run(kAfterwards);
-    const std::string context = "gone at " + std::to_string(at);
-    trial.Take(&tally, context);
+    NamedRunsScenario scenario(LongRunningPlan(), Millis(1500));
+    scenario.SetDraining(true);
+    scenario.Run(Millis(at));
+    BOOST_REQUIRE(RunnerOf(scenario.world, kTask) == "stays");
+    scenario.LoseLeader(LeaderLoss::kKilled, /*reachable=*/false);
+    scenario.world.CrashWorker("stays");
+    scenario.world.AddWorker("spare", 4000);
+    scenario.Run(kSettleTime);
+    const std::string context = "lost at " + std::to_string(at);
+    scenario.Take(&tally, context);
     BOOST_TEST_CONTEXT(context) {
-      BOOST_TEST(trial.longest_away.count() <= kHeardAgain.count());
+      BOOST_TEST(scenario.longest_downtime.count() <= kReachableBound.count());
     }
   }
 }
 
-// The end is counted by the leader, but the store is silent to it since shortly
-// before; the worker answers the successor or doesn't.
-BOOST_AUTO_TEST_CASE(NamedRun_EndCountedButNotRecorded_NotStartedAgain) {
+// The leader counts a completion but cannot record it, because the store has
+// been unresponsive to it since shortly before. The worker answers the
+// successor or does not.
+BOOST_AUTO_TEST_CASE(NamedRun_CompletionNotRecorded_NotStartedAgain) {
   Tally tally;
-  ForEachEnd(
-      [&](Gone gone, bool heard, int at) {
-        NamedRuns trial(fakes::MakePlan(kJob, 1, 1, "ms=4000"));
-        trial.Drain(true);
-        trial.leaves().life.remaining = Millis(9000);
-        trial.Run(Millis(1000 + at));
-        trial.old->store_faults.silent = true;
-        trial.Run(Millis(1500));
-        trial.End(gone, heard);
-        trial.Run(kAfterwards);
-        trial.HealAll();
-        trial.Run(Millis(6000));
-        const std::string context = Context(gone, heard, at);
-        trial.Take(&tally, context);
+  ForEachLeaderLoss(
+      [&](LeaderLoss loss, bool reachable, int at) {
+        NamedRunsScenario scenario(fakes::MakePlan(kJob, 1, 1, "ms=4000"));
+        scenario.SetDraining(true);
+        scenario.leaves().life.remaining = Millis(9000);
+        scenario.Run(Millis(1000 + at));
+        scenario.old->store_faults.silent = true;
+        scenario.Run(Millis(1500));
+        scenario.LoseLeader(loss, reachable);
+        scenario.Run(kSettleTime);
+        scenario.ClearFaults();
+        scenario.Run(Millis(6000));
+        const std::string context = Context(loss, reachable, at);
+        scenario.Take(&tally, context);
         BOOST_TEST_CONTEXT(context) {
-          const auto state = trial.world.StateOf(kJob);
+          const auto state = scenario.world.StateOf(kJob);
           BOOST_TEST((state ? ToString(*state) : "not known") == "completed");
-          if (heard) {
-            BOOST_TEST(trial.world.starts(kTask) == 1);
+          if (reachable) {
+            BOOST_TEST(scenario.world.starts(kTask) == 1);
           }
         }
       },
       2000, 100);
 }
 
-// In a busy cell answers of the store are lost, so that the newer states of
-// some jobs wait, while a row goes beside them and is confirmed: in the store a
-// task has not ended, and it runs nowhere. Whoever follows does not hear the
-// worker on which it ended.
-BOOST_AUTO_TEST_CASE(NamedRun_RowOvertakesItsEnd_NotStartedAgain) {
+// In a busy cell replies of the store are lost, so that the newer states of
+// some jobs are delayed while a row of the workers' record overtakes them and
+// is confirmed: according to the store a task has not ended, and it runs
+// nowhere. The successor cannot reach the worker on which the task ended.
+BOOST_AUTO_TEST_CASE(NamedRun_RowOvertakesCompletion_NotStartedAgain) {
   constexpr int kSeeds = 600;
-  constexpr Millis kEach{40};
+  constexpr Millis kSubmitInterval{40};
   Tally tally;
   for (int seed = 1; seed <= kSeeds; ++seed) {
     CellWorld world(static_cast<uint64_t>(seed));
@@ -305,28 +312,28 @@
     WorldInstance* old = world.WaitForLeader();
     world.Run(Millis(1000));
     unsigned jobs = 0;
-    // Tasks of a job end one after the other.
-    const auto busy = [&](Millis duration) {
-      for (Millis passed{0}; passed < duration; passed += kEach) {
+    // The tasks of a job end one after the other.
+    const auto run_with_load = [&](Millis duration) {
+      for (Millis passed{0}; passed < duration; passed += kSubmitInterval) {
         char id[17];
         std::snprintf(id, sizeof(id), "%016x", ++jobs);
         const auto takes = std::to_string(100 + world.random()() % 500);
         JobPlan plan = fakes::MakePlan(id, 3, 1, "ms=" + takes);
         plan.accepted_at = world.time().millis();
         old->cell->Submit(plan, [](std::error_code, AcceptOutcome) {});
-        world.time().Run(kEach);
+        world.time().Run(kSubmitInterval);
         world.AdvanceAll();
       }
     };
-    busy(Millis(1500));
+    run_with_load(Millis(1500));
     old->store_faults.answer_lost = 0.2;
     WorldWorker& leaves = *world.workers().at("leaves");
     leaves.life.draining = seed % 3 != 0;
     leaves.listed = seed % 3 == 1;
-    busy(Millis(500 + seed * 2));
+    run_with_load(Millis(500 + seed * 2));
     CutAllFrom(world, "leaves");
     world.Kill(old->name);
-    world.Run(kAfterwards);
+    world.Run(kSettleTime);
     const std::string context = "seed " + std::to_string(seed);
     tally.Take(context, world);
     for (const std::string& rule : world.started_done()) {
@@ -335,221 +342,235 @@
   }
 }
 
-// The start is carried out and not answered, and only then the worker falls
-// silent, is drained or goes from the list: the row has to name the task.
-BOOST_AUTO_TEST_CASE(UnansweredStart_WorkerGetsNothingNew_NotStartedAgain) {
+// A start is executed but not answered, and only then the worker becomes
+// unresponsive, drains or is no longer listed: its row must name the task.
+BOOST_AUTO_TEST_CASE(UnansweredStart_WorkerClosedToNewTasks_NotStartedAgain) {
   Tally tally;
   int ran = 0;
   for (const bool drains : {true, false}) {
-    for (const bool cut : {true, false}) {
+    for (const bool partitioned : {true, false}) {
       for (int at = 100; at <= 4000; at += 100) {
-        NamedRuns trial(LastingPlan(), Millis(0), /*stays=*/false);
-        trial.old->order_answers_lost = 1;
-        trial.world.Submit(LongPlan(kLateJob, 1000));
-        ran += trial.world.starts(kLateTask);
-        if (cut) {
-          trial.old->cut_from.insert("leaves");
+        NamedRunsScenario scenario(LongRunningPlan(), Millis(0),
+                                   /*stays=*/false);
+        scenario.old->order_answers_lost = 1;
+        scenario.world.Submit(UnboundedPlan(kNewJob, 1000));
+        ran += scenario.world.starts(kNewTask);
+        if (partitioned) {
+          scenario.old->cut_from.insert("leaves");
         }
-        trial.Drain(drains);
-        trial.Run(Millis(at));
-        trial.End(Gone::kKilled, /*heard=*/false);
-        trial.AddStays();
-        trial.Run(kAfterwards);
-        trial.Take(&tally, std::string(drains ? "drains " : "") +
-                               (cut ? "cut " : "") + "gone after " +
-                               std::to_string(at));
+        scenario.SetDraining(drains);
+        scenario.Run(Millis(at));
+        scenario.LoseLeader(LeaderLoss::kKilled, /*reachable=*/false);
+        scenario.AddStays();
+        scenario.Run(kSettleTime);
+        scenario.Take(&tally, std::string(drains ? "drains " : "") +
+                                  (partitioned ? "partitioned " : "") +
+                                  "lost after " + std::to_string(at));
       }
     }
   }
   BOOST_TEST(ran > 0);
 }
 
-// The entry says again that the worker stays. New work may go there only after
-// a record that no longer names what runs there: from shortly before or after
-// the entry changes the leader's writes are not answered, and its reads are.
-BOOST_AUTO_TEST_CASE(WorkerTakenBack_RecordNotConfirmed_NothingRunsTwice) {
+// The worker's entry no longer says that it drains. New tasks may start there
+// only after a record that no longer restricts its tasks is confirmed. From
+// shortly before or after the change of the entry the leader's writes are
+// delayed and not answered; its reads are answered.
+BOOST_AUTO_TEST_CASE(DrainCancelled_RecordNotConfirmed_NothingRunsTwice) {
   Tally tally;
-  int taken_back = 0;
+  int started_after_drain = 0;
   for (const bool killed : {true, false}) {
-    for (int silent = -600; silent <= 600; silent += 25) {
-      for (int gone = 500; gone <= 2500; gone += 500) {
-        NamedRuns trial(fakes::MakePlan(kJob, 1, 1, ""), Millis(0),
-                        /*stays=*/false);
-        trial.Drain(true);
-        trial.Run(Millis(1500));
-        trial.world.Submit(LongPlan(kLateJob, 1000));
-        trial.Run(Millis(500));
-        BOOST_REQUIRE(trial.world.starts(kLateTask) == 0);
-        if (silent < 0) {
-          trial.old->store_faults.late = 1;
-          trial.Run(Millis(-silent));
-          trial.Drain(false);
+    for (int writes_delayed_after = -600; writes_delayed_after <= 600;
+         writes_delayed_after += 25) {
+      for (int lost_after = 500; lost_after <= 2500; lost_after += 500) {
+        NamedRunsScenario scenario(fakes::MakePlan(kJob, 1, 1, ""), Millis(0),
+                                   /*stays=*/false);
+        scenario.SetDraining(true);
+        scenario.Run(Millis(1500));
+        scenario.world.Submit(UnboundedPlan(kNewJob, 1000));
+        scenario.Run(Millis(500));
+        BOOST_REQUIRE(scenario.world.starts(kNewTask) == 0);
+        if (writes_delayed_after < 0) {
+          scenario.old->store_faults.late = 1;
+          scenario.Run(Millis(-writes_delayed_after));
+          scenario.SetDraining(false);
         } else {
-          trial.Drain(false);
-          trial.Run(Millis(silent));
-          trial.old->store_faults.late = 1;
+          scenario.SetDraining(false);
+          scenario.Run(Millis(writes_delayed_after));
+          scenario.old->store_faults.late = 1;
         }
-        trial.Run(Millis(gone));
-        taken_back += trial.world.starts(kLateTask);
-        trial.End(killed ? Gone::kKilled : Gone::kCutOff, /*heard=*/false);
-        trial.AddStays();
+        scenario.Run(Millis(lost_after));
+        started_after_drain += scenario.world.starts(kNewTask);
+        scenario.LoseLeader(
+            killed ? LeaderLoss::kKilled : LeaderLoss::kPartitioned,
+            /*reachable=*/false);
+        scenario.AddStays();
         if (!killed) {
-          trial.old->cut_from.insert("stays");
+          scenario.old->cut_from.insert("stays");
         }
-        trial.Run(kAfterwards);
-        trial.Take(&tally, std::string(killed ? "killed" : "cut off") +
-                               " silent after " + std::to_string(silent) +
-                               " gone after " + std::to_string(gone));
+        scenario.Run(kSettleTime);
+        scenario.Take(
+            &tally, std::string(killed ? "killed" : "network partition") +
+                        " writes delayed after " +
+                        std::to_string(writes_delayed_after) + " lost after " +
+                        std::to_string(lost_after));
       }
     }
   }
-  BOOST_TEST(taken_back > 0);
+  BOOST_TEST(started_after_drain > 0);
 }
 
-// Without faults it gets new work within a moment.
-BOOST_AUTO_TEST_CASE(WorkerTakenBack_StoreAnswers_GetsNewWorkInTime) {
-  constexpr int kMostStarts = 2;
+// Without faults the worker gets new tasks within 1 s.
+BOOST_AUTO_TEST_CASE(DrainCancelled_StoreAnswers_GetsNewTasksInTime) {
+  constexpr int kStartLimit = 2;
   for (int drained = 100; drained <= 3000; drained += 100) {
-    NamedRuns trial(fakes::MakePlan(kJob, 1, 1, ""), Millis(0),
-                    /*stays=*/false);
-    trial.Drain(true);
-    trial.Run(Millis(drained));
-    trial.world.Submit(LongPlan(kLateJob, 1000));
-    trial.Drain(false);
-    trial.Run(Millis(1000));
+    NamedRunsScenario scenario(fakes::MakePlan(kJob, 1, 1, ""), Millis(0),
+                               /*stays=*/false);
+    scenario.SetDraining(true);
+    scenario.Run(Millis(drained));
+    scenario.world.Submit(UnboundedPlan(kNewJob, 1000));
+    scenario.SetDraining(false);
+    scenario.Run(Millis(1000));
     BOOST_TEST_CONTEXT("drained for " << drained) {
-      BOOST_TEST(RunnerOf(trial.world, kLateTask) == "leaves");
-      BOOST_TEST(trial.world.starts(kLateTask) < kMostStarts);
-      BOOST_TEST(trial.world.broken().empty());
+      BOOST_TEST(RunnerOf(scenario.world, kNewTask) == "leaves");
+      BOOST_TEST(scenario.world.starts(kNewTask) < kStartLimit);
+      BOOST_TEST(scenario.world.broken().empty());
     }
   }
 }
 
-// A record that names nothing is on its way, its answer lost, when the worker
-// is about to leave; the next one, with names, follows it, and then the entry
-// says that the worker stays. What is confirmed in between must not be taken
-// for the newest.
-BOOST_AUTO_TEST_CASE(WorkerTakenBack_OlderRecordConfirmed_NothingRunsTwice) {
+// A record without task names is written, and its reply is lost, just before
+// the worker drains; the next record, with names, follows, and then the drain
+// is cancelled. A confirmation of the older record must not count as one of the
+// newest.
+BOOST_AUTO_TEST_CASE(DrainCancelled_OlderRecordConfirmed_NothingRunsTwice) {
   Tally tally;
   for (int drains = 0; drains <= 1000; drains += 100) {
-    for (int back = 50; back <= 1500; back += 50) {
-      NamedRuns trial(fakes::MakePlan(kJob, 1, 1, ""), Millis(0),
-                      /*stays=*/false);
-      trial.world.Submit(LongPlan(kLateJob, 12'000));
-      // Whatever joins is recorded, and with it the row of "leaves".
-      trial.old->store_faults.answer_lost = 1;
-      trial.world.AddWorker("joins", 500);
-      trial.Run(Millis(500));
-      trial.old->store_faults.answer_lost = 0;
-      trial.Drain(true);
-      trial.Run(Millis(drains));
-      trial.world.Submit(LongPlan("00112233aabbcc01", 1000));
-      trial.Run(Millis(back));
-      trial.old->store_faults.late = 1;
-      trial.Drain(false);
-      trial.Run(Millis(1500));
-      trial.End(Gone::kKilled, /*heard=*/false);
-      trial.AddStays();
-      trial.Run(kAfterwards);
-      trial.Take(&tally, "drains for " + std::to_string(drains) +
-                             " back after " + std::to_string(back));
+    for (int cancelled_after = 50; cancelled_after <= 1500;
+         cancelled_after += 50) {
+      NamedRunsScenario scenario(fakes::MakePlan(kJob, 1, 1, ""), Millis(0),
+                                 /*stays=*/false);
+      scenario.world.Submit(UnboundedPlan(kNewJob, 12'000));
+      // A joining worker causes a new record, which includes the row of
+      // "leaves".
+      scenario.old->store_faults.answer_lost = 1;
+      scenario.world.AddWorker("joins", 500);
+      scenario.Run(Millis(500));
+      scenario.old->store_faults.answer_lost = 0;
+      scenario.SetDraining(true);
+      scenario.Run(Millis(drains));
+      scenario.world.Submit(UnboundedPlan("00112233aabbcc01", 1000));
+      scenario.Run(Millis(cancelled_after));
+      scenario.old->store_faults.late = 1;
+      scenario.SetDraining(false);
+      scenario.Run(Millis(1500));
+      scenario.LoseLeader(LeaderLoss::kKilled, /*reachable=*/false);
+      scenario.AddStays();
+      scenario.Run(kSettleTime);
+      scenario.Take(&tally, "drains for " + std::to_string(drains) +
+                                " drain cancelled after " +
+                                std::to_string(cancelled_after));
     }
   }
 }
 
-// The same for the second leader: the row that it reads names what runs there,
-// and the entry says that the worker stays. It alone hears that worker.
-BOOST_AUTO_TEST_CASE(SecondLeader_TakesWorkerBackUnrecorded_NothingRunsTwice) {
-  constexpr Millis kFine{5};
+// The same with a second leader, which alone reaches the worker: the row that
+// it reads names the tasks there, and the entry no longer says that the worker
+// drains.
+BOOST_AUTO_TEST_CASE(DrainCancelled_SecondLeaderCannotRecord_NothingRunsTwice) {
+  constexpr Millis kFineStep{5};
   Tally tally;
-  int taken_back = 0;
+  int started_after_drain = 0;
   for (const int late : {0, 20, 60, 100, 150, 250}) {
     for (int leads = 100; leads <= 3000; leads += 100) {
-      NamedRuns trial(fakes::MakePlan(kJob, 1, 1, ""), Millis(0),
-                      /*stays=*/false);
-      trial.Drain(true);
-      trial.Run(Millis(1500));
-      trial.world.Submit(LongPlan(kLateJob, 1000));
-      BOOST_REQUIRE(trial.world.starts(kLateTask) == 0);
-      trial.End(Gone::kKilled, /*heard=*/true);
-      trial.Drain(false);
+      NamedRunsScenario scenario(fakes::MakePlan(kJob, 1, 1, ""), Millis(0),
+                                 /*stays=*/false);
+      scenario.SetDraining(true);
+      scenario.Run(Millis(1500));
+      scenario.world.Submit(UnboundedPlan(kNewJob, 1000));
+      BOOST_REQUIRE(scenario.world.starts(kNewTask) == 0);
+      scenario.LoseLeader(LeaderLoss::kKilled, /*reachable=*/true);
+      scenario.SetDraining(false);
       WorldInstance* second = nullptr;
       for (int i = 0; i < 2000 && second == nullptr; ++i) {
-        trial.world.time().Run(kFine);
-        trial.world.AdvanceAll();
-        second = trial.world.Leader();
+        scenario.world.time().Run(kFineStep);
+        scenario.world.AdvanceAll();
+        second = scenario.world.Leader();
       }
       BOOST_REQUIRE(second != nullptr);
-      trial.world.time().Run(Millis(late));
+      scenario.world.time().Run(Millis(late));
       second->store_faults.late = 1;
-      trial.Run(Millis(leads));
-      taken_back += trial.world.starts(kLateTask);
-      trial.CutFromOthers(second);
-      trial.world.Kill(second->name);
-      trial.AddStays();
-      trial.Run(kAfterwards);
-      trial.Take(&tally, "writes late after " + std::to_string(late) +
-                             " leads " + std::to_string(leads));
+      scenario.Run(Millis(leads));
+      started_after_drain += scenario.world.starts(kNewTask);
+      scenario.PartitionFromOthers(second);
+      scenario.world.Kill(second->name);
+      scenario.AddStays();
+      scenario.Run(kSettleTime);
+      scenario.Take(&tally, "writes delayed after " + std::to_string(late) +
+                                " leads " + std::to_string(leads));
     }
   }
-  BOOST_TEST(taken_back > 0);
+  BOOST_TEST(started_after_drain > 0);
 }
 
-struct ThirdRow {
-  bool second_hears;
-  bool third_hears;
+struct ReachabilityRow {
+  bool second_reaches;
+  bool third_reaches;
 };
 
-// The second leader reads the row of a worker that it hears or doesn't, and is
-// gone 0.5 to 14 s later; the third reads what the second made of it.
-BOOST_AUTO_TEST_CASE(ThirdLeader_ReadsSecondsRow_OnceAndInTime) {
+// The second leader reads the row of a worker that it can or cannot reach, and
+// is lost 0.5 to 14 s later; the third reads the row that the second wrote.
+BOOST_AUTO_TEST_CASE(ThirdLeader_ReadsRowOfSecond_RunsOnceAndInTime) {
   Tally tally;
-  // Counted over both successors, with a second for each record of the wait.
-  constexpr Millis kBoth = kUnheardAgain + Millis(4500);
-  const ThirdRow rows[] = {
+  // The bound for both successors together, with one second for each record of
+  // the wait.
+  constexpr Millis kBothSuccessorsBound = kUnreachableBound + Millis(4500);
+  const ReachabilityRow rows[] = {
       {true, true}, {true, false}, {false, true}, {false, false}};
   Millis longest{0};
-  for (const ThirdRow& row : rows) {
+  for (const ReachabilityRow& row : rows) {
     for (int at = 0; at <= 1200; at += 300) {
       for (int leads = 500; leads <= 14'000; leads += 750) {
-        NamedRuns trial(LastingPlan(), Millis(2500));
-        trial.Drain(true);
-        trial.Run(Millis(at));
-        trial.End(Gone::kKilled, row.second_hears);
+        NamedRunsScenario scenario(LongRunningPlan(), Millis(2500));
+        scenario.SetDraining(true);
+        scenario.Run(Millis(at));
+        scenario.LoseLeader(LeaderLoss::kKilled, row.second_reaches);
         WorldInstance* second = nullptr;
         for (int i = 0; i < 200 && second == nullptr; ++i) {
-          trial.Run(Millis(50));
-          second = trial.world.Leader();
+          scenario.Run(Millis(50));
+          second = scenario.world.Leader();
         }
         BOOST_REQUIRE(second != nullptr);
-        trial.Run(Millis(leads));
-        for (const auto& [name, instance] : trial.world.instances()) {
+        scenario.Run(Millis(leads));
+        for (const auto& [name, instance] : scenario.world.instances()) {
           instance->cut_from.clear();
         }
-        if (!row.third_hears) {
-          CutAllFrom(trial.world, "leaves");
+        if (!row.third_reaches) {
+          CutAllFrom(scenario.world, "leaves");
         }
-        trial.world.Kill(second->name);
-        trial.world.AddWorker("large", 16'000);
-        trial.waited = Millis(0);
-        trial.Run(kAfterwards);
-        const std::string context = "gone at " + std::to_string(at) +
-                                    " second leads " + std::to_string(leads) +
-                                    (row.second_hears ? " heard" : "") +
-                                    (row.third_hears ? " third hears" : "");
-        trial.Take(&tally, context);
-        longest = std::max(longest, trial.longest_away);
+        scenario.world.Kill(second->name);
+        scenario.world.AddWorker("large", 16'000);
+        scenario.waited = Millis(0);
+        scenario.Run(kSettleTime);
+        const std::string context =
+            "lost at " + std::to_string(at) + " second leads " +
+            std::to_string(leads) +
+            (row.second_reaches ? " second reaches" : "") +
+            (row.third_reaches ? " third reaches" : "");
+        scenario.Take(&tally, context);
+        longest = std::max(longest, scenario.longest_downtime);
         BOOST_TEST_CONTEXT(context) {
-          BOOST_TEST(trial.longest_away.count() <= kBoth.count());
-          BOOST_TEST(!RunnerOf(trial.world, kTask).empty());
+          BOOST_TEST(scenario.longest_downtime.count() <=
+                     kBothSuccessorsBound.count());
+          BOOST_TEST(!RunnerOf(scenario.world, kTask).empty());
           if (at >= 900) {
-            BOOST_TEST(trial.waited.count() <= kHeardAgain.count());
+            BOOST_TEST(scenario.waited.count() <= kReachableBound.count());
           }
         }
       }
     }
   }
-  BOOST_TEST_MESSAGE("longest away " << longest.count() << " ms");
+  BOOST_TEST_MESSAGE("longest downtime " << longest.count() << " ms");
 }
 
 }  // namespace
--- a/src/libdoorwood/cell/cell_record_claim_test.cpp
+++ b/src/libdoorwood/cell/cell_record_claim_test.cpp
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A leader's record says that nothing runs on a worker. The record is on its
-// way while the worker is dropped, because it is no longer listed, and taken in
-// again, because its entry is back. Once the record is confirmed, work is
-// started there; the leader is lost, its successor can't reach the worker,
-// believes the record, and starts the same work elsewhere.
-//
-// What showed it: a walk in which entries come and go and answers of the store
-// are lost, with a check of each start against the record that stands.
+// Guards against a task that runs twice because of a stale record. A leader
+// writes a record that says that nothing runs on a worker. Before the write is
+// confirmed the worker is dropped, because it is no longer listed, and added
+// again, because its entry is back. Once the record is confirmed, a task is
+// started there. The leader is lost; its successor cannot reach the worker,
+// relies on the record, and starts the same task elsewhere. Found by a random
+// walk that changes entries and loses replies of the store, with a check of
+// each start against the current record.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -25,25 +25,26 @@
 constexpr char kJob[] = "00112233aabbccdd";
 constexpr char kTask[] = "00112233aabbccdd.0.0.0";
 
-JobPlan Lasting(const std::string& id, int64_t cpu) {
+JobPlan LongRunningPlan(const std::string& id, int64_t cpu) {
   JobPlan plan = fakes::MakePlan(id, 1, 1, "");
   plan.steps[0].lasting = true;
   plan.steps[0].size.cpu_millis = cpu;
   return plan;
 }
 
-void RunFinely(CellWorld& world, int millis) {
+void RunInMillisecondSteps(CellWorld& world, int millis) {
   for (int i = 0; i < millis; ++i) {
     world.time().Run(Millis(1));
     world.AdvanceAll();
   }
 }
 
-// The worker's run has ended, and it is not listed; its entry comes back once
-// it is dropped. The store's answers are lost from `lost_from` on for 0.7 s;
-// then it is silent after `silent_from`. Rules that were broken; -1: nothing
-// was started there.
-int DroppedAndTakenIn(int lost_from, int silent_from) {
+// The worker's run has ended and it is not listed; its entry comes back once
+// the leader has dropped it. Replies of the store are lost for 0.7 s after
+// `lost_from` ms; the store is unresponsive `unresponsive_from` ms after that.
+// Returns the number of violated invariants, or -1 if nothing was started on
+// the worker.
+int DropAndReadmitWorker(int lost_from, int unresponsive_from) {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
   world.AddWorker("w1", 8000).model.SetStopTakes(Millis(100));
@@ -51,20 +52,20 @@
   world.AddInstance("b1", "plaka");
   world.WaitForLeader();
   world.Run(Millis(1000));
-  BOOST_REQUIRE(world.Submit(Lasting(kJob, 2000)));
+  BOOST_REQUIRE(world.Submit(LongRunningPlan(kJob, 2000)));
   world.Run(Millis(1000));
   BOOST_REQUIRE(RunnerOf(world, kTask) == "w1");
   auto* old = world.Leader();
   auto& w1 = *world.workers().at("w1");
   w1.listed = false;
-  // It is evacuated, and its run ends.
+  // The worker is evacuated, and its run ends.
   for (int i = 0; i < 6000 && RunnerOf(world, kTask) == "w1"; ++i) {
-    RunFinely(world, 1);
+    RunInMillisecondSteps(world, 1);
   }
-  RunFinely(world, lost_from);
+  RunInMillisecondSteps(world, lost_from);
   old->store_faults.answer_lost = 1.0;
   for (int i = 0; i < 700 && old->alive; i += 50) {
-    RunFinely(world, 50);
+    RunInMillisecondSteps(world, 50);
     if (world.logged("a worker is gone") > 0) {
       w1.listed = true;
     }
@@ -72,10 +73,10 @@
   old->store_faults.answer_lost = 0.0;
   const int before = w1.started;
   for (int i = 0; i < 1500; ++i) {
-    if (i == silent_from) {
+    if (i == unresponsive_from) {
       old->store_faults.silent = true;
     }
-    RunFinely(world, 1);
+    RunInMillisecondSteps(world, 1);
     if (w1.started > before) {
       world.Kill(old->name);
       CutAllFrom(world, "w1");
@@ -87,41 +88,44 @@
   return -1;
 }
 
-BOOST_AUTO_TEST_CASE(Record_WorkerDroppedAndTakenInMeanwhile_NothingRunsTwice) {
+BOOST_AUTO_TEST_CASE(
+    Record_WorkerDroppedAndReadmittedMeanwhile_NothingRunsTwice) {
   int broken = 0;
   int started = 0;
   for (int lost_from = 0; lost_from < 400; lost_from += 10) {
-    for (int silent_from = 0; silent_from < 900; silent_from += 18) {
-      const int count = DroppedAndTakenIn(lost_from, silent_from);
+    for (int unresponsive_from = 0; unresponsive_from < 900;
+         unresponsive_from += 18) {
+      const int count = DropAndReadmitWorker(lost_from, unresponsive_from);
       started += count >= 0 ? 1 : 0;
       broken += count > 0 ? 1 : 0;
     }
   }
   BOOST_TEST(started > 0);
-  BOOST_TEST(broken == 0, broken << " of " << started << " courses");
+  BOOST_TEST(broken == 0, broken << " of " << started << " cases");
 }
 
-// Of answers and orders.
-constexpr double kShare = 0.35;
+// Share of replies that are lost and of calls that are executed late.
+constexpr double kFaultShare = 0.35;
 
-// Entries that come, go, and say that a worker leaves, or no longer.
-class EntryWalk : public fakes::LastingWalk {
+// A random walk in which entries appear, disappear, and start or stop to say
+// that a worker drains.
+class EntryChangeWalk : public fakes::LastingWalk {
  public:
   using LastingWalk::LastingWalk;
 
  private:
   void Step() override {
-    const uint64_t trouble = Pick(30);
+    const uint64_t fault = Pick(30);
     auto& worker = *world_.workers().at(AWorker());
-    switch (trouble) {
+    switch (fault) {
       case 14:
-        LeaderOrOther().store_faults.late = kShare;
+        LeaderOrOther().store_faults.late = kFaultShare;
         return;
       case 15:
-        LeaderOrOther().store_faults.answer_lost = kShare;
+        LeaderOrOther().store_faults.answer_lost = kFaultShare;
         return;
       case 16:
-        LeaderOrOther().late_orders = kShare;
+        LeaderOrOther().late_orders = kFaultShare;
         return;
       case 17:
         LeaderOrOther().live->AnnounceLeaving();
@@ -147,31 +151,32 @@
         }
         return;
       default:
-        Play(trouble);
+        Play(fault);
     }
   }
 };
 
-void PlayEntryWalk(uint64_t seed, fakes::Tally* tally) {
-  EntryWalk walk(seed);
+void RunEntryChangeWalk(uint64_t seed, fakes::Tally* tally) {
+  EntryChangeWalk walk(seed);
   walk.Run(70);
   tally->Take("seed " + std::to_string(seed), walk.world());
 }
 
-BOOST_AUTO_TEST_CASE(Cells_EntriesComeAndGo_NothingRunsTwice) {
+BOOST_AUTO_TEST_CASE(Cells_EntriesChangeAtRandom_NothingRunsTwice) {
   constexpr uint64_t kSeeds = 300;
   fakes::Tally tally;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    PlayEntryWalk(seed, &tally);
+    RunEntryChangeWalk(seed, &tally);
   }
-  // Seeds that failed once.
+  // Seeds that failed in the past.
   for (const uint64_t seed : {889, 1631, 3996}) {
-    PlayEntryWalk(seed, &tally);
+    RunEntryChangeWalk(seed, &tally);
   }
 }
 
-// An older version of this program knows of no names and starts work on workers
-// whose rows it leaves as they are; then one of this version leads again.
+// An older version of this program does not know task names in the record: it
+// leaves the rows as they are and starts tasks on their workers. Then an
+// instance of the current version leads again.
 BOOST_AUTO_TEST_CASE(Row_OutlivesLeaderOfOlderVersion_NothingRunsTwice) {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
@@ -181,10 +186,10 @@
   }
   world.WaitForLeader();
   world.Run(Millis(2000));
-  BOOST_REQUIRE(world.Submit(Lasting(kJob, 1000)));
+  BOOST_REQUIRE(world.Submit(LongRunningPlan(kJob, 1000)));
   world.Run(Millis(1000));
   BOOST_REQUIRE(RunnerOf(world, kTask) == "w1");
-  // What the older one leaves: the row as it was, and a batch of its own.
+  // What the older version leaves: the unchanged row, and a batch of its own.
   StoreTransaction transaction;
   transaction.puts.push_back({WorkersKey("all"), R"([["w1","w1",0,[]]])"});
   transaction.puts.push_back({ChainKey("all", 0), R"({"sequence":1000})"});
--- a/src/libdoorwood/cell/cell_replaced_workers_test.cpp
+++ b/src/libdoorwood/cell/cell_replaced_workers_test.cpp
@@ -1,19 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Workers are replaced one by one while leaders follow each other, as planned
-// or because they are killed. Tasks that are to last, and that had to leave
-// their workers, run nowhere for 9 s and more, although there is room for them.
+// Workers are replaced one by one while leaders succeed each other, by planned
+// shutdown or because they are killed. Guards against long-running tasks that
+// run nowhere for 9 s and more although there is free capacity.
 //
-// How it comes about: a worker that leaves has ended all that ran there, by its
-// own word, and goes between two leaders. The record names it like any other.
-// The next leader hears nothing of it, so it may run anything for all that is
-// known, and holds every task of every job back until the longest promise of
-// any predecessor is over: 9.6 s here, 12.2 s where runs go on for longer.
-//
-// What showed it: "waiting for unheard workers" named two workers and 650 tasks
-// held back. On both, every run had ended and was counted by an earlier leader
-// before they went; "all earlier runs are accounted for" came after 12.2 s with
-// all_heard false, and all waiting tasks were started in that moment.
+// How it comes about: a draining worker has reported the end of all its runs
+// and disappears between two leaders, but it is still in the workers' record.
+// The next leader cannot contact it, assumes that any task may run there, and
+// holds all tasks of all jobs back until the longest lease that any predecessor
+// may have granted has expired: 9.6 s here, 12.2 s where runs continue for
+// longer. Seen as "waiting for unheard workers" with two such workers and 650
+// tasks held back, and "all earlier runs are accounted for" 12.2 s later with
+// all_heard false; all waiting tasks were started at that moment.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -30,23 +28,23 @@
 using fakes::WorldInstance;
 
 constexpr int kSeeds = 12;
-constexpr int kLastingJobs = 4;
-constexpr int kTasks = 3;
+constexpr int kLongRunningJobs = 4;
+constexpr int kTasksPerJob = 3;
 constexpr Millis kStep{50};
-constexpr Millis kReplaceEach{700};
-// How long a worker that leaves still serves.
-constexpr Millis kServesOn{4000};
-// A stop saves what was done.
-constexpr Millis kStopTakes{400};
-// Its entry goes a little later than the worker.
-constexpr Millis kEntryStays{600};
-constexpr Millis kCourse{30'000};
-// What lasts is to be at work again so long after its last run.
-constexpr Millis kLongestAway{6000};
-
-class ReplacedWorkers {
+constexpr Millis kReplacementInterval{700};
+// How long a draining worker keeps running.
+constexpr Millis kDrainTime{4000};
+// Duration of a stop, which saves the task's progress.
+constexpr Millis kStopDuration{400};
+// The worker's directory entry outlives the worker by this time.
+constexpr Millis kEntryRemovalDelay{600};
+constexpr Millis kDuration{30'000};
+// A long-running task must run again within this time after its last run.
+constexpr Millis kDowntimeBound{6000};
+
+class WorkerReplacementScenario {
  public:
-  explicit ReplacedWorkers(uint64_t seed) : world_(seed) {
+  explicit WorkerReplacementScenario(uint64_t seed) : world_(seed) {
     world_.SetTable({fakes::MakeQueue("queue", 4)});
     for (int i = 0; i < 8; ++i) {
       AddWorker();
@@ -56,113 +54,114 @@
     }
     world_.WaitForLeader();
     world_.Run(Millis(1000));
-    for (int i = 0; i < kLastingJobs; ++i) {
-      SubmitLasting();
+    for (int i = 0; i < kLongRunningJobs; ++i) {
+      SubmitLongRunningJob();
     }
     world_.Run(kStep * static_cast<int>(20 + seed));
   }
 
-  /// `change` makes another instance lead; it is called every `each`.
+  /// Calls `change`, which makes another instance lead, once every `interval`.
   template <typename Change>
-  void Run(Millis each, Change change) {
-    Millis next_replaced = kReplaceEach;
-    Millis next_change = each;
-    for (Millis now{0}; now < kCourse; now += kStep) {
+  void Run(Millis interval, Change change) {
+    Millis next_replaced = kReplacementInterval;
+    Millis next_change = interval;
+    for (Millis now{0}; now < kDuration; now += kStep) {
       if (now >= next_replaced) {
-        next_replaced += kReplaceEach;
-        ReplaceOne();
-        SubmitShort();
+        next_replaced += kReplacementInterval;
+        ReplaceOneWorker();
+        SubmitShortJob();
       }
       if (now >= next_change) {
-        next_change += each;
+        next_change += interval;
         change(world_);
       }
-      TakeAwayGone();
+      EndDrainedWorkers();
       world_.Run(kStep);
-      Observe();
+      UpdateDowntimes();
     }
   }
 
-  Millis longest_away() const { return longest_away_; }
+  Millis longest_downtime() const { return longest_downtime_; }
   const CellWorld& world() const { return world_; }
 
  private:
   void AddWorker() {
-    world_.AddWorker("w" + std::to_string(++workers_made_), 8000)
-        .model.SetStopTakes(kStopTakes);
+    world_.AddWorker("w" + std::to_string(++workers_added_), 8000)
+        .model.SetStopTakes(kStopDuration);
   }
 
   std::string NextJob() {
     char id[17];
-    std::snprintf(id, sizeof(id), "%016x", ++jobs_made_);
+    std::snprintf(id, sizeof(id), "%016x", ++jobs_submitted_);
     return id;
   }
 
-  void SubmitLasting() {
-    JobPlan plan = fakes::MakePlan(NextJob(), 1, kTasks, "");
+  void SubmitLongRunningJob() {
+    JobPlan plan = fakes::MakePlan(NextJob(), 1, kTasksPerJob, "");
     plan.steps[0].lasting = true;
     plan.steps[0].most_per_worker = 1;
     BOOST_REQUIRE(world_.Submit(plan));
-    for (int index = 0; index < kTasks; ++index) {
-      away_[plan.id + ".0.0." + std::to_string(index)] = Millis(0);
+    for (int index = 0; index < kTasksPerJob; ++index) {
+      downtimes_[plan.id + ".0.0." + std::to_string(index)] = Millis(0);
     }
   }
 
-  void SubmitShort() {
+  void SubmitShortJob() {
     if (world_.Leader() != nullptr) {
       world_.Submit(fakes::MakePlan(NextJob(), 1, 4, "ms=2500"));
     }
   }
 
-  void ReplaceOne() {
+  void ReplaceOneWorker() {
     AddWorker();
-    const std::string leaves = "w" + std::to_string(++workers_left_);
-    world_.workers().at(leaves)->life.draining = true;
-    gone_at_[leaves] = world_.time().now() + kServesOn;
+    const std::string draining_worker =
+        "w" + std::to_string(++workers_drained_);
+    world_.workers().at(draining_worker)->life.draining = true;
+    ends_at_[draining_worker] = world_.time().now() + kDrainTime;
   }
 
-  void TakeAwayGone() {
+  void EndDrainedWorkers() {
     const Instant now = world_.time().now();
-    for (auto it = gone_at_.begin(); it != gone_at_.end();) {
+    for (auto it = ends_at_.begin(); it != ends_at_.end();) {
       auto& worker = *world_.workers().at(it->first);
       if (worker.up && now >= it->second) {
         world_.TakeAway(it->first);
         worker.listed = true;
       }
-      if (now >= it->second + kEntryStays) {
+      if (now >= it->second + kEntryRemovalDelay) {
         worker.listed = false;
-        it = gone_at_.erase(it);
+        it = ends_at_.erase(it);
       } else {
         ++it;
       }
     }
   }
 
-  void Observe() {
-    for (auto& [task, away] : away_) {
+  void UpdateDowntimes() {
+    for (auto& [task, downtime] : downtimes_) {
       const bool runs = !fakes::RunnerOf(world_, task).empty();
-      away = runs ? Millis(0) : away + kStep;
-      longest_away_ = std::max(longest_away_, away);
+      downtime = runs ? Millis(0) : downtime + kStep;
+      longest_downtime_ = std::max(longest_downtime_, downtime);
     }
   }
 
   CellWorld world_;
-  /// For how long each lasting task runs nowhere.
-  std::map<std::string, Millis> away_;
-  Millis longest_away_{0};
-  std::map<std::string, Instant> gone_at_;
-  unsigned jobs_made_ = 0;
-  int workers_made_ = 0;
-  int workers_left_ = 0;
+  /// How long each long-running task has run nowhere.
+  std::map<std::string, Millis> downtimes_;
+  Millis longest_downtime_{0};
+  std::map<std::string, Instant> ends_at_;
+  unsigned jobs_submitted_ = 0;
+  int workers_added_ = 0;
+  int workers_drained_ = 0;
 };
 
-void Replace(CellWorld& world, WorldInstance* leader) {
-  static int made = 0;
+void ReplaceInstance(CellWorld& world, WorldInstance* leader) {
+  static int added = 0;
   world.Kill(leader->name);
-  world.AddInstance("n" + std::to_string(++made), "plaka");
+  world.AddInstance("n" + std::to_string(++added), "plaka");
 }
 
-void StopLeader(CellWorld& world) {
+void ShutDownLeader(CellWorld& world) {
   WorldInstance* leader = world.Leader();
   if (leader == nullptr) {
     return;
@@ -170,38 +169,38 @@
   leader->live->AnnounceLeaving();
   leader->cell->Leave([] {});
   world.Run(Millis(600));
-  Replace(world, leader);
+  ReplaceInstance(world, leader);
 }
 
 void KillLeader(CellWorld& world) {
   WorldInstance* leader = world.Leader();
   if (leader != nullptr) {
-    Replace(world, leader);
+    ReplaceInstance(world, leader);
   }
 }
 
 template <typename Change>
-void Play(Millis each, Change change) {
+void RunAllSeeds(Millis interval, Change change) {
   for (int seed = 1; seed <= kSeeds; ++seed) {
-    ReplacedWorkers course(static_cast<uint64_t>(seed));
-    course.Run(each, change);
+    WorkerReplacementScenario scenario(static_cast<uint64_t>(seed));
+    scenario.Run(interval, change);
     BOOST_TEST_CONTEXT("seed " << seed << ", leaders change every "
-                               << each.count() << " ms") {
-      BOOST_TEST(course.longest_away().count() <= kLongestAway.count());
-      BOOST_TEST(course.world().broken().empty());
+                               << interval.count() << " ms") {
+      BOOST_TEST(scenario.longest_downtime().count() <= kDowntimeBound.count());
+      BOOST_TEST(scenario.world().broken().empty());
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(LastingWork_LeadersStoppedInTurn_IsAtWorkAgainInTime) {
-  for (const int each : {2000, 3100, 5300, 9700}) {
-    Play(Millis(each), StopLeader);
+BOOST_AUTO_TEST_CASE(LongRunningTasks_LeadersShutDownInTurn_RestartInTime) {
+  for (const int interval : {2000, 3100, 5300, 9700}) {
+    RunAllSeeds(Millis(interval), ShutDownLeader);
   }
 }
 
-BOOST_AUTO_TEST_CASE(LastingWork_LeadersKilledInTurn_IsAtWorkAgainInTime) {
-  for (const int each : {3300, 5300, 7900, 11'900}) {
-    Play(Millis(each), KillLeader);
+BOOST_AUTO_TEST_CASE(LongRunningTasks_LeadersKilledInTurn_RestartInTime) {
+  for (const int interval : {3300, 5300, 7900, 11'900}) {
+    RunAllSeeds(Millis(interval), KillLeader);
   }
 }
 
--- a/src/libdoorwood/cell/cell_replacing_walk_test.cpp
+++ b/src/libdoorwood/cell/cell_replacing_walk_test.cpp
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The walk of cell_returning_walk_test with workers that are replaced: one
-// joins, another says that it leaves or does not, serves on, and goes; its
-// entry goes later. Leaders follow each other, planned or not, some twice at
-// once, and stops of tasks take a while. Beside tasks that last there are short
-// ones, so that also a task that is done and started again is seen.
+// The random walk of cell_returning_walk_test with replacement of workers: one
+// joins; another announces that it drains or does not, keeps running for a
+// while, and ends; its entry is removed later. Leaders succeed each other by
+// planned shutdown or not, sometimes twice in a row, and stops of tasks take
+// time. Short tasks beside the long-running ones reveal a completed task that
+// is started again.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -19,10 +20,10 @@
 
 constexpr int kSeeds = 400;
 constexpr int kSteps = 70;
-// Of answers that are lost, and of what is done late.
-constexpr double kShare = 0.35;
-constexpr unsigned kMostShortJobs = 40;
-constexpr unsigned kMostLongJobs = 12;
+// Share of replies that are lost, and of calls that are executed late.
+constexpr double kFaultShare = 0.35;
+constexpr unsigned kShortJobLimit = 40;
+constexpr unsigned kLongJobLimit = 12;
 
 class ReplacingWalk : public fakes::LastingWalk {
  public:
@@ -36,54 +37,54 @@
 
  private:
   void Step() override {
-    const uint64_t trouble = Pick(36);
-    switch (trouble) {
+    const uint64_t fault = Pick(36);
+    switch (fault) {
       case 14:
       case 15:
       case 16:
       case 17:
-        return ReplaceOne();
+        return ReplaceOneWorker();
       case 18:
-        return StopLeader();
+        return ShutDownLeader();
       case 19:
         return KillLeader();
       case 20:
-        StopLeader();
+        ShutDownLeader();
         world_.Run(Between(300, 3500));
         return KillLeader();
       case 21:
-        LeaderOrOther().store_faults.late = kShare;
+        LeaderOrOther().store_faults.late = kFaultShare;
         return;
       case 22:
-        LeaderOrOther().store_faults.answer_lost = kShare;
+        LeaderOrOther().store_faults.answer_lost = kFaultShare;
         return;
       case 23:
-        LeaderOrOther().late_orders = kShare;
+        LeaderOrOther().late_orders = kFaultShare;
         LeaderOrOther().orders_late_by = Between(300, 6000);
         return;
       case 24:
-        LeaderOrOther().order_answers_lost = kShare;
+        LeaderOrOther().order_answers_lost = kFaultShare;
         return;
       case 25:
-        return TurnBack();
+        return ChangeEntryTemporarily();
       case 26:
-        return CutServing();
+        return PartitionServingWorker();
       case 27:
       case 28:
       case 29:
       case 30:
         return SubmitShort();
       case 32:
-        return TakeBackAndGo();
+        return CancelDrainAndKillLeader();
       case 33:
-        return StartUnansweredAndGo();
+        return LoseStartRepliesAndKillLeader();
       case 31:
         for (const auto& [name, instance] : world_.instances()) {
           instance->order_answers_lost = 0;
         }
         return;
       default:
-        Play(trouble);
+        Play(fault);
     }
   }
 
@@ -92,8 +93,8 @@
                               Pick(static_cast<uint64_t>(most - least))));
   }
 
-  /// One of those that have not gone.
-  std::string AServingWorker() {
+  /// A random worker among those that are up.
+  std::string PickServingWorker() {
     std::vector<std::string> serving;
     for (const auto& [id, worker] : world_.workers()) {
       if (worker->up) {
@@ -103,41 +104,41 @@
     return serving[Pick(serving.size())];
   }
 
-  void ReplaceOne() {
+  void ReplaceOneWorker() {
     ++replaced_;
-    const std::string leaves = AServingWorker();
-    auto& joins = world_.AddWorker("r" + std::to_string(replaced_), 4000);
-    joins.model.SetStopTakes(Between(0, 3000));
-    auto& worker = *world_.workers().at(leaves);
+    const std::string leaving = PickServingWorker();
+    auto& joining = world_.AddWorker("r" + std::to_string(replaced_), 4000);
+    joining.model.SetStopTakes(Between(0, 3000));
+    auto& worker = *world_.workers().at(leaving);
     const Instant now = world_.time().now();
-    const Instant gone = now + Between(200, 8000);
-    const Instant unlisted = gone + Between(0, 2500);
+    const Instant ends_at = now + Between(200, 8000);
+    const Instant unlisted_at = ends_at + Between(0, 2500);
     if (Pick(3) == 0) {
-      // Without a word: its entry goes first, if at all.
+      // Unannounced: at most its entry is removed before it ends.
       worker.listed = Pick(2) == 0;
     } else {
       worker.life.draining = true;
       worker.life.remaining = Between(0, 6000);
     }
-    world_.time().At(gone, [this, leaves] {
-      const auto found = world_.workers().find(leaves);
+    world_.time().At(ends_at, [this, leaving] {
+      const auto found = world_.workers().find(leaving);
       if (found != world_.workers().end()) {
         const bool listed = found->second->listed;
-        world_.TakeAway(leaves);
+        world_.TakeAway(leaving);
         found->second->listed = listed;
       }
     });
-    world_.time().At(unlisted, [this, leaves] {
-      const auto found = world_.workers().find(leaves);
+    world_.time().At(unlisted_at, [this, leaving] {
+      const auto found = world_.workers().find(leaving);
       if (found != world_.workers().end()) {
         found->second->listed = false;
       }
     });
   }
 
-  // An entry says for a while that its worker leaves, or is away.
-  void TurnBack() {
-    const std::string id = AServingWorker();
+  // Marks a worker as draining, or removes its entry, for a while.
+  void ChangeEntryTemporarily() {
+    const std::string id = PickServingWorker();
     auto& worker = *world_.workers().at(id);
     if (worker.life.draining || !worker.listed) {
       return;
@@ -154,16 +155,16 @@
     });
   }
 
-  // A worker that was about to leave gets new work while the leader's writes
-  // are not answered; then the leader goes, and nobody else reaches that
+  // The drain of a worker is cancelled while the leader's writes are not
+  // answered; then the leader is lost, and no other instance reaches that
   // worker.
-  void TakeBackAndGo() {
+  void CancelDrainAndKillLeader() {
     auto* leader = world_.Leader();
-    const std::string id = AServingWorker();
+    const std::string id = PickServingWorker();
     if (leader == nullptr || world_.workers().at(id)->life.draining) {
       return;
     }
-    CutOthersFrom(id, leader);
+    PartitionOthersFrom(id, leader);
     world_.workers().at(id)->life.draining = true;
     world_.Run(Between(100, 2500));
     if (Pick(2) == 0) {
@@ -181,15 +182,15 @@
     KillLeader();
   }
 
-  // Starts are carried out, but the leader never hears so; then it goes, and
-  // nobody else reaches the worker.
-  void StartUnansweredAndGo() {
+  // Starts are executed, but the leader gets no reply; then it is lost, and no
+  // other instance reaches the worker.
+  void LoseStartRepliesAndKillLeader() {
     auto* leader = world_.Leader();
     if (leader == nullptr) {
       return;
     }
-    const std::string id = AServingWorker();
-    CutOthersFrom(id, leader);
+    const std::string id = PickServingWorker();
+    PartitionOthersFrom(id, leader);
     leader->order_answers_lost = 1;
     SubmitLong();
     leader->cut_from.insert(id);
@@ -197,9 +198,9 @@
     KillLeader();
   }
 
-  // Goes on for longer than a leader's successor waits.
+  // Submits a job that runs for longer than a leader's successor waits.
   void SubmitLong() {
-    if (long_jobs_ == kMostLongJobs) {
+    if (long_jobs_ == kLongJobLimit) {
       return;
     }
     char id[17];
@@ -210,20 +211,21 @@
     world_.Submit(plan);
   }
 
-  void CutOthersFrom(const std::string& id, const WorldInstance* keeps) {
+  void PartitionOthersFrom(const std::string& id,
+                           const WorldInstance* reaches) {
     for (const auto& [name, instance] : world_.instances()) {
-      if (instance != keeps) {
+      if (instance != reaches) {
         instance->cut_from.insert(id);
       }
     }
   }
 
-  // None but the leader, or none at all, reaches it.
-  void CutServing() {
-    const std::string worker = AServingWorker();
-    const WorldInstance* keeps = Pick(3) == 0 ? nullptr : world_.Leader();
+  // Only the leader, or no instance at all, reaches a worker that is up.
+  void PartitionServingWorker() {
+    const std::string worker = PickServingWorker();
+    const WorldInstance* reaches = Pick(3) == 0 ? nullptr : world_.Leader();
     for (const auto& [name, instance] : world_.instances()) {
-      if (instance == keeps) {
+      if (instance == reaches) {
         instance->cut_from.erase(worker);
       } else {
         instance->cut_from.insert(worker);
@@ -231,8 +233,8 @@
     }
   }
 
-  // The next one reaches whom the last one reached.
-  void Succeed(fakes::WorldInstance* before) {
+  // Replaces an instance by one that reaches the same workers.
+  void ReplaceInstance(fakes::WorldInstance* before) {
     const std::string name = before->name;
     const auto cut_from = before->cut_from;
     world_.Kill(name);
@@ -242,7 +244,7 @@
         cut_from;
   }
 
-  void StopLeader() {
+  void ShutDownLeader() {
     auto* leader = world_.Leader();
     if (leader == nullptr) {
       return;
@@ -250,18 +252,18 @@
     leader->live->AnnounceLeaving();
     leader->cell->Leave([] {});
     world_.Run(Between(50, 1200));
-    Succeed(leader);
+    ReplaceInstance(leader);
   }
 
   void KillLeader() {
     auto* leader = world_.Leader();
     if (leader != nullptr) {
-      Succeed(leader);
+      ReplaceInstance(leader);
     }
   }
 
   void SubmitShort() {
-    if (short_jobs_ == kMostShortJobs) {
+    if (short_jobs_ == kShortJobLimit) {
       return;
     }
     char id[17];
@@ -279,13 +281,13 @@
   unsigned long_jobs_ = 0;
 };
 
-BOOST_AUTO_TEST_CASE(Cells_WorkersReplacedAmongTroubles_NothingRunsTwice) {
-  const char* only = std::getenv("DOORWOOD_SEED");
-  const int first = only == nullptr ? 1 : std::atoi(only);
-  const char* until = std::getenv("DOORWOOD_SEEDS_TO");
-  const int last = until != nullptr  ? std::atoi(until)
-                   : only == nullptr ? kSeeds
-                                     : first;
+BOOST_AUTO_TEST_CASE(Cells_WorkersReplacedWithRandomFaults_NothingRunsTwice) {
+  const char* only_seed = std::getenv("DOORWOOD_SEED");
+  const int first = only_seed == nullptr ? 1 : std::atoi(only_seed);
+  const char* last_seed = std::getenv("DOORWOOD_SEEDS_TO");
+  const int last = last_seed != nullptr   ? std::atoi(last_seed)
+                   : only_seed == nullptr ? kSeeds
+                                          : first;
   fakes::Tally tally;
   int started_done = 0;
   for (int seed = first; seed <= last; ++seed) {
--- a/src/libdoorwood/cell/cell_restarted_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_restarted_leader_test.cpp
@@ -1,15 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The store refuses an instance until its key is gone. Meanwhile the leader's
-// process is started again and leads again: it has never known that instance.
-// Then the store serves that instance alone, and refuses the leader and all
-// that it knows. They tell the leader so, which takes it for an outage for all
-// and goes on prolonging; the other instance leads, waits for longer than any
-// lease that it must reckon with, and starts what the old leader still runs.
-//
-// What showed it: in cell_returning_walk_test, seed 927, the old leader was
-// started again at 1076.9 s, asked one instance out of six, and prolonged until
-// 1090.9 s; the others led from 1082.5 s. All in virtual time.
+// Guards against a restarted leader that takes a partial outage of the store
+// for an outage for all instances. The store refuses an instance until the
+// instance's key has expired. Meanwhile the leader's process restarts and leads
+// again without ever having known that instance. Then the store serves only
+// that instance. All instances that the leader knows report that the store
+// refuses them, so the leader assumes an outage for all and keeps extending
+// leases. The other instance becomes leader, waits for longer than any lease
+// that it must expect, and starts tasks that the old leader still runs. Found
+// in cell_returning_walk_test, seed 927: the old leader restarted at 1076.9 s,
+// asked one instance out of six, and extended leases until 1090.9 s; another
+// instance led from 1082.5 s. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -23,60 +24,63 @@
 using fakes::Tally;
 using fakes::WorldInstance;
 
-constexpr Millis kAfterwards{20'000};
-// Until the killed leader's key is gone and its successor has read the records.
+constexpr Millis kSettleTime{20'000};
+// Until the killed leader's key has expired and its successor has read the
+// records.
 constexpr Millis kLeadsAgain{4000};
-constexpr double kStrongest = 4.0;
+constexpr double kHighestCpuShare = 4.0;
 
-// The leader's process is killed and started again under its name, reached by
-// whom it was reached, on a machine that is the first to lead.
-void RestartLeader(LeadTrial* trial) {
-  const std::string name = trial->old->name;
-  const auto cut_from = trial->old->cut_from;
-  trial->world.Kill(name);
-  WorldInstance& again =
-      trial->world.AddInstance(name, LeadTrial::CentreOf(name), kStrongest);
-  again.cut_from = cut_from;
-  trial->old = &again;
+// Kills the leader's process and restarts it under the same name, with the same
+// partitions from workers, and with the CPU share that makes it the preferred
+// leader.
+void RestartLeader(LeadTrial* scenario) {
+  const std::string name = scenario->old->name;
+  const auto cut_from = scenario->old->cut_from;
+  scenario->world.Kill(name);
+  WorldInstance& restarted = scenario->world.AddInstance(
+      name, LeadTrial::CentreOf(name), kHighestCpuShare);
+  restarted.cut_from = cut_from;
+  scenario->old = &restarted;
 }
 
-BOOST_AUTO_TEST_CASE(RestartedLeader_OneItNeverKnewIsServed_NothingRunsTwice) {
+BOOST_AUTO_TEST_CASE(
+    RestartedLeader_StoreServesUnknownInstance_NothingRunsTwice) {
   Tally tally;
   int led_again = 0;
-  for (int away = 2500; away <= 6000; away += 250) {
-    LeadTrial trial;
-    BOOST_REQUIRE(trial.old->name == "b1");
-    trial.PartWorkers(true);
-    auto& world = trial.world;
+  for (int refused_ms = 2500; refused_ms <= 6000; refused_ms += 250) {
+    LeadTrial scenario;
+    BOOST_REQUIRE(scenario.old->name == "b1");
+    scenario.PartWorkers(true);
+    auto& world = scenario.world;
     world.instances().at("a1")->store_faults.down = true;
-    world.Run(Millis(away));
-    RestartLeader(&trial);
-    trial.old->cut_from_instances.insert("a1");
+    world.Run(Millis(refused_ms));
+    RestartLeader(&scenario);
+    scenario.old->cut_from_instances.insert("a1");
     world.Run(kLeadsAgain);
-    led_again += world.Leader() == trial.old ? 1 : 0;
+    led_again += world.Leader() == scenario.old ? 1 : 0;
     world.instances().at("a1")->store_faults.down = false;
     for (const char* name : {"b1", "c1"}) {
       world.instances().at(name)->store_faults.down = true;
     }
-    world.Run(kAfterwards);
-    tally.Take("away for " + std::to_string(away), world);
+    world.Run(kSettleTime);
+    tally.Take("store refuses a1 for " + std::to_string(refused_ms), world);
   }
   BOOST_TEST(led_again > 0);
 }
 
-// An outage for all of a store that everybody knows to be away: the restarted
-// leader still goes on, for those that are there say so and nobody else is
+// An outage of the store for all instances: the restarted leader keeps
+// extending leases, because all known instances confirm the outage and none is
 // missing.
-BOOST_AUTO_TEST_CASE(RestartedLeader_StoreIsAwayForAll_NothingLapses) {
-  LeadTrial trial;
-  auto& world = trial.world;
-  RestartLeader(&trial);
+BOOST_AUTO_TEST_CASE(RestartedLeader_StoreIsDownForAll_NoLeaseExpires) {
+  LeadTrial scenario;
+  auto& world = scenario.world;
+  RestartLeader(&scenario);
   world.Run(kLeadsAgain);
-  BOOST_REQUIRE(world.Leader() == trial.old);
+  BOOST_REQUIRE(world.Leader() == scenario.old);
   for (const auto& [name, instance] : world.instances()) {
     instance->store_faults.down = true;
   }
-  world.Run(kAfterwards);
+  world.Run(kSettleTime);
   BOOST_TEST(world.workers().at("old_only")->model.running() == 2U);
   BOOST_TEST(world.workers().at("both")->model.running() == 2U);
   for (const std::string& rule : world.broken()) {
@@ -84,27 +88,27 @@
   }
 }
 
-// One that is gone for good is forgotten after a minute, also by those that
-// start later; until then it may be the one that the store serves.
-BOOST_AUTO_TEST_CASE(
-    RestartedLeader_AnotherIsGoneForGood_IsForgottenInAMinute) {
-  for (const bool early : {true, false}) {
-    BOOST_TEST_CONTEXT((early ? "at once" : "after a minute")) {
-      LeadTrial trial;
-      auto& world = trial.world;
+// An instance that is gone for good is forgotten after a minute, also by
+// instances that start later. Until then it may be one that the store serves.
+BOOST_AUTO_TEST_CASE(RestartedLeader_AnotherIsGone_IsForgottenInAMinute) {
+  for (const bool within_a_minute : {true, false}) {
+    BOOST_TEST_CONTEXT((within_a_minute ? "at once" : "after a minute")) {
+      LeadTrial scenario;
+      auto& world = scenario.world;
       world.Kill("c1");
-      world.Run(early ? Millis(5000) : Millis(65'000));
-      RestartLeader(&trial);
+      world.Run(within_a_minute ? Millis(5000) : Millis(65'000));
+      RestartLeader(&scenario);
       world.Run(kLeadsAgain);
-      BOOST_REQUIRE(world.Leader() == trial.old);
+      BOOST_REQUIRE(world.Leader() == scenario.old);
       for (const auto& [name, instance] : world.instances()) {
         instance->store_faults.down = true;
       }
-      world.Run(kAfterwards);
-      const size_t kept = early ? 0U : 2U;
-      BOOST_TEST(world.workers().at("old_only")->model.running() == kept);
+      world.Run(kSettleTime);
+      const size_t expected_runs = within_a_minute ? 0U : 2U;
+      BOOST_TEST(world.workers().at("old_only")->model.running() ==
+                 expected_runs);
       BOOST_TEST(world.logged("an instance is gone for good") ==
-                 (early ? 0 : 1));
+                 (within_a_minute ? 0 : 1));
     }
   }
 }
--- a/src/libdoorwood/cell/cell_returning_walk_test.cpp
+++ b/src/libdoorwood/cell/cell_returning_walk_test.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The walk of cell_lasting_walk_test with more troubles: answers of the store
-// are lost, or it does what it was asked seconds later; workers carry orders
-// out seconds later; instances say that they leave, end, and come back under
-// their names. Only what runs twice is checked here.
+// The random walk of cell_lasting_walk_test with more faults: replies of the
+// store are lost, or writes are executed seconds later; workers execute orders
+// seconds later; instances announce a planned shutdown, end, and restart under
+// their names. Checks only that no task runs twice.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -16,8 +16,8 @@
 
 constexpr int kSeeds = 1000;
 constexpr int kSteps = 70;
-// Of answers that are lost, and of what is done late.
-constexpr double kShare = 0.35;
+// Share of replies that are lost, and of calls that are executed late.
+constexpr double kFaultShare = 0.35;
 
 class ReturningWalk : public fakes::LastingWalk {
  public:
@@ -25,30 +25,30 @@
 
  private:
   void Step() override {
-    const uint64_t trouble = Pick(22);
-    switch (trouble) {
+    const uint64_t fault = Pick(22);
+    switch (fault) {
       case 14:
-        LeaderOrOther().store_faults.late = kShare;
+        LeaderOrOther().store_faults.late = kFaultShare;
         return;
       case 15:
-        LeaderOrOther().store_faults.answer_lost = kShare;
+        LeaderOrOther().store_faults.answer_lost = kFaultShare;
         return;
       case 16:
-        LeaderOrOther().late_orders = kShare;
+        LeaderOrOther().late_orders = kFaultShare;
         return;
       case 17:
         LeaderOrOther().live->AnnounceLeaving();
         return;
       case 18:
       case 19:
-        return RestartOne();
+        return RestartInstance();
       default:
-        Play(trouble);
+        Play(fault);
     }
   }
 
-  // Under its name, and reached by whom it was reached.
-  void RestartOne() {
+  // Restarts an instance under its name, with the same partitions.
+  void RestartInstance() {
     auto& before = LeaderOrOther();
     const std::string name = before.name;
     const auto cut_from = before.cut_from;
@@ -60,10 +60,10 @@
   }
 };
 
-BOOST_AUTO_TEST_CASE(Cells_LostAndLateAnswersAndReturns_NothingRunsTwice) {
-  const char* only = std::getenv("DOORWOOD_SEED");
-  const int first = only == nullptr ? 1 : std::atoi(only);
-  const int last = only == nullptr ? kSeeds : first;
+BOOST_AUTO_TEST_CASE(Cells_LostAndLateRepliesAndRestarts_NothingRunsTwice) {
+  const char* only_seed = std::getenv("DOORWOOD_SEED");
+  const int first = only_seed == nullptr ? 1 : std::atoi(only_seed);
+  const int last = only_seed == nullptr ? kSeeds : first;
   fakes::Tally tally;
   for (int seed = first; seed <= last; ++seed) {
     ReturningWalk walk(static_cast<uint64_t>(seed));
--- a/src/libdoorwood/cell/cell_silent_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_silent_takeover_test.cpp
@@ -1,15 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A worker crashes for good, and 5 s later the leader is lost. Its successor
-// cannot know when the worker was last promised anything, so it waits for a
-// whole lease and more once again, and the worker's lasting tasks, for which
-// there is room, run nowhere for up to 20 s. The leader that was lost had known
-// for how long the worker was silent, and recorded such a wait only for workers
-// that it had itself never heard.
-//
-// What showed it: a played day with workers lost at 9.8 s and the leader at
-// 16.4 s: "records read" at 18.4 s with the lost workers among them, and no
-// "all earlier runs are accounted for" until 30 s.
+// Guards against a successor that repeats a whole wait for a worker that was
+// already unresponsive to its predecessor. A worker crashes for good, and 5 s
+// later the leader is lost. If that leader records the wait only for workers
+// that it never contacted, its successor does not know when the worker's lease
+// was last extended, and waits for a full lease and more. Long-running tasks
+// then run nowhere for up to 20 s although there is free capacity. Seen with
+// workers lost at 9.8 s and the leader at 16.4 s: "records read" at 18.4 s
+// listed the lost workers, and "all earlier runs are accounted for" came only
+// at 30 s.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -24,46 +23,46 @@
 
 using fakes::CutLeaderFixture;
 
-// What a successor must wait for since the last promise
-// (docs/design/silence.md: a run lease at the slowest clock, 3 s, 0.5 s), then
-// the time in which nobody leads (2.5 s, docs/OPERATIONS.md), and one interval
-// of recording (1 s).
-constexpr Millis kLongestWait{6123 + 3000 + 500 + 2500 + 1000};
-// After the loss of a leader that has recorded 4 s without a promise: the rest
-// of the lease, the slack of 0.5 s, and the time in which nobody leads.
-constexpr Millis kWaitForLease{6123 - 4000 + 500 + 2500};
+// A successor's wait since the last lease extension (docs/design/silence.md: a
+// run lease at the slowest clock, 3 s, 0.5 s), the time without a leader
+// (2.5 s, docs/OPERATIONS.md), and one interval between records (1 s).
+constexpr Millis kDowntimeBound{6123 + 3000 + 500 + 2500 + 1000};
+// After the loss of a leader that has recorded 4 s without a lease extension:
+// the rest of the lease, the margin of 0.5 s, and the time without a leader.
+constexpr Millis kLeaseWaitBound{6123 - 4000 + 500 + 2500};
 
-struct SilentTakeover : CutLeaderFixture {
+struct UnresponsiveTakeover : CutLeaderFixture {
   using CutLeaderFixture::CutLeaderFixture;
 
-  void LoseShared() {
+  void PartitionShared() {
     for (const auto& [name, instance] : world.instances()) {
       instance->cut_from.insert("shared");
     }
   }
-  /// One small job after the other for that long, so that starts go to
-  /// whichever worker seems well.
+  /// Submits one small job after the other for that time, so that tasks are
+  /// started on each worker that seems healthy.
   void RunWithStarts(Millis duration) {
-    constexpr Millis kPause{50};
+    constexpr Millis kSubmitInterval{50};
     const Instant until = world.time().now() + duration;
-    while (world.time().now() + kPause < until) {
+    while (world.time().now() + kSubmitInterval < until) {
       char id[17];
       std::snprintf(id, sizeof(id), "%016x", ++jobs_made_);
       world.Submit(fakes::MakePlan(id, 1, 2, "ms=300"));
-      world.Run(kPause);
+      world.Run(kSubmitInterval);
     }
     if (world.time().now() < until) {
       world.Run(std::chrono::duration_cast<Millis>(until - world.time().now()));
     }
   }
-  /// Until both tasks run at "near"; the worker's own runs end meanwhile.
-  Millis TimeUntilBack(Instant since) {
+  /// Time from `since` until both tasks run on "near". The runs on "shared" end
+  /// in the meantime.
+  Millis TimeUntilRestarted(Instant since) {
     const auto& near = world.workers().at("near")->model;
-    const auto back = [&] {
+    const auto restarted = [&] {
       return near.Runs(fakes::kLastingJob + std::string(".0.0.0")) &&
              near.Runs(fakes::kLastingJob + std::string(".0.0.1"));
     };
-    for (int i = 0; i < 600 && !back(); ++i) {
+    for (int i = 0; i < 600 && !restarted(); ++i) {
       world.Run(Millis(50));
     }
     return std::chrono::duration_cast<Millis>(world.time().now() - since);
@@ -73,141 +72,157 @@
   unsigned jobs_made_ = 0;
 };
 
-BOOST_AUTO_TEST_CASE(Successor_WorkerWasSilentBefore_WaitIsNotServedAgain) {
-  for (int silent = 4500; silent <= 6000; silent += 250) {
-    SilentTakeover trial;
-    trial.LoseShared();
-    const Instant since = trial.world.time().now();
-    trial.world.Run(Millis(silent));
-    trial.world.Kill(trial.old->name);
-    const Millis away = trial.TimeUntilBack(since);
-    BOOST_TEST(away.count() <= kLongestWait.count(),
-               "silent for " << silent << " ms: " << away.count());
-    trial.ExpectNothingBroken("silent for " + std::to_string(silent));
+BOOST_AUTO_TEST_CASE(Successor_WorkerWasUnresponsiveBefore_WaitIsNotRepeated) {
+  for (int unresponsive_ms = 4500; unresponsive_ms <= 6000;
+       unresponsive_ms += 250) {
+    UnresponsiveTakeover scenario;
+    scenario.PartitionShared();
+    const Instant since = scenario.world.time().now();
+    scenario.world.Run(Millis(unresponsive_ms));
+    scenario.world.Kill(scenario.old->name);
+    const Millis downtime = scenario.TimeUntilRestarted(since);
+    BOOST_TEST(
+        downtime.count() <= kDowntimeBound.count(),
+        "unresponsive for " << unresponsive_ms << " ms: " << downtime.count());
+    scenario.ExpectNothingBroken("unresponsive for " +
+                                 std::to_string(unresponsive_ms));
   }
 }
 
-// Starts go on to the worker until its looks fail, and each is a promise. Once
-// the leader has promised nothing there for 4 s it has recorded that, and its
-// successor waits for the rest of the lease only, not for a predecessor that
-// might go on ordering as well.
-BOOST_AUTO_TEST_CASE(Successor_StartsWentToALostWorker_WaitsForTheLeaseOnly) {
+// Tasks are started on the worker until its status calls fail, and each start
+// extends a lease. Once the leader has extended none there for 4 s it has
+// recorded that, and its successor waits only for the rest of the lease, not
+// for a predecessor that might still send orders.
+BOOST_AUTO_TEST_CASE(Successor_StartsWentToLostWorker_WaitsForLeaseOnly) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
-    for (int silent = 5500; silent <= 6500; silent += 250) {
-      SilentTakeover trial(seed);
-      trial.RunWithStarts(Millis(1000));
-      trial.LoseShared();
-      trial.RunWithStarts(Millis(silent));
-      const Instant lost = trial.world.time().now();
-      trial.world.Kill(trial.old->name);
-      const Millis wait = trial.TimeUntilBack(lost);
+    for (int unresponsive_ms = 5500; unresponsive_ms <= 6500;
+         unresponsive_ms += 250) {
+      UnresponsiveTakeover scenario(seed);
+      scenario.RunWithStarts(Millis(1000));
+      scenario.PartitionShared();
+      scenario.RunWithStarts(Millis(unresponsive_ms));
+      const Instant lost = scenario.world.time().now();
+      scenario.world.Kill(scenario.old->name);
+      const Millis wait = scenario.TimeUntilRestarted(lost);
       const std::string context = "seed " + std::to_string(seed) +
-                                  ", silent for " + std::to_string(silent);
-      BOOST_TEST(wait.count() <= kWaitForLease.count(),
+                                  ", unresponsive for " +
+                                  std::to_string(unresponsive_ms);
+      BOOST_TEST(wait.count() <= kLeaseWaitBound.count(),
                  context << " ms: " << wait.count());
-      trial.ExpectNothingBroken(context);
+      scenario.ExpectNothingBroken(context);
     }
   }
 }
 
-// The worker is well and only the old leader does not hear it; it answers that
-// one again just before it is lost, or just after the next one leads.
+// The worker is healthy and only the old leader cannot reach it. It answers
+// that leader again just before the leader is lost, or just after the next one
+// leads.
 BOOST_AUTO_TEST_CASE(Successor_WorkerOnlySeemedLost_NothingRunsTwice) {
-  for (int silent = 3000; silent <= 6500; silent += 250) {
-    for (int heard = 0; heard <= 3000; heard += 500) {
-      SilentTakeover trial;
-      trial.LoseShared();
-      trial.world.Run(Millis(silent));
-      for (const auto& [name, instance] : trial.world.instances()) {
+  for (int unresponsive_ms = 3000; unresponsive_ms <= 6500;
+       unresponsive_ms += 250) {
+    for (int reachable_ms = 0; reachable_ms <= 3000; reachable_ms += 500) {
+      UnresponsiveTakeover scenario;
+      scenario.PartitionShared();
+      scenario.world.Run(Millis(unresponsive_ms));
+      for (const auto& [name, instance] : scenario.world.instances()) {
         instance->cut_from.clear();
       }
-      trial.world.Run(Millis(heard));
-      for (const auto& [name, instance] : trial.world.instances()) {
-        if (instance != trial.old) {
+      scenario.world.Run(Millis(reachable_ms));
+      for (const auto& [name, instance] : scenario.world.instances()) {
+        if (instance != scenario.old) {
           instance->cut_from.insert("shared");
         }
       }
-      trial.CutOldLeader();
-      trial.world.Run(Millis(22'000));
-      trial.Heal();
-      trial.world.Run(Millis(3000));
-      trial.ExpectNothingBroken("silent for " + std::to_string(silent) +
-                                ", heard for " + std::to_string(heard));
+      scenario.CutOldLeader();
+      scenario.world.Run(Millis(22'000));
+      scenario.Heal();
+      scenario.world.Run(Millis(3000));
+      scenario.ExpectNothingBroken(
+          "unresponsive for " + std::to_string(unresponsive_ms) +
+          ", reachable for " + std::to_string(reachable_ms));
     }
   }
 }
 
-// The worker answers the old leader again just when that one loses the store,
-// so that the record goes on saying that it is unheard: a successor that
-// reaches only the other worker counts on it.
+// The worker answers the old leader again just when that leader loses the
+// store, so that the record still says that the worker is unresponsive. A
+// successor that reaches only the other worker relies on that record.
 BOOST_AUTO_TEST_CASE(Successor_WorkerBackWithoutTheStore_NothingRunsTwice) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    for (int silent = 3500; silent <= 6250; silent += 250) {
-      for (int later = 0; later <= 1500; later += 500) {
-        SilentTakeover trial(seed);
-        trial.LoseShared();
-        trial.world.Run(Millis(silent));
-        trial.old->store_faults.silent = true;
-        trial.old->cut_from_peers = true;
-        trial.world.Run(Millis(later));
-        trial.old->cut_from.erase("shared");
-        trial.world.Run(Millis(15'000));
-        trial.Heal();
-        trial.world.Run(Millis(3000));
-        trial.ExpectNothingBroken("seed " + std::to_string(seed) +
-                                  ", silent for " + std::to_string(silent) +
-                                  ", later " + std::to_string(later));
+    for (int unresponsive_ms = 3500; unresponsive_ms <= 6250;
+         unresponsive_ms += 250) {
+      for (int reachable_after_ms = 0; reachable_after_ms <= 1500;
+           reachable_after_ms += 500) {
+        UnresponsiveTakeover scenario(seed);
+        scenario.PartitionShared();
+        scenario.world.Run(Millis(unresponsive_ms));
+        scenario.old->store_faults.silent = true;
+        scenario.old->cut_from_peers = true;
+        scenario.world.Run(Millis(reachable_after_ms));
+        scenario.old->cut_from.erase("shared");
+        scenario.world.Run(Millis(15'000));
+        scenario.Heal();
+        scenario.world.Run(Millis(3000));
+        scenario.ExpectNothingBroken(
+            "seed " + std::to_string(seed) + ", unresponsive for " +
+            std::to_string(unresponsive_ms) + ", later " +
+            std::to_string(reachable_after_ms));
       }
     }
   }
 }
 
-// The worker is well, and only the instances do not hear it. The store takes
-// the leader's key away, so that the next one leads at once, while the lease of
-// what runs there still lasts.
+// The worker is healthy, but no instance can reach it. The store revokes the
+// leader's key, so that the next one leads at once, while the lease of the runs
+// there has not expired.
 BOOST_AUTO_TEST_CASE(Successor_LeadsAtOnce_NothingRunsTwice) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    for (int silent = 3500; silent <= 6500; silent += 250) {
-      SilentTakeover trial(seed);
-      trial.RunWithStarts(Millis(1000));
-      trial.LoseShared();
-      trial.RunWithStarts(Millis(silent));
-      const auto lease = trial.old->live->lease();
+    for (int unresponsive_ms = 3500; unresponsive_ms <= 6500;
+         unresponsive_ms += 250) {
+      UnresponsiveTakeover scenario(seed);
+      scenario.RunWithStarts(Millis(1000));
+      scenario.PartitionShared();
+      scenario.RunWithStarts(Millis(unresponsive_ms));
+      const auto lease = scenario.old->live->lease();
       BOOST_REQUIRE(lease.has_value());
-      trial.world.store().Revoke(*lease);
-      trial.world.Run(Millis(12'000));
-      trial.Heal();
-      trial.world.Run(Millis(3000));
-      trial.ExpectNothingBroken("seed " + std::to_string(seed) +
-                                ", silent for " + std::to_string(silent));
+      scenario.world.store().Revoke(*lease);
+      scenario.world.Run(Millis(12'000));
+      scenario.Heal();
+      scenario.world.Run(Millis(3000));
+      scenario.ExpectNothingBroken("seed " + std::to_string(seed) +
+                                   ", unresponsive for " +
+                                   std::to_string(unresponsive_ms));
     }
   }
 }
 
-// Its runs go on once it answers in time, also where the record lags. The last
-// promise ends 5.2 s into the silence; a look comes every 0.85 s, and until the
-// record says that the worker is heard, for up to 27 ms here, nothing is
-// prolonged. What answers in the last moments may be over before.
-BOOST_AUTO_TEST_CASE(Worker_AnswersBeforeItsLeaseIsOver_RunsGoOn) {
-  constexpr int kAnswersInTime = 4250;
+// The runs continue if the worker answers in time, also when the record lags.
+// The last lease expires 5.2 s after the worker becomes unresponsive. A status
+// call is made every 0.85 s, and no lease is extended until the record says
+// that the worker answers, up to 27 ms here. Runs on a worker that answers
+// shortly before the expiry may therefore end.
+BOOST_AUTO_TEST_CASE(Worker_AnswersBeforeItsLeaseExpires_RunsContinue) {
+  constexpr int kAnswersInTimeMs = 4250;
   for (uint64_t seed = 1; seed <= 30; ++seed) {
-    for (int silent = 3500; silent <= 5000; silent += 250) {
-      SilentTakeover trial(seed);
-      trial.LoseShared();
-      trial.world.Run(Millis(silent));
-      for (const auto& [name, instance] : trial.world.instances()) {
+    for (int unresponsive_ms = 3500; unresponsive_ms <= 5000;
+         unresponsive_ms += 250) {
+      UnresponsiveTakeover scenario(seed);
+      scenario.PartitionShared();
+      scenario.world.Run(Millis(unresponsive_ms));
+      for (const auto& [name, instance] : scenario.world.instances()) {
         instance->cut_from.clear();
       }
-      trial.world.Run(Millis(10'000));
-      const auto& shared = trial.world.workers().at("shared")->model;
-      const auto& near = trial.world.workers().at("near")->model;
+      scenario.world.Run(Millis(10'000));
+      const auto& shared = scenario.world.workers().at("shared")->model;
+      const auto& near = scenario.world.workers().at("near")->model;
       const std::string context = "seed " + std::to_string(seed) +
-                                  ", silent for " + std::to_string(silent);
-      if (silent <= kAnswersInTime) {
+                                  ", unresponsive for " +
+                                  std::to_string(unresponsive_ms);
+      if (unresponsive_ms <= kAnswersInTimeMs) {
         BOOST_TEST(shared.running() == 2U, context);
       }
       BOOST_TEST(shared.running() + near.running() == 2U, context);
-      trial.ExpectNothingBroken(context);
+      scenario.ExpectNothingBroken(context);
     }
   }
 }
--- a/src/libdoorwood/cell/cell_successors_test.cpp
+++ b/src/libdoorwood/cell/cell_successors_test.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Three leaders in a row. A wait for an unheard worker that the second leader
-// has served is not served again by the third, and failures that nobody
-// recorded count as attempts; neither may hide what the second leader itself
-// ordered on a worker that only it heard, or that came by the directory while
-// it led. All in virtual time.
+// Three leaders in a row, in virtual time. The third leader does not repeat a
+// wait for a not yet contacted worker that the second one has completed, and
+// failures that were not recorded count as attempts. Neither rule may hide runs
+// that the second leader started on a worker that only it could reach, or that
+// joined through the directory while it led.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -22,70 +22,74 @@
 using fakes::Tally;
 using fakes::WorldInstance;
 
-constexpr char kSecondJob[] = "00112233aabbccee";
-constexpr Millis kAfterwards{16'000};
+constexpr char kJobOfSecond[] = "00112233aabbccee";
+constexpr Millis kSettleTime{16'000};
 
-WorldInstance* Next(CellWorld& world, WorldInstance* before) {
+WorldInstance* ReplaceLeader(CellWorld& world, WorldInstance* before) {
   world.Kill(before->name);
   WorldInstance* next = world.WaitForLeader();
   BOOST_REQUIRE(next != nullptr);
   return next;
 }
 
-// The second leader hears the first one's worker after 0.5 to 11 s, adopts
-// what runs there, starts more there, and is gone 0.05 to 2 s later; the third
-// never hears that worker.
-BOOST_AUTO_TEST_CASE(ThirdLeader_SecondAloneHeardWorker_NothingRunsTwice) {
+// The second leader reaches the first one's worker after 0.5 to 11 s, adopts
+// the runs there, starts more, and is lost 0.05 to 2 s later. The third leader
+// never reaches that worker.
+BOOST_AUTO_TEST_CASE(ThirdLeader_OnlySecondReachedWorker_NothingRunsTwice) {
   Tally tally;
-  for (int unheard = 500; unheard <= 11'000; unheard += 500) {
-    for (int heard = 50; heard <= 2000; heard += 150) {
-      LeadTrial trial({"a2", "b2"});
-      CellWorld& world = trial.world;
-      WorldInstance* second = Next(world, trial.old);
-      world.Run(Millis(unheard));
+  for (int not_contacted_ms = 500; not_contacted_ms <= 11'000;
+       not_contacted_ms += 500) {
+    for (int contacted_ms = 50; contacted_ms <= 2000; contacted_ms += 150) {
+      LeadTrial scenario({"a2", "b2"});
+      CellWorld& world = scenario.world;
+      WorldInstance* second = ReplaceLeader(world, scenario.old);
+      world.Run(Millis(not_contacted_ms));
       second->cut_from = {"new_only", "both"};
-      world.Submit(LeadTrial::Plan(kSecondJob, 2));
-      world.Run(Millis(heard));
+      world.Submit(LeadTrial::Plan(kJobOfSecond, 2));
+      world.Run(Millis(contacted_ms));
       CutAllFrom(world, "old_only");
-      Next(world, second);
-      world.Run(kAfterwards);
-      tally.Take("unheard " + std::to_string(unheard) + " heard " +
-                     std::to_string(heard),
+      ReplaceLeader(world, second);
+      world.Run(kSettleTime);
+      tally.Take("not contacted " + std::to_string(not_contacted_ms) +
+                     " contacted " + std::to_string(contacted_ms),
                  world);
     }
   }
 }
 
-// A worker joins while the second leader leads and is reached by it alone. The
-// store falls silent to that leader 0 to 1.5 s after, and it is gone 0.2 to 4 s
-// later; the directory may have forgotten the worker by then.
-BOOST_AUTO_TEST_CASE(ThirdLeader_WorkerCameByDirectoryOnly_NothingRunsTwice) {
+// A worker joins under the second leader, which alone can reach it. The store
+// becomes unresponsive to that leader 0 to 1.5 s later, and the leader is lost
+// 0.2 to 4 s after that. The directory may no longer list the worker by then.
+BOOST_AUTO_TEST_CASE(ThirdLeader_WorkerJoinedUnderSecond_NothingRunsTwice) {
   Tally tally;
   int started = 0;
   for (const bool listed : {true, false}) {
-    for (int silent = 0; silent <= 1500; silent += 50) {
-      for (const int gone : {200, 1000, 2500, 4000}) {
-        LeadTrial trial({"a2", "b2"});
-        CellWorld& world = trial.world;
-        WorldInstance* second = Next(world, trial.old);
+    for (int store_unresponsive_after = 0; store_unresponsive_after <= 1500;
+         store_unresponsive_after += 50) {
+      for (const int lost_after : {200, 1000, 2500, 4000}) {
+        LeadTrial scenario({"a2", "b2"});
+        CellWorld& world = scenario.world;
+        WorldInstance* second = ReplaceLeader(world, scenario.old);
         world.Run(Millis(10'500));
         CutAllFrom(world, "late");
         second->cut_from = {"new_only", "both", "old_only"};
-        // Too large for what is free elsewhere.
-        JobPlan plan = fakes::MakePlan(kSecondJob, 1, 1, "ms=100000");
+        // Larger than the free capacity of the other workers.
+        JobPlan plan = fakes::MakePlan(kJobOfSecond, 1, 1, "ms=100000");
         plan.steps[0].size.cpu_millis = 9000;
         BOOST_REQUIRE(world.Submit(plan));
         world.AddWorker("late", 16'000);
-        world.Run(Millis(silent));
+        world.Run(Millis(store_unresponsive_after));
         second->store_faults.silent = true;
-        world.Run(Millis(gone));
+        world.Run(Millis(lost_after));
         started +=
             static_cast<int>(world.workers().at("late")->model.running());
         world.workers().at("late")->listed = listed;
-        Next(world, second);
-        world.Run(kAfterwards);
-        tally.Take("silent after " + std::to_string(silent) + " gone " +
-                       std::to_string(gone) + (listed ? "" : " not listed"),
+        ReplaceLeader(world, second);
+        world.Run(kSettleTime);
+        tally.Take("store unresponsive after " +
+                       std::to_string(store_unresponsive_after) +
+                       " lost after " + std::to_string(lost_after) +
+                       (listed ? "" : " not listed"),
                    world);
       }
     }
@@ -95,26 +99,27 @@
 
 struct AttemptsRow {
   int recorded;
-  int cut_run;
+  int partitioned_run;
   int second_leads;
-  bool third_hears;
+  bool third_reaches;
 };
 
-// Within the wait after which an unheard worker's runs are over, counted over
-// both leaders, and beyond it.
+// Cases within the wait after which the runs of a not yet contacted worker have
+// ended, counted over both leaders, or cases beyond it.
 std::vector<AttemptsRow> AttemptsRows(bool within_wait) {
   std::vector<AttemptsRow> rows;
-  for (int leads = 500; leads <= 11'000; leads += 500) {
+  for (int second_leads_ms = 500; second_leads_ms <= 11'000;
+       second_leads_ms += 500) {
     for (const int recorded : {0, 1}) {
-      for (const int cut_run : {1, 2}) {
-        // Nobody leads for two seconds, which count as waited; the third needs
-        // one more to take the lead and to be answered.
-        const bool short_cut = leads <= 6500;
-        if (short_cut == within_wait) {
-          rows.push_back({recorded, cut_run, leads, true});
+      for (const int partitioned_run : {1, 2}) {
+        // There is no leader for two seconds, which count towards the wait. The
+        // third leader needs one more to take over and to get answers.
+        const bool is_within_wait = second_leads_ms <= 6500;
+        if (is_within_wait == within_wait) {
+          rows.push_back({recorded, partitioned_run, second_leads_ms, true});
         }
         if (!within_wait) {
-          rows.push_back({recorded, cut_run, leads, false});
+          rows.push_back({recorded, partitioned_run, second_leads_ms, false});
         }
       }
     }
@@ -122,9 +127,9 @@
   return rows;
 }
 
-// Failures that nobody took note of before their worker's lease ran out are no
-// attempts: the platform does not count them when they are noted later.
-int LapsedFailures(CellWorld& world, const std::string& task) {
+// Number of failures that were not acknowledged before their worker's lease
+// expired. They do not count as attempts when they are acknowledged later.
+int UncountedFailures(CellWorld& world, const std::string& task) {
   int failures = 0;
   for (const auto& [id, worker] : world.workers()) {
     failures += worker->model.lapsed_failures(task);
@@ -132,9 +137,9 @@
   return failures;
 }
 
-// Two runs fail, of which the store has heard of one or none; the worker of one
-// is cut off from the second leader, and from the third or not.
-void PlayAttempts(bool within_wait) {
+// Two runs fail, of which one or none is recorded in the store. The second
+// leader cannot reach the worker of one of them, and the third can or cannot.
+void RunAttempts(bool within_wait) {
   const std::string task = std::string(fakes::kTrialJob) + ".0.0.0";
   for (const AttemptsRow& row : AttemptsRows(within_wait)) {
     CellWorld world(3);
@@ -149,7 +154,7 @@
     world.Run(Millis(1000));
     BOOST_REQUIRE(world.Submit(
         fakes::MakePlan(fakes::kTrialJob, 1, 1, "ms=1200 fails=999999")));
-    std::string silent;
+    std::string partitioned_worker;
     const auto run_until = [&](int starts) {
       for (int i = 0; i < 100 && world.starts(task) < starts; ++i) {
         world.Run(Millis(50));
@@ -158,7 +163,8 @@
     for (int run = 1; run <= 2; ++run) {
       run_until(run);
       world.Run(Millis(300));
-      silent = run == row.cut_run ? RunnerOf(world, task) : silent;
+      partitioned_worker = run == row.partitioned_run ? RunnerOf(world, task)
+                                                      : partitioned_worker;
       for (const auto& [name, instance] : world.instances()) {
         instance->store_faults.down = run > row.recorded;
       }
@@ -169,24 +175,24 @@
     for (const auto& [name, instance] : world.instances()) {
       instance->store_faults.down = instance == old;
     }
-    CutAllFrom(world, silent);
-    WorldInstance* second = Next(world, old);
+    CutAllFrom(world, partitioned_worker);
+    WorldInstance* second = ReplaceLeader(world, old);
     world.Run(Millis(row.second_leads));
-    WorldInstance* third = Next(world, second);
-    if (row.third_hears) {
+    WorldInstance* third = ReplaceLeader(world, second);
+    if (row.third_reaches) {
       third->cut_from.clear();
     }
-    world.Run(kAfterwards);
+    world.Run(kSettleTime);
     for (const auto& [name, instance] : world.instances()) {
       instance->cut_from.clear();
     }
-    world.Run(kAfterwards);
-    BOOST_TEST_CONTEXT("recorded " << row.recorded << ", cut run "
-                                   << row.cut_run << ", second leads "
-                                   << row.second_leads << ", third hears "
-                                   << row.third_hears) {
-      const int lapsed = within_wait ? 0 : LapsedFailures(world, task);
-      BOOST_TEST(world.starts(task) <= 4 + lapsed);
+    world.Run(kSettleTime);
+    BOOST_TEST_CONTEXT("recorded " << row.recorded << ", partitioned run "
+                                   << row.partitioned_run << ", second leads "
+                                   << row.second_leads << ", third reaches it "
+                                   << row.third_reaches) {
+      const int uncounted = within_wait ? 0 : UncountedFailures(world, task);
+      BOOST_TEST(world.starts(task) <= 4 + uncounted);
       BOOST_TEST(world.broken().empty());
       const auto state = world.StateOf(fakes::kTrialJob);
       BOOST_TEST((state ? ToString(*state) : "not known") == "failed");
@@ -194,14 +200,14 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ThirdLeader_FailureHeardWithinWait_FourAttemptsAtMost) {
-  PlayAttempts(/*within_wait=*/true);
+BOOST_AUTO_TEST_CASE(ThirdLeader_FailureReportedWithinWait_AtMostFourAttempts) {
+  RunAttempts(/*within_wait=*/true);
 }
 
-// The ends are taken note of later than the wait, and so than the worker's
-// lease ran out: at most four attempts that count.
-BOOST_AUTO_TEST_CASE(ThirdLeader_FailureHeardAfterWait_FourThatCountAtMost) {
-  PlayAttempts(/*within_wait=*/false);
+// The failures are acknowledged after the wait, and so after the worker's lease
+// expired: at most four attempts count.
+BOOST_AUTO_TEST_CASE(ThirdLeader_FailureReportedAfterWait_AtMostFourCount) {
+  RunAttempts(/*within_wait=*/false);
 }
 
 }  // namespace
--- a/src/libdoorwood/cell/cell_unheard_again_test.cpp
+++ b/src/libdoorwood/cell/cell_unheard_again_test.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A wait for an unheard worker that one leader has served to its end is not
-// served again by the next, also if the first has recorded its workers since.
+// When one leader has completed its wait for a not yet contacted worker, the
+// next leader does not repeat it, also if the first has recorded its workers
+// since.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -20,22 +21,24 @@
 constexpr char kJob[] = "00112233aabbccdd";
 constexpr char kWaitingJob[] = "00112233aabbccee";
 constexpr char kWaitingTask[] = "00112233aabbccee.0.0.0";
-// The lead falls vacant for 3 s at most, and a leader that waits for nobody
-// starts within another 1.5 s.
-constexpr Millis kStartsWithin{4500};
+// There is no leader for 3 s at most, and a leader that waits for no worker
+// starts tasks within another 1.5 s.
+constexpr Millis kStartBound{4500};
 
-WorldInstance* Next(CellWorld& world, WorldInstance* before) {
+WorldInstance* ReplaceLeader(CellWorld& world, WorldInstance* before) {
   world.Kill(before->name);
   WorldInstance* next = world.WaitForLeader();
   BOOST_REQUIRE(next != nullptr);
   return next;
 }
 
-// The worker stays listed, and nobody hears it. The second leader leads for
-// longer than its wait; a worker joins then, so that all are recorded again.
-// The room for a job that waits comes when the third leads.
+// The worker stays listed, and no instance can reach it. The second leader
+// leads for longer than its wait. Then a worker may join, so that all workers
+// are recorded again. Free capacity for a waiting job appears under the third
+// leader.
 BOOST_AUTO_TEST_CASE(ThirdLeader_SecondWaitedAndRecorded_DoesNotWaitAgain) {
-  for (int leads = 11'000; leads <= 20'000; leads += 1000) {
+  for (int second_leads_ms = 11'000; second_leads_ms <= 20'000;
+       second_leads_ms += 1000) {
     for (const bool joins : {false, true}) {
       CellWorld world(7);
       world.SetTable({fakes::MakeQueue("queue", 4)});
@@ -53,16 +56,16 @@
       world.Run(Millis(1000));
       BOOST_REQUIRE(world.workers().at("unheard")->model.running() == 1U);
       CutAllFrom(world, "unheard");
-      WorldInstance* second = Next(world, first);
-      world.Run(Millis(leads - 1000));
+      WorldInstance* second = ReplaceLeader(world, first);
+      world.Run(Millis(second_leads_ms - 1000));
       if (joins) {
         world.AddWorker("joins", 1000);
       }
       world.Run(Millis(1000));
       world.Kill(second->name);
       world.AddWorker("large", 16'000);
-      world.Run(kStartsWithin);
-      BOOST_TEST_CONTEXT("second leads " << leads
+      world.Run(kStartBound);
+      BOOST_TEST_CONTEXT("second leads " << second_leads_ms
                                          << (joins ? ", a worker joins" : "")) {
         BOOST_TEST(RunnerOf(world, kWaitingTask) == "large");
         BOOST_TEST(world.broken().empty());
--- a/src/libdoorwood/cell/cell_unheard_wait_test.cpp
+++ b/src/libdoorwood/cell/cell_unheard_wait_test.cpp
@@ -1,12 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A worker that nobody reaches, and on which nothing can run, holds everything
-// back after each takeover: one that the directory names and that no leader has
-// ever heard; one that an earlier leader has waited for in full; and, for tasks
-// that have failed, one whose record names nothing.
-//
-// What showed it: the time from the loss of a leader until a task that waits is
-// started was 11.9 s with such a worker, and 2.1 s without.
+// Guards against an unreachable worker, on which nothing can run, that holds
+// all tasks back after each takeover: a listed worker that no leader has ever
+// contacted; one that an earlier leader has waited for in full; and, for tasks
+// that have failed, one whose record names other tasks only. With such a worker
+// 11.9 s passed from the loss of a leader until a waiting task was started,
+// without one 2.1 s.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdio>
@@ -23,18 +22,20 @@
 
 constexpr char kJob[] = "00112233aabbccdd";
 constexpr char kTask[] = "00112233aabbccdd.0.0.0";
-// What lasts is to be at work again so long after its last run.
-constexpr int kLongestAway = 6000;
+// A waiting long-running task must be started within this time (ms) after the
+// loss of its leader.
+constexpr int kWaitBoundMs = 6000;
 
-JobPlan Lasting(const std::string& id, int64_t cpu) {
+JobPlan LongRunningPlan(const std::string& id, int64_t cpu) {
   JobPlan plan = fakes::MakePlan(id, 1, 1, "");
   plan.steps[0].lasting = true;
   plan.steps[0].size.cpu_millis = cpu;
   return plan;
 }
 
-// How long after its leader was lost a task that waits is started.
-int WaitAfterLoss(bool far_listed, bool far_heard, int leaders) {
+// Time in ms from the loss of its leader until a waiting task is started, at
+// the last of `leaders` takeovers.
+int WaitAfterLeaderLoss(bool far_listed, bool far_contacted, int leaders) {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
   world.AddWorker("w1", 8000);
@@ -43,7 +44,7 @@
   }
   if (far_listed) {
     world.AddWorker("far", 8000);
-    if (!far_heard) {
+    if (!far_contacted) {
       CutAllFrom(world, "far");
     }
   }
@@ -55,8 +56,8 @@
   for (int i = 1; i <= leaders; ++i) {
     char id[17];
     std::snprintf(id, sizeof(id), "%016x", 100 + i);
-    JobPlan plan = Lasting(id, 1000);
-    // Accepted, and its leader is lost before it is started.
+    JobPlan plan = LongRunningPlan(id, 1000);
+    // The job is accepted, and its leader is lost before the task is started.
     world.workers().at("w1")->life.draining = true;
     world.Run(Millis(1000));
     BOOST_REQUIRE(world.Submit(plan));
@@ -75,17 +76,17 @@
   return static_cast<int>(waited.count());
 }
 
-BOOST_AUTO_TEST_CASE(Wait_WorkerListedNeverHeard_IsShort) {
-  BOOST_TEST(WaitAfterLoss(true, false, 1) <= kLongestAway);
+BOOST_AUTO_TEST_CASE(Wait_WorkerListedNeverContacted_IsShort) {
+  BOOST_TEST(WaitAfterLeaderLoss(true, false, 1) <= kWaitBoundMs);
 }
 
-BOOST_AUTO_TEST_CASE(Wait_WorkerUnheardForWholeTakeover_IsNotServedAgain) {
-  BOOST_TEST(WaitAfterLoss(true, true, 2) <= kLongestAway);
-  BOOST_TEST(WaitAfterLoss(true, true, 3) <= kLongestAway);
+BOOST_AUTO_TEST_CASE(Wait_WorkerNotContactedInWholeTakeover_IsNotRepeated) {
+  BOOST_TEST(WaitAfterLeaderLoss(true, true, 2) <= kWaitBoundMs);
+  BOOST_TEST(WaitAfterLeaderLoss(true, true, 3) <= kWaitBoundMs);
 }
 
-// A task fails just after its second takeover; a worker that left is gone, and
-// its record names another task only.
+// A task fails just after its second takeover. A drained worker is gone, and
+// its row in the workers' record names only another task.
 BOOST_AUTO_TEST_CASE(Retry_GoneWorkerNamesAnotherTask_IsNotHeldBack) {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
@@ -102,7 +103,7 @@
   world.Run(Millis(1000));
   BOOST_REQUIRE(world.Submit(fakes::MakePlan(kJob, 1, 1, "ms=6000 fails=17")));
   world.Run(Millis(300));
-  // Its leader is lost before it is started, and the next one once it is.
+  // Its first leader is lost before the task is started, the next one after.
   world.Kill(world.Leader()->name);
   world.AddWorker("stays", 8000);
   for (int i = 0; i < 200 && RunnerOf(world, kTask).empty(); ++i) {
--- a/src/libdoorwood/cell/cell_walk_test.cpp
+++ b/src/libdoorwood/cell/cell_walk_test.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A seeded random walk of jobs and troubles over cells in virtual time. After
-// each walk everything heals, and every accepted job must have ended.
+// A seeded random walk that submits jobs and injects faults into a cell in
+// virtual time. After each walk all faults are cleared, and every accepted job
+// must have ended.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -16,9 +17,9 @@
 constexpr int kSteps = 60;
 constexpr int kAttempts = 3;
 
-class Walk {
+class RandomWalk {
  public:
-  explicit Walk(uint64_t seed) : world_(seed) {
+  explicit RandomWalk(uint64_t seed) : world_(seed) {
     world_.SetTable({fakes::MakeQueue("queue", kAttempts)});
     for (int i = 0; i < 6; ++i) {
       AddWorker();
@@ -32,10 +33,10 @@
 
   void Run() {
     for (int i = 0; i < kSteps; ++i) {
-      Step();
+      TakeStep();
       world_.Run(Millis(100 + Pick(900)));
     }
-    Heal();
+    ClearFaults();
     world_.Run(Millis(60'000));
     Check();
   }
@@ -65,13 +66,13 @@
     }
   }
 
-  void Step() {
+  void TakeStep() {
     switch (Pick(14)) {
       case 0:
-        KillOne();
+        KillInstance();
         break;
       case 1:
-        FreezeOne();
+        FreezeInstance();
         break;
       case 2:
         PickOf(world_.instances())->store_faults.silent = Pick(2) == 0;
@@ -80,22 +81,22 @@
         PickOf(world_.instances())->store_faults.down = Pick(2) == 0;
         break;
       case 4:
-        Outage(Pick(2) == 0);
+        SetStoreOutage(Pick(2) == 0);
         break;
       case 5:
-        Unreliable();
+        ToggleLostAndDelayedMessages();
         break;
       case 6:
-        CrashOne();
+        CrashOneWorker();
         break;
       case 7:
-        CutOne();
+        PartitionOneWorker();
         break;
       case 8:
         world_.store().Compact();
         break;
       case 9:
-        RevokeOne();
+        RevokeInstanceLease();
         break;
       default:
         Submit();
@@ -103,31 +104,31 @@
     }
   }
 
-  void KillOne() {
+  void KillInstance() {
     const std::string name = PickOf(world_.instances())->name;
     if (world_.instances().size() < 3) {
       return;
     }
     world_.Kill(name);
-    const char* centres[] = {"plaka", "kerameikos", "pireas"};
+    const char* data_centres[] = {"plaka", "kerameikos", "pireas"};
     world_.AddInstance("n" + std::to_string(++instances_made_),
-                       centres[Pick(3)]);
+                       data_centres[Pick(3)]);
   }
 
-  void FreezeOne() {
+  void FreezeInstance() {
     auto* instance = PickOf(world_.instances());
     instance->executor->Freeze();
     world_.Run(Millis(500 + Pick(5000)));
     instance->executor->Thaw();
   }
 
-  void Outage(bool down) {
+  void SetStoreOutage(bool down) {
     for (const auto& [name, instance] : world_.instances()) {
       instance->store_faults.down = down;
     }
   }
 
-  void Unreliable() {
+  void ToggleLostAndDelayedMessages() {
     const bool on = Pick(2) == 0;
     for (const auto& [name, instance] : world_.instances()) {
       instance->store_faults.answer_lost = on ? 0.2 : 0;
@@ -136,7 +137,7 @@
     }
   }
 
-  void CrashOne() {
+  void CrashOneWorker() {
     world_.CrashWorker(
         std::next(world_.workers().begin(),
                   static_cast<long>(Pick(world_.workers().size())))
@@ -144,7 +145,7 @@
     AddWorker();
   }
 
-  void CutOne() {
+  void PartitionOneWorker() {
     const std::string worker =
         std::next(world_.workers().begin(),
                   static_cast<long>(Pick(world_.workers().size())))
@@ -158,14 +159,14 @@
     }
   }
 
-  void RevokeOne() {
+  void RevokeInstanceLease() {
     auto* instance = PickOf(world_.instances());
     if (instance->live->lease()) {
       world_.store().Revoke(*instance->live->lease());
     }
   }
 
-  void Heal() {
+  void ClearFaults() {
     for (const auto& [name, instance] : world_.instances()) {
       instance->store_faults = {};
       instance->late_orders = 0;
@@ -182,8 +183,8 @@
     for (const auto& [id, plan] : accepted_) {
       const auto state = world_.StateOf(id);
       const bool fails = plan.payload.find("fails=999999") != std::string::npos;
-      const std::string wanted = fails ? "failed" : "completed";
-      BOOST_TEST((state ? ToString(*state) : "not known") == wanted, id);
+      const std::string expected = fails ? "failed" : "completed";
+      BOOST_TEST((state ? ToString(*state) : "not known") == expected, id);
     }
   }
 
@@ -194,13 +195,13 @@
   int instances_made_ = 0;
 };
 
-BOOST_AUTO_TEST_CASE(Cells_RandomTroubles_EveryAcceptedJobEndsOnce) {
-  const char* only = std::getenv("DOORWOOD_SEED");
-  const int first = only == nullptr ? 1 : std::atoi(only);
-  const int last = only == nullptr ? kSeeds : first;
+BOOST_AUTO_TEST_CASE(Cells_RandomFaults_EveryAcceptedJobEndsOnce) {
+  const char* only_seed = std::getenv("DOORWOOD_SEED");
+  const int first = only_seed == nullptr ? 1 : std::atoi(only_seed);
+  const int last = only_seed == nullptr ? kSeeds : first;
   for (int seed = first; seed <= last; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      Walk(static_cast<uint64_t>(seed)).Run();
+      RandomWalk(static_cast<uint64_t>(seed)).Run();
     }
   }
 }
