--- a/src/include/doorwood/shard_log.h
+++ b/src/include/doorwood/shard_log.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The log of a job shard in the key-value service. One writer at a time:
-/// a new owner seals the log by creating its next position, after which every
-/// append of an older owner fails. docs/design/job-shards.md.
+/// The log of a job shard in the key-value store. It has one writer at a time:
+/// a new owner seals the log by creating the entry at the next position, after
+/// which every append of an older owner fails. docs/design/job-shards.md.
 
 #ifndef DOORWOOD_SHARD_LOG_H_
 #define DOORWOOD_SHARD_LOG_H_
@@ -20,25 +20,25 @@
 namespace doorwood {
 
 struct ShardLogOptions {
-  /// Appends wait this long for company before they are written.
+  /// Appends are collected for this long and written as one batch.
   Millis commit_window{20};
-  /// First and longest pause between tries of a failing write.
+  /// Initial and maximum back-off between attempts of a failing write.
   Millis retry_first{100};
   Millis retry_longest{2000};
-  /// Log entries after which a snapshot is written.
+  /// Number of log entries after which a snapshot is written.
   int snapshot_after = 64;
 };
 
-/// Key under which a running entry instance is registered, with a lease.
+/// Key of the leased registration of a running entry instance.
 std::string AliveKey(const std::string& data_centre,
                      const std::string& instance);
 
-/// All calls on the control thread.
+/// All methods must be called on the control thread.
 class ShardLog : public std::enable_shared_from_this<ShardLog> {
  public:
   using Done = std::function<void(std::error_code)>;
 
-  /// `instance` and `incarnation` mark this writer's entries.
+  /// `instance` and `incarnation` identify this writer in its entries.
   ShardLog(const ShardLogOptions& options,
            const ShardId& shard,
            std::string instance,
@@ -46,42 +46,44 @@
            Executor& executor,
            KvStore& kv);
 
-  /// Takes the shard over, unless its owner is alive, and replays the log.
-  /// Fails with CoreErrc::kConflict if somebody else owns the shard.
+  /// Takes over the shard unless its owner is alive, and replays the log.
+  /// Fails with CoreErrc::kConflict if another instance owns the shard.
   void Open(Done done);
 
   /// Queues a record. `done` is called with success once it is written. With
-  /// `refusable`, `done` is called early if the service does not answer:
-  /// kStoreUnavailable (the record is dropped) or kOutcomeUnknown (it may
-  /// be written and will be tried again). Without, it waits.
+  /// `refusable`, `done` is called early if the store does not answer:
+  /// kStoreUnavailable (the record is dropped) or kOutcomeUnknown (it may be
+  /// written, and the write is retried). Without, `done` is called only once
+  /// the outcome is known.
   void Append(LogRecord record, bool refusable, Done done);
 
-  /// Gives the shard up once all that is queued is written. On failure the
+  /// Releases the shard once all queued records are written. On failure the
   /// shard stays owned and open.
   void Close(Done done);
 
-  /// Looks whether the store still names this epoch; if not, the log is
-  /// fenced. Needed after this instance's registration has lapsed: an owner
-  /// that writes nothing would never learn that it was replaced. `done` is
-  /// told an error if the store did not answer.
+  /// Checks whether the store still has this epoch; if it has a newer one, the
+  /// log is fenced. Needed after this instance's registration has lapsed: an
+  /// owner that writes nothing would never learn that it was replaced. `done`
+  /// gets an error if the store did not answer.
   void Verify(Done done);
 
   /// Called once when another owner has sealed the log.
   void set_on_fenced(std::function<void()> on_fenced);
 
-  /// Called for each record that this owner wrote, once it is in the state.
-  /// Also for one whose caller was told early that its outcome is unknown.
+  /// Called for each record that this owner wrote, once it is applied to the
+  /// state. Also called if the caller already got kOutcomeUnknown.
   void set_on_applied(std::function<void(const LogRecord&)> on_applied);
 
-  /// Tells whether this instance's registration surely has not lapsed, by
-  /// its own clock. An append that is answered while it may have lapsed is
-  /// believed only after a look at who owns the shard: a newer owner may have
-  /// truncated the log, and then an old position can be created again.
+  /// `lease_valid` returns whether this instance's registration is certain not
+  /// to have lapsed, by its own clock. While it may have lapsed, a successful
+  /// append counts only after a read of the head confirms the owner: a newer
+  /// owner may have truncated the log, and then an old position can be created
+  /// again.
   void set_lease_valid(std::function<bool()> lease_valid);
 
   uint64_t epoch() const { return epoch_; }
   const ShardState& state() const { return state_; }
-  /// True while writes fail: new work should be refused at once.
+  /// True while writes fail; refusable appends are then refused at once.
   bool failing() const { return failing_; }
   bool open() const { return open_; }
   int64_t position() const { return position_; }
@@ -114,9 +116,9 @@
   std::string BatchValue() const;
   void OnCommitted(std::error_code error);
   void OnPositionTaken();
-  void BelieveOrConfirm();
+  void FinishBatchIfOwner();
   void FinishBatch();
-  void RefuseRefusable(std::error_code error);
+  void FailRefusableAppends(std::error_code error);
   void RetryLater();
   void BecomeFenced();
   void MaybeSnapshot();
@@ -138,7 +140,7 @@
   ShardState state_;
   uint64_t epoch_ = 0;
   int64_t head_version_ = 0;
-  // Last position known to be written.
+  // Last position that is known to be written.
   int64_t position_ = 0;
   int64_t snapshot_position_ = 0;
   int64_t snapshot_version_ = 0;
@@ -146,11 +148,11 @@
   bool open_ = false;
   bool fenced_ = false;
   bool failing_ = false;
-  int replay_tries_ = 0;
+  int replay_attempts_ = 0;
 
   std::vector<Pending> queue_;
-  // The batch being written; its value never changes once it may have been
-  // sent, so that a repeated write is recognised as the same.
+  // The batch being written. Its value does not change once it may have been
+  // sent, so that a repeated write is recognized as the same one.
   std::vector<Pending> batch_;
   bool commit_scheduled_ = false;
   bool batch_in_flight_ = false;
--- a/src/include/doorwood/shard_owner.h
+++ b/src/include/doorwood/shard_owner.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Owner of one job shard: accepts jobs, decides which task is to run and as
-/// which attempt, and finds out what became of attempts when holders or
-/// workers die. docs/design/job-shards.md.
+/// Owner of one job shard: accepts jobs, decides which task runs and as which
+/// attempt, and determines the state of attempts after holders or workers fail.
+/// docs/design/job-shards.md.
 
 #ifndef DOORWOOD_SHARD_OWNER_H_
 #define DOORWOOD_SHARD_OWNER_H_
@@ -23,29 +23,30 @@
 namespace doorwood {
 
 struct OwnerOptions {
-  /// As `HolderOptions`: what must pass before work on a worker that nobody
-  /// holds has surely ended.
+  /// Same values as in `HolderOptions`. Work on a worker that no instance holds
+  /// has ended once `task_lease` plus `drift` have elapsed since the last
+  /// renewal.
   Millis task_lease{10000};
   Millis drift{300};
   Millis call_timeout{2000};
-  /// Pause before a task that found no room is tried again, first and
-  /// longest.
+  /// Initial and maximum pause before placement of a task is retried for which
+  /// no free capacity was found.
   Millis retry_first{100};
   Millis retry_longest{2000};
-  /// Pause before a task that fits no worker is tried again.
+  /// Pause before placement of a task that fits no worker is retried.
   Millis unplaceable_retry{10000};
-  /// Pause after a failed attempt, doubled with each.
+  /// Pause after a failed attempt, doubled with each failure.
   Millis failure_backoff{200};
-  /// Pause between two rounds of a census that is not complete.
+  /// Pause before the next round of an incomplete census.
   Millis census_retry{500};
-  /// A census even when nothing points to a need for one.
+  /// Interval of periodic censuses while nothing else triggers one.
   Millis census_interval{60000};
-  /// Placements under way at a time.
-  int most_placing = 64;
+  /// Maximum number of concurrent placements.
+  int max_concurrent_placements = 64;
   ShardLogOptions log;
 };
 
-/// A holder that can be asked for room.
+/// A holder that can be asked to place tasks.
 struct HolderView {
   std::string instance;
   uint64_t incarnation = 0;
@@ -55,24 +56,25 @@
   Resources largest_room;
 };
 
-/// What an owner needs to know of its surroundings.
+/// Port through which a shard owner sees its instance, the peers and the
+/// configuration.
 class OwnerEnvironment {
  public:
   virtual ~OwnerEnvironment() = default;
 
-  /// Instances of the data centre that are heard, this one included.
+  /// Instances of the data centre whose heartbeats are received, and this one.
   virtual std::vector<HolderView> Holders() const = 0;
-  /// Every instance of the data centre that may be running: heard, or still
-  /// in the platform's list.
+  /// Every instance of the data centre that may be running: its heartbeats are
+  /// received, or it is still in the platform's list.
   virtual std::vector<std::string> PossibleHolders() const = 0;
-  /// When an instance was last seen to have gone, or when this instance began
-  /// to look. Nobody that is not a possible holder has renewed a worker's
-  /// lease later than this.
+  /// When an instance was last observed to have gone, or when this instance
+  /// began to observe. No instance other than the possible holders has renewed
+  /// a worker's lease later than this.
   virtual Instant LastDeparture() const = 0;
-  /// False until the platform's list has been seen: nothing may be concluded
-  /// from what `PossibleHolders` and `Workers` leave out.
+  /// False until the platform's list has been received. Until then, absence
+  /// from `PossibleHolders` and `Workers` proves nothing.
   virtual bool ViewComplete() const = 0;
-  /// Workers of the data centre that are or lately were in the platform's
+  /// Workers of the data centre that are, or recently were, in the platform's
   /// list.
   virtual std::vector<std::string> Workers() const = 0;
   virtual void CallInstance(const std::string& instance,
@@ -80,21 +82,21 @@
                             Millis timeout,
                             PeerNetwork::Callback done) = 0;
   virtual const Configuration& configuration() const = 0;
-  /// Structured log line about one decision.
+  /// Writes a structured log line about one decision.
   virtual void LogDecision(std::string_view what,
                            const TaskId& task,
                            std::string_view detail) = 0;
 };
 
-/// One line of `doorwood explain`.
+/// A decision about a task; one line of `doorwood explain`.
 struct DecisionRecord {
-  /// Milliseconds since the owner took the shard over.
+  /// Milliseconds since the owner took over the shard.
   int64_t at_ms = 0;
   std::string what;
   std::string detail;
 };
 
-/// Figures of one shard, for metrics and tests.
+/// Counters of one shard, for metrics and tests.
 struct OwnerCounters {
   uint64_t accepted = 0;
   uint64_t placed = 0;
@@ -104,7 +106,7 @@
   uint64_t resolved_lost = 0;
 };
 
-/// All calls on the control thread.
+/// All methods must be called on the control thread.
 class ShardOwner : public std::enable_shared_from_this<ShardOwner> {
  public:
   using Done = std::function<void(std::error_code)>;
@@ -117,33 +119,38 @@
              KvStore& kv,
              OwnerEnvironment& environment);
 
-  /// Takes the shard over; see ShardLog::Open. On success the first census
-  /// begins.
+  /// Takes over the shard; see ShardLog::Open. On success the first census
+  /// starts.
   void Open(Done done);
-  /// Hands the shard over in good order. On failure it goes on as before.
+  /// Releases the shard in a planned shutdown; see ShardLog::Close. On failure
+  /// this owner continues as before.
   void Close(Done done);
   /// See ShardLog::Verify.
   void Verify(Done done) { log_->Verify(std::move(done)); }
-  /// Stops all activity at once, as when fenced.
+  /// Stops all activity at once without releasing the shard, as when fenced.
   void Abandon();
   void set_on_fenced(std::function<void()> on_fenced);
   void set_lease_valid(std::function<bool()> lease_valid);
 
-  /// Accepts a job once it is in the log. The id makes it idempotent.
+  /// Accepts a job; `done` succeeds once it is in the log. Idempotent by the
+  /// job's id.
   void Submit(const JobSpec& job, Done done);
   void Cancel(const std::string& job, Done done);
   /// Records that `request` is about to be run under `key`. Fails with
-  /// kConflict if another request was recorded under it.
+  /// kConflict if the key is already claimed.
   void Claim(const std::string& key, const std::string& request, Done done);
-  /// Takes a claim back; the request surely did not run.
+  /// Withdraws a claim; the caller knows that the request did not run.
   void Unclaim(const std::string& key, const std::string& request);
-  /// Answers once all ends are logged.
+  /// Handles attempts that a holder reports as ended. `reply` is called once
+  /// the log has answered for all of them, with those that are logged.
   void OnEndReport(const EndReport& report,
                    std::function<void(EndReply)> reply);
-  /// Call when holders come, go or change what they hold.
+  /// Must be called when holders appear, disappear or change the workers that
+  /// they hold.
   void OnHoldersChanged();
 
-  /// JSON of one job, or of all; for operators.
+  /// One job, or all jobs of a workspace, as JSON for operators. An unknown job
+  /// gives null; an empty `member` selects the jobs of all workspaces.
   Json JobJson(const std::string& job) const;
   Json JobsJson(const std::string& member) const;
   std::vector<DecisionRecord> Explain(const TaskId& task) const;
@@ -156,14 +163,14 @@
  private:
   enum class Stage {
     kQueued,
-    // The intent is being logged.
-    kIntending,
-    // A holder has been asked.
+    // The intent to start is being written to the log.
+    kLoggingIntent,
+    // A holder has been asked to start the attempt.
     kPlacing,
     kRunning,
-    // Nobody has said yet whether an attempt runs.
+    // It is not known whether an attempt runs.
     kUnresolved,
-    // The end is being logged.
+    // The end is being written to the log.
     kEnding,
   };
 
@@ -178,49 +185,50 @@
     Instant not_before{};
     Millis retry{0};
     std::string reason;
-    std::set<std::string> never_at;
+    std::set<std::string> unsuitable_holders;
     uint64_t order = 0;
   };
 
-  // An attempt as one instance of the round told it.
-  struct Sighted {
+  // An attempt and the instance that reported it in a census round.
+  struct HolderSighting {
     Sighting sighting;
     std::string holder;
   };
 
-  // Replies of one census round.
+  // State of one census round.
   struct CensusRound {
     Instant started;
     AttemptId floor;
-    size_t missing = 0;
-    // False once an instance that may be running did not answer.
+    size_t outstanding = 0;
+    // False once a call to an instance that may be running has failed.
     bool all_reached = true;
-    std::map<AttemptId, Sighted> sighted;
-    // Workers held by an instance that answered.
+    std::map<AttemptId, HolderSighting> sighted;
+    // Workers held by the instances that answered.
     std::set<std::string> held;
-    // The latest that a worker can have been renewed by who holds it no more.
+    // By worker: latest time at which a former holder can have renewed its
+    // lease.
     std::map<std::string, Instant> last_renewal;
-    // The latest start of an instance that answered: an earlier process in
-    // its place can have renewed until then.
+    // Latest process start of an instance that answered. An earlier incarnation
+    // of that instance can have renewed leases until then.
     Instant last_start{};
   };
 
   static std::string_view StageName(Stage stage);
 
   void OnApplied(const LogRecord& record);
-  void TakeTasks();
+  void LoadOpenTasks();
   void AddTask(const JobState& job, const TaskState& task, Stage stage);
   Task* Find(const TaskId& id);
   const TaskSpec& SpecOf(const Task& task) const;
   bool IsCancelled(const Task& task) const;
 
-  void SchedulePump(Millis delay);
-  void Pump();
+  void SchedulePlacement(Millis delay);
+  void PlaceReadyTasks();
   bool TryPlace(Task& task);
   bool WithinQuota(const Task& task) const;
   std::string ChooseHolder(const Task& task, uint64_t* incarnation) const;
-  void Intend(Task& task);
-  void AskHolder(Task& task);
+  void LogIntent(Task& task);
+  void SendPlaceRequest(Task& task);
   void OnPlaceReply(const TaskId& id,
                     const AttemptId& attempt,
                     std::error_code error,
@@ -246,10 +254,12 @@
   void FinishCensus(CensusRound& round);
   void StopOrphans(const CensusRound& round);
   bool ResolveTask(Task& task, const CensusRound& round);
-  bool IsCovered(const std::string& worker, const CensusRound& round) const;
-  bool AllWorkersCovered(const CensusRound& round) const;
-  void ResolveSighted(Task& task, const Sighted& sighted);
-  const Sighted* FindSighting(const Task& task, const CensusRound& round) const;
+  bool IsAccountedFor(const std::string& worker,
+                      const CensusRound& round) const;
+  bool AllWorkersAccountedFor(const CensusRound& round) const;
+  void ApplySighting(Task& task, const HolderSighting& sighted);
+  const HolderSighting* FindSighting(const Task& task,
+                                     const CensusRound& round) const;
 
   void Record(const TaskId& task, std::string what, std::string detail);
   Json TaskJson(const JobState& job, const TaskState& task) const;
@@ -267,11 +277,12 @@
   uint64_t order_ = 0;
   std::map<TaskId, Task> tasks_;
   int placing_ = 0;
-  bool pump_scheduled_ = false;
+  bool placement_scheduled_ = false;
   bool census_scheduled_ = false;
   bool census_running_ = false;
-  // What held workers looked like at the last census.
-  std::map<std::string, uint64_t> seen_holdings_;
+  // By holder: digest of its incarnation and its holdings version, as last
+  // compared by OnHoldersChanged.
+  std::map<std::string, uint64_t> last_holdings_;
   std::map<TaskId, std::vector<DecisionRecord>> decisions_;
   OwnerCounters counters_;
 };
--- a/src/include/doorwood/shard_state.h
+++ b/src/include/doorwood/shard_state.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a job shard's log says. Pure: the same records always give the same
-/// state, on the owner that wrote them and on the one that replays them.
+/// State that results from the records of a job shard's log. Deterministic:
+/// the same records give the same state on the owner that wrote them and on the
+/// owner that replays them.
 
 #ifndef DOORWOOD_SHARD_STATE_H_
 #define DOORWOOD_SHARD_STATE_H_
@@ -24,13 +25,13 @@
   JobSpec job;
 };
 
-/// A task that may not be repeated is about to be started.
+/// A task that must not be repeated is about to be started.
 struct IntentRecord {
   TaskId task;
   AttemptId attempt;
 };
 
-/// An attempt ended. `checkpoint` is what the next attempt resumes from.
+/// An attempt ended. The next attempt resumes from `checkpoint`.
 struct EndRecord {
   TaskId task;
   AttemptId attempt;
@@ -38,18 +39,18 @@
   std::string checkpoint;
 };
 
-/// A job was cancelled; what runs of it is being stopped.
+/// A job was cancelled; its running tasks are being stopped.
 struct CancelRecord {
   std::string job;
 };
 
-/// A request that may not be repeated is about to be run.
+/// A request that must not be repeated is about to be run.
 struct ClaimRecord {
   std::string key;
   std::string request;
 };
 
-/// A claimed request surely did not run; its key may be used again.
+/// A claimed request is known not to have run; its key may be used again.
 struct UnclaimRecord {
   std::string key;
   std::string request;
@@ -63,17 +64,17 @@
                                UnclaimRecord>;
 
 Json ToJson(const LogRecord& record);
-/// Throws nlohmann::json::exception on text of the wrong shape.
+/// Throws nlohmann::json::exception if the JSON is not a log record.
 LogRecord ParseLogRecord(const Json& json);
 
-/// Where a task stands, as far as the log tells.
+/// Phase of a task according to the log.
 enum class TaskPhase {
   /// Not finished: queued or running.
   kOpen,
   kSucceeded,
   kFailed,
   kCancelled,
-  /// May not be repeated, was started, and nobody can tell how it ended.
+  /// Must not be repeated, may have been started, and its end is not known.
   kUnknown,
 };
 
@@ -82,21 +83,22 @@
 struct TaskState {
   TaskSpec spec;
   TaskPhase phase = TaskPhase::kOpen;
-  /// Attempts that ran and failed.
+  /// Number of attempts that ran and failed.
   int failures = 0;
-  /// Attempts that were evicted.
+  /// Number of attempts that were evicted.
   int evictions = 0;
   std::string checkpoint;
   /// The newest attempt whose end is logged.
   AttemptId last_ended;
-  /// Set while a start that may not be repeated is logged and not ended.
+  /// Attempt whose start is logged but whose end is not; set only for tasks
+  /// that must not be repeated.
   std::optional<AttemptId> intent;
 };
 
 struct JobState {
   JobSpec job;
   bool cancelled = false;
-  /// By name.
+  /// By task name.
   std::map<std::string, TaskState> tasks;
 
   bool finished() const;
@@ -109,30 +111,31 @@
   const std::map<std::string, JobState>& jobs() const { return jobs_; }
   const JobState* FindJob(const std::string& id) const;
   const TaskState* FindTask(const TaskId& task) const;
-  /// The request that claimed `key`; empty: nobody.
+  /// The request that claimed `key`; empty if none did.
   std::string ClaimedBy(const std::string& key) const;
 
   Json ToSnapshot() const;
-  /// Throws nlohmann::json::exception on text of the wrong shape.
+  /// Throws nlohmann::json::exception if the JSON is not a snapshot.
   static ShardState FromSnapshot(const Json& json);
 
  private:
   void ApplyEnd(const EndRecord& record);
   void ApplyClaim(const ClaimRecord& record);
   void ApplyUnclaim(const UnclaimRecord& record);
-  void NoteFinished(const std::string& job);
+  void RecordFinishedJob(const std::string& job);
 
   std::map<std::string, JobState> jobs_;
-  // Oldest first; the oldest are dropped when there are too many.
+  // Oldest first; at most kFinishedJobsKept, the oldest is dropped first.
   std::deque<std::string> finished_;
   std::map<std::string, std::string> claims_;
   std::deque<std::string> claim_order_;
 };
 
-/// Finished jobs that a shard remembers.
+/// Number of finished jobs that a shard keeps.
 inline constexpr size_t kFinishedJobsKept = 200;
-/// Claims that a shard remembers. Older keys could be run again, so this is
-/// also the length of the at-most-once promise; see docs/OPERATIONS.md.
+/// Number of claims that a shard keeps. Requests under older keys could run
+/// again, so this also bounds the at-most-once guarantee; see
+/// docs/OPERATIONS.md.
 inline constexpr size_t kClaimsKept = 4000;
 
 }  // namespace doorwood
--- a/src/libdoorwood/owner/shard_census.cpp
+++ b/src/libdoorwood/owner/shard_census.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The census of a shard owner: one mechanism finds out what became of
-// attempts after a change of owner, the death of a holder, a lost answer and
+// The census of a shard owner: one mechanism that determines the state of
+// attempts after a change of owner, the failure of a holder, a lost answer or
 // the loss of a worker. docs/design/census.md.
 
 #include <algorithm>
@@ -19,14 +19,14 @@
   for (const HolderView& holder : environment_.Holders()) {
     holdings[holder.instance] = holder.incarnation ^ holder.holdings_version;
   }
-  if (holdings == seen_holdings_) {
+  if (holdings == last_holdings_) {
     return;
   }
-  seen_holdings_ = std::move(holdings);
+  last_holdings_ = std::move(holdings);
   if (!tasks_.empty()) {
     ScheduleCensus(options_.census_retry);
   }
-  SchedulePump(Millis(0));
+  SchedulePlacement(Millis(0));
 }
 
 void ShardOwner::ScheduleCensus(Millis delay) {
@@ -53,7 +53,7 @@
   round->started = executor_.Now();
   round->floor = NextAttempt();
   const std::vector<std::string> instances = environment_.PossibleHolders();
-  round->missing = instances.size();
+  round->outstanding = instances.size();
   for (const std::string& instance : instances) {
     environment_.CallInstance(
         instance, CensusRequest{shard_, round->floor}, options_.call_timeout,
@@ -83,12 +83,13 @@
     const Instant now = executor_.Now();
     round->last_start = std::max(round->last_start, now - census->uptime);
     for (const WorkerAge& age : census->released) {
-      // The answer was under way for a while, so this errs to the late side.
+      // The reply's transit time is not subtracted, so the result is late
+      // rather than early, which is safe.
       Instant& last = round->last_renewal[age.worker];
       last = std::max(last, now - age.age);
     }
   }
-  if (--round->missing == 0) {
+  if (--round->outstanding == 0) {
     census_running_ = false;
     if (active_) {
       FinishCensus(*round);
@@ -114,7 +115,7 @@
     }
   }
   StopOrphans(round);
-  SchedulePump(Millis(0));
+  SchedulePlacement(Millis(0));
   if (!complete) {
     ScheduleCensus(options_.census_retry);
   } else if (!tasks_.empty()) {
@@ -122,8 +123,8 @@
   }
 }
 
-// Stops what runs for a task that has ended, or as another attempt than the
-// one this owner knows to be current.
+// Stops attempts whose task has ended, and attempts other than the current one
+// of a running task.
 void ShardOwner::StopOrphans(const CensusRound& round) {
   for (const auto& [attempt, sighted] : round.sighted) {
     const Task* task = Find(sighted.sighting.task);
@@ -140,26 +141,28 @@
   }
 }
 
-// True if it is known what became of the task's attempt.
+// Returns true if the state of the task's attempt is now known.
 bool ShardOwner::ResolveTask(Task& task, const CensusRound& round) {
-  const Sighted* sighted = FindSighting(task, round);
+  const HolderSighting* sighted = FindSighting(task, round);
   if (sighted != nullptr) {
     const Sighting& sighting = sighted->sighting;
     const bool runs_again = sighting.state == RunState::kEnded &&
                             sighting.end != AttemptEnd::kSucceeded;
     const bool newer_possible = task.attempt.counter == 0 && runs_again;
-    if (newer_possible && !AllWorkersCovered(round)) {
+    if (newer_possible && !AllWorkersAccountedFor(round)) {
       return false;
     }
-    ResolveSighted(task, *sighted);
+    ApplySighting(task, *sighted);
     return true;
   }
-  const bool covered = task.worker.empty() ? AllWorkersCovered(round)
-                                           : IsCovered(task.worker, round);
-  if (!covered) {
+  const bool accounted_for = task.worker.empty()
+                                 ? AllWorkersAccountedFor(round)
+                                 : IsAccountedFor(task.worker, round);
+  if (!accounted_for) {
     return false;
   }
-  // No worker runs it, and no earlier order for it can take effect any more.
+  // No worker runs it, and no earlier request to start it can take effect any
+  // more.
   const TaskState& state = *log_->state().FindTask(task.id);
   const bool may_have_run = state.intent || task.attempt.counter != 0;
   if (!may_have_run) {
@@ -174,7 +177,7 @@
   return true;
 }
 
-const ShardOwner::Sighted* ShardOwner::FindSighting(
+const ShardOwner::HolderSighting* ShardOwner::FindSighting(
     const Task& task,
     const CensusRound& round) const {
   const auto exact = round.sighted.find(task.attempt);
@@ -184,10 +187,10 @@
   if (task.attempt.counter != 0) {
     return nullptr;
   }
-  // After a takeover the newest attempt is not known. It is the one that
-  // runs, or else the newest that is newer than the last logged end.
+  // After a takeover the newest attempt is not known. It is the one that runs,
+  // or else the newest of those after the last logged end.
   const TaskState& state = *log_->state().FindTask(task.id);
-  const Sighted* newest = nullptr;
+  const HolderSighting* newest = nullptr;
   for (const auto& [attempt, sighted] : round.sighted) {
     const bool candidate =
         sighted.sighting.task == task.id && attempt > state.last_ended;
@@ -201,7 +204,7 @@
   return newest;
 }
 
-void ShardOwner::ResolveSighted(Task& task, const Sighted& sighted) {
+void ShardOwner::ApplySighting(Task& task, const HolderSighting& sighted) {
   const Sighting& sighting = sighted.sighting;
   task.attempt = sighting.attempt;
   task.worker = sighting.worker;
@@ -219,16 +222,16 @@
   }
 }
 
-bool ShardOwner::IsCovered(const std::string& worker,
-                           const CensusRound& round) const {
+bool ShardOwner::IsAccountedFor(const std::string& worker,
+                                const CensusRound& round) const {
   if (round.held.contains(worker)) {
     return true;
   }
   if (!round.all_reached || !environment_.ViewComplete()) {
     return false;
   }
-  // Nobody holds it. Its tasks have ended by the worker's own clock once the
-  // task lease has run out after the latest renewal that anybody can have
+  // No instance holds it. The worker ends its tasks by its own clock once the
+  // task lease has expired after the latest renewal that any instance can have
   // sent.
   Instant last = std::max(environment_.LastDeparture(), round.last_start);
   const auto renewal = round.last_renewal.find(worker);
@@ -238,17 +241,17 @@
   return round.started >= last + options_.task_lease + options_.drift;
 }
 
-bool ShardOwner::AllWorkersCovered(const CensusRound& round) const {
+bool ShardOwner::AllWorkersAccountedFor(const CensusRound& round) const {
   if (!environment_.ViewComplete()) {
     return false;
   }
   const std::vector<std::string> workers = environment_.Workers();
   const bool listed = std::all_of(
       workers.begin(), workers.end(),
-      [&](const std::string& worker) { return IsCovered(worker, round); });
+      [&](const std::string& worker) { return IsAccountedFor(worker, round); });
   const bool released = std::all_of(
       round.last_renewal.begin(), round.last_renewal.end(),
-      [&](const auto& item) { return IsCovered(item.first, round); });
+      [&](const auto& item) { return IsAccountedFor(item.first, round); });
   return listed && released;
 }
 
--- a/src/libdoorwood/owner/shard_log.cpp
+++ b/src/libdoorwood/owner/shard_log.cpp
@@ -133,7 +133,7 @@
 
 void ShardLog::OnCommitted(std::error_code error) {
   if (!error) {
-    BelieveOrConfirm();
+    FinishBatchIfOwner();
     return;
   }
   if (error == KvErrc::kConflict) {
@@ -144,14 +144,14 @@
   if (error == KvErrc::kUnknown) {
     batch_may_exist_ = true;
   }
-  RefuseRefusable(batch_may_exist_
-                      ? make_error_code(CoreErrc::kOutcomeUnknown)
-                      : make_error_code(CoreErrc::kStoreUnavailable));
+  FailRefusableAppends(batch_may_exist_
+                           ? make_error_code(CoreErrc::kOutcomeUnknown)
+                           : make_error_code(CoreErrc::kStoreUnavailable));
   RetryLater();
 }
 
-// Either an earlier try of this very batch took effect and its answer was
-// lost, or another owner has sealed the log.
+// Either an earlier write of this batch took effect and its answer was lost,
+// or another owner has sealed the log.
 void ShardLog::OnPositionTaken() {
   batch_in_flight_ = true;
   kv_.Read(
@@ -163,14 +163,14 @@
           return;
         }
         if (entry.value == self->BatchValue()) {
-          self->BelieveOrConfirm();
+          self->FinishBatchIfOwner();
           return;
         }
         self->BecomeFenced();
       });
 }
 
-void ShardLog::BelieveOrConfirm() {
+void ShardLog::FinishBatchIfOwner() {
   if (!lease_valid_ || lease_valid_()) {
     FinishBatch();
     return;
@@ -182,8 +182,9 @@
     self->batch_in_flight_ = false;
     if (error) {
       self->failing_ = true;
-      self->RefuseRefusable(CoreErrc::kOutcomeUnknown);
-      // The same write is tried again; it meets itself and is confirmed then.
+      self->FailRefusableAppends(CoreErrc::kOutcomeUnknown);
+      // The retry of this write conflicts with the entry that it created, and
+      // is then confirmed.
       self->RetryLater();
       return;
     }
@@ -221,7 +222,7 @@
   MaybeSnapshot();
 }
 
-void ShardLog::RefuseRefusable(std::error_code error) {
+void ShardLog::FailRefusableAppends(std::error_code error) {
   const bool droppable = error == make_error_code(CoreErrc::kStoreUnavailable);
   std::vector<Done> refused;
   const auto refuse = [&refused](Pending& pending) {
@@ -238,7 +239,7 @@
   if (droppable) {
     std::erase_if(batch_, [](const Pending& item) { return item.refusable; });
   }
-  // What was queued behind the batch has surely not been sent.
+  // Records queued behind the batch have not been sent.
   std::vector<Done> unsent;
   std::erase_if(queue_, [&unsent](Pending& pending) {
     if (!pending.refusable) {
@@ -257,13 +258,14 @@
 
 void ShardLog::RetryLater() {
   retry_ = std::clamp(retry_ * 2, options_.retry_first, options_.retry_longest);
-  // Half of the pause is random, so that instances do not return as one.
+  // Half of the pause is random, so that instances do not retry at the same
+  // time.
   const auto half = static_cast<uint64_t>(retry_.count() / 2 + 1);
   const Millis pause =
       retry_ / 2 + Millis(static_cast<int64_t>(executor_.Random() % half));
   if (batch_.empty() && queue_.empty()) {
-    // Nothing is left to write: the next append finds out whether the
-    // service answers again.
+    // Nothing is left to write. The next append shows whether the store
+    // answers again.
     executor_.Schedule(
         pause, [self = shared_from_this()]() { self->failing_ = false; });
     return;
@@ -337,7 +339,7 @@
     if (!read_back) {
       return;
     }
-    // Learn the version, so that the next snapshot can be written.
+    // The next snapshot needs the current version as its precondition.
     self->kv_.Read(self->SnapshotKey(),
                    [self](std::error_code read_error, const KvEntry& entry) {
                      if (!read_error) {
@@ -347,7 +349,7 @@
   });
 }
 
-// Removes entries that the snapshot before the newest covers already.
+// Removes entries that are covered by the snapshot before the newest one.
 void ShardLog::TruncateBelow(int64_t position) {
   for (int64_t old = position; old > 0; --old) {
     if (position - old > options_.snapshot_after) {
@@ -380,9 +382,9 @@
                       .expected_version = head_version_,
                       .priority = KvPriority::kLease};
   kv_.Write(write, [self = shared_from_this()](std::error_code error, int64_t) {
-    const bool unclear =
+    const bool ambiguous =
         error == KvErrc::kUnknown || error == KvErrc::kConflict;
-    if (unclear) {
+    if (ambiguous) {
       self->ConfirmClosed();
       return;
     }
@@ -409,8 +411,8 @@
   });
 }
 
-// A shard that could not be given up stays with this owner: as long as the
-// head names it, nobody else would take the shard.
+// A shard that could not be released stays with this owner: as long as the
+// head names this owner, no other instance takes the shard over.
 void ShardLog::FinishClose(std::error_code error) {
   open_ = static_cast<bool>(error);
   const Done done = std::move(on_closed_);
--- a/src/libdoorwood/owner/shard_log_entries.h
+++ b/src/libdoorwood/owner/shard_log_entries.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Helpers for entries of a shard's log, shared by the files of ShardLog.
+/// Helpers that read log entries, shared by the files that implement ShardLog.
 
 #ifndef DOORWOOD_OWNER_SHARD_LOG_ENTRIES_H_
 #define DOORWOOD_OWNER_SHARD_LOG_ENTRIES_H_
@@ -14,7 +14,7 @@
 
 namespace doorwood::pvt {
 
-// Position at the end of a log key.
+// Returns the position that ends the key of a log entry.
 inline int64_t PositionOf(const KvEntry& entry) {
   return std::stoll(entry.key.substr(entry.key.rfind('/') + 1));
 }
--- a/src/libdoorwood/owner/shard_owner.cpp
+++ b/src/libdoorwood/owner/shard_owner.cpp
@@ -10,12 +10,12 @@
 namespace doorwood {
 namespace {
 
-constexpr size_t kMostDecisions = 20;
-constexpr size_t kMostExplained = 5000;
+constexpr size_t kMaxDecisionsPerTask = 20;
+constexpr size_t kMaxTasksWithDecisions = 5000;
 
 }  // namespace
 
-// --- Life ---
+// --- Lifecycle ---
 
 ShardOwner::ShardOwner(const OwnerOptions& options,
                        const ShardId& shard,
@@ -50,7 +50,7 @@
             owner->OnApplied(record);
           }
         });
-    self->TakeTasks();
+    self->LoadOpenTasks();
     self->ScheduleCensus(Millis(0));
     done(error);
   });
@@ -79,7 +79,7 @@
   log_->set_lease_valid(std::move(lease_valid));
 }
 
-void ShardOwner::TakeTasks() {
+void ShardOwner::LoadOpenTasks() {
   for (const auto& [id, job] : log_->state().jobs()) {
     for (const auto& [name, task] : job.tasks) {
       if (task.phase == TaskPhase::kOpen) {
@@ -118,7 +118,7 @@
   return {log_->epoch(), ++counter_};
 }
 
-// --- What operators and callers ask ---
+// --- Requests ---
 
 void ShardOwner::Submit(const JobSpec& job, Done done) {
   if (log_->state().FindJob(job.id) != nullptr) {
@@ -128,8 +128,8 @@
   log_->Append(AcceptRecord{job}, /*refusable=*/true, std::move(done));
 }
 
-// What a record means for the work at hand. Not done by the callers of
-// `Append`: they may have been told early that the outcome is unknown.
+// Updates the open tasks for an applied record. The completion callbacks of
+// `Append` cannot do this: they may already have got kOutcomeUnknown.
 void ShardOwner::OnApplied(const LogRecord& record) {
   if (const auto* accept = std::get_if<AcceptRecord>(&record)) {
     ++counters_.accepted;
@@ -140,7 +140,7 @@
         AddTask(*job, task, Stage::kQueued);
       }
     }
-    SchedulePump(Millis(0));
+    SchedulePlacement(Millis(0));
   } else if (std::holds_alternative<CancelRecord>(record)) {
     StopCancelled();
   }
@@ -167,8 +167,8 @@
     done(CoreErrc::kConflict);
     return;
   }
-  // Two claims of one key can wait for the same append; the first one in the
-  // log wins, so the outcome is looked up afterwards.
+  // Two claims of one key can be in the same batch. The first one in the log
+  // wins, so the winner is looked up after the append.
   log_->Append(
       ClaimRecord{key, request}, /*refusable=*/true,
       [self = shared_from_this(), key, request, done](std::error_code error) {
@@ -185,8 +185,8 @@
   log_->Append(UnclaimRecord{key, request}, /*refusable=*/false, nullptr);
 }
 
-// Queued tasks of cancelled jobs end in one append; running ones are stopped
-// and end when that is confirmed.
+// Ends the queued tasks of cancelled jobs, usually in one batch of the log, and
+// stops the running ones, which end when the stop is confirmed.
 void ShardOwner::StopCancelled() {
   std::vector<TaskId> queued;
   for (auto& [id, task] : tasks_) {
@@ -278,12 +278,12 @@
 void ShardOwner::OnEndReport(const EndReport& report,
                              std::function<void(EndReply)> reply) {
   struct Progress {
-    size_t missing = 1;
+    size_t outstanding = 1;
     EndReply reply;
   };
   auto progress = std::make_shared<Progress>();
   const auto finish = [progress, reply]() {
-    if (--progress->missing == 0) {
+    if (--progress->outstanding == 0) {
       reply(progress->reply);
     }
   };
@@ -300,20 +300,20 @@
     if (logging || !active_) {
       continue;
     }
-    // Right after a takeover the newest attempt is not known, and this may
-    // be an older one that a holder still remembers. The census decides; the
-    // holder asks again.
+    // Right after a takeover the newest attempt is not known, and this may be
+    // an older one of which a holder still has a record. The census decides,
+    // and the holder repeats its report.
     const bool newest_unknown =
         task->stage == Stage::kUnresolved && task->attempt.counter == 0;
     if (newest_unknown) {
       continue;
     }
     if (ended.attempt < task->attempt) {
-      // A newer attempt was started once this one had surely ended.
+      // A newer attempt is started only after this one is known to have ended.
       progress->reply.logged.push_back(ended.attempt);
       continue;
     }
-    ++progress->missing;
+    ++progress->outstanding;
     LogEnd(*task, ended.attempt, ended.end, ended.checkpoint,
            [progress, finish, attempt = ended.attempt](bool logged) {
              if (logged) {
@@ -331,7 +331,7 @@
   switch (stage) {
     case Stage::kQueued:
       return "queued";
-    case Stage::kIntending:
+    case Stage::kLoggingIntent:
     case Stage::kPlacing:
       return "placing";
     case Stage::kRunning:
@@ -351,11 +351,11 @@
             {"failures", task.failures},
             {"evictions", task.evictions},
             {"checkpoint", task.checkpoint}};
-  const auto live = tasks_.find({job.job.id, task.spec.name});
-  if (live != tasks_.end()) {
-    json["phase"] = StageName(live->second.stage);
-    json["worker"] = live->second.worker;
-    json["reason"] = live->second.reason;
+  const auto open_task = tasks_.find({job.job.id, task.spec.name});
+  if (open_task != tasks_.end()) {
+    json["phase"] = StageName(open_task->second.stage);
+    json["worker"] = open_task->second.worker;
+    json["reason"] = open_task->second.reason;
   }
   return json;
 }
@@ -408,11 +408,12 @@
                         std::string what,
                         std::string detail) {
   environment_.LogDecision(what, task, detail);
-  if (decisions_.size() >= kMostExplained && !decisions_.contains(task)) {
+  if (decisions_.size() >= kMaxTasksWithDecisions &&
+      !decisions_.contains(task)) {
     decisions_.erase(decisions_.begin());
   }
   std::vector<DecisionRecord>& records = decisions_[task];
-  if (records.size() >= kMostDecisions) {
+  if (records.size() >= kMaxDecisionsPerTask) {
     records.erase(records.begin());
   }
   const auto at = std::chrono::duration_cast<Millis>(executor_.Now() - opened_);
--- a/src/libdoorwood/owner/shard_placing.cpp
+++ b/src/libdoorwood/owner/shard_placing.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Placing of a shard owner: which task is next, whom to ask, what the answer
-// means.
+// Placement by a shard owner: selects the next task and a holder, and handles
+// the holder's reply.
 
 #include <algorithm>
 #include <tuple>
@@ -11,20 +11,20 @@
 
 namespace doorwood {
 
-void ShardOwner::SchedulePump(Millis delay) {
-  if (pump_scheduled_ && delay > Millis(0)) {
+void ShardOwner::SchedulePlacement(Millis delay) {
+  if (placement_scheduled_ && delay > Millis(0)) {
     return;
   }
-  pump_scheduled_ = true;
+  placement_scheduled_ = true;
   executor_.Schedule(delay, [self = shared_from_this()]() {
-    self->pump_scheduled_ = false;
+    self->placement_scheduled_ = false;
     if (self->active_) {
-      self->Pump();
+      self->PlaceReadyTasks();
     }
   });
 }
 
-void ShardOwner::Pump() {
+void ShardOwner::PlaceReadyTasks() {
   const Instant now = executor_.Now();
   std::vector<Task*> ready;
   bool waiting = false;
@@ -47,14 +47,14 @@
     return rank(a) < rank(b);
   });
   for (Task* task : ready) {
-    if (placing_ >= options_.most_placing) {
+    if (placing_ >= options_.max_concurrent_placements) {
       break;
     }
-    // A task that cannot be placed now blocks nobody behind it.
+    // A task that cannot be placed now does not block the tasks behind it.
     TryPlace(*task);
   }
   if (waiting || !ready.empty()) {
-    SchedulePump(options_.retry_first);
+    SchedulePlacement(options_.retry_first);
   }
 }
 
@@ -75,9 +75,9 @@
   task.attempt = NextAttempt();
   ++placing_;
   if (SpecOf(task).repeatable) {
-    AskHolder(task);
+    SendPlaceRequest(task);
   } else {
-    Intend(task);
+    LogIntent(task);
   }
   return true;
 }
@@ -89,7 +89,7 @@
   if (member == nullptr) {
     return true;
   }
-  // A member's jobs of one data centre are all in one shard, so this sum is
+  // All jobs of a workspace in one data centre are in one shard, so this sum is
   // complete.
   Resources used = SpecOf(task).size;
   for (const auto& [id, other] : tasks_) {
@@ -110,7 +110,8 @@
   std::vector<HolderView> fitting;
   std::vector<HolderView> others;
   for (const HolderView& holder : environment_.Holders()) {
-    if (holder.workers == 0 || task.never_at.contains(holder.instance)) {
+    if (holder.workers == 0 ||
+        task.unsuitable_holders.contains(holder.instance)) {
       continue;
     }
     const bool fits = Fits(spec.size, holder.largest_room);
@@ -120,8 +121,8 @@
   if (pool.empty()) {
     return "";
   }
-  // The better of two random choices: near the best spread, and instances
-  // with the same view do not all pick the same holder.
+  // The better of two random choices: the load is spread nearly evenly, and
+  // instances with the same view do not all choose the same holder.
   const HolderView& a = pool[executor_.Random() % pool.size()];
   const HolderView& b = pool[executor_.Random() % pool.size()];
   const HolderView& chosen = a.free.cpu_millis >= b.free.cpu_millis ? a : b;
@@ -129,10 +130,10 @@
   return chosen.instance;
 }
 
-// Logs the start before it is ordered: what may not be repeated is started
-// only under a logged intent.
-void ShardOwner::Intend(Task& task) {
-  task.stage = Stage::kIntending;
+// Logs the intent before the start is requested: a task that must not be
+// repeated is started only under a logged intent.
+void ShardOwner::LogIntent(Task& task) {
+  task.stage = Stage::kLoggingIntent;
   const TaskId id = task.id;
   const AttemptId attempt = task.attempt;
   log_->Append(IntentRecord{id, attempt}, /*refusable=*/true,
@@ -140,23 +141,23 @@
                  Task* found = self->Find(id);
                  const bool current = self->active_ && found != nullptr &&
                                       found->attempt == attempt &&
-                                      found->stage == Stage::kIntending;
+                                      found->stage == Stage::kLoggingIntent;
                  if (current && !error) {
-                   self->AskHolder(*found);
+                   self->SendPlaceRequest(*found);
                    return;
                  }
                  --self->placing_;
                  if (!current) {
                    return;
                  }
-                 // An intent that may be logged belongs to an attempt that is
-                 // never ordered; the next attempt has a new id.
+                 // The intent may still be in the log, but its attempt is
+                 // never started: the next attempt has a new id.
                  self->Requeue(*found, self->options_.retry_longest,
                                "the intent could not be logged");
                });
 }
 
-void ShardOwner::AskHolder(Task& task) {
+void ShardOwner::SendPlaceRequest(Task& task) {
   task.stage = Stage::kPlacing;
   const TaskState& state = *log_->state().FindTask(task.id);
   PlaceRequest request{.shard = shard_,
@@ -203,7 +204,7 @@
   task->worker = answer->worker;
   task->retry = options_.retry_first;
   task->reason.clear();
-  task->never_at.clear();
+  task->unsuitable_holders.clear();
   ++counters_.placed;
   Record(id, "placed",
          "attempt " + ToString(attempt) + " on worker " + answer->worker +
@@ -218,14 +219,14 @@
   Millis pause = task.retry;
   task.retry = std::min(task.retry * 2, options_.retry_longest);
   if (reason.starts_with("never: ")) {
-    task.never_at.insert(task.holder);
+    task.unsuitable_holders.insert(task.holder);
     bool all = true;
     for (const HolderView& holder : environment_.Holders()) {
-      all = all &&
-            (holder.workers == 0 || task.never_at.contains(holder.instance));
+      all = all && (holder.workers == 0 ||
+                    task.unsuitable_holders.contains(holder.instance));
     }
     if (all) {
-      task.never_at.clear();
+      task.unsuitable_holders.clear();
       pause = options_.unplaceable_retry;
       Record(task.id, "unplaceable", reason);
     }
@@ -235,7 +236,7 @@
     Requeue(task, pause, reason);
     return;
   }
-  // The refusal proves that the logged intent never became a start.
+  // The refusal proves that the attempt of the logged intent was not started.
   const TaskId id = task.id;
   LogEnd(task, task.attempt, AttemptEnd::kNotStarted, "",
          [self = shared_from_this(), id, pause, reason](bool logged) {
@@ -254,7 +255,7 @@
     Record(task.id, "waiting", reason);
   }
   task.reason = std::move(reason);
-  SchedulePump(std::max(delay, Millis(1)));
+  SchedulePlacement(std::max(delay, Millis(1)));
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/owner/shard_state.cpp
+++ b/src/libdoorwood/owner/shard_state.cpp
@@ -38,15 +38,16 @@
   return Json{{"unclaim", record.key}, {"request", record.request}};
 }
 
-// The phase that an end leaves a task in.
+// Returns the phase of the task after an attempt ended with `end`.
 TaskPhase PhaseAfter(const TaskState& task, AttemptEnd end, bool cancelled) {
   const TaskPhase retry = cancelled ? TaskPhase::kCancelled : TaskPhase::kOpen;
   switch (end) {
     case AttemptEnd::kSucceeded:
       return TaskPhase::kSucceeded;
     case AttemptEnd::kFailed: {
-      const bool spent = task.failures >= task.spec.max_attempts;
-      return spent || !task.spec.repeatable ? TaskPhase::kFailed : retry;
+      const bool attempts_exhausted = task.failures >= task.spec.max_attempts;
+      return attempts_exhausted || !task.spec.repeatable ? TaskPhase::kFailed
+                                                         : retry;
     }
     case AttemptEnd::kStopped: {
       const bool resumable = task.spec.repeatable || !task.checkpoint.empty();
@@ -134,7 +135,7 @@
     for (const TaskSpec& spec : accept->job.tasks) {
       job.tasks[spec.name].spec = spec;
     }
-    // A job accepted twice under one id is one job.
+    // Accepting a job again under the same id has no effect.
     jobs_.try_emplace(accept->job.id, std::move(job));
   } else if (const auto* intent = std::get_if<IntentRecord>(&record)) {
     const auto job = jobs_.find(intent->task.job);
@@ -156,7 +157,7 @@
 }
 
 void ShardState::ApplyClaim(const ClaimRecord& record) {
-  // The first claim of a key stands.
+  // The first claim of a key wins.
   if (!claims_.try_emplace(record.key, record.request).second) {
     return;
   }
@@ -202,11 +203,11 @@
   }
   task.phase = PhaseAfter(task, record.end, job->second.cancelled);
   if (job->second.finished()) {
-    NoteFinished(record.task.job);
+    RecordFinishedJob(record.task.job);
   }
 }
 
-void ShardState::NoteFinished(const std::string& job) {
+void ShardState::RecordFinishedJob(const std::string& job) {
   finished_.push_back(job);
   if (finished_.size() > kFinishedJobsKept) {
     jobs_.erase(finished_.front());
--- a/src/libdoorwood/owner/shard_takeover.cpp
+++ b/src/libdoorwood/owner/shard_takeover.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Takeover of a shard's log: head, seal, replay.
+// Takeover of a shard's log: claim the head, seal the log, replay the entries.
 
 #include <algorithm>
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr int kReplayTries = 5;
+constexpr int kMaxReplayAttempts = 5;
 
 }  // namespace
 
@@ -41,7 +41,7 @@
     TakeHead(head.version, epoch + 1, done);
     return;
   }
-  // The owner's registration goes when its lease lapses.
+  // The store removes the owner's registration when its lease expires.
   kv_.Read(AliveKey(shard_.data_centre, owner),
            [self = shared_from_this(), version = head.version, epoch,
             incarnation, done](std::error_code error, const KvEntry& alive) {
@@ -120,7 +120,7 @@
             return;
           }
           if (!entries.empty() && EpochOf(entries.back()) > self->epoch_) {
-            // A newer owner sealed the log while this one was held up.
+            // A newer owner sealed the log while this one was delayed.
             done(CoreErrc::kConflict);
             return;
           }
@@ -141,12 +141,12 @@
                       .priority = KvPriority::kLease};
   kv_.Write(write, [self = shared_from_this(), position, done](
                        std::error_code error, int64_t) {
-    const bool look_again =
+    const bool retry_seal =
         error == KvErrc::kConflict || error == KvErrc::kUnknown;
-    if (look_again) {
+    if (retry_seal) {
       // Either the old owner appended first, or the answer was lost. A second
-      // seal of the same epoch does no harm.
-      if (++self->replay_tries_ > kReplayTries) {
+      // seal of the same epoch is harmless.
+      if (++self->replay_attempts_ > kMaxReplayAttempts) {
         done(CoreErrc::kOutcomeUnknown);
         return;
       }
@@ -158,7 +158,7 @@
       return;
     }
     self->position_ = position;
-    self->replay_tries_ = 0;
+    self->replay_attempts_ = 0;
     self->Replay(done);
   });
 }
@@ -198,15 +198,17 @@
     done(std::error_code());
     return;
   }
-  // The old owner truncated the log between the two reads.
-  if (++replay_tries_ > kReplayTries) {
+  // The old owner truncated the log between the reads of the snapshot and of
+  // the entries.
+  if (++replay_attempts_ > kMaxReplayAttempts) {
     done(CoreErrc::kStoreUnavailable);
     return;
   }
   Replay(done);
 }
 
-// True if the entries continue the snapshot without a gap up to the seal.
+// Returns true if the entries continue the snapshot without a gap up to the
+// seal.
 bool ShardLog::ApplyEntries(const std::vector<KvEntry>& entries) {
   int64_t next = snapshot_position_ + 1;
   for (const KvEntry& entry : entries) {
