--- a/src/libdoorwood/owner/shard_log_test.cpp
+++ b/src/libdoorwood/owner/shard_log_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The shard's log under every fault of the store: one writer, nothing that
-// was told as written is lost, nothing is written by an owner that was
-// replaced.
+// Tests of a shard's log under every fault of the store: there is one writer,
+// no record that was reported as written is lost, and an owner that was
+// replaced writes nothing.
 
 #include "doorwood/shard_log.h"
 
@@ -23,9 +23,9 @@
 using fakes::Fault;
 using fakes::VirtualTime;
 
-constexpr Millis kAWhile{15000};
+constexpr Millis kRunDuration{15000};
 
-// Two instances that can own one shard.
+// Two instances that can both try to own one shard.
 struct TwoOwners {
   struct Owner {
     Owner(VirtualTime& time, standin::KvModel& model, std::string name)
@@ -59,21 +59,21 @@
   std::error_code Open(Owner& owner) {
     std::optional<std::error_code> result;
     owner.log->Open([&](std::error_code error) { result = error; });
-    time.Run(kAWhile);
+    time.Run(kRunDuration);
     BOOST_REQUIRE(result);
     return *result;
   }
 
-  // Appends a claim; its answer, or `timed_out` if there was none.
+  // Appends a claim. Returns the answer, or `timed_out` if there was none.
   std::error_code Append(Owner& owner, const std::string& key, bool refusable) {
     std::error_code result = std::make_error_code(std::errc::timed_out);
     owner.log->Append(ClaimRecord{key, "r"}, refusable,
                       [&](std::error_code error) { result = error; });
-    time.Run(kAWhile);
+    time.Run(kRunDuration);
     return result;
   }
 
-  static bool Knows(const Owner& owner, const std::string& key) {
+  static bool HasClaim(const Owner& owner, const std::string& key) {
     return !owner.log->state().ClaimedBy(key).empty();
   }
 
@@ -90,7 +90,7 @@
   BOOST_TEST(!pair.Open(pair.first));
   BOOST_TEST(pair.Append(pair.first, "a", true) == std::error_code());
   BOOST_TEST(!pair.Open(pair.second));
-  BOOST_TEST(pair.Knows(pair.second, "a"));
+  BOOST_TEST(pair.HasClaim(pair.second, "a"));
   BOOST_TEST(pair.second.log->epoch() > pair.first.log->epoch());
   BOOST_TEST(pair.Append(pair.first, "b", true) ==
              make_error_code(CoreErrc::kNoOwner));
@@ -98,7 +98,7 @@
   BOOST_TEST(pair.Append(pair.second, "c", true) == std::error_code());
 }
 
-BOOST_AUTO_TEST_CASE(log_of_a_registered_owner_is_not_taken) {
+BOOST_AUTO_TEST_CASE(log_of_a_registered_owner_is_not_taken_over) {
   TwoOwners pair;
   BOOST_TEST(!pair.Open(pair.first));
   int64_t version = 0;
@@ -108,14 +108,14 @@
   BOOST_TEST(pair.Append(pair.first, "a", true) == std::error_code());
 }
 
-// What an append under a fault is answered with, and whether its record is in
-// the log once the fault is over.
+// The answer to an append under a fault, and whether its record is in the log
+// after the fault has ended.
 struct AppendRow {
   const char* name;
   Fault fault;
   bool refusable;
-  // Nothing: no answer as long as the fault lasts.
-  std::optional<CoreErrc> told;
+  // Empty if no particular answer is expected while the fault lasts.
+  std::optional<CoreErrc> reported;
   bool written;
 };
 
@@ -138,24 +138,24 @@
       TwoOwners pair;
       BOOST_TEST(!pair.Open(pair.first));
       pair.first.kv.set_fault(row.fault);
-      std::optional<std::error_code> told;
+      std::optional<std::error_code> reported;
       int answers = 0;
       pair.first.log->Append(ClaimRecord{"a", "r"}, row.refusable,
                              [&](std::error_code error) {
-                               told = error;
+                               reported = error;
                                ++answers;
                              });
-      pair.time.Run(kAWhile);
-      if (row.told) {
-        BOOST_REQUIRE(told.has_value());
-        BOOST_TEST(*told == make_error_code(*row.told));
+      pair.time.Run(kRunDuration);
+      if (row.reported) {
+        BOOST_REQUIRE(reported.has_value());
+        BOOST_TEST(*reported == make_error_code(*row.reported));
       }
       pair.first.kv.set_fault(Fault::kNone);
-      pair.time.Run(kAWhile);
+      pair.time.Run(kRunDuration);
       BOOST_TEST(answers == 1);
-      BOOST_TEST(pair.Knows(pair.first, "a") == row.written);
+      BOOST_TEST(pair.HasClaim(pair.first, "a") == row.written);
       BOOST_TEST(!pair.Open(pair.second));
-      BOOST_TEST(pair.Knows(pair.second, "a") == row.written);
+      BOOST_TEST(pair.HasClaim(pair.second, "a") == row.written);
     }
   }
 }
@@ -166,14 +166,14 @@
   pair.first.kv.set_fault(Fault::kDown);
   pair.Append(pair.first, "a", false);
   BOOST_TEST(pair.first.log->failing());
-  std::optional<std::error_code> told;
+  std::optional<std::error_code> reported;
   pair.first.log->Append(ClaimRecord{"b", "r"}, true,
-                         [&](std::error_code error) { told = error; });
-  BOOST_REQUIRE(told.has_value());
-  BOOST_TEST(*told == make_error_code(CoreErrc::kStoreUnavailable));
+                         [&](std::error_code error) { reported = error; });
+  BOOST_REQUIRE(reported.has_value());
+  BOOST_TEST(*reported == make_error_code(CoreErrc::kStoreUnavailable));
 }
 
-// Every fault of the store at every step of a takeover.
+// Injects every fault of the store at every step of a takeover.
 BOOST_AUTO_TEST_CASE(takeover_under_a_fault_succeeds_later_and_loses_nothing) {
   for (const Fault fault :
        {Fault::kDown, Fault::kAnswerLost, Fault::kRequestLost, Fault::kLate}) {
@@ -185,35 +185,36 @@
         BOOST_TEST(pair.Append(pair.first, "a", true) == std::error_code());
         pair.second.log->Open([](std::error_code) {});
         for (int n = 0; n < steps; ++n) {
-          pair.time.Step(pair.time.now() + kAWhile);
+          pair.time.Step(pair.time.now() + kRunDuration);
         }
         pair.second.kv.set_fault(fault);
-        pair.time.Run(kAWhile);
+        pair.time.Run(kRunDuration);
         pair.second.kv.set_fault(Fault::kNone);
-        // The first owner may have gone on; whichever it was told as written
-        // must be there.
-        const bool told =
+        // The first owner may still be writing. A record that was reported to
+        // it as written must be in the log.
+        const bool reported =
             pair.Append(pair.first, "b", true) == std::error_code();
         TwoOwners::Owner third(pair.time, pair.model, "third");
         BOOST_TEST(!pair.Open(third));
-        BOOST_TEST(pair.Knows(third, "a"));
-        if (told) {
-          BOOST_TEST(pair.Knows(third, "b"));
+        BOOST_TEST(pair.HasClaim(third, "a"));
+        if (reported) {
+          BOOST_TEST(pair.HasClaim(third, "b"));
         }
       }
     }
   }
 }
 
-// A candidate is paused at each step of its takeover; meanwhile another one
-// takes the shard. The first must not seal over it.
+// Guards against two owners: a candidate is paused at each step of its
+// takeover while another one takes over the shard. After the pause the first
+// candidate must not seal the log of the second.
 BOOST_AUTO_TEST_CASE(candidate_held_up_in_a_takeover_gives_way_to_a_newer) {
   for (int steps = 0; steps < 24; ++steps) {
     BOOST_TEST_CONTEXT("after " << steps << " steps") {
       TwoOwners pair;
       pair.first.log->Open([](std::error_code) {});
       for (int n = 0; n < steps; ++n) {
-        pair.time.Step(pair.time.now() + kAWhile);
+        pair.time.Step(pair.time.now() + kRunDuration);
       }
       pair.first.executor.Freeze();
       BOOST_TEST(!pair.Open(pair.second));
@@ -221,15 +222,16 @@
       pair.model.Write({.key = AliveKey("plaka", "second"), .value = "1"},
                        pair.time.millis(), &version);
       pair.first.executor.Thaw();
-      pair.time.Run(kAWhile);
+      pair.time.Run(kRunDuration);
       BOOST_TEST(pair.Append(pair.second, "a", true) == std::error_code());
       BOOST_TEST(!pair.second.fenced);
     }
   }
 }
 
-// A paused owner wakes up when the log it knew has been truncated: the
-// position that it writes next exists no more, so the write succeeds.
+// Guards against a lost append: an owner resumes after a pause in which a new
+// owner truncated the log. Its next position no longer exists, so its write
+// succeeds although the shard has another owner.
 BOOST_AUTO_TEST_CASE(append_into_a_truncated_log_is_not_believed) {
   TwoOwners pair;
   BOOST_TEST(!pair.Open(pair.first));
@@ -240,7 +242,7 @@
     BOOST_TEST(pair.Append(pair.second, std::to_string(n), true) ==
                std::error_code());
   }
-  // The seal that would have fenced the first owner is gone.
+  // The seal that would have fenced the first owner has been truncated.
   const auto entries =
       pair.model.List("shard/plaka/0/log/", pair.time.millis());
   BOOST_REQUIRE(!entries.empty());
@@ -269,7 +271,7 @@
              "ck");
 }
 
-BOOST_AUTO_TEST_CASE(closed_log_is_taken_without_waiting) {
+BOOST_AUTO_TEST_CASE(closed_log_is_taken_over_at_once) {
   TwoOwners pair;
   BOOST_TEST(!pair.Open(pair.first));
   int64_t version = 0;
@@ -277,7 +279,7 @@
                    pair.time.millis(), &version);
   bool closed = false;
   pair.first.log->Close([&](std::error_code error) { closed = !error; });
-  pair.time.Run(kAWhile);
+  pair.time.Run(kRunDuration);
   BOOST_TEST(closed);
   BOOST_TEST(!pair.Open(pair.second));
 }
@@ -286,11 +288,11 @@
   TwoOwners pair;
   BOOST_TEST(!pair.Open(pair.first));
   pair.first.kv.set_fault(Fault::kDown);
-  std::optional<std::error_code> told;
-  pair.first.log->Close([&](std::error_code error) { told = error; });
-  pair.time.Run(kAWhile);
-  BOOST_REQUIRE(told.has_value());
-  BOOST_TEST(*told == make_error_code(CoreErrc::kStoreUnavailable));
+  std::optional<std::error_code> reported;
+  pair.first.log->Close([&](std::error_code error) { reported = error; });
+  pair.time.Run(kRunDuration);
+  BOOST_REQUIRE(reported.has_value());
+  BOOST_TEST(*reported == make_error_code(CoreErrc::kStoreUnavailable));
   pair.first.kv.set_fault(Fault::kNone);
   BOOST_TEST(pair.Append(pair.first, "a", true) == std::error_code());
 }
