--- a/src/include/doorwood/directory.h
+++ b/src/include/doorwood/directory.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Port to the platform's lagging list of live and leaving instances.
+/// Port to the platform's list of live and leaving instances, which lags behind
+/// the actual state.
 
 #ifndef DOORWOOD_DIRECTORY_H_
 #define DOORWOOD_DIRECTORY_H_
@@ -21,9 +22,9 @@
 
   virtual ~InstanceDirectory() = default;
 
-  /// The list as the platform sees it now: the workers and backend servers of
-  /// this data centre, and every entry instance. On failure the caller keeps
-  /// the list that it has.
+  /// Fetches the platform's current list: the workers and backend servers of
+  /// this data centre, and the entry instances of all data centres. On failure
+  /// the caller keeps its last list.
   virtual void Fetch(Callback done) = 0;
 };
 
--- a/src/include/doorwood/live_directory.h
+++ b/src/include/doorwood/live_directory.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Which entry instances are alive and which of them leads which cell, by
-/// leased keys in the store. One lease a process carries all of its keys.
+/// Directory of the live entry instances and of the leaders of the cells, kept
+/// as leased keys in the store. All leased keys of a process share one lease.
 
 #ifndef DOORWOOD_LIVE_DIRECTORY_H_
 #define DOORWOOD_LIVE_DIRECTORY_H_
@@ -22,22 +22,22 @@
 
 namespace doorwood {
 
-/// Keys of doorwood in the store.
+/// Prefix of the directory's keys in the store.
 inline constexpr std::string_view kLivePrefix = "doorwood/live/";
 std::string InstanceKey(std::string_view instance);
-/// Stays when the instance's own key goes with its lease.
+/// Key without a lease: it stays when the instance's own key expires.
 std::string SeenKey(std::string_view instance);
 std::string LeadKey(std::string_view cell);
-/// Changes with each record of unheard workers, so that all instances hear how
-/// old that record is.
+/// Key that changes with each record of workers not yet contacted, so that all
+/// instances learn the age of that record.
 std::string UnheardKey(std::string_view cell);
 
 struct LiveInstance {
   std::string name;
   std::string data_centre;
-  /// IP number and port for calls between instances.
+  /// IP address and port for calls between instances.
   std::string address;
-  /// Share of a processor that the machine has.
+  /// Share of a processor that is available to the machine.
   double cpu_share = 1.0;
   bool leaving = false;
   /// See LiveDirectory::agreeing_since.
@@ -48,58 +48,65 @@
   std::string cell;
   std::string instance;
   std::string address;
-  /// Revision at which the lead was taken; serves as epoch and as fencing
+  /// Store revision at which the lead was taken; serves as epoch and as fencing
   /// token.
   int64_t epoch = 0;
-  /// Drawn by the winner for this one try.
+  /// Random number that the winner drew for this one attempt.
   uint64_t nonce = 0;
 };
 
-/// Port to other instances: how long ago they last heard the store, and the
-/// handing over of a lead by one that no longer hears it.
+/// Port to other instances: queries how long ago the store last answered them,
+/// and hands over a lead when this instance can no longer reach the store.
 class StoreHearing {
  public:
   using Callback = std::function<void(std::error_code, Millis age)>;
 
   virtual ~StoreHearing() = default;
 
+  /// Queries how long ago the store last answered the instance.
   virtual void Ask(const LiveInstance& instance, Callback done) = 0;
-  /// Asks it to agree that a leader which does not hear the store starts
-  /// lasting work without recording where. Error: it does not agree.
+  /// Asks the instance to agree that a leader which cannot reach the store
+  /// starts long-running tasks without recording their workers. `done` gets an
+  /// error if the instance does not agree.
   virtual void AskToAgree(const LiveInstance& instance,
                           std::function<void(std::error_code)> done) = 0;
-  /// Tells the instance that the lead of this epoch is given up and may be
-  /// taken from the store. Not answered; if lost, the lead's lease runs out.
+  /// Notifies the instance that the lead of this epoch is released and may be
+  /// taken in the store. There is no reply; if the message is lost, the lead's
+  /// lease expires.
   virtual void HandOver(const LiveInstance& instance,
                         const std::string& cell,
                         int64_t epoch) = 0;
 };
 
 struct LiveOptions {
-  /// After so long without renewal the store drops this process's keys. A
-  /// successor needs this time to see a death.
+  /// Time to live of the lease: without renewal for this long the store removes
+  /// this process's keys. A successor detects a failure after this time.
   Millis lifetime{2000};
   Millis keep_interval{500};
   Millis watch_wait{5000};
-  /// Full reads, against watches that hear nothing.
+  /// Interval of full reads, which find what a watch has missed.
   Millis list_interval{2500};
   Millis retry_pause{150};
-  /// After this silence of the store the others are asked whether they hear
-  /// it, this often.
-  Millis silence_to_ask{800};
+  /// Once the store has not answered for `store_silence_threshold`, the other
+  /// instances are queried every `ask_interval` whether they reach it.
+  Millis store_silence_threshold{800};
   Millis ask_interval{400};
-  /// How long an answer counts.
-  Millis answer_counts{1500};
-  /// How long an instance whose key is gone is still asked, since the store may
-  /// serve it again and let it lead. While one that is gone for good counts, no
-  /// outage of the store is taken for one for all.
-  Millis gone_counts{60'000};
-  /// After this silence, and a renewal that failed, an instance is turned away
-  /// by the store if another one hears it: two renewals' time.
-  Millis turned_away_after{600};
-  /// Another instance hears the store if it did so this long after this one's
-  /// renewals began to fail: room for the way of the answer.
-  Millis hears_margin{60};
+  /// How long an answer of another instance is valid, from the time of the
+  /// query.
+  Millis answer_validity{1500};
+  /// How long an instance whose key is gone is still queried, because the store
+  /// may serve it again and let it lead. As long as an instance that is
+  /// permanently gone is queried, an outage of the store cannot be confirmed
+  /// for all instances.
+  Millis gone_retention{60'000};
+  /// The store counts as refusing this instance but serving others if it has
+  /// not answered this instance for this long, a renewal has failed, and
+  /// another instance reaches the store. This is the time of two renewals.
+  Millis isolation_threshold{600};
+  /// Another instance counts as reaching the store if the store answered it
+  /// more than this long after this instance's renewals began to fail. The
+  /// margin allows for the transit time of the reply.
+  Millis store_contact_margin{60};
 };
 
 class LiveDirectory {
@@ -113,55 +120,62 @@
                 const LiveOptions& options,
                 LiveInstance self);
 
-  /// `on_change` runs whenever instances, leads or the own lease changed.
+  /// `on_change` runs whenever instances, leads or this process's lease
+  /// changed.
   void Start(ChangeHandler on_change);
-  /// Tells the others that this instance is leaving.
+  /// Announces in the store that this instance is leaving.
   void AnnounceLeaving();
-  /// Gives all keys up.
+  /// Ends the lease, which removes all keys that are attached to it.
   void Stop();
 
-  /// The lease that keys of this process go with; nothing while there is none.
+  /// The lease to which keys of this process are attached; empty if there is
+  /// none.
   std::optional<int64_t> lease() const { return lease_; }
-  /// The store has confirmed the lease so lately that it can't have run out.
+  /// True if the store confirmed the lease recently enough that it cannot have
+  /// expired.
   bool IsLeaseSure() const;
-  /// Since when the store has had this instance's key, as far as it has said;
-  /// nothing while it has not.
+  /// When the store confirmed this instance's key; empty while the key is not
+  /// known to be in the store.
   std::optional<Instant> registered_since() const { return registered_since_; }
-  /// Revision of the registration since when this process remembers whether it
-  /// has agreed to starts that are not recorded, and every leader that had read
-  /// that far asks it; 0: none yet.
+  /// Revision of the registration from which on this process knows whether it
+  /// has agreed to unrecorded starts; every leader that has read the directory
+  /// up to there asks this process. 0 if there is none.
   int64_t agreeing_since() const { return agreeing_since_; }
-  /// Agrees to starts that are not recorded, for as long as this instance does
-  /// not hear the store; false: it hears the store.
+  /// Agrees to unrecorded starts for as long as this instance cannot reach the
+  /// store. Returns false, without agreeing, if it can.
   bool Agree();
-  /// Whether the others are to be asked to agree.
+  /// Sets whether the other instances are to be asked to agree.
   void SetNeedsAgreement(bool needs) { needs_agreement_ = needs; }
-  /// Until when all that `OutageUntil` counts have agreed; zero: they have not.
+  /// Until when the agreement of all instances that `OutageUntil` considers is
+  /// valid; zero if one of them has not agreed.
   Instant AgreedUntil() const;
-  /// The store's revision up to which the directory is complete.
+  /// Store revision up to which the directory is complete.
   int64_t at() const { return at_; }
-  /// A moment by which the store had reached the revision, the earliest that is
-  /// known of the last while; nothing: none is.
+  /// Earliest time in the kept history by which the store had reached the
+  /// revision; empty if none is known.
   std::optional<Instant> ReachedBefore(int64_t revision) const;
-  /// The newest `agreeing_since` of an instance; 0: there is none.
+  /// The newest `agreeing_since` of all live instances; 0 if there is none.
   int64_t NewestAgreeingSince() const;
-  /// Epoch of the cell's newest leader that this process has heard of; 0: none.
+  /// Epoch of the newest leader of the cell that this process knows of; 0 if
+  /// there is none.
   int64_t LastEpoch(const std::string& cell) const;
-  /// Until when nobody can take a lead: every other instance that is known, or
-  /// was lately, said that it does not hear the store either, and its word
-  /// counts from when it was asked. Zero: not so.
+  /// Until when no other instance can take a lead, because every other instance
+  /// that is known, or was recently, answered that it cannot reach the store
+  /// either. An answer is valid from the time of its query. Zero if this does
+  /// not hold.
   Instant OutageUntil() const;
-  /// An instance that said lately that it hears the store, while this one does
-  /// not; null: this one does, or nobody is known to.
+  /// An instance that recently answered that it reaches the store, while this
+  /// one cannot. Null if this one can, or if no such instance is known.
   const LiveInstance* FindInstanceThatHears() const;
   void HandOver(const LiveInstance& instance,
                 const std::string& cell,
                 int64_t epoch) {
     hearing_.HandOver(instance, cell, epoch);
   }
-  /// The store has been silent here for so long that the others are asked.
+  /// True if the store has not answered this process for so long that the other
+  /// instances are queried.
   bool IsDeaf(Instant now) const;
-  /// When the store last answered anything here.
+  /// When the store last answered this process.
   Instant store_heard_at() const { return store_heard_at_; }
 
   const LiveInstance& self() const { return self_; }
@@ -169,12 +183,13 @@
     return instances_;
   }
   const std::map<std::string, CellLead>& leads() const { return leads_; }
-  /// The directory has been read at least once.
+  /// True once the directory has been read.
   bool known() const { return known_; }
-  /// Reads the directory anew, soon.
+  /// Starts a full read of the directory unless one is running.
   void Refresh();
-  /// Enters a lead that this process has just won or given up.
+  /// Enters a lead that this process has just won.
   void SetLead(const CellLead& lead);
+  /// Removes a lead that this process has just released.
   void DropLead(const std::string& cell);
 
  private:
@@ -184,31 +199,33 @@
     Instant since{};
   };
 
-  void Grant();
-  void Keep();
+  void RequestLease();
+  void RenewLease();
   void Register();
-  void NoteReached(int64_t revision);
-  void NoteRegistered(int64_t revision);
-  void Lose(std::string_view reason);
+  void RecordRevisionTime(int64_t revision);
+  void OnRegistered(int64_t revision);
+  void OnLeaseLost(std::string_view reason);
   void List();
   void Watch();
   void Apply(const StoreItem& item);
   void Replace(const StoreItems& items);
-  void ReturnIfGone();
-  void AskOthers();
-  void Ask(const LiveInstance& instance);
-  void AskToAgree(const LiveInstance& instance);
-  /// The earliest of the words of all that may take a lead; zero: one is
-  /// missing, or there is nobody.
-  Instant EarliestWord(const std::map<std::string, Instant>& words) const;
-  /// Until when words that were asked for then count.
-  Instant WordsUntil(Instant asked) const;
-  void NoteGone(const LiveInstance& instance);
+  void ReregisterIfMissing();
+  void QueryOthers();
+  void QueryStoreContact(const LiveInstance& instance);
+  void RequestAgreement(const LiveInstance& instance);
+  /// Earliest time in `answers` of all instances that may take a lead; zero if
+  /// the answer of one is missing, or if there is no such instance.
+  Instant EarliestAnswer(const std::map<std::string, Instant>& answers) const;
+  /// Until when the answers to queries sent at `asked` are valid; zero if the
+  /// store answered this process later, or less than `store_silence_threshold`
+  /// before.
+  Instant AnswersValidUntil(Instant asked) const;
+  void MarkGone(const LiveInstance& instance);
   void ApplySeen(const std::string& name, const StoreItem& item);
-  /// It went so lately that it may be back, and lead.
-  bool Counts(const GoneInstance& gone) const;
-  void ForgetOneSeen();
-  /// Leads that are taken to be this instance's.
+  /// True if the instance went so recently that it may return and take a lead.
+  bool MayReturn(const GoneInstance& gone) const;
+  void RemoveOneStaleSeenKey();
+  /// Number of leads that this instance holds according to the directory.
   size_t CountOwnLeads() const;
 
   Executor& executor_;
@@ -221,37 +238,40 @@
 
   bool stopped_ = false;
   std::optional<int64_t> lease_;
-  Instant lease_sure_until_{};
+  Instant lease_valid_until_{};
   Instant store_heard_at_{};
   std::optional<Instant> registered_since_;
   bool known_ = false;
   bool listing_ = false;
   int64_t at_ = 0;
-  /// Revisions that the store had reached, and when that was heard; both rise.
-  std::deque<std::pair<int64_t, Instant>> reached_;
+  /// Revisions that the store had reached and when this process learned of
+  /// them; both in ascending order.
+  std::deque<std::pair<int64_t, Instant>> revision_times_;
   std::map<std::string, LiveInstance> instances_;
   std::map<std::string, GoneInstance> gone_;
-  /// Instances that have ever registered, but those gone for good: the revision
-  /// of the key that says so.
+  /// By instance that has ever registered and is not permanently gone: the
+  /// revision of its key under `SeenKey`.
   std::map<std::string, int64_t> seen_;
-  bool forgetting_ = false;
+  bool seen_removal_pending_ = false;
   std::map<std::string, CellLead> leads_;
-  /// By cell; stays when the lead is gone.
+  /// By cell; kept when the lead is gone.
   std::map<std::string, int64_t> last_epochs_;
-  /// By instance: when it last said that it does not hear the store.
-  std::map<std::string, Instant> deaf_at_;
-  /// By instance: when it was last asked and agreed, see `AskToAgree`.
+  /// By instance: when the query was sent to which it last answered that it
+  /// cannot reach the store.
+  std::map<std::string, Instant> reported_no_contact_at_;
+  /// By instance: when the request was sent to which it last agreed, see
+  /// `RequestAgreement`.
   std::map<std::string, Instant> agreed_at_;
   bool needs_agreement_ = false;
   int64_t agreeing_since_ = 0;
-  /// How often this instance has agreed to starts that are not recorded.
-  uint64_t agreements_ = 0;
+  /// Number of times that this instance has agreed to unrecorded starts.
+  uint64_t agreement_count_ = 0;
   /// When the store was last known to have this instance's key.
   Instant registered_at_{};
-  /// By instance: when it last said that it hears the store.
-  std::map<std::string, Instant> hears_at_;
-  /// When the first of the renewals was sent that have failed since one did
-  /// not; zero: the newest one did not fail.
+  /// By instance: when it last answered that it reaches the store.
+  std::map<std::string, Instant> reported_contact_at_;
+  /// When the first of the consecutive failed renewals was sent; zero if the
+  /// newest renewal succeeded.
   Instant failing_since_{};
 };
 
--- a/src/include/doorwood/membership.h
+++ b/src/include/doorwood/membership.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Who is there: joins the platform's lagging list with heartbeats between
-/// entry instances, and derives who ought to hold which worker and shard.
-/// docs/design/membership.md.
+/// Membership of entry instances and workers: combines the platform's lagging
+/// list with heartbeats between entry instances, and derives which instance
+/// should hold which worker and own which shard. docs/design/membership.md.
 
 #ifndef DOORWOOD_MEMBERSHIP_H_
 #define DOORWOOD_MEMBERSHIP_H_
@@ -21,38 +21,43 @@
 namespace doorwood {
 
 struct MembershipOptions {
-  /// An instance not heard for this long counts as gone.
+  /// An instance of this data centre counts as gone after this long without a
+  /// heartbeat.
   Millis heartbeat_timeout{2000};
-  /// An instance counts as a holder and owner only once it has been heard for
-  /// this long, so that one that comes and goes moves nothing.
+  /// An instance becomes a candidate holder and owner only this long after its
+  /// first heartbeat, so that one that keeps appearing and disappearing does
+  /// not move workers and shards.
   Millis settle{1000};
-  /// How long a worker that left the platform's list is remembered.
+  /// How long a worker is kept after it left the platform's list.
   Millis worker_memory{20000};
 };
 
-/// Highest random weight: of `candidates`, the one that `key` belongs to.
-/// When one candidate goes, only its own keys move. Empty without candidates.
+/// Returns the candidate that `key` is assigned to by rendezvous (highest
+/// random weight) hashing. When a candidate is removed, only its own keys move.
+/// Empty if there are no candidates.
 std::string Rendezvous(std::string_view key,
                        std::span<const std::string> candidates);
 
-/// Another entry instance, as last heard.
+/// Another entry instance and its newest heartbeat.
 struct PeerState {
   Heartbeat heartbeat;
   Instant first_heard{};
   Instant last_heard{};
 };
 
-/// All calls on the control thread; `now` is that thread's clock.
+/// All methods must be called on the control thread; `now` is that thread's
+/// clock.
 class Membership {
  public:
   Membership(const MembershipOptions& options,
              InstanceInfo self,
              Instant started);
 
+  /// Replaces the platform's list.
   void OnList(std::vector<InstanceInfo> list, Instant now);
-  /// Keeps the newest state of a peer, of this data centre or another.
+  /// Stores the newest state of a peer, of this data centre or another.
   void OnHeartbeat(const Heartbeat& heartbeat, Instant now);
-  /// Forgets peers that were not heard for too long.
+  /// Removes peers whose heartbeats have timed out.
   void Expire(Instant now);
   void set_leaving() { leaving_ = true; }
 
@@ -60,31 +65,38 @@
   const std::vector<InstanceInfo>& list() const { return list_; }
   const std::map<std::string, PeerState>& peers() const { return peers_; }
 
-  /// Instances of this data centre that may hold and own, this one included.
+  /// Instances of this data centre that may hold workers and own shards; may
+  /// include this one.
   std::vector<std::string> Candidates(Instant now) const;
-  /// Workers that this instance ought to hold; leaving ones are marked.
+  /// Workers that this instance should hold; leaving ones are marked.
   std::vector<InstanceInfo> WantedWorkers(Instant now) const;
-  /// Shards of this data centre that this instance ought to own.
+  /// Shards of this data centre that this instance should own.
   std::vector<ShardId> WantedShards(uint32_t shard_count, Instant now) const;
-  /// Heard, or in the platform's list; this data centre only.
+  /// Instances of this data centre that may be running: this one, and those
+  /// that send heartbeats or are in the platform's list.
   std::vector<std::string> PossibleHolders() const;
+  /// When an instance of this data centre last left the platform's list or
+  /// timed out; the start of this instance if none did.
   Instant last_departure() const { return last_departure_; }
-  /// Workers of this data centre listed now or lately.
+  /// Workers of this data centre that were in the platform's list within
+  /// `worker_memory`.
   std::vector<std::string> RecentWorkers(Instant now) const;
-  /// Workers seen leaving, by this instance or a peer.
+  /// Workers of this data centre that the platform's list or a peer reports as
+  /// leaving.
   std::vector<std::string> LeavingWorkers() const;
-  /// Entry instances to send heartbeats to: all others of this data centre,
-  /// and one of each other data centre. `turn` picks another one each time.
+  /// Entry instances to send heartbeats to: all others of this data centre, and
+  /// one of each other data centre, rotated by `turn`.
   std::vector<InstanceInfo> HeartbeatTargets(uint64_t turn) const;
-  /// Entry instances of another data centre, heard ones first.
+  /// Entry instances of a data centre without this one; those that send
+  /// heartbeats come first.
   std::vector<InstanceInfo> EntryInstancesOf(
       std::string_view data_centre) const;
-  /// Address for calls to an instance; empty if not known.
+  /// Address for calls to an instance; empty if unknown.
   std::string PeerAddressOf(std::string_view instance) const;
 
  private:
-  bool IsHere(const InstanceInfo& info) const;
-  void NoteDepartures(const std::vector<InstanceInfo>& list, Instant now);
+  bool IsInThisDataCentre(const InstanceInfo& info) const;
+  void UpdateLastDeparture(const std::vector<InstanceInfo>& list, Instant now);
 
   MembershipOptions options_;
   InstanceInfo self_;
@@ -93,7 +105,7 @@
   bool list_known_ = false;
   std::vector<InstanceInfo> list_;
   std::map<std::string, PeerState> peers_;
-  std::map<std::string, Instant> workers_seen_;
+  std::map<std::string, Instant> workers_last_listed_;
   Instant last_departure_;
 };
 
--- a/src/libdoorwood/membership/live_directory.cpp
+++ b/src/libdoorwood/membership/live_directory.cpp
@@ -12,15 +12,16 @@
 
 constexpr std::string_view kInstanceFolder = "instance/";
 constexpr std::string_view kLeadFolder = "lead/";
-// Whoever registers leaves a key there that no lease takes away: a process that
-// starts later learns from it whom the store may serve again.
+// Each instance that registers also writes a key here that has no lease. From
+// these keys a process that starts later learns which instances the store may
+// serve again.
 constexpr std::string_view kSeenFolder = "seen/";
-// Longer than anybody waits for an unheard worker.
-constexpr Millis kReachedKept{30'000};
-constexpr size_t kMostReached = 256;
-// An instance reckons with having been forgotten after this part of the time
-// after which others forget it.
-constexpr int kForgottenMargin = 2;
+// Longer than any leader waits for a worker that is not yet contacted.
+constexpr Millis kRevisionTimesMaxAge{30'000};
+constexpr size_t kRevisionTimesMaxCount = 256;
+// An instance assumes that the others have forgotten it after `gone_retention`
+// divided by this number, which is earlier than they do.
+constexpr int kForgottenDivisor = 2;
 
 std::string EncodeInstance(const LiveInstance& instance) {
   return Json{{"data_centre", instance.data_centre},
@@ -44,8 +45,7 @@
                           json.value("leaving", false),
                           ReadWholeOr(json, "agreeing_since", 0)};
     if (instance.agreeing_since == 0) {
-      instance.agreeing_since =
-          item.revision;  // it registers for the first time
+      instance.agreeing_since = item.revision;  // first registration
     }
     if (!IsPlainWord(instance.address)) {
       throw FieldError("address");
@@ -105,10 +105,10 @@
 
 void LiveDirectory::Start(ChangeHandler on_change) {
   on_change_ = std::move(on_change);
-  Grant();
+  RequestLease();
   List();
   Watch();
-  AskOthers();
+  QueryOthers();
 }
 
 void LiveDirectory::AnnounceLeaving() {
@@ -127,16 +127,16 @@
 }
 
 bool LiveDirectory::IsLeaseSure() const {
-  return lease_.has_value() && executor_.Now() < lease_sure_until_;
+  return lease_.has_value() && executor_.Now() < lease_valid_until_;
 }
 
 bool LiveDirectory::IsDeaf(Instant now) const {
-  return now - store_heard_at_ >= options_.silence_to_ask;
+  return now - store_heard_at_ >= options_.store_silence_threshold;
 }
 
-// --- The own lease ---
+// --- Lease of this process ---
 
-void LiveDirectory::Grant() {
+void LiveDirectory::RequestLease() {
   if (stopped_) {
     return;
   }
@@ -147,17 +147,17 @@
           return;
         }
         if (error) {
-          executor_.Schedule(options_.retry_pause, [this] { Grant(); });
+          executor_.Schedule(options_.retry_pause, [this] { RequestLease(); });
           return;
         }
         lease_ = lease;
         failing_since_ = Instant{};
         store_heard_at_ = executor_.Now();
-        lease_sure_until_ = sent + options_.lifetime;
+        lease_valid_until_ = sent + options_.lifetime;
         log_.Write("info", "live", "lease granted",
                    {{"lease", lease}, {"own_leads", CountOwnLeads()}});
         Register();
-        executor_.Schedule(options_.keep_interval, [this] { Keep(); });
+        executor_.Schedule(options_.keep_interval, [this] { RenewLease(); });
         on_change_();
       });
 }
@@ -170,31 +170,31 @@
   transaction.puts.push_back({SeenKey(self_.name), EncodeInstance(self_), 0});
   const int64_t lease = *lease_;
   store_.Commit(
-      transaction, [this, lease, agreements = agreements_](
+      transaction, [this, lease, agreements = agreement_count_](
                        std::error_code error, const StoreCommit& commit) {
-        // One that was sent before this instance agreed to anything tells
-        // leaders nothing of that.
-        if (stopped_ || lease_ != lease || agreements != agreements_) {
+        // A registration that was sent before this instance agreed to an
+        // unrecorded start does not tell leaders of that agreement.
+        if (stopped_ || lease_ != lease || agreements != agreement_count_) {
           return;
         }
         if (error) {
           registered_since_.reset();
         }
         if (error == make_error_code(KvErrc::kNotFound)) {
-          Lose("the store does not know the lease");
+          OnLeaseLost("the store does not know the lease");
         }
         if (!error) {
-          NoteRegistered(commit.revision);
+          OnRegistered(commit.revision);
         }
       });
 }
 
-// A leader forgets an instance whose key was gone for long, and asks it no
-// more.
-void LiveDirectory::NoteRegistered(int64_t revision) {
+// Leaders forget an instance whose key was missing for long and no longer ask
+// it to agree. After such a time `agreeing_since_` starts anew.
+void LiveDirectory::OnRegistered(int64_t revision) {
   const Instant now = executor_.Now();
   const bool was_forgotten =
-      now - registered_at_ > options_.gone_counts / kForgottenMargin;
+      now - registered_at_ > options_.gone_retention / kForgottenDivisor;
   if (agreeing_since_ == 0 || was_forgotten) {
     agreeing_since_ = revision;
   }
@@ -209,7 +209,7 @@
   if (!IsDeaf(executor_.Now())) {
     return false;
   }
-  ++agreements_;
+  ++agreement_count_;
   agreeing_since_ = 0;
   registered_since_.reset();  // registers again once the store answers
   return true;
@@ -228,7 +228,7 @@
   return known == last_epochs_.end() ? 0 : known->second;
 }
 
-void LiveDirectory::Keep() {
+void LiveDirectory::RenewLease() {
   if (stopped_ || !lease_) {
     return;
   }
@@ -240,7 +240,7 @@
     }
     if (error == make_error_code(KvErrc::kNotFound)) {
       store_heard_at_ = executor_.Now();
-      Lose("the store does not know the lease");
+      OnLeaseLost("the store does not know the lease");
       return;
     }
     if (error && failing_since_ == Instant{}) {
@@ -248,9 +248,9 @@
     }
     if (!error) {
       failing_since_ = Instant{};
-      hears_at_.clear();  // told during a failure that is over
+      reported_contact_at_.clear();  // answers from a failure that has ended
       store_heard_at_ = executor_.Now();
-      lease_sure_until_ = sent + options_.lifetime;
+      lease_valid_until_ = sent + options_.lifetime;
     }
     if (!error && registered_since_) {
       registered_at_ = sent;
@@ -259,44 +259,46 @@
       Register();
     }
     executor_.Schedule(error ? options_.retry_pause : options_.keep_interval,
-                       [this] { Keep(); });
+                       [this] { RenewLease(); });
   });
 }
 
-void LiveDirectory::Lose(std::string_view reason) {
+void LiveDirectory::OnLeaseLost(std::string_view reason) {
   log_.Write("warn", "live", "lease lost",
              {{"reason", reason},
               {"lease", lease_.value_or(0)},
               {"own_leads", CountOwnLeads()}});
   lease_.reset();
   registered_since_.reset();
-  // The leads went with the lease; what is granted next holds none of them.
+  // The leads were removed with the lease; the next lease holds none of them.
   std::erase_if(leads_, [this](const auto& lead) {
     return lead.second.instance == self_.name;
   });
   on_change_();
-  Grant();
+  RequestLease();
 }
 
-void LiveDirectory::NoteReached(int64_t revision) {
+void LiveDirectory::RecordRevisionTime(int64_t revision) {
   const Instant now = executor_.Now();
-  while (!reached_.empty() && (now - reached_.front().second > kReachedKept ||
-                               reached_.size() >= kMostReached)) {
-    reached_.pop_front();
+  while (!revision_times_.empty() &&
+         (now - revision_times_.front().second > kRevisionTimesMaxAge ||
+          revision_times_.size() >= kRevisionTimesMaxCount)) {
+    revision_times_.pop_front();
   }
-  if (reached_.empty() || revision > reached_.back().first) {
-    reached_.emplace_back(revision, now);
+  if (revision_times_.empty() || revision > revision_times_.back().first) {
+    revision_times_.emplace_back(revision, now);
   }
 }
 
 std::optional<Instant> LiveDirectory::ReachedBefore(int64_t revision) const {
   const auto found = std::find_if(
-      reached_.begin(), reached_.end(),
+      revision_times_.begin(), revision_times_.end(),
       [revision](const auto& entry) { return entry.first >= revision; });
-  return found == reached_.end() ? std::nullopt : std::optional(found->second);
+  return found == revision_times_.end() ? std::nullopt
+                                        : std::optional(found->second);
 }
 
-// --- The others ---
+// --- Other instances ---
 
 void LiveDirectory::Refresh() {
   List();
@@ -342,13 +344,13 @@
                    return;
                  }
                  store_heard_at_ = executor_.Now();
-                 NoteReached(events.at);
+                 RecordRevisionTime(events.at);
                  if (events.at > at_) {
                    at_ = events.at;
                    for (const StoreItem& item : events.items) {
                      Apply(item);
                    }
-                   ReturnIfGone();
+                   ReregisterIfMissing();
                  }
                  if (!events.items.empty()) {
                    on_change_();
@@ -372,7 +374,7 @@
       instances_[name] = std::move(*instance);
       gone_.erase(name);
     } else if (const auto known = instances_.extract(name)) {
-      NoteGone(known.mapped());
+      MarkGone(known.mapped());
     }
     return;
   }
@@ -384,7 +386,7 @@
     const std::string cell(rest.substr(kLeadFolder.size()));
     const auto known = leads_.find(cell);
     if (known != leads_.end() && item.revision < known->second.epoch) {
-      return;  // tells of an earlier lead
+      return;  // event of an earlier lead
     }
     if (auto lead = DecodeLead(cell, item)) {
       last_epochs_[cell] = lead->epoch;
@@ -403,27 +405,27 @@
   }
   seen_[name] = item.revision;
   if (!instances_.contains(name)) {
-    NoteGone(*instance);
+    MarkGone(*instance);
   }
 }
 
-// It may be served again at any time, and lead, without this process hearing of
-// it.
-void LiveDirectory::NoteGone(const LiveInstance& instance) {
+// The store may serve the instance again at any time and let it lead, without
+// this process learning of it.
+void LiveDirectory::MarkGone(const LiveInstance& instance) {
   if (instance.name != self_.name) {
     gone_.try_emplace(instance.name, GoneInstance{instance, executor_.Now()});
   }
 }
 
 void LiveDirectory::Replace(const StoreItems& items) {
-  // Read before a lead that this process has won since.
+  // The list was read before a lead was taken that this process already knows.
   const bool too_old = std::any_of(
       leads_.begin(), leads_.end(),
       [&](const auto& entry) { return items.at < entry.second.epoch; });
   if (items.at < at_ || too_old) {
     return;
   }
-  NoteReached(items.at);
+  RecordRevisionTime(items.at);
   at_ = items.at;
   const auto before = std::move(instances_);
   instances_.clear();
@@ -434,19 +436,20 @@
   }
   for (const auto& [name, instance] : before) {
     if (!instances_.contains(name)) {
-      NoteGone(instance);
+      MarkGone(instance);
     }
   }
   known_ = true;
-  ReturnIfGone();
+  ReregisterIfMissing();
   on_change_();
 }
 
-void LiveDirectory::ReturnIfGone() {
-  // The store may take keys away without a word about the lease.
+void LiveDirectory::ReregisterIfMissing() {
+  // The store may remove keys without reporting the lease as ended.
   if (lease_ && registered_since_ && !instances_.contains(self_.name)) {
     registered_since_.reset();
-    log_.Write("warn", "live", "own key is gone; registering again",
+    log_.Write("warn", "live",
+               "instance key is missing from the store; registering again",
                Json::object());
     Register();
   }
--- a/src/libdoorwood/membership/live_outage.cpp
+++ b/src/libdoorwood/membership/live_outage.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Whether the store is away for this instance only, for some, or for all: what
-// the others say when they are asked, and who must be asked.
+// Determines whether the store is unreachable for this instance only, for some
+// instances or for all: which instances are queried, and how their answers
+// count.
 
 #include <algorithm>
 
@@ -9,58 +10,60 @@
 
 namespace doorwood {
 
-bool LiveDirectory::Counts(const GoneInstance& gone) const {
-  return executor_.Now() - gone.since <= options_.gone_counts;
+bool LiveDirectory::MayReturn(const GoneInstance& gone) const {
+  return executor_.Now() - gone.since <= options_.gone_retention;
 }
 
-Instant LiveDirectory::EarliestWord(
-    const std::map<std::string, Instant>& words) const {
+Instant LiveDirectory::EarliestAnswer(
+    const std::map<std::string, Instant>& answers) const {
   Instant earliest = Instant::max();
-  const auto take_word = [&](const std::string& name) {
-    // Each one for itself: the store may serve some and refuse their
-    // neighbours, and any one that hears it may take the lead.
-    const auto told = words.find(name);
-    earliest =
-        std::min(earliest, told == words.end() ? Instant{} : told->second);
+  const auto include_answer = [&](const std::string& name) {
+    // Every instance must answer for itself: the store may serve one and refuse
+    // others near it, and any instance that reaches it may take the lead.
+    const auto answer = answers.find(name);
+    earliest = std::min(earliest,
+                        answer == answers.end() ? Instant{} : answer->second);
   };
   for (const auto& [name, instance] : instances_) {
     if (name != self_.name) {
-      take_word(name);
+      include_answer(name);
     }
   }
   for (const auto& [name, gone] : gone_) {
-    if (Counts(gone)) {
-      take_word(name);
+    if (MayReturn(gone)) {
+      include_answer(name);
     }
   }
   return earliest == Instant::max() ? Instant{} : earliest;
 }
 
-Instant LiveDirectory::WordsUntil(Instant asked) const {
-  const bool heard_since = store_heard_at_ + options_.silence_to_ask > asked;
-  return heard_since ? Instant{} : asked + options_.answer_counts;
+Instant LiveDirectory::AnswersValidUntil(Instant asked) const {
+  const bool contact_too_recent =
+      store_heard_at_ + options_.store_silence_threshold > asked;
+  return contact_too_recent ? Instant{} : asked + options_.answer_validity;
 }
 
 Instant LiveDirectory::OutageUntil() const {
-  return WordsUntil(EarliestWord(deaf_at_));
+  return AnswersValidUntil(EarliestAnswer(reported_no_contact_at_));
 }
 
 Instant LiveDirectory::AgreedUntil() const {
-  return WordsUntil(EarliestWord(agreed_at_));
+  return AnswersValidUntil(EarliestAnswer(agreed_at_));
 }
 
 const LiveInstance* LiveDirectory::FindInstanceThatHears() const {
   const Instant now = executor_.Now();
   if (failing_since_ == Instant{} ||
-      now - store_heard_at_ < options_.turned_away_after) {
+      now - store_heard_at_ < options_.isolation_threshold) {
     return nullptr;
   }
   const LiveInstance* best = nullptr;
   for (const auto& [name, instance] : instances_) {
-    const auto told = hears_at_.find(name);
-    const bool hears =
-        told != hears_at_.end() && now - told->second < options_.silence_to_ask;
-    if (hears && !instance.leaving &&
+    const auto answer = reported_contact_at_.find(name);
+    const bool reaches_store =
+        answer != reported_contact_at_.end() &&
+        now - answer->second < options_.store_silence_threshold;
+    if (reaches_store && !instance.leaving &&
         (best == nullptr || instance.cpu_share > best->cpu_share)) {
       best = &instance;
     }
@@ -68,51 +71,54 @@
   return best;
 }
 
-void LiveDirectory::AskOthers() {
+void LiveDirectory::QueryOthers() {
   if (stopped_) {
     return;
   }
-  executor_.Schedule(options_.ask_interval, [this] { AskOthers(); });
+  executor_.Schedule(options_.ask_interval, [this] { QueryOthers(); });
   const Instant now = executor_.Now();
-  ForgetOneSeen();
+  RemoveOneStaleSeenKey();
   if (failing_since_ == Instant{} &&
-      now - store_heard_at_ < options_.silence_to_ask) {
+      now - store_heard_at_ < options_.store_silence_threshold) {
     return;
   }
   for (const auto& [name, instance] : instances_) {
     if (name != self_.name) {
-      Ask(instance);
+      QueryStoreContact(instance);
     }
   }
   for (const auto& [name, gone] : gone_) {
-    if (Counts(gone)) {
-      Ask(gone.instance);
+    if (MayReturn(gone)) {
+      QueryStoreContact(gone.instance);
     }
   }
 }
 
-// Of an instance that is gone for good; done by whoever leads.
-void LiveDirectory::ForgetOneSeen() {
+// Removes the `SeenKey` of one instance that is permanently gone. Only an
+// instance that leads a cell does this.
+void LiveDirectory::RemoveOneStaleSeenKey() {
   std::erase_if(gone_, [this](const auto& entry) {
-    return !Counts(entry.second) && !seen_.contains(entry.first);
+    return !MayReturn(entry.second) && !seen_.contains(entry.first);
   });
-  if (forgetting_ || CountOwnLeads() == 0 || IsDeaf(executor_.Now())) {
+  if (seen_removal_pending_ || CountOwnLeads() == 0 ||
+      IsDeaf(executor_.Now())) {
     return;
   }
-  const auto old =
-      std::find_if(gone_.begin(), gone_.end(),
-                   [this](const auto& entry) { return !Counts(entry.second); });
+  const auto old = std::find_if(
+      gone_.begin(), gone_.end(),
+      [this](const auto& entry) { return !MayReturn(entry.second); });
   if (old == gone_.end()) {
     return;
   }
-  forgetting_ = true;
+  seen_removal_pending_ = true;
   StoreTransaction transaction;
-  // One that has registered since has a newer key.
+  // If the instance has registered since, its key has a newer revision and the
+  // transaction fails.
   transaction.expected.push_back({SeenKey(old->first), seen_.at(old->first)});
   transaction.removes.push_back(SeenKey(old->first));
   store_.Commit(transaction, [this, name = old->first](std::error_code error,
                                                        const StoreCommit&) {
-    forgetting_ = false;
+    seen_removal_pending_ = false;
     log_.Write("info", "live", "an instance is gone for good",
                {{"instance", name}, {"forgotten", !error}});
     if (!error) {
@@ -121,7 +127,7 @@
   });
 }
 
-void LiveDirectory::AskToAgree(const LiveInstance& instance) {
+void LiveDirectory::RequestAgreement(const LiveInstance& instance) {
   const Instant sent = executor_.Now();
   hearing_.AskToAgree(
       instance, [this, sent, name = instance.name](std::error_code error) {
@@ -133,9 +139,9 @@
       });
 }
 
-void LiveDirectory::Ask(const LiveInstance& instance) {
+void LiveDirectory::QueryStoreContact(const LiveInstance& instance) {
   if (needs_agreement_ && IsDeaf(executor_.Now())) {
-    AskToAgree(instance);
+    RequestAgreement(instance);
   }
   const Instant sent = executor_.Now();
   hearing_.Ask(instance, [this, sent, name = instance.name](
@@ -145,17 +151,17 @@
     }
     const Instant now = executor_.Now();
     if (failing_since_ != Instant{} &&
-        now - age > failing_since_ + options_.hears_margin) {
-      hears_at_[name] = now;
+        now - age > failing_since_ + options_.store_contact_margin) {
+      reported_contact_at_[name] = now;
     } else {
-      hears_at_.erase(name);
+      reported_contact_at_.erase(name);
     }
-    // As of the question: an answer may have waited while this
-    // process stood still.
-    if (age >= options_.silence_to_ask) {
-      deaf_at_[name] = sent;
+    // Counts from the time of the query: the answer may have been queued while
+    // this process was paused.
+    if (age >= options_.store_silence_threshold) {
+      reported_no_contact_at_[name] = sent;
     } else {
-      deaf_at_.erase(name);
+      reported_no_contact_at_.erase(name);
     }
   });
 }
--- a/src/libdoorwood/membership/membership.cpp
+++ b/src/libdoorwood/membership/membership.cpp
@@ -9,8 +9,9 @@
 namespace doorwood {
 namespace {
 
-// Heartbeats between data centres are this much rarer.
-constexpr int kElsewherePatience = 10;
+// Heartbeats between data centres are less frequent by this factor, so their
+// timeout is longer by it.
+constexpr int kRemoteTimeoutFactor = 10;
 
 uint64_t Weight(std::string_view key, std::string_view candidate) {
   std::string text(key);
@@ -44,24 +45,25 @@
       last_departure_(started) {}
 
 void Membership::OnList(std::vector<InstanceInfo> list, Instant now) {
-  NoteDepartures(list, now);
+  UpdateLastDeparture(list, now);
   list_ = std::move(list);
   list_known_ = true;
   for (const InstanceInfo& info : list_) {
-    if (info.role == InstanceRole::kWorker && IsHere(info)) {
-      workers_seen_[info.id] = now;
+    if (info.role == InstanceRole::kWorker && IsInThisDataCentre(info)) {
+      workers_last_listed_[info.id] = now;
     }
   }
-  std::erase_if(workers_seen_, [&](const auto& item) {
+  std::erase_if(workers_last_listed_, [&](const auto& item) {
     return item.second + options_.worker_memory < now;
   });
 }
 
-// An instance has gone once it is neither heard nor listed.
-void Membership::NoteDepartures(const std::vector<InstanceInfo>& list,
-                                Instant now) {
+// An instance has gone once it neither sends heartbeats nor is listed. Both
+// events update the time of the last departure; this handles the list.
+void Membership::UpdateLastDeparture(const std::vector<InstanceInfo>& list,
+                                     Instant now) {
   for (const InstanceInfo& old : list_) {
-    if (old.role != InstanceRole::kEntry || !IsHere(old)) {
+    if (old.role != InstanceRole::kEntry || !IsInThisDataCentre(old)) {
       continue;
     }
     const bool listed = std::any_of(
@@ -88,15 +90,16 @@
 
 void Membership::Expire(Instant now) {
   for (auto peer = peers_.begin(); peer != peers_.end();) {
-    const bool here = peer->second.heartbeat.data_centre == self_.data_centre;
-    const int patience = here ? 1 : kElsewherePatience;
+    const bool same_data_centre =
+        peer->second.heartbeat.data_centre == self_.data_centre;
+    const int timeout_factor = same_data_centre ? 1 : kRemoteTimeoutFactor;
     const Instant end =
-        peer->second.last_heard + patience * options_.heartbeat_timeout;
+        peer->second.last_heard + timeout_factor * options_.heartbeat_timeout;
     if (end >= now) {
       ++peer;
       continue;
     }
-    if (here) {
+    if (same_data_centre) {
       last_departure_ = now;
     }
     peer = peers_.erase(peer);
@@ -105,15 +108,16 @@
 
 std::vector<std::string> Membership::Candidates(Instant now) const {
   std::vector<std::string> candidates;
-  // Others that start at the same time settle before this instance counts
-  // itself, so that it does not reach for everything first.
+  // Instances that start at the same time settle before this instance counts
+  // itself. Otherwise it would first take all workers and shards.
   if (!leaving_ && now >= started_ + 2 * options_.settle) {
     candidates.push_back(self_.id);
   }
   for (const auto& [id, peer] : peers_) {
-    const bool here = peer.heartbeat.data_centre == self_.data_centre;
+    const bool same_data_centre =
+        peer.heartbeat.data_centre == self_.data_centre;
     const bool settled = now >= peer.first_heard + options_.settle;
-    if (here && settled && !peer.heartbeat.leaving) {
+    if (same_data_centre && settled && !peer.heartbeat.leaving) {
       candidates.push_back(id);
     }
   }
@@ -125,7 +129,7 @@
   const std::vector<std::string> leaving = LeavingWorkers();
   std::vector<InstanceInfo> wanted;
   for (const InstanceInfo& info : list_) {
-    if (info.role != InstanceRole::kWorker || !IsHere(info)) {
+    if (info.role != InstanceRole::kWorker || !IsInThisDataCentre(info)) {
       continue;
     }
     if (Rendezvous(info.id, candidates) != self_.id) {
@@ -155,7 +159,7 @@
 std::vector<std::string> Membership::PossibleHolders() const {
   std::set<std::string> possible = {self_.id};
   for (const InstanceInfo& info : list_) {
-    if (info.role == InstanceRole::kEntry && IsHere(info)) {
+    if (info.role == InstanceRole::kEntry && IsInThisDataCentre(info)) {
       possible.insert(info.id);
     }
   }
@@ -169,7 +173,7 @@
 
 std::vector<std::string> Membership::RecentWorkers(Instant now) const {
   std::vector<std::string> workers;
-  for (const auto& [id, seen] : workers_seen_) {
+  for (const auto& [id, seen] : workers_last_listed_) {
     if (seen + options_.worker_memory >= now) {
       workers.push_back(id);
     }
@@ -180,14 +184,15 @@
 std::vector<std::string> Membership::LeavingWorkers() const {
   std::set<std::string> leaving;
   for (const InstanceInfo& info : list_) {
-    if (info.role == InstanceRole::kWorker && info.leaving && IsHere(info)) {
+    if (info.role == InstanceRole::kWorker && info.leaving &&
+        IsInThisDataCentre(info)) {
       leaving.insert(info.id);
     }
   }
   for (const auto& [id, peer] : peers_) {
-    const auto& told = peer.heartbeat.leaving_workers;
+    const auto& reported = peer.heartbeat.leaving_workers;
     if (peer.heartbeat.data_centre == self_.data_centre) {
-      leaving.insert(told.begin(), told.end());
+      leaving.insert(reported.begin(), reported.end());
     }
   }
   return {leaving.begin(), leaving.end()};
@@ -200,7 +205,7 @@
     if (info.role != InstanceRole::kEntry || info.id == self_.id) {
       continue;
     }
-    if (IsHere(info)) {
+    if (IsInThisDataCentre(info)) {
       targets.push_back(info);
     } else {
       others[info.data_centre].push_back(info);
@@ -237,7 +242,7 @@
   return "";
 }
 
-bool Membership::IsHere(const InstanceInfo& info) const {
+bool Membership::IsInThisDataCentre(const InstanceInfo& info) const {
   return info.data_centre == self_.data_centre;
 }
 
