--- a/src/libdoorwood/membership/membership_test.cpp
+++ b/src/libdoorwood/membership/membership_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Membership, hashing, the call budget and the configuration's keeper.
+// Tests of membership, rendezvous hashing, the key-value store's call budget
+// and the ConfigKeeper.
 
 #include "doorwood/membership.h"
 
@@ -22,16 +23,17 @@
 using fakes::Fault;
 using fakes::VirtualTime;
 
-Heartbeat Beat(const std::string& id, const std::string& dc = "plaka") {
-  Heartbeat beat;
-  beat.instance = id;
-  beat.incarnation = 1;
-  beat.data_centre = dc;
-  return beat;
+Heartbeat MakeHeartbeat(const std::string& id,
+                        const std::string& dc = "plaka") {
+  Heartbeat heartbeat;
+  heartbeat.instance = id;
+  heartbeat.incarnation = 1;
+  heartbeat.data_centre = dc;
+  return heartbeat;
 }
 
-struct Members {
-  Members() {
+struct MembershipFixture {
+  MembershipFixture() {
     InstanceInfo self;
     self.id = "a";
     self.data_centre = "plaka";
@@ -62,57 +64,60 @@
   BOOST_TEST(moved < kKeys / 2);
 }
 
-BOOST_AUTO_TEST_CASE(peer_counts_once_settled_and_until_silent_or_leaving) {
-  Members it;
+BOOST_AUTO_TEST_CASE(peer_is_candidate_from_settling_until_timeout_or_leaving) {
+  MembershipFixture fixture;
   const Millis settle = MembershipOptions().settle;
-  const Instant now = it.start + 10 * settle;
-  it.members->OnHeartbeat(Beat("b"), now);
-  BOOST_TEST(it.members->Candidates(now).size() == 1u);
-  it.members->OnHeartbeat(Beat("b"), now + settle);
-  BOOST_TEST(it.members->Candidates(now + settle).size() == 2u);
-  Heartbeat leaving = Beat("b");
+  const Instant now = fixture.start + 10 * settle;
+  fixture.members->OnHeartbeat(MakeHeartbeat("b"), now);
+  BOOST_TEST(fixture.members->Candidates(now).size() == 1u);
+  fixture.members->OnHeartbeat(MakeHeartbeat("b"), now + settle);
+  BOOST_TEST(fixture.members->Candidates(now + settle).size() == 2u);
+  Heartbeat leaving = MakeHeartbeat("b");
   leaving.leaving = true;
-  it.members->OnHeartbeat(leaving, now + settle);
-  BOOST_TEST(it.members->Candidates(now + settle).size() == 1u);
-  it.members->Expire(now + settle + Millis(2001));
-  BOOST_TEST(it.members->peers().empty());
-  BOOST_TEST((it.members->last_departure() == now + settle + Millis(2001)));
+  fixture.members->OnHeartbeat(leaving, now + settle);
+  BOOST_TEST(fixture.members->Candidates(now + settle).size() == 1u);
+  fixture.members->Expire(now + settle + Millis(2001));
+  BOOST_TEST(fixture.members->peers().empty());
+  BOOST_TEST(
+      (fixture.members->last_departure() == now + settle + Millis(2001)));
 }
 
 BOOST_AUTO_TEST_CASE(restarted_peer_has_to_settle_again) {
-  Members it;
-  const Instant now = it.start + Millis(20000);
-  it.members->OnHeartbeat(Beat("b"), now);
-  Heartbeat restarted = Beat("b");
+  MembershipFixture fixture;
+  const Instant now = fixture.start + Millis(20000);
+  fixture.members->OnHeartbeat(MakeHeartbeat("b"), now);
+  Heartbeat restarted = MakeHeartbeat("b");
   restarted.incarnation = 2;
-  it.members->OnHeartbeat(restarted, now + Millis(1500));
-  BOOST_TEST(it.members->Candidates(now + Millis(1500)).size() == 1u);
+  fixture.members->OnHeartbeat(restarted, now + Millis(1500));
+  BOOST_TEST(fixture.members->Candidates(now + Millis(1500)).size() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(peer_of_another_data_centre_is_no_candidate) {
-  Members it;
-  it.members->OnHeartbeat(Beat("k", "kerameikos"), it.start);
-  BOOST_TEST(it.members->Candidates(it.start + Millis(9000)).size() == 1u);
+  MembershipFixture fixture;
+  fixture.members->OnHeartbeat(MakeHeartbeat("k", "kerameikos"), fixture.start);
+  BOOST_TEST(fixture.members->Candidates(fixture.start + Millis(9000)).size() ==
+             1u);
 }
 
 BOOST_AUTO_TEST_CASE(worker_told_as_leaving_by_a_peer_is_leaving) {
-  Members it;
+  MembershipFixture fixture;
   InstanceInfo worker;
   worker.id = "w1";
   worker.data_centre = "plaka";
-  it.members->OnList({worker}, it.start);
-  Heartbeat beat = Beat("b");
-  beat.leaving_workers = {"w1"};
-  it.members->OnHeartbeat(beat, it.start + Millis(9000));
-  const auto wanted = it.members->WantedWorkers(it.start + Millis(9000));
+  fixture.members->OnList({worker}, fixture.start);
+  Heartbeat heartbeat = MakeHeartbeat("b");
+  heartbeat.leaving_workers = {"w1"};
+  fixture.members->OnHeartbeat(heartbeat, fixture.start + Millis(9000));
+  const auto wanted =
+      fixture.members->WantedWorkers(fixture.start + Millis(9000));
   BOOST_REQUIRE(wanted.size() == 1u);
   BOOST_TEST(wanted[0].leaving);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
-struct Budgeted {
-  Budgeted()
+struct BudgetFixture {
+  BudgetFixture()
       : executor(time, 1),
         below(time, executor, model),
         budget({.rate = 10, .burst = 2, .queue_limit = 3}, executor, below) {}
@@ -127,10 +132,10 @@
 BOOST_AUTO_TEST_SUITE(kv_budget)
 
 BOOST_AUTO_TEST_CASE(calls_past_the_rate_wait_in_order_of_importance) {
-  Budgeted it;
+  BudgetFixture fixture;
   std::vector<std::string> order;
   const auto write = [&](const std::string& key, KvPriority priority) {
-    it.budget.Write(
+    fixture.budget.Write(
         {.key = key, .priority = priority},
         [&order, key](std::error_code, int64_t) { order.push_back(key); });
   };
@@ -139,56 +144,56 @@
   write("snapshot", KvPriority::kSnapshot);
   write("append", KvPriority::kAppend);
   write("lease", KvPriority::kLease);
-  it.time.Run(Millis(1000));
+  fixture.time.Run(Millis(1000));
   const std::vector<std::string> expected = {"1", "2", "lease", "append",
                                              "snapshot"};
   BOOST_TEST(order == expected, boost::test_tools::per_element());
 }
 
 BOOST_AUTO_TEST_CASE(calls_past_the_queue_are_refused_but_leases_never) {
-  Budgeted it;
+  BudgetFixture fixture;
   int refused = 0;
   int leases = 0;
   for (int n = 0; n < 10; ++n) {
-    it.budget.Read("k", [&](std::error_code error, const KvEntry&) {
+    fixture.budget.Read("k", [&](std::error_code error, const KvEntry&) {
       refused += error == make_error_code(KvErrc::kOverBudget) ? 1 : 0;
     });
   }
   for (int n = 0; n < 10; ++n) {
-    it.budget.RenewLease(1, [&](std::error_code error, int64_t) {
+    fixture.budget.RenewLease(1, [&](std::error_code error, int64_t) {
       leases += error == make_error_code(KvErrc::kOverBudget) ? 0 : 1;
     });
   }
-  it.time.Run(Millis(5000));
+  fixture.time.Run(Millis(5000));
   BOOST_TEST(refused == 5);
   BOOST_TEST(leases == 10);
 }
 
 BOOST_AUTO_TEST_CASE(rate_holds_over_a_long_time) {
-  Budgeted it;
+  BudgetFixture fixture;
   int answered = 0;
   std::function<void()> again = [&]() {
-    it.budget.Read("k", [&](std::error_code, const KvEntry&) {
+    fixture.budget.Read("k", [&](std::error_code, const KvEntry&) {
       ++answered;
       again();
     });
   };
   again();
   again();
-  it.time.Run(Millis(10000));
+  fixture.time.Run(Millis(10000));
   BOOST_TEST(answered <= 102);
   BOOST_TEST(answered >= 95);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
-struct Keeping {
-  explicit Keeping(VirtualTime& t, standin::KvModel& model)
+struct KeeperInstance {
+  explicit KeeperInstance(VirtualTime& t, standin::KvModel& model)
       : executor(t, 1), kv(t, executor, model) {
     keeper = std::make_shared<ConfigKeeper>(ConfigKeeperOptions(), executor, kv,
                                             [this]() { ++changes; });
   }
-  ~Keeping() { keeper->Stop(); }
+  ~KeeperInstance() { keeper->Stop(); }
 
   FakeExecutor executor;
   FakeKv kv;
@@ -196,13 +201,13 @@
   int changes = 0;
 };
 
-struct TwoKeepers {
-  TwoKeepers() : first(time, model), second(time, model) {
+struct TwoKeepersFixture {
+  TwoKeepersFixture() : first(time, model), second(time, model) {
     first.keeper->Start();
     second.keeper->Start();
   }
 
-  ConfigOutcome Apply(Keeping& at, const ConfigChange& change) {
+  ConfigOutcome Apply(KeeperInstance& at, const ConfigChange& change) {
     std::optional<ConfigOutcome> outcome;
     at.keeper->Apply(change, [&](const ConfigOutcome& o) { outcome = o; });
     time.Run(Millis(15000));
@@ -216,34 +221,34 @@
 
   VirtualTime time;
   standin::KvModel model;
-  Keeping first;
-  Keeping second;
+  KeeperInstance first;
+  KeeperInstance second;
 };
 
 BOOST_AUTO_TEST_SUITE(config_keeper)
 
 BOOST_AUTO_TEST_CASE(change_applied_at_one_comes_into_force_at_the_other) {
-  TwoKeepers it;
-  BOOST_TEST(it.Apply(it.first, it.Change("a")).revision == 1u);
-  BOOST_TEST(it.second.keeper->revision() == 1u);
-  BOOST_TEST(it.second.keeper->configuration().services[0].name == "a");
+  TwoKeepersFixture fixture;
+  BOOST_TEST(fixture.Apply(fixture.first, fixture.Change("a")).revision == 1u);
+  BOOST_TEST(fixture.second.keeper->revision() == 1u);
+  BOOST_TEST(fixture.second.keeper->configuration().services[0].name == "a");
 }
 
 BOOST_AUTO_TEST_CASE(two_changes_on_one_base_have_one_winner) {
-  TwoKeepers it;
-  it.Apply(it.first, it.Change("a"));
+  TwoKeepersFixture fixture;
+  fixture.Apply(fixture.first, fixture.Change("a"));
   int won = 0;
-  for (Keeping* at : {&it.first, &it.second}) {
-    ConfigChange change = it.Change(at == &it.first ? "b" : "c");
+  for (KeeperInstance* at : {&fixture.first, &fixture.second}) {
+    ConfigChange change = fixture.Change(at == &fixture.first ? "b" : "c");
     change.base = 1;
     at->keeper->Apply(change, [&](const ConfigOutcome& outcome) {
       won += outcome.error ? 0 : 1;
     });
   }
-  it.time.Run(Millis(5000));
+  fixture.time.Run(Millis(5000));
   BOOST_TEST(won == 1);
-  BOOST_TEST(it.first.keeper->revision() == 2u);
-  BOOST_TEST(it.first.keeper->text() == it.second.keeper->text());
+  BOOST_TEST(fixture.first.keeper->revision() == 2u);
+  BOOST_TEST(fixture.first.keeper->text() == fixture.second.keeper->text());
 }
 
 BOOST_AUTO_TEST_CASE(change_under_a_fault_is_made_once_when_asked_again) {
@@ -252,44 +257,45 @@
     for (const int writes : {1, -1}) {
       BOOST_TEST_CONTEXT("fault " << static_cast<int>(fault) << ", writes "
                                   << writes) {
-        TwoKeepers it;
-        it.Apply(it.first, it.Change("a"));
-        it.first.kv.set_fault_writes(writes);
-        it.first.kv.set_fault(fault);
-        it.Apply(it.first, it.Change("b"));
-        it.first.kv.set_fault(Fault::kNone);
-        const ConfigOutcome again = it.Apply(it.first, it.Change("b"));
+        TwoKeepersFixture fixture;
+        fixture.Apply(fixture.first, fixture.Change("a"));
+        fixture.first.kv.set_fault_writes(writes);
+        fixture.first.kv.set_fault(fault);
+        fixture.Apply(fixture.first, fixture.Change("b"));
+        fixture.first.kv.set_fault(Fault::kNone);
+        const ConfigOutcome again =
+            fixture.Apply(fixture.first, fixture.Change("b"));
         BOOST_TEST(!again.error);
         BOOST_TEST(again.revision == 2u);
-        BOOST_TEST(it.second.keeper->revision() == 2u);
+        BOOST_TEST(fixture.second.keeper->revision() == 2u);
       }
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(older_or_malformed_values_never_come_into_force) {
-  TwoKeepers it;
-  it.Apply(it.first, it.Change("a"));
-  const std::string old = it.first.keeper->value();
-  it.Apply(it.first, it.Change("b"));
-  const int changes = it.second.changes;
+  TwoKeepersFixture fixture;
+  fixture.Apply(fixture.first, fixture.Change("a"));
+  const std::string old = fixture.first.keeper->value();
+  fixture.Apply(fixture.first, fixture.Change("b"));
+  const int changes = fixture.second.changes;
   for (const std::string& value :
        {old, std::string("{}"), std::string("nonsense"),
         std::string(R"({"revision": 9, "text": "services: 3"})")}) {
-    it.second.keeper->Take(value);
+    fixture.second.keeper->Take(value);
   }
-  BOOST_TEST(it.second.keeper->revision() == 2u);
-  BOOST_TEST(it.second.changes == changes);
+  BOOST_TEST(fixture.second.keeper->revision() == 2u);
+  BOOST_TEST(fixture.second.changes == changes);
 }
 
 BOOST_AUTO_TEST_CASE(store_that_went_back_is_not_built_upon) {
-  TwoKeepers it;
-  it.Apply(it.first, it.Change("a"));
-  it.Apply(it.first, it.Change("b"));
-  it.model = standin::KvModel();
-  BOOST_TEST(it.Apply(it.first, it.Change("c")).error ==
+  TwoKeepersFixture fixture;
+  fixture.Apply(fixture.first, fixture.Change("a"));
+  fixture.Apply(fixture.first, fixture.Change("b"));
+  fixture.model = standin::KvModel();
+  BOOST_TEST(fixture.Apply(fixture.first, fixture.Change("c")).error ==
              make_error_code(CoreErrc::kConflict));
-  BOOST_TEST(it.first.keeper->revision() == 2u);
+  BOOST_TEST(fixture.first.keeper->revision() == 2u);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
