--- a/src/include/doorwood/router.h
+++ b/src/include/doorwood/router.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Requests of callers: admission, slots of backend servers, attempts,
-/// retries and what the caller is told. Runs on traffic threads; all classes
-/// here may be used from any thread. docs/design/requests.md.
+/// Routing of callers' requests: admission, slots of backend servers,
+/// attempts, retries and the response to the caller. Runs on traffic threads;
+/// all classes here are thread-safe. See docs/design/requests.md.
 
 #ifndef DOORWOOD_ROUTER_H_
 #define DOORWOOD_ROUTER_H_
@@ -26,19 +26,19 @@
 
 namespace doorwood {
 
-/// A backend server whose slots this instance counts.
+/// A backend server whose slots in use are counted by this instance.
 struct BackendTarget {
   std::string id;
   std::string service;
-  /// The worker below it.
+  /// The worker that the backend server runs on.
   std::string worker;
   std::string address;
   int slots = 0;
-  /// False: nothing new is sent there.
+  /// False: no new requests are sent to it.
   bool open = true;
 };
 
-/// Another entry instance that has open slots for a service.
+/// Another entry instance that has free slots for some services.
 struct PeerTarget {
   std::string instance;
   std::string address;
@@ -63,43 +63,45 @@
   bool repeatable = false;
   std::string idempotency_key;
   Instant deadline{};
-  /// True if another entry instance passed it on already.
+  /// True if another entry instance has forwarded the request. A request is
+  /// forwarded at most once.
   bool passed_on = false;
 };
 
-/// What is known of a request's run.
+/// Whether a request was executed, as far as is known.
 enum class RequestFate {
-  /// The whole answer of the run is at hand.
+  /// The request was executed and its complete response was received.
   kAnswered,
-  /// Surely not run.
+  /// The request was definitely not executed.
   kNotRun,
-  /// Sent, and nobody can tell whether it ran.
+  /// The request was sent, and may or may not have been executed.
   kUnknown,
 };
 
 std::string_view ToString(RequestFate fate);
 
-/// Status of a request whose idempotency key was used before.
+/// HTTP status for a request whose idempotency key was already used.
 inline constexpr int kStatusKeyUsed = 409;
 
-/// What the caller gets.
+/// The response to the caller.
 struct CallerResponse {
   RequestFate fate = RequestFate::kNotRun;
   int status = 503;
   std::vector<HttpHeader> headers;
   std::string body;
   std::string content_type;
-  /// Seconds after which asking again makes sense; 0: it does not.
+  /// Seconds after which the caller may retry; 0: a retry is of no use.
   int retry_after = 0;
 };
 
-/// What came of one attempt.
+/// Outcome of one attempt.
 enum class AttemptFate {
   kAnswered,
-  /// Surely never reached the backend server.
+  /// The request definitely did not reach the backend server.
   kNotSent,
-  /// The backend server refused it before the start.
+  /// The backend server refused the request before executing it.
   kRefused,
+  /// The request may or may not have been executed.
   kUnknown,
 };
 
@@ -108,59 +110,69 @@
   CallerResponse response;
 };
 
-/// Port to backend servers and to the traffic side of peers.
+/// Interface for sending requests to backend servers and to the traffic
+/// listeners of peers.
 class RequestSender {
  public:
   virtual ~RequestSender() = default;
 
-  /// Blocks for at most `timeout`. An answer counts only if it is whole.
+  /// Sends the request to a backend server. Blocks for at most `timeout`. An
+  /// incomplete response counts as AttemptFate::kUnknown.
   virtual AttemptResult Send(const BackendTarget& target,
                              const CallerRequest& request,
                              Millis timeout) = 0;
+  /// Forwards the request to a peer; blocks for at most `timeout`.
   virtual AttemptResult PassOn(const PeerTarget& target,
                                const CallerRequest& request,
                                Millis timeout) = 0;
 };
 
-/// Why no slot was given.
-enum class SlotRefusal { kNone, kNoBackend, kQueueFull, kTooLate };
+/// Why no slot was granted.
+enum class SlotRefusal { kNone, kNoBackend, kQueueFull, kDeadlineExceeded };
 
 struct SlotGrant {
   SlotRefusal refusal = SlotRefusal::kNone;
   BackendTarget target;
-  /// Estimate of when a slot will be free.
+  /// Estimated time until a slot becomes free.
   Millis wait{0};
 };
 
-/// Counts the slots of backend servers and lets requests wait for them.
-/// Members take turns, so that a surge of one does not starve another.
+/// Counts the slots in use on backend servers and queues requests that wait
+/// for one. Members are served round robin, so that a surge of one workspace
+/// does not starve another.
 class SlotTable {
  public:
+  /// Replaces the list of backend servers. A server that is no longer listed
+  /// is closed and kept until its last slot is released.
   void SetBackends(std::vector<BackendTarget> backends);
 
-  /// Waits until a slot is free, `deadline`, or refusal, which comes at once
-  /// if the queue is full, the estimated wait is past the deadline, or the
-  /// service has no backend server. Where all its backend servers are closed
-  /// just now, as between two holders, the wait is for one to open.
-  /// `avoid` is used only if nothing else is open.
+  /// Blocks until a slot is granted or `deadline` is reached. Refuses
+  /// immediately if the queue is full, the estimated wait is past the
+  /// deadline, or the service has no backend server. If all its backend
+  /// servers are closed, as happens while a worker moves from one holder to
+  /// the next, the call waits for one of them to open. The backend server
+  /// `avoid` is used only if no other one has a free slot.
   SlotGrant Acquire(const std::string& service,
                     const std::string& member,
                     const std::string& avoid,
                     int queue_limit,
                     Instant deadline);
-  /// True at once or not at all.
+  /// Acquires a slot without waiting. Empty if none is free or if other
+  /// requests already wait for the service.
   std::optional<BackendTarget> TryAcquire(const std::string& service,
                                           const std::string& avoid);
-  /// `held` is how long the slot was in use.
+  /// Releases a slot. `held` is how long it was in use; it feeds the estimate
+  /// of waiting times.
   void Release(const BackendTarget& target, Millis held);
 
-  /// True if a backend server of the service is open, busy or not.
-  bool HasSlots(const std::string& service) const;
-  /// Services with a free slot and nobody waiting.
+  /// True if a backend server of the service is open, even if all its slots
+  /// are in use.
+  bool HasOpenBackend(const std::string& service) const;
+  /// Services with a free slot and no waiting requests.
   std::vector<std::string> OpenServices() const;
-  /// Requests that wait for a slot of the service.
-  size_t Waiting(const std::string& service) const;
-  /// Slots in use on one worker's backend servers.
+  /// Number of requests that wait for a slot of the service.
+  size_t WaitingCount(const std::string& service) const;
+  /// Number of slots in use on one worker's backend servers.
   int InUse(const std::string& worker) const;
 
  private:
@@ -174,21 +186,22 @@
   struct Backend {
     BackendTarget target;
     int in_use = 0;
-    // Gone from the list, kept until its last slot is released.
+    // False: no longer in the list; kept until its last slot is released.
     bool listed = true;
   };
 
   struct Service {
     std::list<Waiter*> waiters;
-    // Smoothed time that a slot is held, in milliseconds.
+    // Moving average of the time that a slot is held, in milliseconds.
     double mean_held_ms = 10;
     std::string last_member;
   };
 
-  Backend* PickLocked(const std::string& service, const std::string& avoid);
-  int SlotsLocked(const std::string& service) const;
+  Backend* PickBackendLocked(const std::string& service,
+                             const std::string& avoid);
+  int OpenSlotCountLocked(const std::string& service) const;
   bool IsListedLocked(const std::string& service) const;
-  void GrantLocked(const std::string& service);
+  void GrantToWaitersLocked(const std::string& service);
   std::list<Waiter*>::iterator NextWaiterLocked(Service* service);
 
   mutable std::mutex mutex_;
@@ -196,20 +209,20 @@
   std::map<std::string, Service> services_;
 };
 
-/// Lets retries be at most a share of requests.
+/// Limits retries to a share of the requests of each service.
 class RetryBudget {
  public:
-  /// Called for each request.
-  void Earn(const std::string& service, double share);
-  /// True if a retry may be made now.
-  bool Spend(const std::string& service);
+  /// Adds `share` of a retry to the budget; call once for each request.
+  void Deposit(const std::string& service, double share);
+  /// Takes one retry out of the budget. False if there is none left.
+  bool TryWithdraw(const std::string& service);
 
  private:
   std::mutex mutex_;
   std::map<std::string, double> tokens_;
 };
 
-/// Told about each finished request that a caller made here.
+/// Observer of the finished requests that callers sent to this instance.
 class RequestObserver {
  public:
   virtual ~RequestObserver() = default;
@@ -219,11 +232,12 @@
                          Millis took) = 0;
 };
 
-/// Outcome of recording an idempotency key.
+/// Outcome of recording an idempotency key. kTaken: another request has used
+/// the key. kUnknown: the record may or may not have been written.
 enum class ClaimOutcome { kClaimed, kTaken, kNotRecorded, kUnknown };
 
-/// Port to the record of idempotency keys, kept by the owner of each key's
-/// shard.
+/// Interface to the records of used idempotency keys. The owner of a key's
+/// shard keeps its record.
 class RequestClaims {
  public:
   virtual ~RequestClaims() = default;
@@ -232,19 +246,21 @@
   virtual ClaimOutcome Claim(const std::string& key,
                              const std::string& request,
                              Instant deadline) = 0;
-  /// Takes the record back, because the request surely did not run. Does not
-  /// block and may fail; the key then stays used up.
+  /// Deletes the record, because the request was definitely not executed.
+  /// Does not block and may fail; the key then stays used.
   virtual void Release(const std::string& key, const std::string& request) = 0;
 };
 
+/// Routes each request to a backend server of its service, or to a peer that
+/// has a free slot for it.
 class Router {
  public:
   Router(RequestSender& sender,
          RequestObserver& observer,
          RequestClaims& claims);
 
-  /// Runs a request to its end and says what became of it. Blocks until the
-  /// deadline at the latest; a refusal comes at once.
+  /// Executes a request and returns its response. Blocks until the deadline
+  /// at the latest; a refusal is returned without delay.
   CallerResponse Handle(const CallerRequest& request);
 
   SlotTable& slots() { return slots_; }
@@ -252,21 +268,22 @@
   void SetConfiguration(std::shared_ptr<const Configuration> configuration);
 
  private:
-  // What has become of one request so far.
+  // State of one request across its attempts.
   struct Progress {
     CallerResponse last;
-    // The backend server tried last.
+    // The backend server of the last attempt; the next one prefers others.
     std::string avoid;
     bool may_have_run = false;
     bool claimed = false;
-    // A peer took it and gave no whole answer; no other one is asked.
-    bool peer_failed = false;
-    // Brought to an end by a peer.
-    bool settled = false;
-    // How long to wait at most for some instance to open a backend server.
-    Instant patience{};
-
-    void Tell(CallerResponse refusal);
+    // A peer accepted the request and sent no complete response. No other
+    // peer is tried.
+    bool peer_outcome_unknown = false;
+    // A peer determined the final outcome.
+    bool ended_by_peer = false;
+    // Until when to wait for any instance to open a backend server.
+    Instant no_backend_deadline{};
+
+    void RecordRefusal(CallerResponse refusal);
   };
 
   CallerResponse Run(const CallerRequest& request);
@@ -276,12 +293,12 @@
   SlotGrant WaitForSlot(const ServiceConfig& service,
                         const CallerRequest& request,
                         Progress* progress);
-  bool ClaimFirst(const CallerRequest& request, Progress* progress);
+  bool ClaimKeyIfNeeded(const CallerRequest& request, Progress* progress);
   bool TryPeer(const CallerRequest& request, Progress* progress);
   std::optional<PeerTarget> PickPeer(const std::string& service);
-  AttemptResult AttemptOn(const BackendTarget& target,
-                          const CallerRequest& request);
-  ServiceConfig ServiceOf(const std::string& name) const;
+  AttemptResult SendAttempt(const BackendTarget& target,
+                            const CallerRequest& request);
+  ServiceConfig ServiceConfigOf(const std::string& name) const;
 
   RequestSender& sender_;
   RequestObserver& observer_;
--- a/src/libdoorwood/routing/router.cpp
+++ b/src/libdoorwood/routing/router.cpp
@@ -7,30 +7,32 @@
 namespace doorwood {
 namespace {
 
-constexpr int kMostAttempts = 4;
-// Unspent retries that a service may save up.
-constexpr double kMostSavedRetries = 10;
+constexpr int kMaxAttempts = 4;
+// Upper limit of a service's retry budget.
+constexpr double kMaxRetryBudget = 10;
 constexpr int kRetryAfterSeconds = 1;
-// How long a request waits at most while all backend servers are closed, and
-// how often it looks for a peer meanwhile.
-constexpr Millis kHandoverPatience{4000};
-constexpr Millis kHandoverLook{50};
+// A request waits for at most kMaxClosedWait while all backend servers are
+// closed, and looks for a peer every kPeerPollInterval in the meantime.
+constexpr Millis kMaxClosedWait{4000};
+constexpr Millis kPeerPollInterval{50};
 
-constexpr int kStatusNoSuchService = 404;
-constexpr int kStatusTooMany = 429;
-constexpr int kStatusUnknown = 502;
+constexpr int kStatusNotFound = 404;
+constexpr int kStatusTooManyRequests = 429;
+constexpr int kStatusBadGateway = 502;
 constexpr int kStatusUnavailable = 503;
-constexpr int kStatusTooLate = 504;
+constexpr int kStatusGatewayTimeout = 504;
 
-Millis Since(Instant begin) {
+Millis ElapsedSince(Instant begin) {
   return std::chrono::duration_cast<Millis>(BootClock::now() - begin);
 }
 
-Millis Until(Instant end) {
+Millis TimeUntil(Instant end) {
   return std::chrono::duration_cast<Millis>(end - BootClock::now());
 }
 
-CallerResponse NotRun(int status, std::string_view reason, int retry_after) {
+CallerResponse NotRunResponse(int status,
+                              std::string_view reason,
+                              int retry_after) {
   CallerResponse response;
   response.fate = RequestFate::kNotRun;
   response.status = status;
@@ -40,33 +42,35 @@
   return response;
 }
 
-CallerResponse Unknown(std::string_view reason) {
+CallerResponse UnknownResponse(std::string_view reason) {
   CallerResponse response;
   response.fate = RequestFate::kUnknown;
-  response.status = kStatusUnknown;
+  response.status = kStatusBadGateway;
   response.content_type = "text/plain";
   response.body = "not known whether it ran: " + std::string(reason) + "\n";
   return response;
 }
 
-int Seconds(Millis wait) {
+int CeilToSeconds(Millis wait) {
   constexpr int64_t kMillisPerSecond = 1000;
   const int64_t seconds =
       (wait.count() + kMillisPerSecond - 1) / kMillisPerSecond;
   return static_cast<int>(std::max<int64_t>(1, seconds));
 }
 
-CallerResponse RefusedSlot(const SlotGrant& grant) {
+CallerResponse SlotRefusalResponse(const SlotGrant& grant) {
   switch (grant.refusal) {
     case SlotRefusal::kQueueFull:
-      return NotRun(kStatusTooMany, "too many requests wait already",
-                    Seconds(grant.wait));
-    case SlotRefusal::kTooLate:
-      return NotRun(kStatusTooLate, "no slot before the deadline",
-                    Seconds(grant.wait));
+      return NotRunResponse(kStatusTooManyRequests,
+                            "too many requests wait already",
+                            CeilToSeconds(grant.wait));
+    case SlotRefusal::kDeadlineExceeded:
+      return NotRunResponse(kStatusGatewayTimeout,
+                            "no slot before the deadline",
+                            CeilToSeconds(grant.wait));
     default:
-      return NotRun(kStatusUnavailable, "no backend server is open now",
-                    kRetryAfterSeconds);
+      return NotRunResponse(kStatusUnavailable, "no backend server is open now",
+                            kRetryAfterSeconds);
   }
 }
 
@@ -84,13 +88,13 @@
   return "unknown";
 }
 
-void RetryBudget::Earn(const std::string& service, double share) {
+void RetryBudget::Deposit(const std::string& service, double share) {
   const std::lock_guard<std::mutex> lock(mutex_);
   double& tokens = tokens_.try_emplace(service, 1.0).first->second;
-  tokens = std::min(kMostSavedRetries, tokens + share);
+  tokens = std::min(kMaxRetryBudget, tokens + share);
 }
 
-bool RetryBudget::Spend(const std::string& service) {
+bool RetryBudget::TryWithdraw(const std::string& service) {
   const std::lock_guard<std::mutex> lock(mutex_);
   double& tokens = tokens_.try_emplace(service, 1.0).first->second;
   if (tokens < 1.0) {
@@ -100,8 +104,9 @@
   return true;
 }
 
-void Router::Progress::Tell(CallerResponse refusal) {
-  // Once an attempt is unknown, no later refusal turns that into "not run".
+void Router::Progress::RecordRefusal(CallerResponse refusal) {
+  // After an attempt of unknown outcome, a later refusal must not report the
+  // request as not run.
   if (!may_have_run) {
     last = std::move(refusal);
   }
@@ -126,7 +131,7 @@
   configuration_ = std::move(configuration);
 }
 
-ServiceConfig Router::ServiceOf(const std::string& name) const {
+ServiceConfig Router::ServiceConfigOf(const std::string& name) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const ServiceConfig* service = FindService(*configuration_, name);
   return service == nullptr ? ServiceConfig() : *service;
@@ -135,65 +140,67 @@
 CallerResponse Router::Handle(const CallerRequest& request) {
   const Instant begin = BootClock::now();
   CallerResponse response = Run(request);
-  // What a peer passed on is counted there, where the caller is.
+  // A request forwarded by a peer is counted by that peer, which serves the
+  // caller.
   if (!request.passed_on) {
-    observer_.OnRequest(request, response, Since(begin));
+    observer_.OnRequest(request, response, ElapsedSince(begin));
   }
   return response;
 }
 
 CallerResponse Router::Run(const CallerRequest& request) {
-  const ServiceConfig service = ServiceOf(request.service);
+  const ServiceConfig service = ServiceConfigOf(request.service);
   if (service.name.empty()) {
-    return NotRun(kStatusNoSuchService, "no such service", 0);
+    return NotRunResponse(kStatusNotFound, "no such service", 0);
   }
-  budget_.Earn(request.service, service.retry_share);
+  budget_.Deposit(request.service, service.retry_share);
   Progress progress;
   const auto now = BootClock::now();
-  progress.patience =
-      std::min(now + (request.deadline - now) / 2, now + kHandoverPatience);
-  progress.last = NotRun(kStatusUnavailable, "no backend server is open now",
-                         kRetryAfterSeconds);
-  for (int attempt = 0; attempt < kMostAttempts; ++attempt) {
-    if (Until(request.deadline) <= Millis(0)) {
+  progress.no_backend_deadline =
+      std::min(now + (request.deadline - now) / 2, now + kMaxClosedWait);
+  progress.last = NotRunResponse(
+      kStatusUnavailable, "no backend server is open now", kRetryAfterSeconds);
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
+    if (TimeUntil(request.deadline) <= Millis(0)) {
       break;
     }
-    if (attempt > 0 && !budget_.Spend(request.service)) {
+    if (attempt > 0 && !budget_.TryWithdraw(request.service)) {
       break;
     }
     if (!TryOnce(service, request, &progress)) {
       break;
     }
   }
-  const bool unused_claim =
+  const bool release_claim =
       progress.claimed && progress.last.fate == RequestFate::kNotRun;
-  if (unused_claim) {
+  if (release_claim) {
     claims_.Release(request.idempotency_key, request.id);
   }
   return progress.last;
 }
 
-// One slot, one attempt. False if `progress->last` is final.
+// Acquires one slot and makes one attempt. Returns false if `progress->last`
+// is final.
 bool Router::TryOnce(const ServiceConfig& service,
                      const CallerRequest& request,
                      Progress* progress) {
   auto target = slots_.TryAcquire(request.service, progress->avoid);
   if (!target) {
     const SlotGrant grant = WaitForSlot(service, request, progress);
-    if (progress->settled) {
+    if (progress->ended_by_peer) {
       return false;
     }
     if (grant.refusal != SlotRefusal::kNone) {
-      progress->Tell(RefusedSlot(grant));
+      progress->RecordRefusal(SlotRefusalResponse(grant));
       return false;
     }
     target = grant.target;
   }
-  if (!ClaimFirst(request, progress)) {
+  if (!ClaimKeyIfNeeded(request, progress)) {
     slots_.Release(*target, Millis(0));
     return false;
   }
-  const AttemptResult result = AttemptOn(*target, request);
+  const AttemptResult result = SendAttempt(*target, request);
   progress->avoid = target->id;
   switch (result.fate) {
     case AttemptFate::kAnswered:
@@ -201,48 +208,52 @@
       return false;
     case AttemptFate::kUnknown:
       progress->may_have_run = true;
-      progress->last = Unknown("the backend server gave no whole answer");
+      progress->last =
+          UnknownResponse("the backend server gave no whole answer");
       return request.repeatable;
     default:
-      progress->Tell(NotRun(kStatusUnavailable,
-                            "every backend server that was tried refused",
-                            kRetryAfterSeconds));
+      progress->RecordRefusal(NotRunResponse(
+          kStatusUnavailable, "every backend server that was tried refused",
+          kRetryAfterSeconds));
       return true;
   }
 }
 
-// Waits for a slot here, and between looks for a peer that has one. While a
-// worker changes hands nobody has a slot for a moment.
+// Waits for a local slot, and regularly looks for a peer that has one. While a
+// worker moves from one holder to the next, no instance has a slot on it for a
+// short time.
 SlotGrant Router::WaitForSlot(const ServiceConfig& service,
                               const CallerRequest& request,
                               Progress* progress) {
   while (true) {
     if (TryPeer(request, progress)) {
-      progress->settled = true;
+      progress->ended_by_peer = true;
       return {};
     }
     const auto now = BootClock::now();
-    const bool open_here = slots_.HasSlots(request.service);
-    if (!open_here && now >= progress->patience) {
+    const bool open_locally = slots_.HasOpenBackend(request.service);
+    if (!open_locally && now >= progress->no_backend_deadline) {
       return {.refusal = SlotRefusal::kNoBackend};
     }
-    const Instant until = open_here
-                              ? request.deadline
-                              : std::min(request.deadline, now + kHandoverLook);
+    const Instant until =
+        open_locally ? request.deadline
+                     : std::min(request.deadline, now + kPeerPollInterval);
     SlotGrant grant =
         slots_.Acquire(request.service, request.member, progress->avoid,
                        service.queue_limit, until);
-    const bool look_again =
-        grant.refusal == SlotRefusal::kTooLate && !open_here;
-    if (!look_again) {
+    const bool poll_again =
+        grant.refusal == SlotRefusal::kDeadlineExceeded && !open_locally;
+    if (!poll_again) {
       return grant;
     }
   }
 }
 
-// False if the request may not run. The key is recorded last, with the slot
-// in hand, so that a refusal for want of a slot uses up no key.
-bool Router::ClaimFirst(const CallerRequest& request, Progress* progress) {
+// Records the idempotency key of a request that needs it. Returns false if the
+// request must not be executed. The key is recorded after the slot has been
+// acquired, so that a refusal for lack of a slot does not use up the key.
+bool Router::ClaimKeyIfNeeded(const CallerRequest& request,
+                              Progress* progress) {
   const bool needed = !request.repeatable && !request.idempotency_key.empty() &&
                       !progress->claimed;
   if (!needed) {
@@ -254,28 +265,30 @@
       progress->claimed = true;
       return true;
     case ClaimOutcome::kTaken:
-      progress->last = Unknown("another request has used this key");
+      progress->last = UnknownResponse("another request has used this key");
       progress->last.status = kStatusKeyUsed;
       return false;
     case ClaimOutcome::kNotRecorded:
-      progress->Tell(NotRun(kStatusUnavailable,
-                            "the key cannot be recorded now",
-                            kRetryAfterSeconds));
+      progress->RecordRefusal(NotRunResponse(kStatusUnavailable,
+                                             "the key cannot be recorded now",
+                                             kRetryAfterSeconds));
       return false;
     case ClaimOutcome::kUnknown:
       break;
   }
-  // The record may still be written, which would use up the key.
+  // The record may still be written and would use up the key, so it counts as
+  // claimed and is released afterwards.
   progress->claimed = true;
-  progress->Tell(NotRun(kStatusUnavailable, "recording the key did not finish",
-                        kRetryAfterSeconds));
+  progress->RecordRefusal(NotRunResponse(kStatusUnavailable,
+                                         "recording the key did not finish",
+                                         kRetryAfterSeconds));
   return false;
 }
 
-// True if a peer brought the request to an end. One hop at most: what was
-// passed on is not passed on again.
+// Returns true if a peer determined the final outcome of the request. A request
+// is forwarded once at most.
 bool Router::TryPeer(const CallerRequest& request, Progress* progress) {
-  if (request.passed_on || progress->peer_failed) {
+  if (request.passed_on || progress->peer_outcome_unknown) {
     return false;
   }
   const auto target = PickPeer(request.service);
@@ -283,7 +296,7 @@
     return false;
   }
   const AttemptResult result =
-      sender_.PassOn(*target, request, Until(request.deadline));
+      sender_.PassOn(*target, request, TimeUntil(request.deadline));
   if (result.fate == AttemptFate::kAnswered) {
     progress->last = result.response;
     return true;
@@ -292,8 +305,9 @@
     return false;
   }
   progress->may_have_run = true;
-  progress->peer_failed = true;
-  progress->last = Unknown("the peer that took it gave no whole answer");
+  progress->peer_outcome_unknown = true;
+  progress->last =
+      UnknownResponse("the peer that took it gave no whole answer");
   return !request.repeatable;
 }
 
@@ -311,11 +325,12 @@
   return std::nullopt;
 }
 
-AttemptResult Router::AttemptOn(const BackendTarget& target,
-                                const CallerRequest& request) {
+AttemptResult Router::SendAttempt(const BackendTarget& target,
+                                  const CallerRequest& request) {
   const Instant begin = BootClock::now();
-  AttemptResult result = sender_.Send(target, request, Until(request.deadline));
-  slots_.Release(target, Since(begin));
+  AttemptResult result =
+      sender_.Send(target, request, TimeUntil(request.deadline));
+  slots_.Release(target, ElapsedSince(begin));
   return result;
 }
 
--- a/src/libdoorwood/routing/router_test.cpp
+++ b/src/libdoorwood/routing/router_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Requests: what the caller is told for each fate of each attempt, slots,
-// queues, keys and retries.
+// Router and SlotTable: the response to the caller for each outcome of each
+// attempt, slots, queues, idempotency keys and retries.
 
 #include "doorwood/router.h"
 
@@ -20,7 +20,7 @@
 constexpr auto kRefused = AttemptFate::kRefused;
 constexpr auto kUnknown = AttemptFate::kUnknown;
 
-// Gives attempts the fates of a script, in turn; the last one repeats.
+// Returns the scripted attempt outcomes in turn; the last one repeats.
 class ScriptedSender : public RequestSender {
  public:
   AttemptResult Send(const BackendTarget& target,
@@ -80,8 +80,8 @@
 };
 
 // A router with service "stream" on two backend servers of two slots.
-struct Routing {
-  Routing() {
+struct RouterFixture {
+  RouterFixture() {
     Configuration config;
     config.services.push_back({.name = "stream", .queue_limit = 2});
     router.SetConfiguration(std::make_shared<Configuration>(config));
@@ -102,7 +102,7 @@
     return request;
   }
 
-  CallerResponse Ask(bool repeatable) {
+  CallerResponse HandleRequest(bool repeatable) {
     return router.Handle(Request(repeatable, Millis(2000)));
   }
 
@@ -115,14 +115,14 @@
 struct FateRow {
   std::deque<AttemptFate> attempts;
   bool repeatable;
-  RequestFate told;
-  size_t sent;
+  RequestFate expected_fate;
+  size_t expected_attempts;
 };
 
 BOOST_AUTO_TEST_SUITE(router)
 
-BOOST_AUTO_TEST_CASE(request_with_each_fate_of_attempts_is_told_truly) {
-  // A fresh budget allows one retry.
+BOOST_AUTO_TEST_CASE(response_reports_outcome_of_attempts) {
+  // A new retry budget allows one retry.
   const std::vector<FateRow> rows = {
       {{kAnswered}, true, RequestFate::kAnswered, 1},
       {{kNotSent, kAnswered}, true, RequestFate::kAnswered, 2},
@@ -139,43 +139,43 @@
   };
   for (size_t n = 0; n < rows.size(); ++n) {
     BOOST_TEST_CONTEXT("row " << n) {
-      Routing routing;
+      RouterFixture routing;
       routing.sender.script = rows[n].attempts;
-      const CallerResponse response = routing.Ask(rows[n].repeatable);
-      BOOST_TEST((response.fate == rows[n].told));
-      BOOST_TEST(routing.sender.sent_to.size() == rows[n].sent);
+      const CallerResponse response = routing.HandleRequest(rows[n].repeatable);
+      BOOST_TEST((response.fate == rows[n].expected_fate));
+      BOOST_TEST(routing.sender.sent_to.size() == rows[n].expected_attempts);
       BOOST_TEST(routing.router.slots().InUse("w1") == 0);
       BOOST_TEST(routing.router.slots().InUse("w2") == 0);
-      const bool may_come_back = response.fate == RequestFate::kNotRun;
-      BOOST_TEST((response.retry_after > 0) == may_come_back);
+      const bool may_retry = response.fate == RequestFate::kNotRun;
+      BOOST_TEST((response.retry_after > 0) == may_retry);
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(retry_goes_to_the_other_backend_server) {
-  Routing routing;
+  RouterFixture routing;
   routing.sender.script = {kUnknown, kAnswered};
-  routing.Ask(true);
+  routing.HandleRequest(true);
   BOOST_REQUIRE(routing.sender.sent_to.size() == 2u);
   BOOST_TEST(routing.sender.sent_to[0] != routing.sender.sent_to[1]);
 }
 
-BOOST_AUTO_TEST_CASE(retries_stay_a_share_of_requests) {
-  Routing routing;
+BOOST_AUTO_TEST_CASE(retries_are_limited_to_share_of_requests) {
+  RouterFixture routing;
   routing.sender.script = {kUnknown};
   constexpr int kRequests = 200;
   for (int n = 0; n < kRequests; ++n) {
-    routing.Ask(true);
+    routing.HandleRequest(true);
   }
   const int retries =
       static_cast<int>(routing.sender.sent_to.size()) - kRequests;
-  // The share is 0.1; one more was saved up at the start.
+  // The default share is 0.1, and the budget starts with one retry.
   BOOST_TEST(retries <= kRequests / 10 + 1);
 }
 
 BOOST_AUTO_TEST_CASE(unknown_service_is_not_run) {
-  Routing routing;
-  CallerRequest request = Routing::Request(true, Millis(1000));
+  RouterFixture routing;
+  CallerRequest request = RouterFixture::Request(true, Millis(1000));
   request.service = "nothing";
   const CallerResponse response = routing.router.Handle(request);
   BOOST_TEST(response.status == 404);
@@ -184,12 +184,12 @@
 
 struct ClaimRow {
   ClaimOutcome outcome;
-  RequestFate told;
-  size_t sent;
+  RequestFate expected_fate;
+  size_t expected_attempts;
   int released;
 };
 
-BOOST_AUTO_TEST_CASE(request_with_key_runs_only_once_it_is_recorded) {
+BOOST_AUTO_TEST_CASE(request_with_key_is_sent_only_after_key_is_recorded) {
   const std::vector<ClaimRow> rows = {
       {ClaimOutcome::kClaimed, RequestFate::kAnswered, 1, 0},
       {ClaimOutcome::kTaken, RequestFate::kUnknown, 0, 0},
@@ -198,23 +198,23 @@
   };
   for (size_t n = 0; n < rows.size(); ++n) {
     BOOST_TEST_CONTEXT("row " << n) {
-      Routing routing;
+      RouterFixture routing;
       routing.claims.outcome = rows[n].outcome;
-      CallerRequest request = Routing::Request(false, Millis(2000));
+      CallerRequest request = RouterFixture::Request(false, Millis(2000));
       request.idempotency_key = "k";
       const CallerResponse response = routing.router.Handle(request);
-      BOOST_TEST((response.fate == rows[n].told));
-      BOOST_TEST(routing.sender.sent_to.size() == rows[n].sent);
+      BOOST_TEST((response.fate == rows[n].expected_fate));
+      BOOST_TEST(routing.sender.sent_to.size() == rows[n].expected_attempts);
       BOOST_TEST(routing.claims.released == rows[n].released);
       BOOST_TEST(routing.router.slots().InUse("w1") == 0);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(key_of_a_request_that_surely_did_not_run_is_released) {
-  Routing routing;
+BOOST_AUTO_TEST_CASE(key_of_a_request_that_was_not_run_is_released) {
+  RouterFixture routing;
   routing.sender.script = {kRefused};
-  CallerRequest request = Routing::Request(false, Millis(2000));
+  CallerRequest request = RouterFixture::Request(false, Millis(2000));
   request.idempotency_key = "k";
   const CallerResponse response = routing.router.Handle(request);
   BOOST_TEST((response.fate == RequestFate::kNotRun));
@@ -222,19 +222,19 @@
   BOOST_TEST(routing.claims.released == 1);
 }
 
-BOOST_AUTO_TEST_CASE(full_instance_with_open_peer_passes_the_request_on) {
-  Routing routing;
+BOOST_AUTO_TEST_CASE(instance_without_slots_forwards_request_to_peer) {
+  RouterFixture routing;
   routing.router.slots().SetBackends({});
   routing.router.SetPeers({{"peer-1", "address", {"stream"}}});
-  BOOST_TEST((routing.Ask(true).fate == RequestFate::kAnswered));
+  BOOST_TEST((routing.HandleRequest(true).fate == RequestFate::kAnswered));
   BOOST_TEST(routing.sender.passed_to.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(request_passed_on_already_is_not_passed_on_again) {
-  Routing routing;
+BOOST_AUTO_TEST_CASE(forwarded_request_is_not_forwarded_again) {
+  RouterFixture routing;
   routing.router.slots().SetBackends({});
   routing.router.SetPeers({{"peer-1", "address", {"stream"}}});
-  CallerRequest request = Routing::Request(true, Millis(1000));
+  CallerRequest request = RouterFixture::Request(true, Millis(1000));
   request.passed_on = true;
   const CallerResponse response = routing.router.Handle(request);
   BOOST_TEST((response.fate == RequestFate::kNotRun));
@@ -242,39 +242,42 @@
   BOOST_TEST(routing.observer.count == 0);
 }
 
-BOOST_AUTO_TEST_CASE(peer_that_breaks_off_leaves_an_unrepeatable_unknown) {
-  Routing routing;
+BOOST_AUTO_TEST_CASE(
+    incomplete_peer_response_makes_unrepeatable_request_unknown) {
+  RouterFixture routing;
   routing.router.slots().SetBackends({});
   routing.router.SetPeers({{"peer-1", "address", {"stream"}}});
   routing.sender.peer_script = {kUnknown};
-  BOOST_TEST((routing.Ask(false).fate == RequestFate::kUnknown));
+  BOOST_TEST((routing.HandleRequest(false).fate == RequestFate::kUnknown));
   BOOST_TEST(routing.sender.passed_to.size() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(backend_servers_that_open_during_a_handover_are_used) {
-  Routing routing;
-  routing.router.slots().SetBackends(Routing::Backends(false));
+  RouterFixture routing;
+  routing.router.slots().SetBackends(RouterFixture::Backends(false));
   CallerResponse response;
   std::thread caller([&]() {
-    response = routing.router.Handle(Routing::Request(false, Millis(60000)));
+    response =
+        routing.router.Handle(RouterFixture::Request(false, Millis(60000)));
   });
-  routing.router.slots().SetBackends(Routing::Backends(true));
+  routing.router.slots().SetBackends(RouterFixture::Backends(true));
   caller.join();
   BOOST_TEST((response.fate == RequestFate::kAnswered));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
-// Slots alone, without time: requests that must wait run on threads.
-struct Slots {
-  Slots() { table.SetBackends(Routing::Backends(true)); }
+// A SlotTable without a router. Requests that must wait run on threads of
+// their own, so that no test depends on time.
+struct SlotTableFixture {
+  SlotTableFixture() { table.SetBackends(RouterFixture::Backends(true)); }
 
-  std::vector<BackendTarget> TakeAll() {
-    std::vector<BackendTarget> taken;
+  std::vector<BackendTarget> AcquireAll() {
+    std::vector<BackendTarget> acquired;
     while (auto target = table.TryAcquire("stream", "")) {
-      taken.push_back(*target);
+      acquired.push_back(*target);
     }
-    return taken;
+    return acquired;
   }
 
   SlotGrant Acquire(const std::string& member,
@@ -289,48 +292,48 @@
 
 BOOST_AUTO_TEST_SUITE(slot_table)
 
-BOOST_AUTO_TEST_CASE(slots_are_never_given_twice_and_spread_evenly) {
-  Slots slots;
-  BOOST_TEST(slots.TakeAll().size() == 4u);
+BOOST_AUTO_TEST_CASE(slots_are_granted_once_and_spread_evenly) {
+  SlotTableFixture slots;
+  BOOST_TEST(slots.AcquireAll().size() == 4u);
   BOOST_TEST(slots.table.InUse("w1") == 2);
   BOOST_TEST(slots.table.InUse("w2") == 2);
   BOOST_TEST(slots.table.OpenServices().empty());
 }
 
-BOOST_AUTO_TEST_CASE(full_table_refuses_at_once_what_it_cannot_serve) {
-  Slots slots;
-  slots.TakeAll();
+BOOST_AUTO_TEST_CASE(full_table_refuses_immediately) {
+  SlotTableFixture slots;
+  slots.AcquireAll();
   BOOST_TEST((slots.Acquire("m", 0, Millis(60000)).refusal ==
               SlotRefusal::kQueueFull));
-  BOOST_TEST(
-      (slots.Acquire("m", 9, Millis(1)).refusal == SlotRefusal::kTooLate));
+  BOOST_TEST((slots.Acquire("m", 9, Millis(1)).refusal ==
+              SlotRefusal::kDeadlineExceeded));
   BOOST_TEST(
       (slots.table.Acquire("nothing", "m", "", 9, Instant::max()).refusal ==
        SlotRefusal::kNoBackend));
 }
 
-BOOST_AUTO_TEST_CASE(backend_server_that_goes_keeps_its_slots_until_released) {
-  Slots slots;
-  const auto taken = slots.TakeAll();
+BOOST_AUTO_TEST_CASE(removed_backend_server_keeps_slots_until_released) {
+  SlotTableFixture slots;
+  const auto acquired = slots.AcquireAll();
   slots.table.SetBackends({});
   BOOST_TEST(slots.table.InUse("w1") == 2);
-  // It comes back while requests of before still run there.
-  slots.table.SetBackends(Routing::Backends(true));
+  // The server is listed again while earlier requests still run on it.
+  slots.table.SetBackends(RouterFixture::Backends(true));
   BOOST_TEST(!slots.table.TryAcquire("stream", "").has_value());
-  for (const BackendTarget& target : taken) {
+  for (const BackendTarget& target : acquired) {
     slots.table.Release(target, Millis(1));
   }
   BOOST_TEST(slots.table.InUse("w1") == 0);
-  BOOST_TEST(slots.TakeAll().size() == 4u);
+  BOOST_TEST(slots.AcquireAll().size() == 4u);
 }
 
-BOOST_AUTO_TEST_CASE(waiting_members_take_turns) {
-  Slots slots;
-  const auto taken = slots.TakeAll();
+BOOST_AUTO_TEST_CASE(waiting_members_are_served_round_robin) {
+  SlotTableFixture slots;
+  const auto acquired = slots.AcquireAll();
   std::mutex mutex;
   std::vector<std::string> order;
   std::vector<std::thread> threads;
-  // Three requests of a surging member wait before one of a quiet member.
+  // Three requests of one member wait before the request of another member.
   for (const char* member : {"surge", "surge", "surge", "quiet"}) {
     threads.emplace_back([&, member]() {
       const SlotGrant grant = slots.Acquire(member, 99, Millis(60000));
@@ -339,11 +342,11 @@
       slots.table.Release(grant.target, Millis(1));
     });
     const size_t waiting = threads.size();
-    while (slots.table.Waiting("stream") < waiting) {
+    while (slots.table.WaitingCount("stream") < waiting) {
       std::this_thread::yield();
     }
   }
-  slots.table.Release(taken.front(), Millis(1));
+  slots.table.Release(acquired.front(), Millis(1));
   for (std::thread& thread : threads) {
     thread.join();
   }
--- a/src/libdoorwood/routing/slot_table.cpp
+++ b/src/libdoorwood/routing/slot_table.cpp
@@ -7,7 +7,7 @@
 namespace doorwood {
 namespace {
 
-// Weight of the newest time in the smoothed mean.
+// Weight of the newest sample in the moving average of slot times.
 constexpr double kSmoothing = 0.1;
 
 Millis Remaining(Instant deadline) {
@@ -32,18 +32,18 @@
     return !item.second.listed && item.second.in_use == 0;
   });
   for (auto& [name, service] : services_) {
-    GrantLocked(name);
+    GrantToWaitersLocked(name);
   }
 }
 
 std::optional<BackendTarget> SlotTable::TryAcquire(const std::string& service,
                                                    const std::string& avoid) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  // Those who wait go first.
+  // Requests that already wait have precedence.
   if (!services_[service].waiters.empty()) {
     return std::nullopt;
   }
-  Backend* backend = PickLocked(service, avoid);
+  Backend* backend = PickBackendLocked(service, avoid);
   if (backend == nullptr) {
     return std::nullopt;
   }
@@ -58,28 +58,29 @@
                              Instant deadline) {
   std::unique_lock<std::mutex> lock(mutex_);
   Service& state = services_[service];
-  const int slots = SlotsLocked(service);
+  const int slots = OpenSlotCountLocked(service);
   SlotGrant grant;
   if (slots == 0 && !IsListedLocked(service)) {
     grant.refusal = SlotRefusal::kNoBackend;
     return grant;
   }
   if (state.waiters.empty()) {
-    if (Backend* backend = PickLocked(service, avoid)) {
+    if (Backend* backend = PickBackendLocked(service, avoid)) {
       ++backend->in_use;
       grant.target = backend->target;
       return grant;
     }
   }
-  const auto ahead = static_cast<double>(state.waiters.size() + 1);
-  grant.wait = Millis(1 + static_cast<int64_t>(ahead * state.mean_held_ms /
-                                               std::max(slots, 1)));
+  const auto queue_position = static_cast<double>(state.waiters.size() + 1);
+  grant.wait =
+      Millis(1 + static_cast<int64_t>(queue_position * state.mean_held_ms /
+                                      std::max(slots, 1)));
   if (state.waiters.size() >= static_cast<size_t>(queue_limit)) {
     grant.refusal = SlotRefusal::kQueueFull;
     return grant;
   }
   if (grant.wait > Remaining(deadline)) {
-    grant.refusal = SlotRefusal::kTooLate;
+    grant.refusal = SlotRefusal::kDeadlineExceeded;
     return grant;
   }
   Waiter waiter;
@@ -90,7 +91,7 @@
                           [&waiter]() { return waiter.granted.has_value(); });
   if (!waiter.granted) {
     state.waiters.remove(&waiter);
-    grant.refusal = SlotRefusal::kTooLate;
+    grant.refusal = SlotRefusal::kDeadlineExceeded;
     return grant;
   }
   grant.target = *waiter.granted;
@@ -111,12 +112,12 @@
   if (gone) {
     backends_.erase(backend);
   }
-  GrantLocked(target.service);
+  GrantToWaitersLocked(target.service);
 }
 
-bool SlotTable::HasSlots(const std::string& service) const {
+bool SlotTable::HasOpenBackend(const std::string& service) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return SlotsLocked(service) > 0;
+  return OpenSlotCountLocked(service) > 0;
 }
 
 std::vector<std::string> SlotTable::OpenServices() const {
@@ -139,7 +140,7 @@
   return names;
 }
 
-size_t SlotTable::Waiting(const std::string& service) const {
+size_t SlotTable::WaitingCount(const std::string& service) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto item = services_.find(service);
   return item == services_.end() ? 0 : item->second.waiters.size();
@@ -154,9 +155,10 @@
   return in_use;
 }
 
-// The open backend server of the service with the smallest share in use.
-SlotTable::Backend* SlotTable::PickLocked(const std::string& service,
-                                          const std::string& avoid) {
+// The open backend server of the service with the smallest share of its slots
+// in use. Returns `avoid` only if no other one has a free slot; null: none has.
+SlotTable::Backend* SlotTable::PickBackendLocked(const std::string& service,
+                                                 const std::string& avoid) {
   Backend* best = nullptr;
   Backend* avoided = nullptr;
   for (auto& [id, backend] : backends_) {
@@ -170,10 +172,10 @@
       avoided = &backend;
       continue;
     }
-    const bool emptier =
+    const bool less_loaded =
         best == nullptr || backend.in_use * best->target.slots <
                                best->in_use * backend.target.slots;
-    if (emptier) {
+    if (less_loaded) {
       best = &backend;
     }
   }
@@ -186,7 +188,7 @@
   });
 }
 
-int SlotTable::SlotsLocked(const std::string& service) const {
+int SlotTable::OpenSlotCountLocked(const std::string& service) const {
   int slots = 0;
   for (const auto& [id, backend] : backends_) {
     if (backend.target.service == service && backend.target.open) {
@@ -196,12 +198,12 @@
   return slots;
 }
 
-void SlotTable::GrantLocked(const std::string& name) {
+void SlotTable::GrantToWaitersLocked(const std::string& name) {
   Service& service = services_[name];
   while (!service.waiters.empty()) {
     const auto next = NextWaiterLocked(&service);
     Waiter* waiter = *next;
-    Backend* backend = PickLocked(name, waiter->avoid);
+    Backend* backend = PickBackendLocked(name, waiter->avoid);
     if (backend == nullptr) {
       return;
     }
@@ -213,16 +215,16 @@
   }
 }
 
-// The longest waiting request of the member after the one served last, in
-// the order of names.
+// Round robin over members in alphabetical order: the longest waiting request
+// of the first member after the one that was served last.
 std::list<SlotTable::Waiter*>::iterator SlotTable::NextWaiterLocked(
     Service* service) {
   auto after = service->waiters.end();
-  auto lowest = service->waiters.end();
+  auto first = service->waiters.end();
   for (auto it = service->waiters.begin(); it != service->waiters.end(); ++it) {
     const std::string& member = (*it)->member;
-    if (lowest == service->waiters.end() || member < (*lowest)->member) {
-      lowest = it;
+    if (first == service->waiters.end() || member < (*first)->member) {
+      first = it;
     }
     const bool is_after = member > service->last_member;
     if (is_after &&
@@ -230,7 +232,7 @@
       after = it;
     }
   }
-  return after != service->waiters.end() ? after : lowest;
+  return after != service->waiters.end() ? after : first;
 }
 
 }  // namespace doorwood
