--- a/src/include/doorwood/kv.h
+++ b/src/include/doorwood/kv.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Port to the platform's key-value service.
+/// Interface to the platform's key-value store.
 
 #ifndef DOORWOOD_KV_H_
 #define DOORWOOD_KV_H_
@@ -17,15 +17,15 @@
 namespace doorwood {
 
 /// A key with its value. `version` is the store-wide revision of the last
-/// write to the key; 0 stands for "no such key".
+/// write to the key; 0 means that the key does not exist.
 struct KvEntry {
   std::string key;
   std::string value;
   int64_t version = 0;
 };
 
-/// Importance of a call when this instance's share of the service's rate is
-/// scarce. Lower numbers go first.
+/// Priority of a call that waits because this instance has used up its share of
+/// the store's call rate. Lower numbers go first.
 enum class KvPriority {
   kLease = 0,
   kIntent,
@@ -40,13 +40,14 @@
   std::string key;
   std::string value;
   int64_t expected_version = 0;
-  /// The key goes when this lease lapses; 0: it stays.
+  /// The key is removed when this lease expires; 0: the key has no lease.
   int64_t lease = 0;
   KvPriority priority = KvPriority::kAppend;
 };
 
-/// Calls finish on the control thread, exactly once, with a KvErrc on
-/// failure. After KvErrc::kUnknown the caller reads back.
+/// The callback of each call runs exactly once, on the control thread, with a
+/// KvErrc on failure. After KvErrc::kUnknown the caller must read the key to
+/// find out whether the change took effect.
 class KvStore {
  public:
   template <typename T>
@@ -54,20 +55,23 @@
 
   virtual ~KvStore() = default;
 
+  /// Yields the entry of `key`; KvErrc::kNotFound if there is none.
   virtual void Read(const std::string& key, Callback<KvEntry> done) = 0;
   /// All entries whose key starts with `prefix`, in key order.
   virtual void List(const std::string& prefix,
                     Callback<std::vector<KvEntry>> done) = 0;
-  /// The new version on success.
+  /// Writes a key; yields its new version.
   virtual void Write(const KvWrite& write, Callback<int64_t> done) = 0;
+  /// Removes a key if its version is `expected_version`; -1: any version.
   virtual void Remove(const std::string& key,
                       int64_t expected_version,
                       Callback<int64_t> done) = 0;
-  /// The id of a new lease that lapses `lifetime` after its last renewal.
+  /// Creates a lease that expires `lifetime` after its last renewal; yields its
+  /// id.
   virtual void GrantLease(Millis lifetime, Callback<int64_t> done) = 0;
   virtual void RenewLease(int64_t lease, Callback<int64_t> done) = 0;
   /// Waits until a key under `prefix` has a version above `after`, or until
-  /// the service ends the wait; then gives every entry under the prefix.
+  /// the store ends the wait; then yields all entries under the prefix.
   virtual void Watch(const std::string& prefix,
                      int64_t after,
                      Callback<std::vector<KvEntry>> done) = 0;
--- a/src/include/doorwood/kv_budget.h
+++ b/src/include/doorwood/kv_budget.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A call budget in front of the key-value service: a token bucket sized by
-/// this instance's share of the service's rate. When calls are scarce they
-/// wait in order of importance. docs/design/kv-budget.md.
+/// Rate limiter in front of the key-value store: a token bucket sized by this
+/// instance's share of the store's call rate. Calls beyond the rate wait in
+/// priority order. See docs/design/kv-budget.md.
 
 #ifndef DOORWOOD_KV_BUDGET_H_
 #define DOORWOOD_KV_BUDGET_H_
@@ -19,26 +19,27 @@
 namespace doorwood {
 
 struct KvBudgetOptions {
-  /// Calls a second, a waiting watch counting as one.
+  /// Calls per second. A watch counts as one call, however long it waits.
   double rate = 50;
-  /// Calls that may be made at once after a quiet time.
+  /// Calls that may be started at once after an idle period.
   double burst = 50;
-  /// Most calls that wait; more are refused with KvErrc::kOverBudget.
+  /// Maximum number of waiting calls; further ones are refused with
+  /// KvErrc::kOverBudget, except those of KvPriority::kLease.
   size_t queue_limit = 1000;
 };
 
-/// Figures for metrics.
+/// Counters of calls since the start, for metrics.
 struct KvBudgetCounters {
   uint64_t started = 0;
   uint64_t waited = 0;
   uint64_t refused = 0;
 };
 
-/// Passes calls on to `below`, as fast as the budget allows. All calls on the
+/// Forwards calls to another KvStore at a limited rate. All calls on the
 /// control thread.
 class KvBudget : public KvStore {
  public:
-  KvBudget(const KvBudgetOptions& options, Executor& executor, KvStore& below);
+  KvBudget(const KvBudgetOptions& options, Executor& executor, KvStore& store);
   ~KvBudget() override;
 
   void Read(const std::string& key, Callback<KvEntry> done) override;
@@ -57,21 +58,21 @@
   const KvBudgetCounters& counters() const { return counters_; }
 
  private:
-  // Starts now, or waits its turn. `refuse` is called instead if too many
-  // wait.
+  // Calls `start` now or, in priority order, once a token is available. Posts
+  // `refuse` instead if too many calls wait.
   void Admit(KvPriority priority,
              std::function<void()> start,
              std::function<void()> refuse);
-  void Refill();
-  void Drain();
+  void RefillTokens();
+  void StartWaitingCalls();
 
   KvBudgetOptions options_;
   Executor& executor_;
-  KvStore& below_;
+  KvStore& store_;
   double tokens_;
-  Instant refilled_;
+  Instant last_refill_;
   size_t waiting_ = 0;
-  bool drain_scheduled_ = false;
+  bool start_scheduled_ = false;
   std::map<KvPriority, std::deque<std::function<void()>>> queues_;
   KvBudgetCounters counters_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/libdoorwood/limits/kv_budget.cpp
+++ b/src/libdoorwood/limits/kv_budget.cpp
@@ -15,12 +15,12 @@
 
 KvBudget::KvBudget(const KvBudgetOptions& options,
                    Executor& executor,
-                   KvStore& below)
+                   KvStore& store)
     : options_(options),
       executor_(executor),
-      below_(below),
+      store_(store),
       tokens_(options.burst),
-      refilled_(executor.Now()) {}
+      last_refill_(executor.Now()) {}
 
 KvBudget::~KvBudget() {
   *alive_ = false;
@@ -29,14 +29,15 @@
 void KvBudget::Admit(KvPriority priority,
                      std::function<void()> start,
                      std::function<void()> refuse) {
-  Refill();
+  RefillTokens();
   if (waiting_ == 0 && tokens_ >= 1) {
     tokens_ -= 1;
     ++counters_.started;
     start();
     return;
   }
-  // Lease renewals are let in whatever waits: without them all is lost.
+  // Lease calls are queued even if the queue is full: an instance whose lease
+  // expires loses everything that it holds.
   const bool full = waiting_ >= options_.queue_limit;
   if (full && priority != KvPriority::kLease) {
     ++counters_.refused;
@@ -46,20 +47,20 @@
   ++counters_.waited;
   ++waiting_;
   queues_[priority].push_back(std::move(start));
-  Drain();
+  StartWaitingCalls();
 }
 
-void KvBudget::Refill() {
+void KvBudget::RefillTokens() {
   const Instant now = executor_.Now();
-  const auto passed =
-      std::chrono::duration<double, std::milli>(now - refilled_).count();
-  refilled_ = now;
+  const auto elapsed_ms =
+      std::chrono::duration<double, std::milli>(now - last_refill_).count();
+  last_refill_ = now;
   tokens_ = std::min(options_.burst,
-                     tokens_ + passed * options_.rate / kMillisPerSecond);
+                     tokens_ + elapsed_ms * options_.rate / kMillisPerSecond);
 }
 
-void KvBudget::Drain() {
-  Refill();
+void KvBudget::StartWaitingCalls() {
+  RefillTokens();
   for (auto& [priority, queue] : queues_) {
     while (!queue.empty() && tokens_ >= 1) {
       const std::function<void()> start = std::move(queue.front());
@@ -70,24 +71,24 @@
       start();
     }
   }
-  if (waiting_ == 0 || drain_scheduled_) {
+  if (waiting_ == 0 || start_scheduled_) {
     return;
   }
-  drain_scheduled_ = true;
-  const double missing = std::max(0.0, 1 - tokens_);
-  const auto pause =
-      static_cast<int64_t>(missing * kMillisPerSecond / options_.rate + 1);
-  executor_.Schedule(Millis(pause), [this, alive = alive_]() {
+  start_scheduled_ = true;
+  const double missing_tokens = std::max(0.0, 1 - tokens_);
+  const auto delay_ms = static_cast<int64_t>(
+      missing_tokens * kMillisPerSecond / options_.rate + 1);
+  executor_.Schedule(Millis(delay_ms), [this, alive = alive_]() {
     if (*alive) {
-      drain_scheduled_ = false;
-      Drain();
+      start_scheduled_ = false;
+      StartWaitingCalls();
     }
   });
 }
 
 void KvBudget::Read(const std::string& key, Callback<KvEntry> done) {
   Admit(
-      KvPriority::kConfig, [this, key, done]() { below_.Read(key, done); },
+      KvPriority::kConfig, [this, key, done]() { store_.Read(key, done); },
       [key, done]() { done(KvErrc::kOverBudget, KvEntry{.key = key}); });
 }
 
@@ -95,13 +96,13 @@
                     Callback<std::vector<KvEntry>> done) {
   Admit(
       KvPriority::kConfig,
-      [this, prefix, done]() { below_.List(prefix, done); },
+      [this, prefix, done]() { store_.List(prefix, done); },
       [done]() { done(KvErrc::kOverBudget, {}); });
 }
 
 void KvBudget::Write(const KvWrite& write, Callback<int64_t> done) {
   Admit(
-      write.priority, [this, write, done]() { below_.Write(write, done); },
+      write.priority, [this, write, done]() { store_.Write(write, done); },
       [done]() { done(KvErrc::kOverBudget, 0); });
 }
 
@@ -111,7 +112,7 @@
   Admit(
       KvPriority::kSnapshot,
       [this, key, expected_version, done]() {
-        below_.Remove(key, expected_version, done);
+        store_.Remove(key, expected_version, done);
       },
       [done]() { done(KvErrc::kOverBudget, 0); });
 }
@@ -119,14 +120,14 @@
 void KvBudget::GrantLease(Millis lifetime, Callback<int64_t> done) {
   Admit(
       KvPriority::kLease,
-      [this, lifetime, done]() { below_.GrantLease(lifetime, done); },
+      [this, lifetime, done]() { store_.GrantLease(lifetime, done); },
       [done]() { done(KvErrc::kOverBudget, 0); });
 }
 
 void KvBudget::RenewLease(int64_t lease, Callback<int64_t> done) {
   Admit(
       KvPriority::kLease,
-      [this, lease, done]() { below_.RenewLease(lease, done); },
+      [this, lease, done]() { store_.RenewLease(lease, done); },
       [done]() { done(KvErrc::kOverBudget, 0); });
 }
 
@@ -135,7 +136,7 @@
                      Callback<std::vector<KvEntry>> done) {
   Admit(
       KvPriority::kConfig,
-      [this, prefix, after, done]() { below_.Watch(prefix, after, done); },
+      [this, prefix, after, done]() { store_.Watch(prefix, after, done); },
       [done]() { done(KvErrc::kOverBudget, {}); });
 }
 
