--- a/src/include/doorwood/ingress.h
+++ b/src/include/doorwood/ingress.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// From any entry instance to the cell that has a job, or that a new job
-/// should go to.
+/// Routes calls about jobs from any entry instance: an existing job's calls go
+/// to the cell that has it, a new job goes to the cell with the least load.
 
 #ifndef DOORWOOD_INGRESS_H_
 #define DOORWOOD_INGRESS_H_
@@ -26,9 +26,9 @@
 
 namespace doorwood {
 
-/// Calls between entry instances about a cell. They finish on the control
-/// thread, exactly once, with a PeerErrc if the peer was not heard, and with
-/// the peer's CoreErrc otherwise.
+/// Calls from this instance to the leaders of cells on other instances. The
+/// callback of each call runs exactly once, on the control thread: with a
+/// PeerErrc if the peer did not answer, else with the peer's CoreErrc.
 class CellPeers {
  public:
   using SubmitCallback = std::function<void(std::error_code, AcceptOutcome)>;
@@ -51,19 +51,21 @@
 };
 
 struct IngressOptions {
-  /// How often other cells' leaders are asked how they are.
+  /// How often the leaders of other cells are asked for their summaries.
   Millis summary_interval{600};
-  /// Other cells get a job only if they have this much less work a processor
-  /// waiting, in seconds.
-  double home_bonus = 0.8;
-  /// A leader that has not answered for so long, since it was first asked, gets
-  /// nothing from here: callers are refused at once and go to an instance that
-  /// reaches it. Two asks and an answer's time.
-  Millis leader_silence{1500};
-  /// Jobs whose cell is remembered.
-  size_t remembered_jobs = 20'000;
+  /// A job goes to another cell only if the work waiting there is less than
+  /// here by this amount, in seconds of work per processor core.
+  double local_cell_bonus = 0.8;
+  /// A leader gets no calls from this instance if it has not answered for this
+  /// long, counted from its last answer or from the first request to it.
+  /// Callers are refused immediately and go to an instance that can reach the
+  /// leader. The value allows for two requests and the time of one answer.
+  Millis leader_answer_timeout{1500};
+  /// Maximum number of jobs whose cell is cached.
+  size_t max_cached_jobs = 20'000;
 };
 
+/// All calls on the control thread.
 class Ingress {
  public:
   using SubmitCallback = CellPeers::SubmitCallback;
@@ -78,55 +80,65 @@
           std::vector<CellLeader*> local,
           const IngressOptions& options);
 
+  /// Starts polling the cells' leaders for summaries.
   void Start();
 
-  /// Failure: CoreErrc::kNoOwner or kStoreUnavailable (surely not taken) or
-  /// kOutcomeUnknown (the same job may come again).
+  /// Submits a job to the cell with the least load. Failure:
+  /// CoreErrc::kNoOwner or kStoreUnavailable (definitely not accepted), or
+  /// kOutcomeUnknown (the caller may submit the same job again).
   void Submit(JobPlan plan, SubmitCallback done);
-  /// Failure: CoreErrc::kNotFound only if the store has no such job.
+  /// Cancel and State fail with kNotFound only if the store has no such job.
   void Cancel(const std::string& job, CancelCallback done);
   void State(const std::string& job, StateCallback done);
-  /// Jobs of a queue none of whose tasks has begun, in all cells.
+  /// Number of jobs of a queue that have no started task, over all cells.
   int Pending(const std::string& queue) const;
-  /// Some cell has a leader that this instance reaches.
+  /// True if at least one cell has a leader that this instance can reach.
   bool ReachesACell() const;
 
  private:
   struct KnownCell {
     CellSummary summary;
-    /// Work sent there since the summary, in core-seconds.
-    double sent_since = 0;
-    /// The lead that was asked last, since when, and when it last answered.
-    int64_t asked_epoch = 0;
-    Instant asked_since{};
-    Instant heard_at{};
+    /// Work submitted to the cell since the summary, in core-seconds.
+    double work_sent_since = 0;
+    /// Epoch of the leader that was polled last, when it was first polled, and
+    /// when the cell's last summary arrived.
+    int64_t polled_epoch = 0;
+    Instant polled_since{};
+    Instant answered_at{};
   };
   using CellCallback = std::function<void(std::error_code, std::string)>;
 
-  CellLeader* Local(const std::string& cell) const;
-  /// Another instance that leads the cell and answers; null: there is none.
-  const CellLead* ReachedLead(const std::string& cell) const;
+  /// This instance's leader of the cell; null: it does not lead the cell.
+  CellLeader* LocalLeader(const std::string& cell) const;
+  /// The leader of the cell on another instance, if it answers or has not been
+  /// polled yet; null: there is none.
+  const CellLead* ReachableLead(const std::string& cell) const;
   void OnSummary(const std::string& cell, const CellSummary& summary);
+  /// Cells that have a leader, the preferred cell first.
   std::vector<std::string> CellsByLoad() const;
+  /// Waiting work per processor core, in seconds; 0: not known.
   double Load(const std::string& cell) const;
-  void TrySubmit(std::shared_ptr<JobPlan> plan,
-                 std::vector<std::string> cells,
-                 SubmitCallback done);
+  /// Submits to the first of `cells`, and to the next one if the job was
+  /// definitely not accepted there.
+  void SubmitToNextCell(std::shared_ptr<JobPlan> plan,
+                        std::vector<std::string> cells,
+                        SubmitCallback done);
   void SubmitTo(const std::string& cell,
                 const JobPlan& plan,
                 SubmitCallback done);
-  /// The only leader there is, where this instance does not know the job's
-  /// cell: it most likely has the job, and answers while the store is slow or
-  /// away. Null: look the cell up.
-  const CellLead* LeadToAskFirst(const std::string& job) const;
-  void CancelWhereRecorded(const std::string& job, CancelCallback done);
-  void StateWhereRecorded(const std::string& job, StateCallback done);
-  /// What a leader's answer to a cancel means where the store has the job.
+  /// If only one cell has a leader and the cell of the job is not cached:
+  /// that leader. It most likely has the job, and it answers even if the store
+  /// is slow or unavailable. Null: look the cell up in the store.
+  const CellLead* LeadToAskBeforeStore(const std::string& job) const;
+  void CancelInRecordedCell(const std::string& job, CancelCallback done);
+  void StateInRecordedCell(const std::string& job, StateCallback done);
+  /// Translates a leader's answer to a cancellation of a job that the store
+  /// has into the error for the caller.
   static std::error_code CancelResult(std::error_code error);
-  /// The cell that has the job; CoreErrc::kNotFound if the store says that
-  /// there is none.
+  /// Looks up the cell of a job. Fails with CoreErrc::kNotFound if the store
+  /// has no such job.
   void FindCell(const std::string& job, CellCallback done);
-  void Remember(const std::string& job, const std::string& cell);
+  void CacheCell(const std::string& job, const std::string& cell);
   void PollSummaries();
 
   Executor& executor_;
@@ -138,7 +150,7 @@
   const IngressOptions options_;
   std::map<std::string, KnownCell> cells_;
   std::unordered_map<std::string, std::string> cell_of_job_;
-  std::deque<std::string> remembered_;
+  std::deque<std::string> cached_jobs_;
 };
 
 }  // namespace doorwood
--- a/src/libdoorwood/ingress/ingress.cpp
+++ b/src/libdoorwood/ingress/ingress.cpp
@@ -26,7 +26,7 @@
   PollSummaries();
 }
 
-CellLeader* Ingress::Local(const std::string& cell) const {
+CellLeader* Ingress::LocalLeader(const std::string& cell) const {
   for (CellLeader* leader : local_) {
     if (leader->cell() == cell && leader->leading()) {
       return leader;
@@ -35,7 +35,7 @@
   return nullptr;
 }
 
-const CellLead* Ingress::ReachedLead(const std::string& cell) const {
+const CellLead* Ingress::ReachableLead(const std::string& cell) const {
   const auto lead = live_.leads().find(cell);
   if (lead == live_.leads().end() ||
       lead->second.instance == live_.self().name) {
@@ -43,24 +43,25 @@
   }
   const auto known = cells_.find(cell);
   if (known == cells_.end() ||
-      known->second.asked_epoch != lead->second.epoch) {
-    return &lead->second;  // a new leader: not asked yet
+      known->second.polled_epoch != lead->second.epoch) {
+    return &lead->second;  // a new leader that was not polled yet
   }
   const Instant last =
-      std::max(known->second.asked_since, known->second.heard_at);
-  const bool silent = executor_.Now() - last >= options_.leader_silence;
-  return silent ? nullptr : &lead->second;
+      std::max(known->second.polled_since, known->second.answered_at);
+  const bool unresponsive =
+      executor_.Now() - last >= options_.leader_answer_timeout;
+  return unresponsive ? nullptr : &lead->second;
 }
 
 bool Ingress::ReachesACell() const {
   return std::any_of(live_.leads().begin(), live_.leads().end(),
                      [this](const auto& entry) {
-                       return Local(entry.first) != nullptr ||
-                              ReachedLead(entry.first) != nullptr;
+                       return LocalLeader(entry.first) != nullptr ||
+                              ReachableLead(entry.first) != nullptr;
                      });
 }
 
-// --- Which cell ---
+// --- Choosing a cell ---
 
 double Ingress::Load(const std::string& cell) const {
   const auto known = cells_.find(cell);
@@ -68,14 +69,16 @@
     return 0;
   }
   const KnownCell& state = known->second;
-  return (state.summary.waiting_work + state.sent_since) / state.summary.cores;
+  return (state.summary.waiting_work + state.work_sent_since) /
+         state.summary.cores;
 }
 
 std::vector<std::string> Ingress::CellsByLoad() const {
   std::vector<std::pair<double, std::string>> loads;
   for (const auto& [cell, lead] : live_.leads()) {
     const bool home = cell == live_.self().data_centre;
-    loads.emplace_back(Load(cell) - (home ? options_.home_bonus : 0.0), cell);
+    loads.emplace_back(Load(cell) - (home ? options_.local_cell_bonus : 0.0),
+                       cell);
   }
   std::sort(loads.begin(), loads.end());
   std::vector<std::string> cells;
@@ -107,20 +110,20 @@
       done(CoreErrc::kStoreUnavailable, "");
       return;
     }
-    Remember(job, item.value);
+    CacheCell(job, item.value);
     done({}, item.value);
   });
 }
 
-void Ingress::Remember(const std::string& job, const std::string& cell) {
+void Ingress::CacheCell(const std::string& job, const std::string& cell) {
   const auto [place, added] = cell_of_job_.insert_or_assign(job, cell);
   if (!added) {
     return;
   }
-  remembered_.push_back(job);
-  if (remembered_.size() > options_.remembered_jobs) {
-    cell_of_job_.erase(remembered_.front());
-    remembered_.pop_front();
+  cached_jobs_.push_back(job);
+  if (cached_jobs_.size() > options_.max_cached_jobs) {
+    cell_of_job_.erase(cached_jobs_.front());
+    cached_jobs_.pop_front();
   }
 }
 
@@ -128,18 +131,18 @@
 
 void Ingress::Submit(JobPlan plan, SubmitCallback done) {
   std::vector<std::string> cells = CellsByLoad();
-  // A job that this instance knows goes to where it is.
+  // A repeated submission goes to the cell that has the job.
   const auto known = cell_of_job_.find(plan.id);
   if (known != cell_of_job_.end()) {
     cells = {known->second};
   }
-  TrySubmit(std::make_shared<JobPlan>(std::move(plan)), std::move(cells),
-            std::move(done));
+  SubmitToNextCell(std::make_shared<JobPlan>(std::move(plan)), std::move(cells),
+                   std::move(done));
 }
 
-void Ingress::TrySubmit(std::shared_ptr<JobPlan> plan,
-                        std::vector<std::string> cells,
-                        SubmitCallback done) {
+void Ingress::SubmitToNextCell(std::shared_ptr<JobPlan> plan,
+                               std::vector<std::string> cells,
+                               SubmitCallback done) {
   if (cells.empty()) {
     done(CoreErrc::kNoOwner, {});
     return;
@@ -150,26 +153,28 @@
       cell, *plan,
       [this, plan, cell, cells = std::move(cells), done = std::move(done)](
           std::error_code error, AcceptOutcome outcome) mutable {
-        const bool surely_not = error == make_error_code(PeerErrc::kNotSent) ||
-                                error == make_error_code(CoreErrc::kNoOwner);
-        if (surely_not) {
+        const bool not_submitted =
+            error == make_error_code(PeerErrc::kNotSent) ||
+            error == make_error_code(CoreErrc::kNoOwner);
+        if (not_submitted) {
           log_.Write(
-              "info", "ingress", "cell has no leader here",
+              "info", "ingress",
+              "job not accepted: cell has no reachable leader",
               {{"job", plan->id}, {"cell", cell}, {"error", error.message()}});
           live_.Refresh();
-          TrySubmit(plan, std::move(cells), std::move(done));
+          SubmitToNextCell(plan, std::move(cells), std::move(done));
           return;
         }
         if (error == make_error_code(CoreErrc::kNoRoom) && !cells.empty()) {
-          TrySubmit(plan, std::move(cells), std::move(done));
+          SubmitToNextCell(plan, std::move(cells), std::move(done));
           return;
         }
         if (error == make_error_code(PeerErrc::kNoAnswer)) {
           error = CoreErrc::kOutcomeUnknown;
         }
         if (!error && outcome == AcceptOutcome::kAccepted) {
-          Remember(plan->id, cell);
-          cells_[cell].sent_since += EstimatedWork(*plan);
+          CacheCell(plan->id, cell);
+          cells_[cell].work_sent_since += EstimatedWork(*plan);
         }
         done(error, outcome);
       });
@@ -178,11 +183,11 @@
 void Ingress::SubmitTo(const std::string& cell,
                        const JobPlan& plan,
                        SubmitCallback done) {
-  if (CellLeader* leader = Local(cell)) {
+  if (CellLeader* leader = LocalLeader(cell)) {
     leader->Submit(plan, std::move(done));
     return;
   }
-  const CellLead* lead = ReachedLead(cell);
+  const CellLead* lead = ReachableLead(cell);
   if (lead == nullptr) {
     done(CoreErrc::kNoOwner, {});
     return;
@@ -190,38 +195,38 @@
   peers_.Submit(*lead, plan, std::move(done));
 }
 
-// --- Known jobs ---
+// --- Calls about existing jobs ---
 
-const CellLead* Ingress::LeadToAskFirst(const std::string& job) const {
+const CellLead* Ingress::LeadToAskBeforeStore(const std::string& job) const {
   if (live_.leads().size() != 1 || cell_of_job_.contains(job)) {
     return nullptr;
   }
-  return ReachedLead(live_.leads().begin()->first);
+  return ReachableLead(live_.leads().begin()->first);
 }
 
 void Ingress::Cancel(const std::string& job, CancelCallback done) {
-  const CellLead* lead = LeadToAskFirst(job);
+  const CellLead* lead = LeadToAskBeforeStore(job);
   if (lead == nullptr) {
-    CancelWhereRecorded(job, std::move(done));
+    CancelInRecordedCell(job, std::move(done));
     return;
   }
   peers_.Cancel(*lead, job,
                 [this, job, cell = lead->cell,
                  done = std::move(done)](std::error_code error) {
                   if (error == make_error_code(CoreErrc::kNotFound)) {
-                    CancelWhereRecorded(job, done);
+                    CancelInRecordedCell(job, done);
                     return;
                   }
                   if (!error) {
-                    Remember(job, cell);
+                    CacheCell(job, cell);
                   }
                   done(CancelResult(error));
                 });
 }
 
 std::error_code Ingress::CancelResult(std::error_code error) {
-  // The store has the job, so a leader that does not know it yet can't say that
-  // it does not exist.
+  // The store has the job, so a leader's kNotFound only means that it has not
+  // loaded the job yet.
   if (error == make_error_code(CoreErrc::kNotFound) ||
       error == make_error_code(PeerErrc::kNotSent)) {
     return CoreErrc::kNoOwner;
@@ -232,7 +237,8 @@
   return error;
 }
 
-void Ingress::CancelWhereRecorded(const std::string& job, CancelCallback done) {
+void Ingress::CancelInRecordedCell(const std::string& job,
+                                   CancelCallback done) {
   FindCell(job, [this, job, done = std::move(done)](std::error_code error,
                                                     const std::string& cell) {
     if (error) {
@@ -242,11 +248,11 @@
     auto finish = [done](std::error_code result) {
       done(CancelResult(result));
     };
-    if (CellLeader* leader = Local(cell)) {
+    if (CellLeader* leader = LocalLeader(cell)) {
       leader->Cancel(job, std::move(finish));
       return;
     }
-    const CellLead* lead = ReachedLead(cell);
+    const CellLead* lead = ReachableLead(cell);
     if (lead == nullptr) {
       done(CoreErrc::kNoOwner);
       return;
@@ -256,40 +262,40 @@
 }
 
 void Ingress::State(const std::string& job, StateCallback done) {
-  const CellLead* lead = LeadToAskFirst(job);
+  const CellLead* lead = LeadToAskBeforeStore(job);
   if (lead == nullptr) {
-    StateWhereRecorded(job, std::move(done));
+    StateInRecordedCell(job, std::move(done));
     return;
   }
   peers_.State(*lead, job,
                [this, job, cell = lead->cell, done = std::move(done)](
                    std::error_code error, JobPhase state) {
                  if (error == make_error_code(CoreErrc::kNotFound)) {
-                   StateWhereRecorded(job, done);
+                   StateInRecordedCell(job, done);
                    return;
                  }
                  if (!error) {
-                   Remember(job, cell);
+                   CacheCell(job, cell);
                  }
                  done(error ? make_error_code(CoreErrc::kNoOwner) : error,
                       state);
                });
 }
 
-void Ingress::StateWhereRecorded(const std::string& job, StateCallback done) {
+void Ingress::StateInRecordedCell(const std::string& job, StateCallback done) {
   FindCell(job, [this, job, done = std::move(done)](std::error_code error,
                                                     const std::string& cell) {
     if (error) {
       done(error, {});
       return;
     }
-    if (CellLeader* leader = Local(cell)) {
+    if (CellLeader* leader = LocalLeader(cell)) {
       const auto state = leader->Find(job);
       done(state ? std::error_code() : CoreErrc::kNoOwner,
            state.value_or(JobPhase::kQueued));
       return;
     }
-    const CellLead* lead = ReachedLead(cell);
+    const CellLead* lead = ReachableLead(cell);
     if (lead == nullptr) {
       done(CoreErrc::kNoOwner, {});
       return;
@@ -303,7 +309,7 @@
 int Ingress::Pending(const std::string& queue) const {
   int pending = 0;
   for (const auto& [cell, known] : cells_) {
-    const CellLeader* leader = Local(cell);
+    const CellLeader* leader = LocalLeader(cell);
     const CellSummary summary =
         leader != nullptr ? leader->Summary() : known.summary;
     const auto found = summary.pending.find(queue);
@@ -315,13 +321,13 @@
 void Ingress::OnSummary(const std::string& cell, const CellSummary& summary) {
   KnownCell& known = cells_[cell];
   known.summary = summary;
-  known.sent_since = 0;
-  known.heard_at = executor_.Now();
+  known.work_sent_since = 0;
+  known.answered_at = executor_.Now();
 }
 
 void Ingress::PollSummaries() {
   for (const auto& [cell, lead] : live_.leads()) {
-    if (CellLeader* leader = Local(cell)) {
+    if (CellLeader* leader = LocalLeader(cell)) {
       OnSummary(cell, leader->Summary());
       continue;
     }
@@ -329,16 +335,16 @@
       continue;
     }
     KnownCell& known = cells_[cell];
-    if (known.asked_epoch != lead.epoch) {
-      known.asked_epoch = lead.epoch;
-      known.asked_since = executor_.Now();
+    if (known.polled_epoch != lead.epoch) {
+      known.polled_epoch = lead.epoch;
+      known.polled_since = executor_.Now();
     }
     peers_.Summary(lead,
                    [this, cell = cell, epoch = lead.epoch](
                        std::error_code error, const CellSummary& summary) {
-                     // An earlier leader's late answer says nothing of the
-                     // present one.
-                     if (!error && cells_[cell].asked_epoch == epoch) {
+                     // Ignore the late answer of an earlier leader; it says
+                     // nothing about the current one.
+                     if (!error && cells_[cell].polled_epoch == epoch) {
                        OnSummary(cell, summary);
                      }
                    });
--- a/src/libdoorwood/ingress/ingress_test.cpp
+++ b/src/libdoorwood/ingress/ingress_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr char kJob[] = "00112233aabbccdd";
 
-// Peers that answer at once, or not at all.
+// Peers that answer after 2 ms, or fail after 1 s if unreachable.
 class FakePeers : public CellPeers {
  public:
   explicit FakePeers(Executor& executor) : executor_(executor) {}
@@ -27,12 +27,12 @@
   void Cancel(const CellLead&,
               const std::string&,
               CancelCallback done) override {
-    ++asked;
-    AnswerAbout(std::move(done));
+    ++job_calls;
+    AnswerJobCall(std::move(done));
   }
   void State(const CellLead&, const std::string&, StateCallback done) override {
-    ++asked;
-    AnswerAbout([done = std::move(done)](std::error_code error) {
+    ++job_calls;
+    AnswerJobCall([done = std::move(done)](std::error_code error) {
       done(error, JobPhase::kRunning);
     });
   }
@@ -42,29 +42,29 @@
     });
   }
 
-  bool cut = false;
-  /// The leader has the job that it is asked about.
-  bool knows = true;
+  bool unreachable = false;
+  // True: the leader has the job.
+  bool has_job = true;
   int submits = 0;
-  int asked = 0;
+  int job_calls = 0;
 
  private:
-  void AnswerAbout(std::function<void(std::error_code)> done) {
+  void AnswerJobCall(std::function<void(std::error_code)> done) {
     Answer([this, done = std::move(done)](std::error_code error) {
-      done(error || knows ? error : make_error_code(CoreErrc::kNotFound));
+      done(error || has_job ? error : make_error_code(CoreErrc::kNotFound));
     });
   }
   void Answer(std::function<void(std::error_code)> done) {
     const std::error_code error =
-        cut ? make_error_code(PeerErrc::kNoAnswer) : std::error_code();
-    executor_.Schedule(Millis(cut ? 1000 : 2),
+        unreachable ? make_error_code(PeerErrc::kNoAnswer) : std::error_code();
+    executor_.Schedule(Millis(unreachable ? 1000 : 2),
                        [error, done = std::move(done)] { done(error); });
   }
 
   Executor& executor_;
 };
 
-// An entry instance beside a world whose leader is another one.
+// An entry instance that does not lead the cell; another instance does.
 struct IngressFixture {
   IngressFixture() : world(3) {
     world.SetTable({fakes::MakeQueue("queue", 3)});
@@ -89,7 +89,7 @@
                     });
   }
 
-  void AskState() {
+  void QueryState() {
     answered = false;
     ingress->State(kJob, [this](std::error_code error, JobPhase) {
       answered = true;
@@ -105,7 +105,7 @@
     });
   }
 
-  void Record() {
+  void RecordJob() {
     StoreTransaction transaction;
     transaction.puts.push_back({JobIdKey(kJob), "all", 0});
     StoreCommit ignored;
@@ -120,7 +120,7 @@
   std::error_code answer;
 };
 
-BOOST_FIXTURE_TEST_CASE(Submit_LeaderAnswers_JobIsTaken, IngressFixture) {
+BOOST_FIXTURE_TEST_CASE(Submit_LeaderAnswers_JobIsAccepted, IngressFixture) {
   BOOST_TEST(ingress->ReachesACell());
   Submit();
   world.Run(Millis(50));
@@ -129,41 +129,44 @@
   BOOST_TEST(peers->submits == 1);
 }
 
-// Cut off from the leader: the caller is not held until a call runs out of
-// time, and the balancer is told to send it elsewhere.
-BOOST_FIXTURE_TEST_CASE(Submit_LeaderSilentForLong_IsRefusedAtOnce,
+// An instance that is partitioned from the leader must refuse at once. It must
+// not keep callers waiting for a timeout, and must report itself as not ready,
+// so that the load balancer uses other instances.
+BOOST_FIXTURE_TEST_CASE(Submit_LeaderUnresponsiveBeyondTimeout_IsRefusedAtOnce,
                         IngressFixture) {
-  peers->cut = true;
+  peers->unreachable = true;
   world.Run(Millis(2200));
   BOOST_TEST(!ingress->ReachesACell());
   Submit();
   BOOST_TEST(answered);
   BOOST_TEST(answer == make_error_code(CoreErrc::kNoOwner));
   BOOST_TEST(peers->submits == 0);
-  peers->cut = false;
+  peers->unreachable = false;
   world.Run(Millis(800));
   BOOST_TEST(ingress->ReachesACell());
 }
 
-BOOST_FIXTURE_TEST_CASE(Submit_LeaderSilentForAMoment_IsStillTried,
+BOOST_FIXTURE_TEST_CASE(Submit_LeaderUnresponsiveWithinTimeout_IsStillTried,
                         IngressFixture) {
-  peers->cut = true;
+  peers->unreachable = true;
   world.Run(Millis(500));
   BOOST_TEST(ingress->ReachesACell());
   Submit();
   BOOST_TEST(peers->submits == 1);
 }
 
-// The store is away or slow: what the leader knows is told all the same.
-BOOST_FIXTURE_TEST_CASE(State_StoreAway_TheOnlyLeaderTellsIt, IngressFixture) {
+// The only leader answers about its jobs even if the store is unavailable or
+// slow.
+BOOST_FIXTURE_TEST_CASE(State_StoreUnavailable_OnlyLeaderAnswers,
+                        IngressFixture) {
   self->store_faults.down = true;
-  AskState();
+  QueryState();
   world.Run(Millis(50));
   BOOST_TEST(answered);
   BOOST_TEST(!answer);
 }
 
-BOOST_FIXTURE_TEST_CASE(Cancel_StoreAwayFromHere_TheOnlyLeaderTakesIt,
+BOOST_FIXTURE_TEST_CASE(Cancel_StoreUnavailable_OnlyLeaderAccepts,
                         IngressFixture) {
   self->store_faults.down = true;
   Cancel();
@@ -172,34 +175,35 @@
   BOOST_TEST(!answer);
 }
 
-// "No such job" is said on the store's word alone.
-BOOST_AUTO_TEST_CASE(StateAndCancel_LeaderDoesNotKnowTheJob_StoreDecides) {
+// A leader may not have loaded a job yet, so kNotFound is returned only if the
+// store has no record of the job.
+BOOST_AUTO_TEST_CASE(StateAndCancel_LeaderDoesNotHaveJob_StoreDecides) {
   struct Row {
     const char* name;
     bool recorded;
-    bool store_away;
+    bool store_unavailable;
     std::error_code answer;
   };
   const Row rows[] = {
       {"nowhere", false, false, CoreErrc::kNotFound},
       {"recorded", true, false, CoreErrc::kNoOwner},
-      {"store away", true, true, CoreErrc::kStoreUnavailable},
+      {"store unavailable", true, true, CoreErrc::kStoreUnavailable},
   };
   for (const Row& row : rows) {
-    for (const bool cancels : {false, true}) {
+    for (const bool cancel : {false, true}) {
       IngressFixture fixture;
-      fixture.peers->knows = false;
+      fixture.peers->has_job = false;
       if (row.recorded) {
-        fixture.Record();
+        fixture.RecordJob();
       }
-      fixture.self->store_faults.down = row.store_away;
-      if (cancels) {
+      fixture.self->store_faults.down = row.store_unavailable;
+      if (cancel) {
         fixture.Cancel();
       } else {
-        fixture.AskState();
+        fixture.QueryState();
       }
       fixture.world.Run(Millis(100));
-      BOOST_TEST_CONTEXT(row.name << (cancels ? ", cancel" : ", state")) {
+      BOOST_TEST_CONTEXT(row.name << (cancel ? ", cancel" : ", state")) {
         BOOST_TEST(fixture.answered);
         BOOST_TEST(fixture.answer == row.answer);
       }
@@ -207,14 +211,13 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(State_AskedAgain_GoesToTheRememberedCell,
-                        IngressFixture) {
-  AskState();
+BOOST_FIXTURE_TEST_CASE(State_QueriedAgain_GoesToCachedCell, IngressFixture) {
+  QueryState();
   world.Run(Millis(50));
-  AskState();
+  QueryState();
   world.Run(Millis(50));
   BOOST_TEST(answered);
-  BOOST_TEST(peers->asked == 2);
+  BOOST_TEST(peers->job_calls == 2);
 }
 
 }  // namespace
