--- a/src/include/doorwood/holder.h
+++ b/src/include/doorwood/holder.h
@@ -2,8 +2,9 @@
 
 /// \file
 /// Holder of workers: acquires and renews control leases, keeps the ledger of
-/// each held worker, starts and stops attempts, and adopts what runs on a
-/// worker that another instance held before. docs/design/worker-lease.md.
+/// each held worker, starts and stops attempts, and adopts the attempts that
+/// run on a worker that another instance held before. See
+/// docs/design/worker-lease.md.
 
 #ifndef DOORWOOD_HOLDER_H_
 #define DOORWOOD_HOLDER_H_
@@ -26,27 +27,29 @@
 struct HolderOptions {
   /// Lifetime of a control lease, as granted by the workers.
   Millis control_lease{3000};
-  /// How long a worker keeps tasks running after its last renewal.
+  /// How long a worker keeps tasks running after the last renewal it received.
   Millis task_lease{10000};
   Millis renew_interval{1300};
+  /// Delay before a failed acquisition or renewal is retried.
   Millis acquire_retry{500};
-  /// Bound on how far two clocks drift apart during one lease.
+  /// Upper bound on the drift between two clocks during one lease.
   Millis drift{300};
 };
 
-/// Told about ends until they are logged.
+/// Listener for the ends of attempts and for changes of the held workers.
 class HolderListener {
  public:
   virtual ~HolderListener() = default;
 
-  /// An attempt ended, or surely never began. Repeated until
-  /// `WorkerHolder::Logged` is called for it.
+  /// An attempt ended or will definitely never start. Called repeatedly until
+  /// `WorkerHolder::Logged` is called for the attempt.
   virtual void OnAttemptEnded(const ShardId& shard, const Sighting& ended) = 0;
-  /// The set of held workers changed.
+  /// The set of held workers has changed.
   virtual void OnHeldChanged() = 0;
 };
 
-/// A held worker, for operators and heartbeats.
+/// State of a worker that is held, being acquired or being released, for
+/// operators and heartbeats.
 struct HeldWorkerRow {
   std::string worker;
   std::string state;
@@ -57,7 +60,8 @@
   bool drained = false;
 };
 
-/// All calls on the control thread.
+/// Holds the control leases of workers and runs attempts on them. All calls on
+/// the control thread.
 class WorkerHolder {
  public:
   WorkerHolder(const HolderOptions& options,
@@ -70,27 +74,34 @@
   WorkerHolder(const WorkerHolder&) = delete;
   WorkerHolder& operator=(const WorkerHolder&) = delete;
 
-  /// The workers that this instance ought to hold. Others are handed over:
-  /// nothing new goes there, and the lease is released once no order is under
-  /// way.
+  /// Sets the workers that this instance should hold. Other workers are
+  /// released: no new attempts go there, and the lease is released once no
+  /// order is pending or in flight.
   void SetWanted(std::span<const InstanceInfo> workers);
-  /// Workers that get nothing new by an operator's word.
+  /// Sets the workers that an operator has drained. They get no new attempts,
+  /// and their repeatable attempts are evicted.
   void SetDrained(std::set<std::string> workers);
 
-  /// Reserves room and starts the attempt. Asked again about the same
-  /// attempt, gives the same answer.
+  /// Reserves capacity and starts the attempt. Idempotent: a repeated request
+  /// for the same attempt gets the same answer.
   PlaceReply Place(const PlaceRequest& request);
   StopReply Stop(const StopRequest& request);
+  /// Fences the shard at the request's floor and returns the shard's attempts
+  /// on the held workers.
   CensusReply Census(const CensusRequest& request);
-  /// The owner has logged these ends; the workers may forget them.
+  /// The owner has logged the ends of these attempts; the workers may forget
+  /// them.
   void Logged(const ShardId& shard, std::span<const AttemptId> attempts);
-  /// Refuses attempts of `shard` below `floor` from now on.
+  /// Refuses all later placements of `shard` whose attempt is below `floor`.
   void Fence(const ShardId& shard, const AttemptId& floor);
 
-  /// True if `worker` is held now and its lease is valid by own clock.
+  /// True if `worker` is held and its lease is valid by the local clock.
   bool Holds(const std::string& worker) const;
   std::vector<HeldWorkerRow> rows() const;
+  /// Free capacity, summed over the held workers.
   Resources free() const;
+  /// The largest free amount of each resource on any one held worker. The
+  /// amounts may be on different workers.
   Resources largest_room() const;
   size_t held_count() const;
 
@@ -106,74 +117,79 @@
     AttemptEnd end = AttemptEnd::kSucceeded;
     std::string checkpoint;
     bool stopping = false;
-    // True once the start order may have reached the worker.
+    // True if the start order may have reached the worker.
     bool start_sent = false;
   };
 
-  struct Held {
+  struct HeldWorker {
     InstanceInfo info;
     HoldState state = HoldState::kAcquiring;
     uint64_t epoch = 0;
     uint64_t boot = 0;
     Ledger ledger;
     std::map<AttemptKey, Attempt> attempts;
-    std::vector<WorkerOrder> outbox;
-    bool in_flight = false;
+    std::vector<WorkerOrder> pending_orders;
+    bool call_in_flight = false;
     bool acquired_once = false;
-    // Own clock from before the last answered renewal was sent.
-    Instant renewed{};
-    // Own clock when a renewal was last sent, answered or not. Nothing this
-    // instance does prolongs the worker's tasks beyond it.
-    Instant last_sent{};
-    // No batch work goes here before this time: room is kept for a service.
-    Instant kept_until{};
+    // Local time at which the last answered renewal was sent. The lease is
+    // counted from here, so that it never ends later than on the worker.
+    Instant lease_start{};
+    // Local time at which the last renewal was sent, answered or not. Since
+    // then this instance has sent nothing that extends the worker's task
+    // leases.
+    Instant last_renewal_sent{};
+    // Before this time no batch work starts here: free capacity is reserved for
+    // a service.
+    Instant reserved_until{};
     Executor::TimerId timer = 0;
-    // Views for the policy, rebuilt when `attempts` changes.
+    // Running attempts as the policy sees them; rebuilt when `attempts`
+    // changes.
     std::vector<Resident> residents;
   };
 
-  using HeldMap = std::map<std::string, std::shared_ptr<Held>>;
+  using HeldWorkerMap = std::map<std::string, std::shared_ptr<HeldWorker>>;
 
   void StartHolding(const InstanceInfo& info);
-  void Acquire(const std::shared_ptr<Held>& held);
-  void OnAcquired(const std::shared_ptr<Held>& held,
+  void Acquire(const std::shared_ptr<HeldWorker>& held);
+  void OnAcquired(const std::shared_ptr<HeldWorker>& held,
                   Instant sent,
                   std::error_code error,
                   const WorkerInventory& inventory);
-  void TakeInventory(Held& held, const WorkerInventory& inventory);
-  void Renew(const std::shared_ptr<Held>& held);
-  void OnAnswer(const std::shared_ptr<Held>& held,
+  void ApplyInventory(HeldWorker& held, const WorkerInventory& inventory);
+  void Renew(const std::shared_ptr<HeldWorker>& held);
+  void OnAnswer(const std::shared_ptr<HeldWorker>& held,
                 Instant sent,
                 std::ptrdiff_t order_count,
                 std::error_code error,
                 const WorkerAnswer& answer);
-  void OnNoAnswer(const std::shared_ptr<Held>& held, std::error_code error);
-  void ApplyAnswer(Held& held, const WorkerAnswer& answer);
-  void HandOver(const std::shared_ptr<Held>& held);
-  void Drop(const std::shared_ptr<Held>& held);
-  void LoseControl(const std::shared_ptr<Held>& held);
-  void EvictFromLeaving(const std::shared_ptr<Held>& held);
-
-  void OrderStop(Held& held, Attempt& attempt, bool take_checkpoint);
-  void MarkEnded(Held& held,
+  void OnNoAnswer(const std::shared_ptr<HeldWorker>& held,
+                  std::error_code error);
+  void ApplyAnswer(HeldWorker& held, const WorkerAnswer& answer);
+  void ReleaseWorker(const std::shared_ptr<HeldWorker>& held);
+  void StopHolding(const std::shared_ptr<HeldWorker>& held);
+  void OnLeaseLost(const std::shared_ptr<HeldWorker>& held);
+  void EvictRepeatableAttempts(const std::shared_ptr<HeldWorker>& held);
+
+  void QueueStopOrder(HeldWorker& held, Attempt& attempt, bool take_checkpoint);
+  void MarkEnded(HeldWorker& held,
                  Attempt& attempt,
                  AttemptEnd end,
                  const std::string& checkpoint);
-  void AnnounceEnded(const Held& held);
-  void RebuildResidents(Held& held);
-  PlaceReply StartOn(const std::shared_ptr<Held>& held,
+  void ReportEndedAttempts(const HeldWorker& held);
+  void RebuildResidents(HeldWorker& held);
+  PlaceReply StartOn(const std::shared_ptr<HeldWorker>& held,
                      const PlaceRequest& request);
-  PlaceReply MakeRoom(const std::shared_ptr<Held>& held,
-                      const Decision& decision);
+  PlaceReply EvictVictims(const std::shared_ptr<HeldWorker>& held,
+                          const Decision& decision);
 
-  bool Valid(const Held& held) const;
-  bool IsOpen(const Held& held, const TaskSpec& spec) const;
-  bool IsWanted(const std::shared_ptr<Held>& held) const;
-  void SetTimer(const std::shared_ptr<Held>& held,
+  bool HasValidLease(const HeldWorker& held) const;
+  bool AcceptsNewAttempt(const HeldWorker& held, const TaskSpec& spec) const;
+  bool IsCurrent(const std::shared_ptr<HeldWorker>& held) const;
+  void SetTimer(const std::shared_ptr<HeldWorker>& held,
                 Millis delay,
-                void (WorkerHolder::*step)(const std::shared_ptr<Held>&));
-  std::shared_ptr<Held> FindAttempt(const AttemptKey& key) const;
-  Sighting MakeSighting(const Held& held, const Attempt& attempt) const;
+                void (WorkerHolder::*step)(const std::shared_ptr<HeldWorker>&));
+  std::shared_ptr<HeldWorker> FindAttempt(const AttemptKey& key) const;
+  Sighting MakeSighting(const HeldWorker& held, const Attempt& attempt) const;
 
   HolderOptions options_;
   Executor& executor_;
@@ -181,14 +197,14 @@
   PlacementPolicy& policy_;
   HolderListener& listener_;
   Instant started_;
-  HeldMap held_;
-  // The worker of each attempt.
+  HeldWorkerMap held_;
+  // The worker on which each attempt runs.
   std::map<AttemptKey, std::string> worker_of_;
   std::set<std::string> drained_;
-  std::map<ShardId, AttemptId> floors_;
-  // When a renewal was last sent to a worker that is not held any more.
-  std::map<std::string, Instant> released_;
-  // Callbacks check it, so that none touches a holder that is gone.
+  std::map<ShardId, AttemptId> fence_floors_;
+  // When the last renewal was sent to each worker that is no longer held.
+  std::map<std::string, Instant> last_renewal_sent_;
+  // False after destruction; checked by callbacks that may outlive the holder.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/include/doorwood/ledger.h
+++ b/src/include/doorwood/ledger.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What one worker carries, counted by the holder of its lease.
+/// Ledger of the capacity that attempts reserve on one worker, kept by the
+/// holder of the worker's lease.
 
 #ifndef DOORWOOD_LEDGER_H_
 #define DOORWOOD_LEDGER_H_
@@ -13,7 +14,7 @@
 
 namespace doorwood {
 
-/// An attempt named across shards.
+/// Identifies an attempt among all shards.
 struct AttemptKey {
   ShardId shard;
   AttemptId attempt;
@@ -21,21 +22,22 @@
   friend auto operator<=>(const AttemptKey&, const AttemptKey&) = default;
 };
 
-/// Reservations against a worker's capacity. A reservation is made before the
-/// start order leaves and released only when the worker confirms the end or
-/// its lease has surely lapsed.
+/// Reservations of a worker's capacity. A reservation is made before the start
+/// order is sent. It is released only when the worker has confirmed the end of
+/// the attempt or its lease has definitely expired.
 class Ledger {
  public:
   void set_capacity(const Resources& capacity) { capacity_ = capacity; }
   const Resources& capacity() const { return capacity_; }
   Resources free() const { return capacity_ - used_; }
 
-  /// True if reserved now. False without effect if there is no room, or if
-  /// the attempt has a reservation already.
+  /// Reserves `size` for the attempt. Returns false, without effect, if there
+  /// is not enough free capacity or the attempt already has a reservation.
   bool Reserve(const AttemptKey& key, const Resources& size);
-  /// Counts what runs already, room or not.
+  /// Adds a reservation for an attempt that already runs, even if it exceeds
+  /// the capacity.
   void Adopt(const AttemptKey& key, const Resources& size);
-  /// Does nothing for an unknown attempt.
+  /// Releases a reservation; no effect if the attempt has none.
   void Release(const AttemptKey& key);
   void Clear();
 
--- a/src/include/doorwood/placement.h
+++ b/src/include/doorwood/placement.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Port to the placement policy: which worker an attempt goes to, and what
-/// must give way.
+/// Interface to the placement policy, which selects the worker for an attempt
+/// and the attempts to evict for it.
 
 #ifndef DOORWOOD_PLACEMENT_H_
 #define DOORWOOD_PLACEMENT_H_
@@ -17,37 +17,41 @@
 
 namespace doorwood {
 
-/// One attempt on a worker, as the policy sees it.
+/// A running attempt on a worker, as the policy sees it.
 struct Resident {
   AttemptKey key;
   const TaskSpec* spec = nullptr;
-  /// True once it has been told to stop.
+  /// True if a stop has been ordered.
   bool stopping = false;
 };
 
-/// One worker, as the policy sees it. Views stay valid during one call.
+/// A worker, as the policy sees it. Valid only during one call.
 struct WorkerView {
   const InstanceInfo* info = nullptr;
   Resources capacity;
   Resources free;
-  /// False: nothing new may go there (leaving, drained, lease not sure).
+  /// False: no new attempt may start there, because the worker is leaving or
+  /// drained, or its lease may have expired.
   bool open = true;
   std::span<const Resident> residents;
 };
 
-/// What a policy decided about one attempt.
+/// Decision of a policy about one attempt.
 struct Decision {
-  /// Index of the worker to start on; -1: none has room now.
+  /// Index of the worker to start on; -1: none has enough free capacity now.
   int worker = -1;
-  /// Attempts to evict so that there will be room on `make_room_on`.
+  /// Attempts to evict in order to free capacity on `evict_on`.
   std::vector<AttemptKey> victims;
-  int make_room_on = -1;
-  /// True if no worker here could hold the task even when empty.
-  bool never = false;
-  /// For the decision record.
+  /// Index of the worker to evict from; -1: nothing to evict.
+  int evict_on = -1;
+  /// True if the task would not fit on any of the workers even if they were
+  /// empty.
+  bool impossible = false;
+  /// Explanation for the decision record.
   std::string reason;
 };
 
+/// Selects workers for attempts.
 class PlacementPolicy {
  public:
   virtual ~PlacementPolicy() = default;
@@ -56,12 +60,14 @@
                           std::span<const WorkerView> workers) = 0;
 };
 
-/// Services go to the worker with most room, batch work to the fullest worker
-/// that still has room. A service that finds no room evicts batch work in
-/// `yields` order, from the worker where that takes the fewest evictions.
+/// Places services on the worker with the most free capacity and batch work on
+/// the fullest worker that it fits on. A service that fits nowhere evicts batch
+/// work, highest `yields` first, from the worker that needs the fewest
+/// evictions.
 std::unique_ptr<PlacementPolicy> MakeDefaultPolicy();
 
-/// The plain baseline: the first worker with room; evicts nothing.
+/// Baseline for comparison: places on the first worker with enough free
+/// capacity and evicts nothing.
 std::unique_ptr<PlacementPolicy> MakeFirstFitPolicy();
 
 }  // namespace doorwood
--- a/src/include/doorwood/worker.h
+++ b/src/include/doorwood/worker.h
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Port to the platform's workers. A worker grants one control lease at a
-/// time, with an epoch that rises with each grant, and refuses orders of an
-/// older epoch. Tasks outlive the control lease for a while, so that the next
-/// holder can adopt them; a worker nobody renews stops them by itself.
+/// Interface to the platform's workers. A worker grants one control lease at a
+/// time, with an epoch that increases with each grant, and refuses orders of an
+/// older epoch. Tasks keep running for some time after the control lease has
+/// expired, so that the next holder can adopt them. A worker whose lease is not
+/// renewed by any holder eventually stops them by itself.
 
 #ifndef DOORWOOD_WORKER_H_
 #define DOORWOOD_WORKER_H_
@@ -22,34 +23,35 @@
 /// State of an attempt on a worker.
 enum class RunState { kRunning, kEnded };
 
-/// One attempt that a worker runs, or ran and was not yet told to forget.
+/// An attempt that a worker runs, or that has ended and for which it has not
+/// received a kForget order.
 struct WorkerTask {
   ShardId shard;
   AttemptId attempt;
   TaskId task;
   TaskSpec spec;
   RunState state = RunState::kRunning;
-  /// Meaningful once ended.
+  /// Valid only if `state` is kEnded.
   AttemptEnd end = AttemptEnd::kSucceeded;
-  /// Name of the newest checkpoint; empty: none.
+  /// Name of the latest checkpoint; empty: none.
   std::string checkpoint;
 };
 
-/// What a worker tells the instance that it grants its lease to.
+/// State of a worker, sent to the instance to which it grants its lease.
 struct WorkerInventory {
   uint64_t epoch = 0;
-  /// Differs with each start of the worker.
+  /// Incarnation number: differs after each restart of the worker.
   uint64_t boot = 0;
   Resources capacity;
-  /// False: the worker does not refuse orders of an older epoch, and a new
-  /// holder must wait before its first start.
+  /// False: the worker does not refuse orders of an older epoch. A new holder
+  /// must wait until the previous lease has expired before it starts tasks.
   bool fences = true;
   std::vector<WorkerTask> tasks;
 };
 
 enum class OrderKind { kStart, kStop, kForget };
 
-/// One order of a batch. Orders are idempotent by attempt.
+/// An order of a batch. Orders are idempotent for each attempt.
 struct WorkerOrder {
   OrderKind kind = OrderKind::kStart;
   ShardId shard;
@@ -59,30 +61,30 @@
   TaskSpec spec;
   /// kStart: checkpoint to resume from.
   std::string checkpoint;
-  /// kStop: take a checkpoint first.
+  /// kStop: take a checkpoint before stopping.
   bool take_checkpoint = false;
 };
 
 /// Answer to one order.
 struct OrderResult {
   AttemptId attempt;
-  /// kStart only: false means that the worker will never start the attempt.
+  /// kStart only. False: the worker will never start the attempt.
   bool accepted = true;
   std::string reason;
 };
 
-/// Answer to a batch: a result per order, and what has ended and is not
-/// forgotten. A batch without orders is a renewal.
+/// Answer to a batch: a result for each order, and the ended attempts that the
+/// worker was not told to forget. A batch without orders only renews the lease.
 struct WorkerAnswer {
-  /// As in the inventory. Another number than there: the worker has restarted
-  /// and knows nothing of what ran before.
+  /// Incarnation number, as in the inventory. If it differs from the
+  /// inventory's, the worker has restarted and lost its earlier attempts.
   uint64_t boot = 0;
   std::vector<OrderResult> results;
   std::vector<WorkerTask> ended;
 };
 
-/// Calls finish on the control thread, exactly once, with a WorkerErrc on
-/// failure.
+/// The callback of each call runs exactly once, on the control thread, with a
+/// WorkerErrc on failure.
 class WorkerControl {
  public:
   template <typename T>
@@ -90,16 +92,17 @@
 
   virtual ~WorkerControl() = default;
 
-  /// Asks for the control lease. A grant lets the caller give orders; it does
-  /// not prolong the tasks that run, which only a renewal does.
+  /// Requests the control lease. A grant allows the caller to send orders. It
+  /// does not extend the leases of running tasks; only a renewal does.
   virtual void Acquire(const InstanceInfo& worker,
                        Callback<WorkerInventory> done) = 0;
-  /// Renews the lease and carries orders.
+  /// Renews the lease and delivers orders.
   virtual void Send(const InstanceInfo& worker,
                     uint64_t epoch,
                     std::vector<WorkerOrder> orders,
                     Callback<WorkerAnswer> done) = 0;
-  /// Gives the lease up, so that another instance can have it at once.
+  /// Releases the lease, so that another instance can acquire it without
+  /// waiting for it to expire.
   virtual void Release(const InstanceInfo& worker,
                        uint64_t epoch,
                        Callback<bool> done) = 0;
--- a/src/libdoorwood/holder/holder.cpp
+++ b/src/libdoorwood/holder/holder.cpp
@@ -9,12 +9,12 @@
 namespace doorwood {
 namespace {
 
-// Most orders of one batch, which bounds the size of a call.
-constexpr size_t kMostOrders = 64;
+// Maximum number of orders in a batch, which bounds the size of a call.
+constexpr size_t kMaxOrdersPerBatch = 64;
 
 }  // namespace
 
-// --- Construction and the set of workers ---
+// --- Construction and the set of workers to hold ---
 
 WorkerHolder::WorkerHolder(const HolderOptions& options,
                            Executor& executor,
@@ -36,15 +36,15 @@
 }
 
 void WorkerHolder::SetWanted(std::span<const InstanceInfo> workers) {
-  std::set<std::string> wanted;
+  std::set<std::string> wanted_ids;
   for (const InstanceInfo& info : workers) {
-    wanted.insert(info.id);
+    wanted_ids.insert(info.id);
     const auto known = held_.find(info.id);
     if (known == held_.end()) {
       StartHolding(info);
       continue;
     }
-    const std::shared_ptr<Held>& held = known->second;
+    const std::shared_ptr<HeldWorker>& held = known->second;
     const bool newly_leaving = info.leaving && !held->info.leaving;
     held->info = info;
     if (held->state == HoldState::kReleasing) {
@@ -52,32 +52,33 @@
       listener_.OnHeldChanged();
     }
     if (newly_leaving) {
-      EvictFromLeaving(held);
+      EvictRepeatableAttempts(held);
     }
   }
-  std::vector<std::shared_ptr<Held>> unwanted;
+  std::vector<std::shared_ptr<HeldWorker>> unwanted;
   for (const auto& [name, held] : held_) {
-    if (!wanted.contains(name)) {
+    if (!wanted_ids.contains(name)) {
       unwanted.push_back(held);
     }
   }
   for (const auto& held : unwanted) {
-    HandOver(held);
+    ReleaseWorker(held);
   }
 }
 
 void WorkerHolder::SetDrained(std::set<std::string> workers) {
   for (const auto& [name, held] : held_) {
-    const bool newly = workers.contains(name) && !drained_.contains(name);
-    if (newly) {
-      EvictFromLeaving(held);
+    const bool newly_drained =
+        workers.contains(name) && !drained_.contains(name);
+    if (newly_drained) {
+      EvictRepeatableAttempts(held);
     }
   }
   drained_ = std::move(workers);
 }
 
 void WorkerHolder::StartHolding(const InstanceInfo& info) {
-  auto held = std::make_shared<Held>();
+  auto held = std::make_shared<HeldWorker>();
   held->info = info;
   held_[info.id] = held;
   Acquire(held);
@@ -85,11 +86,11 @@
 
 // --- Acquiring ---
 
-void WorkerHolder::Acquire(const std::shared_ptr<Held>& held) {
-  if (held->in_flight || !IsWanted(held)) {
+void WorkerHolder::Acquire(const std::shared_ptr<HeldWorker>& held) {
+  if (held->call_in_flight || !IsCurrent(held)) {
     return;
   }
-  held->in_flight = true;
+  held->call_in_flight = true;
   const Instant sent = executor_.Now();
   control_.Acquire(
       held->info, [this, alive = alive_, held, sent](
@@ -100,17 +101,17 @@
       });
 }
 
-void WorkerHolder::OnAcquired(const std::shared_ptr<Held>& held,
+void WorkerHolder::OnAcquired(const std::shared_ptr<HeldWorker>& held,
                               Instant sent,
                               std::error_code error,
                               const WorkerInventory& inventory) {
-  held->in_flight = false;
-  if (!IsWanted(held)) {
+  held->call_in_flight = false;
+  if (!IsCurrent(held)) {
     return;
   }
   if (error) {
     if (held->state == HoldState::kReleasing) {
-      Drop(held);
+      StopHolding(held);
       return;
     }
     SetTimer(held, options_.acquire_retry, &WorkerHolder::Acquire);
@@ -120,33 +121,35 @@
       !inventory.fences && held->state != HoldState::kWaitingOut;
   held->epoch = inventory.epoch;
   held->boot = inventory.boot;
-  held->renewed = sent;
+  held->lease_start = sent;
   if (must_wait) {
-    // The worker would obey an older holder's late order. Wait until that
-    // holder's own clock has ended its lease, then look again.
+    // The worker would execute a delayed order of the previous holder. Wait
+    // until the lease has expired by that holder's clock, then acquire again.
     held->state = HoldState::kWaitingOut;
     SetTimer(held, options_.control_lease + options_.drift,
              &WorkerHolder::Acquire);
     return;
   }
-  TakeInventory(*held, inventory);
+  ApplyInventory(*held, inventory);
   if (held->state != HoldState::kReleasing) {
     held->state = HoldState::kHeld;
   }
   held->acquired_once = true;
-  AnnounceEnded(*held);
+  ReportEndedAttempts(*held);
   if (held->info.leaving || drained_.contains(held->info.id)) {
-    EvictFromLeaving(held);
+    EvictRepeatableAttempts(held);
   }
   listener_.OnHeldChanged();
-  // Only a renewal prolongs the tasks that were found running.
+  // An acquisition does not extend the task leases of running tasks; only a
+  // renewal does.
   Renew(held);
 }
 
-void WorkerHolder::TakeInventory(Held& held, const WorkerInventory& inventory) {
+void WorkerHolder::ApplyInventory(HeldWorker& held,
+                                  const WorkerInventory& inventory) {
   const std::map<AttemptKey, Attempt> before = std::move(held.attempts);
   held.attempts.clear();
-  held.outbox.clear();
+  held.pending_orders.clear();
   held.ledger.Clear();
   held.ledger.set_capacity(inventory.capacity);
   for (const WorkerTask& task : inventory.tasks) {
@@ -169,11 +172,12 @@
     if (held.attempts.contains(key)) {
       continue;
     }
-    // The worker does not know it, and orders of older epochs are refused.
+    // The worker does not have the attempt and refuses orders of older epochs,
+    // so the attempt can no longer start.
     Attempt ended = old;
     if (old.state == RunState::kRunning) {
-      const bool never_began = !old.start_sent;
-      ended.end = never_began ? AttemptEnd::kNotStarted : AttemptEnd::kLost;
+      const bool never_started = !old.start_sent;
+      ended.end = never_started ? AttemptEnd::kNotStarted : AttemptEnd::kLost;
     }
     ended.state = RunState::kEnded;
     held.attempts.emplace(key, std::move(ended));
@@ -183,21 +187,22 @@
 
 // --- Renewals and orders ---
 
-void WorkerHolder::Renew(const std::shared_ptr<Held>& held) {
-  if (held->in_flight || !IsWanted(held)) {
+void WorkerHolder::Renew(const std::shared_ptr<HeldWorker>& held) {
+  if (held->call_in_flight || !IsCurrent(held)) {
     return;
   }
-  if (!Valid(*held)) {
-    // Paused for longer than the lease: nothing may be ordered any more.
-    LoseControl(held);
+  if (!HasValidLease(*held)) {
+    // This process was paused for longer than the lease, and another instance
+    // may hold the worker. No orders may be sent.
+    OnLeaseLost(held);
     return;
   }
   executor_.Cancel(held->timer);
-  held->in_flight = true;
-  const auto count =
-      static_cast<std::ptrdiff_t>(std::min(held->outbox.size(), kMostOrders));
-  std::vector<WorkerOrder> orders(held->outbox.begin(),
-                                  held->outbox.begin() + count);
+  held->call_in_flight = true;
+  const auto count = static_cast<std::ptrdiff_t>(
+      std::min(held->pending_orders.size(), kMaxOrdersPerBatch));
+  std::vector<WorkerOrder> orders(held->pending_orders.begin(),
+                                  held->pending_orders.begin() + count);
   for (const WorkerOrder& order : orders) {
     const auto attempt = held->attempts.find({order.shard, order.attempt});
     if (attempt != held->attempts.end()) {
@@ -205,7 +210,7 @@
     }
   }
   const Instant sent = executor_.Now();
-  held->last_sent = sent;
+  held->last_renewal_sent = sent;
   control_.Send(held->info, held->epoch, std::move(orders),
                 [this, alive = alive_, held, sent, count](
                     std::error_code error, const WorkerAnswer& answer) {
@@ -215,13 +220,13 @@
                 });
 }
 
-void WorkerHolder::OnAnswer(const std::shared_ptr<Held>& held,
+void WorkerHolder::OnAnswer(const std::shared_ptr<HeldWorker>& held,
                             Instant sent,
                             std::ptrdiff_t order_count,
                             std::error_code error,
                             const WorkerAnswer& answer) {
-  held->in_flight = false;
-  if (!IsWanted(held)) {
+  held->call_in_flight = false;
+  if (!IsCurrent(held)) {
     return;
   }
   if (error) {
@@ -230,35 +235,37 @@
   }
   if (answer.boot != held->boot) {
     // The worker has restarted since its inventory was taken.
-    LoseControl(held);
+    OnLeaseLost(held);
     return;
   }
-  held->renewed = sent;
-  held->outbox.erase(held->outbox.begin(), held->outbox.begin() + order_count);
+  held->lease_start = sent;
+  held->pending_orders.erase(held->pending_orders.begin(),
+                             held->pending_orders.begin() + order_count);
   ApplyAnswer(*held, answer);
-  if (!held->outbox.empty()) {
+  if (!held->pending_orders.empty()) {
     Renew(held);
     return;
   }
   if (held->state == HoldState::kReleasing) {
-    HandOver(held);
+    ReleaseWorker(held);
     return;
   }
   SetTimer(held, options_.renew_interval, &WorkerHolder::Renew);
 }
 
-void WorkerHolder::OnNoAnswer(const std::shared_ptr<Held>& held,
+void WorkerHolder::OnNoAnswer(const std::shared_ptr<HeldWorker>& held,
                               std::error_code error) {
   const bool stale = error == make_error_code(WorkerErrc::kStaleEpoch);
-  if (stale || !Valid(*held)) {
-    LoseControl(held);
+  if (stale || !HasValidLease(*held)) {
+    OnLeaseLost(held);
     return;
   }
-  // The orders stay in the outbox, and what they reserved stays reserved.
+  // The orders stay pending and their reservations stay in the ledger, because
+  // the worker may have received them.
   SetTimer(held, options_.acquire_retry, &WorkerHolder::Renew);
 }
 
-void WorkerHolder::ApplyAnswer(Held& held, const WorkerAnswer& answer) {
+void WorkerHolder::ApplyAnswer(HeldWorker& held, const WorkerAnswer& answer) {
   for (const OrderResult& result : answer.results) {
     if (result.accepted) {
       continue;
@@ -280,36 +287,36 @@
       MarkEnded(held, known->second, task.end, task.checkpoint);
     }
   }
-  AnnounceEnded(held);
+  ReportEndedAttempts(held);
   RebuildResidents(held);
 }
 
-// --- Giving up control ---
+// --- Releasing and losing workers ---
 
-void WorkerHolder::HandOver(const std::shared_ptr<Held>& held) {
+void WorkerHolder::ReleaseWorker(const std::shared_ptr<HeldWorker>& held) {
   if (held->state == HoldState::kAcquiring ||
       held->state == HoldState::kWaitingOut) {
-    Drop(held);
+    StopHolding(held);
     return;
   }
   if (held->state == HoldState::kHeld) {
     held->state = HoldState::kReleasing;
     listener_.OnHeldChanged();
   }
-  if (held->in_flight) {
+  if (held->call_in_flight) {
     return;
   }
-  if (!held->outbox.empty() && Valid(*held)) {
+  if (!held->pending_orders.empty() && HasValidLease(*held)) {
     Renew(held);
     return;
   }
   control_.Release(held->info, held->epoch, [](std::error_code, bool) {});
-  Drop(held);
+  StopHolding(held);
 }
 
-void WorkerHolder::Drop(const std::shared_ptr<Held>& held) {
+void WorkerHolder::StopHolding(const std::shared_ptr<HeldWorker>& held) {
   executor_.Cancel(held->timer);
-  released_[held->info.id] = held->last_sent;
+  last_renewal_sent_[held->info.id] = held->last_renewal_sent;
   for (const auto& [key, attempt] : held->attempts) {
     worker_of_.erase(key);
   }
@@ -317,22 +324,24 @@
   listener_.OnHeldChanged();
 }
 
-void WorkerHolder::LoseControl(const std::shared_ptr<Held>& held) {
+void WorkerHolder::OnLeaseLost(const std::shared_ptr<HeldWorker>& held) {
   if (held->state == HoldState::kReleasing) {
-    Drop(held);
+    StopHolding(held);
     return;
   }
   held->state = HoldState::kAcquiring;
-  // Attempts stay in memory until a new inventory says what became of them.
+  // Attempts are kept until a new inventory shows their state.
   listener_.OnHeldChanged();
   Acquire(held);
 }
 
-void WorkerHolder::EvictFromLeaving(const std::shared_ptr<Held>& held) {
+void WorkerHolder::EvictRepeatableAttempts(
+    const std::shared_ptr<HeldWorker>& held) {
   for (auto& [key, attempt] : held->attempts) {
-    // What may not be repeated stays until it ends or the worker goes.
+    // An attempt that is not repeatable runs until it ends or the worker shuts
+    // down.
     if (attempt.state == RunState::kRunning && attempt.spec.repeatable) {
-      OrderStop(*held, attempt, /*take_checkpoint=*/true);
+      QueueStopOrder(*held, attempt, /*take_checkpoint=*/true);
     }
   }
   if (held->state == HoldState::kHeld) {
@@ -340,12 +349,12 @@
   }
 }
 
-// --- What is held ---
+// --- Held workers and their attempts ---
 
 bool WorkerHolder::Holds(const std::string& worker) const {
   const auto held = held_.find(worker);
   return held != held_.end() && held->second->state == HoldState::kHeld &&
-         Valid(*held->second);
+         HasValidLease(*held->second);
 }
 
 std::vector<HeldWorkerRow> WorkerHolder::rows() const {
@@ -380,10 +389,11 @@
     if (held->state != HoldState::kHeld) {
       continue;
     }
-    const Resources room = held->ledger.free();
-    largest.cpu_millis = std::max(largest.cpu_millis, room.cpu_millis);
-    largest.memory_mib = std::max(largest.memory_mib, room.memory_mib);
-    largest.accelerators = std::max(largest.accelerators, room.accelerators);
+    const Resources worker_free = held->ledger.free();
+    largest.cpu_millis = std::max(largest.cpu_millis, worker_free.cpu_millis);
+    largest.memory_mib = std::max(largest.memory_mib, worker_free.memory_mib);
+    largest.accelerators =
+        std::max(largest.accelerators, worker_free.accelerators);
   }
   return largest;
 }
@@ -394,27 +404,29 @@
   });
 }
 
-bool WorkerHolder::Valid(const Held& held) const {
-  const Instant end = held.renewed + options_.control_lease - options_.drift;
+bool WorkerHolder::HasValidLease(const HeldWorker& held) const {
+  const Instant end =
+      held.lease_start + options_.control_lease - options_.drift;
   return held.acquired_once && executor_.Now() < end;
 }
 
-bool WorkerHolder::IsOpen(const Held& held, const TaskSpec& spec) const {
-  const bool kept =
-      spec.work_class == WorkClass::kBatch && executor_.Now() < held.kept_until;
-  return held.state == HoldState::kHeld && Valid(held) && !held.info.leaving &&
-         !kept && !drained_.contains(held.info.id);
+bool WorkerHolder::AcceptsNewAttempt(const HeldWorker& held,
+                                     const TaskSpec& spec) const {
+  const bool reserved = spec.work_class == WorkClass::kBatch &&
+                        executor_.Now() < held.reserved_until;
+  return held.state == HoldState::kHeld && HasValidLease(held) &&
+         !held.info.leaving && !reserved && !drained_.contains(held.info.id);
 }
 
-bool WorkerHolder::IsWanted(const std::shared_ptr<Held>& held) const {
+bool WorkerHolder::IsCurrent(const std::shared_ptr<HeldWorker>& held) const {
   const auto known = held_.find(held->info.id);
   return known != held_.end() && known->second == held;
 }
 
 void WorkerHolder::SetTimer(
-    const std::shared_ptr<Held>& held,
+    const std::shared_ptr<HeldWorker>& held,
     Millis delay,
-    void (WorkerHolder::*step)(const std::shared_ptr<Held>&)) {
+    void (WorkerHolder::*step)(const std::shared_ptr<HeldWorker>&)) {
   executor_.Cancel(held->timer);
   held->timer = executor_.Schedule(delay, [this, alive = alive_, held, step]() {
     if (*alive) {
@@ -423,19 +435,19 @@
   });
 }
 
-std::shared_ptr<WorkerHolder::Held> WorkerHolder::FindAttempt(
+std::shared_ptr<WorkerHolder::HeldWorker> WorkerHolder::FindAttempt(
     const AttemptKey& key) const {
   const auto place = worker_of_.find(key);
   if (place == worker_of_.end()) {
     return nullptr;
   }
   const auto held = held_.find(place->second);
-  const bool there =
+  const bool has_attempt =
       held != held_.end() && held->second->attempts.contains(key);
-  return there ? held->second : nullptr;
+  return has_attempt ? held->second : nullptr;
 }
 
-Sighting WorkerHolder::MakeSighting(const Held& held,
+Sighting WorkerHolder::MakeSighting(const HeldWorker& held,
                                     const Attempt& attempt) const {
   return {.attempt = attempt.id,
           .task = attempt.task,
--- a/src/libdoorwood/holder/holder_attempts.cpp
+++ b/src/libdoorwood/holder/holder_attempts.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Attempts on held workers: placing, stopping, ends, and the census.
+// Attempts on held workers: placement, stops, ends, and the census of a
+// shard's attempts.
 
 #include <algorithm>
 
@@ -9,8 +10,9 @@
 namespace doorwood {
 namespace {
 
-// How long room is kept for a service after batch work was told to go.
-constexpr Millis kRoomKept{2000};
+// How long capacity is reserved for a service after batch work was evicted for
+// it.
+constexpr Millis kServiceReservation{2000};
 
 }  // namespace
 
@@ -19,12 +21,12 @@
   if (const auto held = FindAttempt(key)) {
     return {.placed = true, .worker = held->info.id};
   }
-  const auto floor = floors_.find(request.shard);
-  if (floor != floors_.end() && request.attempt < floor->second) {
+  const auto floor = fence_floors_.find(request.shard);
+  if (floor != fence_floors_.end() && request.attempt < floor->second) {
     return {.placed = false, .reason = "fenced by a newer owner or census"};
   }
   std::vector<WorkerView> views;
-  std::vector<std::shared_ptr<Held>> candidates;
+  std::vector<std::shared_ptr<HeldWorker>> candidates;
   views.reserve(held_.size());
   candidates.reserve(held_.size());
   for (const auto& [name, held] : held_) {
@@ -34,7 +36,7 @@
     views.push_back({.info = &held->info,
                      .capacity = held->ledger.capacity(),
                      .free = held->ledger.free(),
-                     .open = IsOpen(*held, request.spec),
+                     .open = AcceptsNewAttempt(*held, request.spec),
                      .residents = held->residents});
     candidates.push_back(held);
   }
@@ -42,14 +44,14 @@
   if (decision.worker >= 0) {
     return StartOn(candidates[decision.worker], request);
   }
-  if (decision.make_room_on >= 0) {
-    return MakeRoom(candidates[decision.make_room_on], decision);
+  if (decision.evict_on >= 0) {
+    return EvictVictims(candidates[decision.evict_on], decision);
   }
-  const std::string prefix = decision.never ? "never: " : "";
+  const std::string prefix = decision.impossible ? "never: " : "";
   return {.placed = false, .reason = prefix + decision.reason};
 }
 
-PlaceReply WorkerHolder::StartOn(const std::shared_ptr<Held>& held,
+PlaceReply WorkerHolder::StartOn(const std::shared_ptr<HeldWorker>& held,
                                  const PlaceRequest& request) {
   const AttemptKey key{request.shard, request.attempt};
   if (!held->ledger.Reserve(key, request.spec.size)) {
@@ -61,26 +63,26 @@
                                       .spec = request.spec,
                                       .checkpoint = request.checkpoint});
   worker_of_[key] = held->info.id;
-  held->outbox.push_back({.kind = OrderKind::kStart,
-                          .shard = request.shard,
-                          .attempt = request.attempt,
-                          .task = request.task,
-                          .spec = request.spec,
-                          .checkpoint = request.checkpoint});
+  held->pending_orders.push_back({.kind = OrderKind::kStart,
+                                  .shard = request.shard,
+                                  .attempt = request.attempt,
+                                  .task = request.task,
+                                  .spec = request.spec,
+                                  .checkpoint = request.checkpoint});
   RebuildResidents(*held);
   Renew(held);
   return {.placed = true, .worker = held->info.id};
 }
 
-PlaceReply WorkerHolder::MakeRoom(const std::shared_ptr<Held>& held,
-                                  const Decision& decision) {
+PlaceReply WorkerHolder::EvictVictims(const std::shared_ptr<HeldWorker>& held,
+                                      const Decision& decision) {
   for (const AttemptKey& key : decision.victims) {
     const auto attempt = held->attempts.find(key);
     if (attempt != held->attempts.end()) {
-      OrderStop(*held, attempt->second, /*take_checkpoint=*/true);
+      QueueStopOrder(*held, attempt->second, /*take_checkpoint=*/true);
     }
   }
-  held->kept_until = executor_.Now() + kRoomKept;
+  held->reserved_until = executor_.Now() + kServiceReservation;
   Renew(held);
   return {.placed = false, .reason = decision.reason};
 }
@@ -91,7 +93,7 @@
   if (!held) {
     return {.known = false};
   }
-  OrderStop(*held, held->attempts.at(key), request.take_checkpoint);
+  QueueStopOrder(*held, held->attempts.at(key), request.take_checkpoint);
   if (held->state == HoldState::kHeld) {
     Renew(held);
   }
@@ -108,9 +110,10 @@
   };
   for (const auto& [name, held] : held_) {
     if (!Holds(name)) {
-      // What this instance remembers of it may be out of date.
+      // Another instance may have changed the attempts on this worker, so they
+      // are not reported.
       if (held->acquired_once) {
-        reply.released.push_back({name, age_of(held->last_sent)});
+        reply.released.push_back({name, age_of(held->last_renewal_sent)});
       }
       continue;
     }
@@ -121,7 +124,7 @@
       }
     }
   }
-  for (const auto& [name, sent] : released_) {
+  for (const auto& [name, sent] : last_renewal_sent_) {
     reply.released.push_back({name, age_of(sent)});
   }
   return reply;
@@ -137,32 +140,32 @@
     }
     held->attempts.erase(key);
     worker_of_.erase(key);
-    // Goes with the next renewal; forgetting is not urgent.
-    held->outbox.push_back(
+    // Sent with the next renewal, because the order is not urgent.
+    held->pending_orders.push_back(
         {.kind = OrderKind::kForget, .shard = shard, .attempt = attempt});
   }
 }
 
 void WorkerHolder::Fence(const ShardId& shard, const AttemptId& floor) {
-  AttemptId& known = floors_[shard];
+  AttemptId& known = fence_floors_[shard];
   known = std::max(known, floor);
 }
 
-void WorkerHolder::OrderStop(Held& held,
-                             Attempt& attempt,
-                             bool take_checkpoint) {
+void WorkerHolder::QueueStopOrder(HeldWorker& held,
+                                  Attempt& attempt,
+                                  bool take_checkpoint) {
   if (attempt.stopping || attempt.state != RunState::kRunning) {
     return;
   }
   attempt.stopping = true;
-  held.outbox.push_back({.kind = OrderKind::kStop,
-                         .shard = attempt.shard,
-                         .attempt = attempt.id,
-                         .take_checkpoint = take_checkpoint});
+  held.pending_orders.push_back({.kind = OrderKind::kStop,
+                                 .shard = attempt.shard,
+                                 .attempt = attempt.id,
+                                 .take_checkpoint = take_checkpoint});
   RebuildResidents(held);
 }
 
-void WorkerHolder::MarkEnded(Held& held,
+void WorkerHolder::MarkEnded(HeldWorker& held,
                              Attempt& attempt,
                              AttemptEnd end,
                              const std::string& checkpoint) {
@@ -174,8 +177,9 @@
   held.ledger.Release({attempt.shard, attempt.id});
 }
 
-void WorkerHolder::AnnounceEnded(const Held& held) {
-  // Copied first: the listener may call `Logged` at once.
+void WorkerHolder::ReportEndedAttempts(const HeldWorker& held) {
+  // Copied first, because the listener may call `Logged`, which erases
+  // attempts.
   std::vector<std::pair<ShardId, Sighting>> ended;
   for (const auto& [key, attempt] : held.attempts) {
     if (attempt.state == RunState::kEnded) {
@@ -187,7 +191,7 @@
   }
 }
 
-void WorkerHolder::RebuildResidents(Held& held) {
+void WorkerHolder::RebuildResidents(HeldWorker& held) {
   held.residents.clear();
   for (const auto& [key, attempt] : held.attempts) {
     if (attempt.state == RunState::kRunning) {
--- a/src/libdoorwood/holder/placement.cpp
+++ b/src/libdoorwood/holder/placement.cpp
@@ -12,11 +12,12 @@
 namespace doorwood {
 namespace {
 
-// Parsed selectors by their text. Selectors come from a few configurations
-// and manifests, so the same text is seen over and over.
+// Cache of parsed selectors by their text. Selectors come from a few
+// configurations and manifests, so the same texts recur often.
 class SelectorCache {
  public:
-  // Nothing if the text is not a selector: such work matches nowhere.
+  // Empty if the text is not a valid selector; such a selector matches no
+  // labels.
   const std::optional<Selector>& Parsed(const std::string& text) {
     const auto known = parsed_.find(text);
     if (known != parsed_.end()) {
@@ -43,84 +44,91 @@
   std::map<std::string, std::optional<Selector>> parsed_;
 };
 
-// The rules that labels and selectors set, shared by all policies.
-class Rules {
+// Constraints set by labels, selectors and capacity; shared by all policies.
+class PlacementRules {
  public:
-  bool MayUse(const TaskSpec& spec, const WorkerView& worker) {
+  bool SelectsWorker(const TaskSpec& spec, const WorkerView& worker) {
     return selectors_.Match(spec.on, worker.info->labels);
   }
 
-  // Both sides must accept each other.
-  bool MaySitBeside(const TaskSpec& a, const TaskSpec& b) {
+  // The `beside` selector of each task must match the labels of the other.
+  bool MayColocate(const TaskSpec& a, const TaskSpec& b) {
     return selectors_.Match(a.beside, b.labels) &&
            selectors_.Match(b.beside, a.labels);
   }
 
-  bool AcceptsResidents(const TaskSpec& spec, const WorkerView& worker) {
+  bool MayColocateWithResidents(const TaskSpec& spec,
+                                const WorkerView& worker) {
     return std::all_of(worker.residents.begin(), worker.residents.end(),
                        [&](const Resident& resident) {
-                         return MaySitBeside(spec, *resident.spec);
+                         return MayColocate(spec, *resident.spec);
                        });
   }
 
-  bool HasRoom(const TaskSpec& spec, const WorkerView& worker) const {
+  bool HasFreeCapacity(const TaskSpec& spec, const WorkerView& worker) const {
     return worker.open && Fits(spec.size, worker.free);
   }
 
-  bool LabelsAllow(const TaskSpec& spec, const WorkerView& worker) {
-    return MayUse(spec, worker) && AcceptsResidents(spec, worker);
+  bool SelectorsAllow(const TaskSpec& spec, const WorkerView& worker) {
+    return SelectsWorker(spec, worker) &&
+           MayColocateWithResidents(spec, worker);
   }
 
   bool CanStart(const TaskSpec& spec, const WorkerView& worker) {
-    return HasRoom(spec, worker) && LabelsAllow(spec, worker);
+    return HasFreeCapacity(spec, worker) && SelectorsAllow(spec, worker);
   }
 
  private:
   SelectorCache selectors_;
 };
 
-std::string Describe(const Resources& size) {
+std::string ResourcesToString(const Resources& size) {
   return std::to_string(size.cpu_millis) + " cpu_millis, " +
          std::to_string(size.memory_mib) + " memory_mib, " +
          std::to_string(size.accelerators) + " accelerators";
 }
 
-// Decides between "not now" and "never here".
+// Decision if the task cannot start: either there is not enough free capacity
+// now, or the task can never run on these workers.
 Decision Refuse(const TaskSpec& spec,
                 std::span<const WorkerView> workers,
-                Rules* rules) {
+                PlacementRules* rules) {
   Decision decision;
   const bool selectable = std::any_of(
-      workers.begin(), workers.end(),
-      [&](const WorkerView& worker) { return rules->MayUse(spec, worker); });
-  const bool possible = std::any_of(
       workers.begin(), workers.end(), [&](const WorkerView& worker) {
-        return rules->MayUse(spec, worker) && Fits(spec.size, worker.capacity);
+        return rules->SelectsWorker(spec, worker);
       });
-  if (possible) {
+  const bool fits_when_empty = std::any_of(
+      workers.begin(), workers.end(), [&](const WorkerView& worker) {
+        return rules->SelectsWorker(spec, worker) &&
+               Fits(spec.size, worker.capacity);
+      });
+  if (fits_when_empty) {
     decision.reason = "no room now";
     return decision;
   }
-  decision.never = true;
+  decision.impossible = true;
   decision.reason = selectable ? "larger than any worker it may use: needs " +
-                                     Describe(spec.size)
+                                     ResourcesToString(spec.size)
                                : "no worker matches on: '" + spec.on + "'";
   return decision;
 }
 
-// A share of a worker's scarcest resource that is free, in thousandths.
-int64_t Room(const WorkerView& worker) {
+// The free share of the worker's scarcest resource, in thousandths.
+int64_t FreePermille(const WorkerView& worker) {
   const Resources& capacity = worker.capacity;
   const Resources& free = worker.free;
-  constexpr int64_t kWhole = 1000;
-  int64_t room = kWhole;
+  constexpr int64_t kPermille = 1000;
+  int64_t available = kPermille;
   if (capacity.cpu_millis > 0) {
-    room = std::min(room, kWhole * free.cpu_millis / capacity.cpu_millis);
+    available =
+        std::min(available, kPermille * free.cpu_millis / capacity.cpu_millis);
   }
   if (capacity.memory_mib > 0) {
-    room = std::min(room, kWhole * free.memory_mib / capacity.memory_mib);
+    available =
+        std::min(available, kPermille * free.memory_mib / capacity.memory_mib);
   }
-  return room;
+  return available;
 }
 
 class DefaultPolicy : public PlacementPolicy {
@@ -132,14 +140,14 @@
     int64_t best_score = std::numeric_limits<int64_t>::min();
     for (size_t i = 0; i < workers.size(); ++i) {
       const WorkerView& worker = workers[i];
-      if (!rules_.HasRoom(spec, worker)) {
+      if (!rules_.HasFreeCapacity(spec, worker)) {
         continue;
       }
-      // Labels are looked at last, and only where the score would win: that
-      // is what takes time at 1,500 workers.
-      const int64_t room = Room(worker);
-      const int64_t score = service ? room : -room;
-      if (score > best_score && rules_.LabelsAllow(spec, worker)) {
+      // Selectors are evaluated last and only for a worker with a better
+      // score, because they take most of the time at 1,500 workers.
+      const int64_t available = FreePermille(worker);
+      const int64_t score = service ? available : -available;
+      if (score > best_score && rules_.SelectorsAllow(spec, worker)) {
         best_score = score;
         best.worker = static_cast<int>(i);
       }
@@ -149,8 +157,8 @@
       return best;
     }
     if (service) {
-      best = MakeRoom(spec, workers);
-      if (best.make_room_on >= 0) {
+      best = PlanEviction(spec, workers);
+      if (best.evict_on >= 0) {
         return best;
       }
     }
@@ -158,46 +166,49 @@
   }
 
  private:
-  // The worker where the fewest evictions make room.
-  Decision MakeRoom(const TaskSpec& spec, std::span<const WorkerView> workers) {
+  // Selects the worker on which the fewest evictions free enough capacity.
+  Decision PlanEviction(const TaskSpec& spec,
+                        std::span<const WorkerView> workers) {
     Decision best;
     for (size_t i = 0; i < workers.size(); ++i) {
       const WorkerView& worker = workers[i];
-      if (!worker.open || !rules_.MayUse(spec, worker) ||
+      if (!worker.open || !rules_.SelectsWorker(spec, worker) ||
           !Fits(spec.size, worker.capacity)) {
         continue;
       }
-      const auto victims = Victims(spec, worker);
+      const auto victims = SelectVictims(spec, worker);
       if (!victims) {
         continue;
       }
       const bool fewer =
-          best.make_room_on < 0 || victims->size() < best.victims.size();
+          best.evict_on < 0 || victims->size() < best.victims.size();
       if (fewer) {
         best.victims = *victims;
-        best.make_room_on = static_cast<int>(i);
+        best.evict_on = static_cast<int>(i);
         best.reason = "makes room by evicting batch work";
       }
     }
     return best;
   }
 
-  // Batch work to stop, highest `yields` first. Empty: enough is stopping
-  // already. Nothing: evicting all of it would not make room.
-  std::optional<std::vector<AttemptKey>> Victims(const TaskSpec& spec,
-                                                 const WorkerView& worker) {
-    Resources room = worker.free;
+  // Batch attempts to evict, highest `yields` first. An empty list: enough
+  // attempts are already stopping. Nullopt: evicting all of them would not free
+  // enough capacity.
+  std::optional<std::vector<AttemptKey>> SelectVictims(
+      const TaskSpec& spec,
+      const WorkerView& worker) {
+    Resources available = worker.free;
     std::vector<const Resident*> candidates;
     for (const Resident& resident : worker.residents) {
-      const bool beside_ok = rules_.MaySitBeside(spec, *resident.spec);
+      const bool may_colocate = rules_.MayColocate(spec, *resident.spec);
       const bool evictable = resident.spec->work_class == WorkClass::kBatch &&
                              resident.spec->repeatable &&
                              resident.spec->yields > spec.yields;
       if (resident.stopping) {
-        room = room + resident.spec->size;
+        available = available + resident.spec->size;
       } else if (evictable) {
         candidates.push_back(&resident);
-      } else if (!beside_ok) {
+      } else if (!may_colocate) {
         return std::nullopt;
       }
     }
@@ -207,20 +218,20 @@
                      });
     std::vector<AttemptKey> victims;
     for (const Resident* resident : candidates) {
-      const bool in_the_way = !rules_.MaySitBeside(spec, *resident->spec);
-      if (Fits(spec.size, room) && !in_the_way) {
+      const bool conflicts = !rules_.MayColocate(spec, *resident->spec);
+      if (Fits(spec.size, available) && !conflicts) {
         continue;
       }
       victims.push_back(resident->key);
-      room = room + resident->spec->size;
+      available = available + resident->spec->size;
     }
-    if (!Fits(spec.size, room)) {
+    if (!Fits(spec.size, available)) {
       return std::nullopt;
     }
     return victims;
   }
 
-  Rules rules_;
+  PlacementRules rules_;
 };
 
 class FirstFitPolicy : public PlacementPolicy {
@@ -236,7 +247,7 @@
   }
 
  private:
-  Rules rules_;
+  PlacementRules rules_;
 };
 
 }  // namespace
--- a/src/libdoorwood/holder/placement_test.cpp
+++ b/src/libdoorwood/holder/placement_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Placement by labels, selectors and room; evictions; the ledger.
+// Placement by labels, selectors and free capacity; evictions; the ledger.
 
 #include "doorwood/placement.h"
 
@@ -14,7 +14,7 @@
 
 constexpr Resources kCapacity{4000, 8000, 2};
 
-// Workers with what runs there.
+// Workers and the attempts that run on them.
 class Fleet {
  public:
   int Add(Labels labels, const std::vector<TaskSpec>& running) {
@@ -63,7 +63,7 @@
 
 BOOST_AUTO_TEST_SUITE(placement)
 
-BOOST_AUTO_TEST_CASE(batch_fills_and_service_spreads) {
+BOOST_AUTO_TEST_CASE(batch_goes_to_fullest_and_service_to_emptiest_worker) {
   Fleet fleet;
   fleet.Add({}, {});
   fleet.Add({}, {Batch(1000)});
@@ -80,25 +80,25 @@
   BOOST_TEST(fleet.Decide(spec).worker == 1);
   spec.on = "hall=north";
   const Decision decision = fleet.Decide(spec);
-  BOOST_TEST(decision.never);
+  BOOST_TEST(decision.impossible);
   BOOST_TEST(decision.worker == -1);
 }
 
-BOOST_AUTO_TEST_CASE(beside_is_kept_by_both_sides) {
+BOOST_AUTO_TEST_CASE(beside_selectors_of_both_tasks_must_match) {
   Fleet fleet;
-  TaskSpec shy = Service(1000);
-  shy.beside = "kind!=render";
-  fleet.Add({}, {shy});
+  TaskSpec exclusive_service = Service(1000);
+  exclusive_service.beside = "kind!=render";
+  fleet.Add({}, {exclusive_service});
   BOOST_TEST(fleet.Decide(Batch(1000)).worker == -1);
-  BOOST_TEST(!fleet.Decide(Batch(1000)).never);
+  BOOST_TEST(!fleet.Decide(Batch(1000)).impossible);
   Fleet other;
   other.Add({}, {Batch(1000)});
-  TaskSpec stuck = shy;
-  stuck.work_class = WorkClass::kBatch;
-  BOOST_TEST(other.Decide(stuck).worker == -1);
+  TaskSpec exclusive_batch = exclusive_service;
+  exclusive_batch.work_class = WorkClass::kBatch;
+  BOOST_TEST(other.Decide(exclusive_batch).worker == -1);
 }
 
-BOOST_AUTO_TEST_CASE(worker_that_is_closed_gets_nothing) {
+BOOST_AUTO_TEST_CASE(closed_worker_gets_no_attempts) {
   Fleet fleet;
   fleet.Add({}, {});
   fleet.view(0).open = false;
@@ -106,21 +106,21 @@
   BOOST_TEST(fleet.Decide(Service(1000)).worker == -1);
 }
 
-BOOST_AUTO_TEST_CASE(task_larger_than_any_worker_is_told_as_never) {
+BOOST_AUTO_TEST_CASE(task_larger_than_any_worker_is_reported_as_impossible) {
   Fleet fleet;
   fleet.Add({}, {Batch(4000)});
-  BOOST_TEST(fleet.Decide(Batch(4001)).never);
-  BOOST_TEST(!fleet.Decide(Batch(4000)).never);
+  BOOST_TEST(fleet.Decide(Batch(4001)).impossible);
+  BOOST_TEST(!fleet.Decide(Batch(4000)).impossible);
   TaskSpec accelerated = Batch(1);
   accelerated.size.accelerators = 3;
-  BOOST_TEST(fleet.Decide(accelerated).never);
+  BOOST_TEST(fleet.Decide(accelerated).impossible);
 }
 
-BOOST_AUTO_TEST_CASE(service_without_room_evicts_by_yields_and_as_few) {
+BOOST_AUTO_TEST_CASE(service_without_free_capacity_evicts_fewest_by_yields) {
   Fleet fleet;
   fleet.Add({}, {Batch(1000, 20), Batch(1000, 90), Batch(2000, 60)});
   const Decision one = fleet.Decide(Service(1000));
-  BOOST_TEST(one.make_room_on == 0);
+  BOOST_TEST(one.evict_on == 0);
   BOOST_REQUIRE(one.victims.size() == 1u);
   BOOST_TEST(one.victims[0].attempt.counter == 2u);
   const Decision two = fleet.Decide(Service(3000));
@@ -129,19 +129,19 @@
 
 BOOST_AUTO_TEST_CASE(service_evicts_neither_services_nor_unrepeatable_work) {
   Fleet fleet;
-  TaskSpec once = Batch(2000);
-  once.repeatable = false;
-  fleet.Add({}, {Service(2000), once});
+  TaskSpec unrepeatable = Batch(2000);
+  unrepeatable.repeatable = false;
+  fleet.Add({}, {Service(2000), unrepeatable});
   const Decision decision = fleet.Decide(Service(1000));
-  BOOST_TEST(decision.make_room_on == -1);
+  BOOST_TEST(decision.evict_on == -1);
   BOOST_TEST(decision.victims.empty());
 }
 
-BOOST_AUTO_TEST_CASE(batch_without_room_evicts_nobody) {
+BOOST_AUTO_TEST_CASE(batch_without_free_capacity_evicts_nothing) {
   Fleet fleet;
   fleet.Add({}, {Batch(4000, 100)});
   const Decision decision = fleet.Decide(Batch(1000, 0));
-  BOOST_TEST(decision.make_room_on == -1);
+  BOOST_TEST(decision.evict_on == -1);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -161,7 +161,7 @@
   ledger.Release(a);
   ledger.Release(a);
   BOOST_TEST((ledger.free() == kCapacity));
-  // What runs is counted even where it should not be.
+  // A running attempt is counted even if it exceeds the capacity.
   ledger.Adopt(a, {5000, 100, 0});
   BOOST_TEST(ledger.free().cpu_millis == -1000);
   BOOST_TEST(!ledger.Reserve(b, {1, 1, 0}));
