--- a/src/celld/entry_daemon.cpp
+++ b/src/celld/entry_daemon.cpp
@@ -12,15 +12,15 @@
 namespace {
 
 constexpr Millis kFlushInterval{50};
-constexpr Millis kSettingsCheck{2000};
-constexpr Millis kIdleCheck{50};
-// The balancer takes an instance out after two missed questions, one a
-// second; until then new requests still come.
-constexpr Millis kStillTaken{2600};
-// Left of the grace time for the process to end by itself.
-constexpr Millis kEndSlack{700};
-// Not heard of for so long, the store counts as out of reach.
-constexpr Millis kStoreSilence{6000};
+constexpr Millis kSettingsCheckInterval{2000};
+constexpr Millis kIdleCheckInterval{50};
+// The balancer removes an instance after two failed readiness checks, one per
+// second. New requests arrive until then.
+constexpr Millis kBalancerRemovalTime{2600};
+// Part of the grace time that is reserved for the exit of the process.
+constexpr Millis kExitReserve{700};
+// The store counts as unreachable after this time without an answer.
+constexpr Millis kStoreTimeout{6000};
 constexpr int kServiceUnavailable = 503;
 
 int64_t UnixMillis() {
@@ -29,7 +29,7 @@
       .count();
 }
 
-LiveInstance SelfOf(const EntrySettings& settings) {
+LiveInstance MakeOwnInstance(const EntrySettings& settings) {
   LiveInstance self;
   self.name = settings.instance;
   self.data_centre = settings.data_centre;
@@ -56,7 +56,12 @@
       directory_(store_, log_),
       config_source_(store_),
       peers_(client_),
-      live_(executor_, store_, peers_, log_, LiveOptions{}, SelfOf(settings_)),
+      live_(executor_,
+            store_,
+            peers_,
+            log_,
+            LiveOptions{},
+            MakeOwnInstance(settings_)),
       config_(executor_, config_source_, log_, ConfigFollowerOptions{}),
       cell_(executor_,
             store_,
@@ -124,7 +129,7 @@
   WaitForSignal();
   WaitForReload();
   CheckSettingsFile();
-  FlushLogs();
+  FlushLogPeriodically();
   context_.run();
   FlushLog();
 }
@@ -140,10 +145,10 @@
 }
 
 bool EntryDaemon::IsReady() const {
-  const bool store_heard =
-      executor_.Now() - live_.store_heard_at() < kStoreSilence;
-  return !leaving_ && config_.table() != nullptr && ingress_.ReachesACell() &&
-         (store_heard || cell_.leading());
+  const bool store_reachable =
+      executor_.Now() - live_.store_heard_at() < kStoreTimeout;
+  return !stopping_ && config_.table() != nullptr && ingress_.ReachesACell() &&
+         (store_reachable || cell_.leading());
 }
 
 // --- Signals and settings ---
@@ -154,8 +159,9 @@
         if (error) {
           return;
         }
-        log_.Write("info", "daemon", "asked to stop", {{"signal", number}});
-        BeginLeaving();
+        log_.Write("info", "daemon", "shutdown signal received",
+                   {{"signal", number}});
+        BeginShutdown();
       });
 }
 
@@ -174,67 +180,69 @@
   if (ReadTextFile(settings_path_).value_or("") != settings_text_) {
     Reload("the file changed");
   }
-  executor_.Schedule(kSettingsCheck, [this] { CheckSettingsFile(); });
+  executor_.Schedule(kSettingsCheckInterval, [this] { CheckSettingsFile(); });
 }
 
 void EntryDaemon::Reload(std::string_view cause) {
   const std::string text = ReadTextFile(settings_path_).value_or("");
   Problems problems(settings_path_);
-  const auto fresh = ParseEntrySettings(text, &problems);
-  if (!fresh) {
-    log_.Write("error", "daemon", "settings not taken",
+  const auto reloaded = ParseEntrySettings(text, &problems);
+  if (!reloaded) {
+    log_.Write("error", "daemon",
+               "settings rejected; keeping the previous ones",
                {{"cause", cause}, {"problems", problems.lines()}});
     return;
   }
   const bool changed = text != settings_text_;
   settings_text_ = text;
-  settings_.store = fresh->store;
-  settings_.grace = fresh->grace;
-  settings_.log_level = fresh->log_level;
-  store_.SetAddress(fresh->store);
-  log_.Write("info", "daemon", "settings read again",
+  settings_.store = reloaded->store;
+  settings_.grace = reloaded->grace;
+  settings_.log_level = reloaded->log_level;
+  store_.SetAddress(reloaded->store);
+  log_.Write("info", "daemon", "settings reloaded",
              {{"cause", cause}, {"changed", changed}});
 }
 
-void EntryDaemon::FlushLogs() {
+void EntryDaemon::FlushLogPeriodically() {
   FlushLog();
-  executor_.Schedule(kFlushInterval, [this] { FlushLogs(); });
+  executor_.Schedule(kFlushInterval, [this] { FlushLogPeriodically(); });
 }
 
-// --- A planned stop ---
+// --- Planned shutdown ---
 
-void EntryDaemon::BeginLeaving() {
-  if (leaving_) {
+void EntryDaemon::BeginShutdown() {
+  if (stopping_) {
     return;
   }
-  leaving_ = true;
-  leaving_since_ = executor_.Now();
+  stopping_ = true;
+  stopping_since_ = executor_.Now();
   front_server_.Drain();
   live_.AnnounceLeaving();
-  cell_.Leave([this] { lead_given_up_ = true; });
+  cell_.Leave([this] { lead_released_ = true; });
   FinishWhenIdle();
 }
 
 void EntryDaemon::FinishWhenIdle() {
-  const auto since = executor_.Now() - leaving_since_;
-  const bool idle = lead_given_up_ && front_server_.open_requests() == 0 &&
-                    peer_server_.open_requests() == 0 && since >= kStillTaken;
-  if (!idle && since < settings_.grace - kEndSlack) {
-    executor_.Schedule(kIdleCheck, [this] { FinishWhenIdle(); });
+  const auto since = executor_.Now() - stopping_since_;
+  const bool idle = lead_released_ && front_server_.open_requests() == 0 &&
+                    peer_server_.open_requests() == 0 &&
+                    since >= kBalancerRemovalTime;
+  if (!idle && since < settings_.grace - kExitReserve) {
+    executor_.Schedule(kIdleCheckInterval, [this] { FinishWhenIdle(); });
     return;
   }
   log_.Write("info", "daemon", "stopped",
              {{"open_requests", front_server_.open_requests()},
-              {"lead_given_up", lead_given_up_}});
+              {"lead_given_up", lead_released_}});
   config_.Stop();
   live_.Stop();
-  // Time for the last answers and for giving up the lease.
-  executor_.Schedule(kIdleCheck, [this] { context_.stop(); });
+  // Leaves time to send the last answers and to release the lease.
+  executor_.Schedule(kIdleCheckInterval, [this] { context_.stop(); });
 }
 
-// --- Figures ---
+// --- Metrics ---
 
-uint64_t EntryDaemon::LeadSeenAgo() const {
+uint64_t EntryDaemon::LeaderKeyAge() const {
   if (!cell_.leading()) {
     return 0;
   }
@@ -272,7 +280,7 @@
       {"doorwood_entries_refused", directory_.refused().kept()},
       {"doorwood_entries_refused_total", directory_.refused().total()},
       {"doorwood_leading", cell_.leading() ? 1U : 0U},
-      {"doorwood_lead_seen_ms_ago", LeadSeenAgo()},
+      {"doorwood_lead_seen_ms_ago", LeaderKeyAge()},
       {"doorwood_front_connections", front_server_.connections()},
       {"doorwood_front_open_requests", front_server_.open_requests()}};
   HttpResponse response;
--- a/src/celld/entry_daemon.h
+++ b/src/celld/entry_daemon.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// One entry instance: builds the parts and joins them; decides nothing.
+/// One entry instance: constructs the components and connects them. Contains no
+/// scheduling logic.
 
 #ifndef DOORWOOD_CELLD_ENTRY_DAEMON_H_
 #define DOORWOOD_CELLD_ENTRY_DAEMON_H_
@@ -31,10 +32,11 @@
 
 class EntryDaemon {
  public:
-  /// `settings_path` is read again on SIGHUP and when the file changes.
+  /// `settings_path` is reloaded on SIGHUP and when the file changes.
   EntryDaemon(EntrySettings settings, std::string settings_path);
 
-  /// Serves until a signal asks to stop and what is open is finished.
+  /// Serves until SIGTERM or SIGINT. Returns after the planned shutdown, when
+  /// open requests are finished or the grace time has elapsed.
   void Run();
 
  private:
@@ -42,13 +44,14 @@
   void WaitForReload();
   void Reload(std::string_view cause);
   void CheckSettingsFile();
-  void FlushLogs();
-  void BeginLeaving();
+  void FlushLogPeriodically();
+  void BeginShutdown();
   void FinishWhenIdle();
   bool IsReady() const;
   HttpResponse Metrics() const;
-  /// When a leader last saw its key, ms ago; 0: it does not lead.
-  uint64_t LeadSeenAgo() const;
+  /// Time since this leader last saw its key in the store, in milliseconds; 0
+  /// if the instance does not lead.
+  uint64_t LeaderKeyAge() const;
   void ApplyTable(const std::shared_ptr<const QueueTable>& table);
 
   EntrySettings settings_;
@@ -77,9 +80,9 @@
   HttpServer ready_server_;
   HttpServer peer_server_;
   HttpServer metrics_server_;
-  bool leaving_ = false;
-  bool lead_given_up_ = false;
-  Instant leaving_since_{};
+  bool stopping_ = false;
+  bool lead_released_ = false;
+  Instant stopping_since_{};
 };
 
 }  // namespace doorwood
--- a/src/celld/main.cpp
+++ b/src/celld/main.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// doorwood-celld: one entry instance on the platform.
+// doorwood-celld: the process of one entry instance on the platform.
 
 #include <CLI/CLI.hpp>
 #include <csignal>
@@ -13,12 +13,12 @@
 
 namespace {
 
-constexpr int kCannotRun = 1;
-constexpr int kBadSettings = 2;
+constexpr int kExitFailure = 1;
+constexpr int kExitBadSettings = 2;
 constexpr char kSettingsVariable[] = "DOORWOOD_SETTINGS";
 
-// Signals that the daemon handles. Before it does, they would end the process
-// with its start half done.
+// Signals that the daemon handles. They are blocked until its handlers are set
+// up; otherwise they would end the process in the middle of its start.
 sigset_t HandledSignals() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -46,7 +46,7 @@
   const auto settings =
       doorwood::LoadSettings(file, doorwood::ParseEntrySettings);
   if (!settings) {
-    return kBadSettings;
+    return kExitBadSettings;
   }
   if (check) {
     std::cout << file << ": good\n";
@@ -57,13 +57,14 @@
     doorwood::EntryDaemon daemon(*settings, file);
     pthread_sigmask(SIG_UNBLOCK, &signals, nullptr);
     daemon.Run();
-    // All is told and given up. What the libraries' static objects do at an
-    // ordinary end (the log's threads are waited for) kept stopped processes
-    // until they were killed at the end of their grace time.
+    // All answers are sent, the lease is released and the log is flushed. A
+    // normal exit runs the destructors of the libraries' static objects, which
+    // wait for the log's threads. Stopped processes then hung until they were
+    // killed at the end of their grace time.
     std::quick_exit(0);
   } catch (const std::exception& e) {
     std::cerr << "doorwood-celld: " << e.what() << "\n";
-    return kCannotRun;
+    return kExitFailure;
   }
   return 0;
 }
