--- a/src/loop.adapter/http_client.cpp
+++ b/src/loop.adapter/http_client.cpp
@@ -18,14 +18,15 @@
 
 namespace {
 
-// Longest wait for a connection; a machine behind a cut says nothing.
-constexpr Millis kConnectPatience{500};
-// Idle connections kept to one address.
-constexpr size_t kIdleKept = 8;
-// Kept connections older than this are not used again: the other side may be
-// about to close them.
+// Bounds the wait for a connection: a machine that a network partition makes
+// unreachable does not refuse the connection, it does not reply at all.
+constexpr Millis kConnectTimeout{500};
+// Maximum number of idle connections in the pool for one address.
+constexpr size_t kMaxIdlePerAddress = 8;
+// Connections that were idle for longer are not reused, because the server may
+// be about to close them.
 constexpr std::chrono::seconds kIdleLifetime{8};
-constexpr uint64_t kLargestAnswer = 64ULL * 1024 * 1024;
+constexpr uint64_t kMaxResponseBytes = 64ULL * 1024 * 1024;
 
 struct Connection {
   explicit Connection(asio::io_context& context) : stream(context) {}
@@ -35,9 +36,9 @@
   Instant idle_since{};
 };
 
-// Nothing came on it since its last answer, not even its end. What did come
-// would be taken for the answer to the next call.
-bool IsQuiet(Connection* connection) {
+// Returns true if neither data nor end of stream has arrived since the last
+// response. Unread data would be taken for the response to the next call.
+bool HasNoUnreadData(Connection* connection) {
   if (connection->buffer.size() > 0) {
     return false;
   }
@@ -77,7 +78,7 @@
       auto connection = std::move(idle.back());
       idle.pop_back();
       if (now - connection->idle_since < kIdleLifetime &&
-          IsQuiet(connection.get())) {
+          HasNoUnreadData(connection.get())) {
         return connection;
       }
     }
@@ -87,7 +88,7 @@
   void Return(const std::string& address,
               std::shared_ptr<Connection> connection) {
     auto& idle = idle_[address];
-    if (idle.size() < kIdleKept) {
+    if (idle.size() < kMaxIdlePerAddress) {
       connection->idle_since = BootClock::now();
       idle.push_back(std::move(connection));
     }
@@ -100,7 +101,7 @@
   std::map<std::string, std::vector<std::shared_ptr<Connection>>> idle_;
 };
 
-// One call, kept alive by its own open operations.
+// One call. Its pending asynchronous operations keep the object alive.
 class HttpClient::Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(std::shared_ptr<Pool> pool, HttpCall call, Callback done)
@@ -131,18 +132,20 @@
     ++pool_->connects;
     connection_ = std::make_shared<Connection>(pool_->context);
     connection_->stream.expires_after(
-        std::min<Instant::duration>(TimeLeft(), kConnectPatience));
+        std::min<Instant::duration>(TimeLeft(), kConnectTimeout));
     connection_->stream.async_connect(*endpoint, [self = shared_from_this()](
                                                      const error_code& error) {
       if (error) {
-        // An earlier try on a kept connection may have arrived.
+        // An earlier attempt on a pooled connection may have reached the
+        // server.
         self->Finish(self->sent_ ? PeerErrc::kNoAnswer : PeerErrc::kNotSent);
         return;
       }
       error_code ignored;
       self->connection_->stream.socket().set_option(
           asio::ip::tcp::no_delay(true), ignored);
-      // For the look at an idle connection, which must not wait.
+      // The check of an idle connection peeks at the socket and must not
+      // block.
       self->connection_->stream.socket().non_blocking(true, ignored);
       self->Write();
     });
@@ -168,7 +171,7 @@
         connection_->stream, request_,
         [self = shared_from_this()](const error_code& error, size_t) {
           if (error) {
-            self->OnBroken();
+            self->OnConnectionError();
             return;
           }
           self->Read();
@@ -177,21 +180,21 @@
 
   void Read() {
     parser_.emplace();
-    parser_->body_limit(kLargestAnswer);
+    parser_->body_limit(kMaxResponseBytes);
     http::async_read(
         connection_->stream, connection_->buffer, *parser_,
         [self = shared_from_this()](const error_code& error, size_t) {
           if (error) {
-            self->OnBroken();
+            self->OnConnectionError();
             return;
           }
           self->OnReply();
         });
   }
 
-  // A kept connection may have been closed by the other side before this call
-  // was sent on it.
-  void OnBroken() {
+  // The server may have closed a pooled connection before this call was sent
+  // on it, so a repeatable call is sent once more on a new connection.
+  void OnConnectionError() {
     const bool in_time = TimeLeft() > Instant::duration::zero();
     if (reused_ && call_.repeatable && in_time) {
       sent_before_ = true;
@@ -213,7 +216,8 @@
     done_({}, std::move(reply));
   }
 
-  // The stream's own timer stands still while the machine is suspended.
+  // Uses the time since boot: the stream's timer does not advance while the
+  // machine is suspended.
   Instant::duration TimeLeft() const { return deadline_ - BootClock::now(); }
 
   void Finish(std::error_code error) { done_(error, {}); }
@@ -224,9 +228,10 @@
   Instant deadline_;
   std::shared_ptr<Connection> connection_;
   bool reused_ = false;
-  /// Some of the request may have left on this or an earlier connection.
+  /// Part of the request may have been sent, on this connection or an earlier
+  /// one.
   bool sent_ = false;
-  /// All of it may have arrived on an earlier connection.
+  /// The whole request may have arrived on an earlier connection.
   bool sent_before_ = false;
   http::request<http::string_body> request_;
   std::optional<http::response_parser<http::string_body>> parser_;
--- a/src/loop.adapter/http_client.h
+++ b/src/loop.adapter/http_client.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// HTTP/1.1 calls on the process's one loop, over kept connections.
+/// HTTP/1.1 client on the event loop of the process, with a pool of persistent
+/// connections.
 
 #ifndef DOORWOOD_LOOP_ADAPTER_HTTP_CLIENT_H_
 #define DOORWOOD_LOOP_ADAPTER_HTTP_CLIENT_H_
@@ -28,22 +29,24 @@
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;
   Millis timeout{1000};
-  /// May be sent again where a kept connection turns out to be closed.
+  /// The call may be sent a second time if a pooled connection fails.
   bool repeatable = true;
 };
 
 struct HttpReply {
   int status = 0;
   std::string body;
-  /// The call was sent once before, on a kept connection that broke. That
-  /// sending may have been carried out, or may be later, so a refusal says
-  /// nothing of it.
+  /// The call was sent once before, on a pooled connection that failed. The
+  /// server may have processed that first request or may still do so, so a
+  /// refusal of the second one tells nothing about the first.
   bool sent_before = false;
 };
 
 class HttpClient {
  public:
-  /// Failure: PeerErrc::kNotSent or kNoAnswer.
+  /// Called exactly once. The error is PeerErrc::kNotSent if no connection
+  /// could be opened and nothing was sent, and PeerErrc::kNoAnswer if the
+  /// request may have arrived but no complete response was received.
   using Callback = std::function<void(std::error_code, HttpReply)>;
 
   explicit HttpClient(boost::asio::io_context& context);
@@ -52,7 +55,7 @@
   HttpClient& operator=(const HttpClient&) = delete;
 
   void Send(HttpCall call, Callback done);
-  /// Connections opened so far.
+  /// Number of attempts to open a connection so far.
   uint64_t connects() const;
 
  private:
--- a/src/loop.adapter/http_client_test.cpp
+++ b/src/loop.adapter/http_client_test.cpp
@@ -17,10 +17,11 @@
 
 using boost::asio::ip::tcp;
 
-// Answers one request, then reads the next, and dies without an answer.
-class DyingServer {
+// Answers the first request, reads the second, and then closes the connection
+// and the acceptor without a response.
+class ClosingServer {
  public:
-  explicit DyingServer(boost::asio::io_context& context)
+  explicit ClosingServer(boost::asio::io_context& context)
       : acceptor_(context,
                   tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0)),
         socket_(context) {
@@ -76,11 +77,13 @@
   return *result;
 }
 
-// kgs scale-2, seed 335002690954: a job that its leader had accepted was
-// refused, since the second try could not connect.
-BOOST_AUTO_TEST_CASE(Send_KeptConnectionDiesAfterTheRequest_IsNotToldUnsent) {
+// Guards against reporting a call as not sent after it was sent once on a
+// pooled connection. The second attempt could not connect, and a job that its
+// leader had accepted was refused (kgs scale-2, seed 335002690954).
+BOOST_AUTO_TEST_CASE(
+    Send_PooledConnectionClosedAfterRequest_IsNotReportedAsUnsent) {
   boost::asio::io_context context;
-  DyingServer server(context);
+  ClosingServer server(context);
   HttpClient client(context);
   HttpCall call;
   call.address = server.address();
@@ -88,12 +91,13 @@
   BOOST_TEST(SendAndRun(context, client, call) ==
              make_error_code(PeerErrc::kNoAnswer));
   BOOST_TEST(server.requests() == 2);
-  // Nothing listens any more: now it is sure.
+  // Nothing listens on the port any more and no pooled connection is left, so
+  // the call is known not to have been sent.
   BOOST_TEST(SendAndRun(context, client, call) ==
              make_error_code(PeerErrc::kNotSent));
 }
 
-BOOST_AUTO_TEST_CASE(Send_ToOurServer_AnswersAndKeepsTheConnection) {
+BOOST_AUTO_TEST_CASE(Send_ToHttpServer_ReusesTheConnection) {
   boost::asio::io_context context;
   HttpServer server(context, [](const HttpRequest& request,
                                 const HttpServer::Respond& respond) {
@@ -148,9 +152,10 @@
   HttpClient client{context};
 };
 
-// The second request arrives, and its connection breaks; whoever gets the
-// answer to its second sending must know that.
-BOOST_AUTO_TEST_CASE(Send_KeptConnectionDiesAfterTheRequest_TellsOfTheFirst) {
+// The second request arrives, but its connection is closed and the request is
+// sent again. The reply must say that it was sent before.
+BOOST_AUTO_TEST_CASE(
+    Send_PooledConnectionClosedAfterRequest_ReportsFirstSending) {
   ScriptFixture fixture([](int number) -> std::optional<std::string> {
     if (number == 2) {
       return std::nullopt;
@@ -166,9 +171,9 @@
   BOOST_TEST(!fixture.Send().reply.sent_before);
 }
 
-// A connection that the other side has closed by then carries no request, so
-// nothing is in doubt.
-BOOST_AUTO_TEST_CASE(Send_KeptConnectionWasClosed_IsSentOnce) {
+// A request is not written to a pooled connection that the server has already
+// closed, so the result is not ambiguous.
+BOOST_AUTO_TEST_CASE(Send_PooledConnectionClosedWhileIdle_IsSentOnce) {
   ScriptFixture fixture(
       [](int) { return ScriptedServer::Answer("200 OK", "{}"); });
   fixture.Send();
@@ -180,19 +185,20 @@
   BOOST_TEST(fixture.client.connects() == 2U);
 }
 
-// What comes on an idle connection answers nothing that is sent later.
-BOOST_AUTO_TEST_CASE(Send_KeptConnectionHasSpoken_ItsWordsAnswerNothing) {
+// Data that arrives on an idle connection must not be taken for the response
+// to a later request.
+BOOST_AUTO_TEST_CASE(Send_PooledConnectionHasUnreadData_DataIsNotTakenAsReply) {
   const std::string stray =
       ScriptedServer::Answer("408 Request Timeout", "stray");
-  ScriptFixture apart(
+  ScriptFixture sent_while_idle(
       [](int) { return ScriptedServer::Answer("200 OK", "{}"); });
-  apart.Send();
-  apart.server.SendUnasked(stray);
-  BOOST_TEST(apart.Send().reply.status == 200);
-  ScriptFixture together(
+  sent_while_idle.Send();
+  sent_while_idle.server.SendUnsolicited(stray);
+  BOOST_TEST(sent_while_idle.Send().reply.status == 200);
+  ScriptFixture sent_with_response(
       [&stray](int) { return ScriptedServer::Answer("200 OK", "{}") + stray; });
-  together.Send();
-  BOOST_TEST(together.Send().reply.status == 200);
+  sent_with_response.Send();
+  BOOST_TEST(sent_with_response.Send().reply.status == 200);
 }
 
 }  // namespace
--- a/src/loop.adapter/http_peers.cpp
+++ b/src/loop.adapter/http_peers.cpp
@@ -13,10 +13,10 @@
 namespace doorwood {
 namespace {
 
-// Recording a job may take a slow store's while; callers wait about 3 s.
-constexpr Millis kSubmitPatience{2400};
-constexpr Millis kStatePatience{800};
-constexpr Millis kSummaryPatience{1000};
+// Recording a job may take long if the store is slow; callers wait about 3 s.
+constexpr Millis kSubmitTimeout{2400};
+constexpr Millis kStateTimeout{800};
+constexpr Millis kSummaryTimeout{1000};
 
 constexpr std::array<std::pair<CoreErrc, int>, 5> kStatusOfError = {
     {{CoreErrc::kNoOwner, 409},
@@ -25,8 +25,8 @@
      {CoreErrc::kNotFound, 404},
      {CoreErrc::kNoRoom, 429}}};
 constexpr int kOk = 200;
-constexpr char kHearingPath[] = "/store-heard";
-constexpr char kAgreePath[] = "/unrecorded-starts";
+constexpr char kStoreContactPath[] = "/store-heard";
+constexpr char kUnrecordedStartsPath[] = "/unrecorded-starts";
 constexpr std::string_view kHandOverPath = "/hand-over/";
 constexpr int kBadRequest = 400;
 
@@ -55,8 +55,9 @@
   return CoreErrc::kInvalid;
 }
 
-// A change whose first sending may have been made, or may be later, is not
-// refused by an answer to the second.
+// Error of a call that changes state. If the call was sent twice, the first
+// request may have been carried out or may still be, so a refusal of the second
+// does not mean that nothing was changed; the result is kNoAnswer.
 std::error_code ErrorOfChange(std::error_code transport,
                               const HttpReply& reply) {
   if (transport) {
@@ -69,7 +70,7 @@
   return error;
 }
 
-// "/cell/CELL", "/cell/CELL/JOB"
+// "/cell/CELL" or "/cell/CELL/JOB".
 std::string Target(const CellLead& lead, std::string_view job) {
   std::string target = "/cell/" + lead.cell;
   if (!job.empty()) {
@@ -127,16 +128,17 @@
   });
 }
 
-// An instance that never heard the store says this.
-constexpr Millis kMostAge{86'400'000};
+// Upper bound of the reported time. An instance that has no cells or has had
+// no contact with the store reports this value.
+constexpr Millis kMaxAge{86'400'000};
 
 std::optional<Millis> DecodeAge(std::string_view text) {
   int64_t age = 0;
   const auto read =
       std::from_chars(text.data(), text.data() + text.size(), age);
-  const bool whole =
+  const bool valid =
       read.ec == std::errc() && read.ptr == text.data() + text.size();
-  return whole && age >= 0 && age <= kMostAge.count()
+  return valid && age >= 0 && age <= kMaxAge.count()
              ? std::optional(Millis(age))
              : std::nullopt;
 }
@@ -146,7 +148,7 @@
 void HttpPeers::Submit(const CellLead& lead,
                        const JobPlan& plan,
                        SubmitCallback done) {
-  HttpCall call = Call(lead, "POST", plan.id, kSubmitPatience);
+  HttpCall call = Call(lead, "POST", plan.id, kSubmitTimeout);
   call.body = Json(plan).dump();
   client_.Send(
       std::move(call),
@@ -161,7 +163,7 @@
                        const std::string& job,
                        CancelCallback done) {
   client_.Send(
-      Call(lead, "DELETE", job, kSubmitPatience),
+      Call(lead, "DELETE", job, kSubmitTimeout),
       [done = std::move(done)](std::error_code error, const HttpReply& reply) {
         done(ErrorOfChange(error, reply));
       });
@@ -171,7 +173,7 @@
                       const std::string& job,
                       StateCallback done) {
   client_.Send(
-      Call(lead, "GET", job, kStatePatience),
+      Call(lead, "GET", job, kStateTimeout),
       [done = std::move(done)](std::error_code error, const HttpReply& reply) {
         if (error || reply.status != kOk) {
           done(error ? error : ErrorOf(reply.status), {});
@@ -189,7 +191,7 @@
 
 void HttpPeers::Summary(const CellLead& lead, SummaryCallback done) {
   client_.Send(
-      Call(lead, "GET", "", kSummaryPatience),
+      Call(lead, "GET", "", kSummaryTimeout),
       [done = std::move(done)](std::error_code error, const HttpReply& reply) {
         const auto summary = DecodeSummary(reply.body);
         if (!error && (reply.status != kOk || !summary)) {
@@ -203,8 +205,8 @@
 void HttpPeers::Ask(const LiveInstance& instance, Callback done) {
   HttpCall call;
   call.address = instance.address;
-  call.target = kHearingPath;
-  call.timeout = kSummaryPatience;
+  call.target = kStoreContactPath;
+  call.timeout = kSummaryTimeout;
   client_.Send(
       std::move(call),
       [done = std::move(done)](std::error_code error, const HttpReply& reply) {
@@ -221,8 +223,8 @@
   HttpCall call;
   call.address = instance.address;
   call.method = "POST";
-  call.target = kAgreePath;
-  call.timeout = kSummaryPatience;
+  call.target = kUnrecordedStartsPath;
+  call.timeout = kSummaryTimeout;
   client_.Send(
       std::move(call),
       [done = std::move(done)](std::error_code error, const HttpReply& reply) {
@@ -237,11 +239,11 @@
   call.address = instance.address;
   call.method = "POST";
   call.target = std::string(kHandOverPath) + cell + "/" + std::to_string(epoch);
-  call.timeout = kSummaryPatience;
+  call.timeout = kSummaryTimeout;
   client_.Send(std::move(call), [](std::error_code, const HttpReply&) {});
 }
 
-bool PeerService::HandOver(std::string_view rest) {
+bool PeerService::HandleHandOver(std::string_view rest) {
   const size_t slash = rest.find('/');
   if (slash == std::string_view::npos) {
     return false;
@@ -261,16 +263,17 @@
   return true;
 }
 
-std::optional<Millis> PeerService::StoreHeardAgo() const {
-  std::optional<Millis> age = kMostAge;
+std::optional<Millis> PeerService::TimeSinceStoreContact() const {
+  std::optional<Millis> age = kMaxAge;
   for (const CellLeader* leader : cells_) {
-    const auto told = leader->StoreHeardAgo(executor_.Now());
-    age = told && age ? std::optional(std::min(*told, *age)) : std::nullopt;
+    const auto leader_age = leader->StoreHeardAgo(executor_.Now());
+    age = leader_age && age ? std::optional(std::min(*leader_age, *age))
+                            : std::nullopt;
   }
   return age;
 }
 
-bool PeerService::Agree() {
+bool PeerService::AgreeToUnrecordedStarts() {
   return std::all_of(cells_.begin(), cells_.end(), [](CellLeader* leader) {
     return leader->AgreeToUnrecordedStarts();
   });
@@ -295,20 +298,21 @@
     response.body = std::move(body);
     respond(std::move(response));
   };
-  if (request.path == kHearingPath) {
-    const auto age = StoreHeardAgo();
+  if (request.path == kStoreContactPath) {
+    const auto age = TimeSinceStoreContact();
     answer(age ? std::error_code() : make_error_code(CoreErrc::kNoOwner),
            age ? std::to_string(age->count()) : "");
     return;
   }
-  if (request.path == kAgreePath) {
-    answer(Agree() ? std::error_code() : CoreErrc::kNoOwner, "");
+  if (request.path == kUnrecordedStartsPath) {
+    answer(AgreeToUnrecordedStarts() ? std::error_code() : CoreErrc::kNoOwner,
+           "");
     return;
   }
   if (request.path.starts_with(kHandOverPath)) {
-    const bool read =
-        HandOver(std::string_view(request.path).substr(kHandOverPath.size()));
-    answer(read ? std::error_code() : CoreErrc::kInvalid, "");
+    const bool parsed = HandleHandOver(
+        std::string_view(request.path).substr(kHandOverPath.size()));
+    answer(parsed ? std::error_code() : CoreErrc::kInvalid, "");
     return;
   }
   if (!request.path.starts_with(kPrefix)) {
--- a/src/loop.adapter/http_peers.h
+++ b/src/loop.adapter/http_peers.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Calls between entry instances about cells, as HTTP with JSON bodies on the
-/// process's one loop: the client side and the side that answers.
+/// Client and server side of the calls between entry instances about cells.
+/// They use HTTP with JSON bodies on the event loop of the process.
 
 #ifndef DOORWOOD_LOOP_ADAPTER_HTTP_PEERS_H_
 #define DOORWOOD_LOOP_ADAPTER_HTTP_PEERS_H_
@@ -41,7 +41,8 @@
   HttpClient& client_;
 };
 
-/// Answers peers' calls from the cells that this process leads.
+/// Serves the calls of other instances. Calls about a job or a cell's summary
+/// are answered by the leader of that cell if this process leads it.
 class PeerService {
  public:
   PeerService(Executor& executor, std::vector<CellLeader*> cells)
@@ -51,10 +52,10 @@
 
  private:
   CellLeader* Find(const std::string& cell) const;
-  std::optional<Millis> StoreHeardAgo() const;
-  bool Agree();
-  /// `rest` is "CELL/EPOCH"; false if it is not.
-  bool HandOver(std::string_view rest);
+  std::optional<Millis> TimeSinceStoreContact() const;
+  bool AgreeToUnrecordedStarts();
+  /// `rest` has the form "CELL/EPOCH"; returns false if it cannot be parsed.
+  bool HandleHandOver(std::string_view rest);
 
   Executor& executor_;
   std::vector<CellLeader*> cells_;
--- a/src/loop.adapter/http_peers_test.cpp
+++ b/src/loop.adapter/http_peers_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// What a leader's answer means to the instance that passed a call on, where
-// the call was sent twice.
+// How an instance that forwards a call to a leader interprets the leader's
+// response if the call was sent once, and if it was sent twice.
 
 #include "loop.adapter/http_peers.h"
 
@@ -42,13 +42,13 @@
   CellLead lead;
 };
 
-struct AnswerRow {
+struct ResponseCase {
   const char* status;
-  std::error_code alone;
-  std::error_code after_another;
+  std::error_code sent_once;
+  std::error_code sent_twice;
 };
 
-const AnswerRow answers[] = {
+const ResponseCase response_cases[] = {
     {"200 OK", {}, {}},
     {"400 B", CoreErrc::kInvalid, PeerErrc::kNoAnswer},
     {"404 N", CoreErrc::kNotFound, PeerErrc::kNoAnswer},
@@ -58,39 +58,42 @@
     {"504 G", CoreErrc::kOutcomeUnknown, PeerErrc::kNoAnswer},
 };
 
-BOOST_AUTO_TEST_CASE(Call_SentOnce_IsToldAsAnswered) {
-  for (const AnswerRow& row : answers) {
-    PeersFixture fixture(
-        [&row](int) { return ScriptedServer::Answer(row.status, ""); });
-    BOOST_TEST_CONTEXT(row.status) {
-      BOOST_TEST(fixture.Submit() == row.alone);
-      BOOST_TEST(fixture.Cancel() == row.alone);
+BOOST_AUTO_TEST_CASE(Call_SentOnce_ReportsTheResponse) {
+  for (const ResponseCase& response_case : response_cases) {
+    PeersFixture fixture([&response_case](int) {
+      return ScriptedServer::Answer(response_case.status, "");
+    });
+    BOOST_TEST_CONTEXT(response_case.status) {
+      BOOST_TEST(fixture.Submit() == response_case.sent_once);
+      BOOST_TEST(fixture.Cancel() == response_case.sent_once);
     }
   }
 }
 
-// The leader took the first sending, and its connection broke: the job may be
-// accepted there, or be cancelled, so "not taken" would be untrue.
-BOOST_AUTO_TEST_CASE(Call_SentTwice_RefusalIsToldAsUnknown) {
-  for (const AnswerRow& row : answers) {
-    const auto script = [&row](int number) -> std::optional<std::string> {
+// The leader received the first request before the connection was closed, so it
+// may have accepted or cancelled the job. Reporting the refusal of the second
+// request as the outcome would be wrong.
+BOOST_AUTO_TEST_CASE(Call_SentTwice_RefusalIsReportedAsNoAnswer) {
+  for (const ResponseCase& response_case : response_cases) {
+    const auto script =
+        [&response_case](int number) -> std::optional<std::string> {
       switch (number) {
         case 1:
           return ScriptedServer::Answer("200 OK", "");
         case 2:
           return std::nullopt;
         default:
-          return ScriptedServer::Answer(row.status, "");
+          return ScriptedServer::Answer(response_case.status, "");
       }
     };
-    BOOST_TEST_CONTEXT(row.status) {
-      PeersFixture submits(script);
-      BOOST_TEST(submits.Submit() == std::error_code());
-      BOOST_TEST(submits.Submit() == row.after_another);
-      BOOST_TEST(submits.server.requests().size() == 3U);
-      PeersFixture cancels(script);
-      BOOST_TEST(cancels.Cancel() == std::error_code());
-      BOOST_TEST(cancels.Cancel() == row.after_another);
+    BOOST_TEST_CONTEXT(response_case.status) {
+      PeersFixture submit_fixture(script);
+      BOOST_TEST(submit_fixture.Submit() == std::error_code());
+      BOOST_TEST(submit_fixture.Submit() == response_case.sent_twice);
+      BOOST_TEST(submit_fixture.server.requests().size() == 3U);
+      PeersFixture cancel_fixture(script);
+      BOOST_TEST(cancel_fixture.Cancel() == std::error_code());
+      BOOST_TEST(cancel_fixture.Cancel() == response_case.sent_twice);
     }
   }
 }
--- a/src/loop.adapter/http_server.cpp
+++ b/src/loop.adapter/http_server.cpp
@@ -22,7 +22,7 @@
 
 constexpr int kBacklog = 512;
 constexpr int kBadRequest = 400;
-constexpr Millis kAcceptPause{100};
+constexpr Millis kAcceptRetryDelay{100};
 
 std::string_view ToView(beast::string_view text) {
   return {text.data(), text.size()};
@@ -32,10 +32,12 @@
 
 struct HttpServer::Shared {
   Shared(asio::io_context& io, Handler request_handler)
-      : acceptor(io), pause(io), handler(std::move(request_handler)) {}
+      : acceptor(io),
+        accept_retry_timer(io),
+        handler(std::move(request_handler)) {}
 
   asio::ip::tcp::acceptor acceptor;
-  asio::steady_timer pause;
+  asio::steady_timer accept_retry_timer;
   Handler handler;
   HttpServerLimits limits;
   bool draining = false;
@@ -43,8 +45,8 @@
   size_t connections = 0;
 };
 
-// One connection, kept alive by its own open operations and by the answers
-// that are still due.
+// One connection. Its pending asynchronous operations and the responses that
+// are still outstanding keep the object alive.
 class HttpServer::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(std::shared_ptr<Shared> shared, asio::ip::tcp::socket socket)
@@ -59,8 +61,8 @@
     parser_.emplace();
     parser_->header_limit(static_cast<uint32_t>(shared_->limits.header_bytes));
     parser_->body_limit(shared_->limits.body_bytes);
-    stream_.expires_after(first_ ? shared_->limits.header_timeout
-                                 : shared_->limits.idle_timeout);
+    stream_.expires_after(first_request_ ? shared_->limits.header_timeout
+                                         : shared_->limits.idle_timeout);
     http::async_read_header(
         stream_, buffer_, *parser_,
         [self = shared_from_this()](const error_code& error, size_t) {
@@ -74,7 +76,7 @@
       OnReadError(error);
       return;
     }
-    first_ = false;
+    first_request_ = false;
     stream_.expires_after(shared_->limits.header_timeout);
     http::async_read(
         stream_, buffer_, *parser_,
@@ -88,12 +90,12 @@
   }
 
   void OnReadError(const error_code& error) {
-    const bool quiet = error == http::error::end_of_stream ||
-                       error == beast::error::timeout ||
-                       error.category() == asio::error::get_system_category() ||
-                       error == asio::error::eof;
-    if (quiet) {
-      return;  // the other side left, or was too slow
+    const bool disconnected =
+        error == http::error::end_of_stream || error == beast::error::timeout ||
+        error.category() == asio::error::get_system_category() ||
+        error == asio::error::eof;
+    if (disconnected) {
+      return;  // The client disconnected or was too slow.
     }
     close_after_ = true;
     HttpResponse response;
@@ -108,10 +110,10 @@
     HttpRequest request;
     request.method = std::string(ToView(message.method_string()));
     const std::string_view target = ToView(message.target());
-    const size_t mark = target.find('?');
-    request.path = std::string(target.substr(0, mark));
-    if (mark != std::string_view::npos) {
-      request.query = std::string(target.substr(mark + 1));
+    const size_t query_mark = target.find('?');
+    request.path = std::string(target.substr(0, query_mark));
+    if (query_mark != std::string_view::npos) {
+      request.query = std::string(target.substr(query_mark + 1));
     }
     const std::string_view host = ToView(message[http::field::host]);
     request.host = std::string(host.substr(0, host.find(':')));
@@ -168,7 +170,7 @@
   beast::flat_buffer buffer_;
   std::optional<http::request_parser<http::string_body>> parser_;
   http::response<http::string_body> response_;
-  bool first_ = true;
+  bool first_request_ = true;
   bool close_after_ = false;
 };
 
@@ -207,13 +209,15 @@
           Accept();
           return;
         }
-        // Out of descriptors, most likely: not to be asked again at once.
-        shared->pause.expires_after(kAcceptPause);
-        shared->pause.async_wait([this, shared](const error_code& cancelled) {
-          if (!cancelled && shared->acceptor.is_open()) {
-            Accept();
-          }
-        });
+        // Most likely the process is out of file descriptors, so the next
+        // attempt waits.
+        shared->accept_retry_timer.expires_after(kAcceptRetryDelay);
+        shared->accept_retry_timer.async_wait(
+            [this, shared](const error_code& cancelled) {
+              if (!cancelled && shared->acceptor.is_open()) {
+                Accept();
+              }
+            });
       });
 }
 
--- a/src/loop.adapter/http_server.h
+++ b/src/loop.adapter/http_server.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// HTTP/1.1 server on the process's one loop.
+/// HTTP/1.1 server on the event loop of the process.
 
 #ifndef DOORWOOD_LOOP_ADAPTER_HTTP_SERVER_H_
 #define DOORWOOD_LOOP_ADAPTER_HTTP_SERVER_H_
@@ -21,7 +21,7 @@
   /// Path without query.
   std::string path;
   std::string query;
-  /// Value of the Host header, without port.
+  /// Value of the Host header without the port.
   std::string host;
   std::string body;
 };
@@ -30,11 +30,12 @@
   int status = 200;
   std::string body;
   std::string content_type = "application/json";
-  /// When the caller may come back; zero: not told.
+  /// Value of the Retry-After header, rounded up to seconds; zero omits it.
   Millis retry_after{0};
 };
 
-/// Bounds on connections; slow or large senders are cut off.
+/// Limits on connections and requests. Connections of clients that are too
+/// slow are closed; requests that are too large are answered with status 400.
 struct HttpServerLimits {
   size_t header_bytes = 16 * 1024;
   size_t body_bytes = 1024 * 1024;
@@ -53,10 +54,11 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// `address`: IP number and port. Throws boost::system::system_error.
+  /// Listens on `address`, an IP address and port. Throws
+  /// boost::system::system_error if the address cannot be used.
   void Listen(const std::string& address);
   void SetLimits(const HttpServerLimits& limits);
-  /// Answers close their connections from now on.
+  /// From now on, closes each connection after its next response.
   void Drain();
   void Close();
 
--- a/src/loop.adapter/loop_executor.h
+++ b/src/loop.adapter/loop_executor.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Executor on one Boost.Asio thread, which also does all input and output of
-/// the process.
+/// Executor on a single Boost.Asio thread, which also performs all input and
+/// output of the process.
 
 #ifndef DOORWOOD_LOOP_ADAPTER_LOOP_EXECUTOR_H_
 #define DOORWOOD_LOOP_ADAPTER_LOOP_EXECUTOR_H_
--- a/src/loop.adapter/scripted_server.h
+++ b/src/loop.adapter/scripted_server.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// For tests: a server on a loopback socket that answers as told, or takes a
-/// request in and closes the connection without an answer.
+/// Test server on a loopback socket. For each request it either sends a
+/// scripted response or closes the connection without one.
 
 #ifndef DOORWOOD_LOOP_ADAPTER_SCRIPTED_SERVER_H_
 #define DOORWOOD_LOOP_ADAPTER_SCRIPTED_SERVER_H_
@@ -27,8 +27,8 @@
 
 class ScriptedServer {
  public:
-  /// The bytes to send for the request with this number, counted from 1;
-  /// nothing: the connection is closed without an answer.
+  /// Returns the bytes to send for the request with this number, counted from
+  /// 1, or nothing to close the connection without a response.
   using Script = std::function<std::optional<std::string>(int number)>;
 
   ScriptedServer(boost::asio::io_context& context, Script script)
@@ -47,9 +47,9 @@
     return "127.0.0.1:" +
            std::to_string(shared_->acceptor.local_endpoint().port());
   }
-  /// First lines of the requests that arrived.
+  /// Request lines of the requests received so far.
   const std::vector<std::string>& requests() const { return shared_->requests; }
-  /// Closes what is open; new connections are still taken.
+  /// Closes the open connections; new ones are still accepted.
   void CloseConnections() {
     for (const auto& open : shared_->sockets) {
       boost::system::error_code ignored;
@@ -57,8 +57,8 @@
     }
     shared_->sockets.clear();
   }
-  /// Sends bytes that nobody asked for on all open connections.
-  void SendUnasked(const std::string& bytes) {
+  /// Sends bytes that answer no request on all open connections.
+  void SendUnsolicited(const std::string& bytes) {
     for (const auto& open : shared_->sockets) {
       boost::system::error_code ignored;
       boost::asio::write(*open, boost::asio::buffer(bytes), ignored);
@@ -69,10 +69,10 @@
   using Socket = boost::asio::ip::tcp::socket;
 
   struct Shared {
-    Shared(boost::asio::io_context& context, Script told)
+    Shared(boost::asio::io_context& context, Script response_script)
         : acceptor(context,
                    {boost::asio::ip::address_v4::loopback(), /*port=*/0}),
-          script(std::move(told)) {}
+          script(std::move(response_script)) {}
 
     boost::asio::ip::tcp::acceptor acceptor;
     Script script;
@@ -105,19 +105,20 @@
           const std::string head(begin, begin + static_cast<ptrdiff_t>(size));
           buffer->consume(size);
           const size_t missing =
-              BodyOf(head) - std::min(BodyOf(head), buffer->size());
+              ContentLengthOf(head) -
+              std::min(ContentLengthOf(head), buffer->size());
           boost::asio::async_read(
               *socket, *buffer, boost::asio::transfer_exactly(missing),
               [shared, socket, buffer, head](const auto& failed, size_t) {
                 if (!failed) {
-                  buffer->consume(BodyOf(head));
+                  buffer->consume(ContentLengthOf(head));
                   Respond(shared, socket, buffer, head);
                 }
               });
         });
   }
 
-  static size_t BodyOf(const std::string& head) {
+  static size_t ContentLengthOf(const std::string& head) {
     constexpr std::string_view kLength = "Content-Length: ";
     const size_t at = head.find(kLength);
     return at == std::string::npos
@@ -150,7 +151,7 @@
   std::shared_ptr<Shared> shared_;
 };
 
-/// Plays the context until a call's outcome is there.
+/// Runs the context until the result of a call is available.
 inline std::error_code WaitFor(boost::asio::io_context& context,
                                const std::optional<std::error_code>& result) {
   while (!result) {
--- a/src/loop.adapter/suspended_machine_test.cpp
+++ b/src/loop.adapter/suspended_machine_test.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A machine that was suspended: the steady clock and the timers stood still
-// meanwhile, and whatever bounds a promise goes by the time since boot.
+// Behavior after the machine was suspended. The steady clock and the timers do
+// not advance during a suspension, so leases and deadlines are measured with
+// the time since boot.
 
 #include <boost/asio/io_context.hpp>
 #include <boost/test/unit_test.hpp>
@@ -14,19 +15,19 @@
 
 namespace {
 
-// For how long the machine has been suspended.
+// Simulated length of the suspension, added to CLOCK_BOOTTIME.
 time_t suspended_seconds = 0;
 
 }  // namespace
 
-// The linker puts the second in place of clock_gettime, and clock_gettime in
-// place of the first; see src/CMakeLists.txt.
+// The linker's --wrap option resolves calls of clock_gettime to TestClock and
+// calls of RealClock to the original function; see src/CMakeLists.txt.
 extern "C" int RealClock(clockid_t clock,
                          timespec* time) __asm__("__real_clock_gettime");
-extern "C" int ClockOfTest(clockid_t clock,
-                           timespec* time) __asm__("__wrap_clock_gettime");
+extern "C" int TestClock(clockid_t clock,
+                         timespec* time) __asm__("__wrap_clock_gettime");
 
-extern "C" int ClockOfTest(clockid_t clock, timespec* time) {
+extern "C" int TestClock(clockid_t clock, timespec* time) {
   const int result = RealClock(clock, time);
   if (clock == CLOCK_BOOTTIME) {
     time->tv_sec += suspended_seconds;
@@ -37,7 +38,7 @@
 namespace doorwood {
 namespace {
 
-constexpr int kSuspended = 30;
+constexpr int kSuspendedSeconds = 30;
 
 struct SuspendedFixture {
   SuspendedFixture() { suspended_seconds = 0; }
@@ -45,23 +46,24 @@
   SuspendedFixture(const SuspendedFixture&) = delete;
   SuspendedFixture& operator=(const SuspendedFixture&) = delete;
 
-  void Suspend() { suspended_seconds += kSuspended; }
+  void Suspend() { suspended_seconds += kSuspendedSeconds; }
 
   boost::asio::io_context context;
 };
 
-// Guards against a leader that wakes and takes its lead for fresh.
-BOOST_FIXTURE_TEST_CASE(Executor_MachineWasSuspended_NowCountsIt,
+// Guards against a leader that resumes after a suspension and takes its expired
+// lease for valid.
+BOOST_FIXTURE_TEST_CASE(Executor_MachineWasSuspended_NowIncludesSuspension,
                         SuspendedFixture) {
   const LoopExecutor executor(context);
   const Instant before = executor.Now();
   Suspend();
-  const auto passed = executor.Now() - before;
-  BOOST_TEST((passed >= std::chrono::seconds(kSuspended)));
-  BOOST_TEST((passed < std::chrono::seconds(kSuspended + 5)));
+  const auto elapsed = executor.Now() - before;
+  BOOST_TEST((elapsed >= std::chrono::seconds(kSuspendedSeconds)));
+  BOOST_TEST((elapsed < std::chrono::seconds(kSuspendedSeconds + 5)));
 }
 
-// Guards against timers that a suspension ends early or never.
+// Guards against timers that fire early or never after a suspension.
 BOOST_FIXTURE_TEST_CASE(Timer_MachineWasSuspended_FiresOnce, SuspendedFixture) {
   LoopExecutor executor(context);
   int fired = 0;
@@ -71,17 +73,17 @@
   BOOST_TEST(fired == 1);
 }
 
-// Guards against the use of a kept connection that the other side has closed.
-BOOST_FIXTURE_TEST_CASE(Client_MachineWasSuspended_ConnectsAnew,
+// Guards against the reuse of a pooled connection that the server has closed.
+BOOST_FIXTURE_TEST_CASE(Client_MachineWasSuspended_OpensNewConnection,
                         SuspendedFixture) {
   const ScriptedServer server(
       context, [](int) { return ScriptedServer::Answer("200 OK", "{}"); });
   HttpClient client(context);
   const auto call = [&] {
-    HttpCall ask;
-    ask.address = server.address();
+    HttpCall request;
+    request.address = server.address();
     std::optional<int> status;
-    client.Send(ask, [&](std::error_code error, const HttpReply& reply) {
+    client.Send(request, [&](std::error_code error, const HttpReply& reply) {
       status = error ? 0 : reply.status;
     });
     while (!status) {
