--- a/src/directory.adapter/http_directory.cpp
+++ b/src/directory.adapter/http_directory.cpp
@@ -28,17 +28,17 @@
         {{"data_centre", data_centre_}, {"unless_version", version_}});
     std::error_code error = std::make_error_code(std::errc::host_unreachable);
     try {
-      const bool good =
-          answer.fate == CallFate::kAnswered && answer.status == kOk;
-      if (good && !answer.body.value("unchanged", false)) {
+      const bool succeeded =
+          answer.outcome == CallOutcome::kAnswered && answer.status == kOk;
+      if (succeeded && !answer.body.value("unchanged", false)) {
         list_ = answer.body.at("instances").get<std::vector<InstanceInfo>>();
         version_ = answer.body.at("version").get<int64_t>();
       }
-      if (good) {
+      if (succeeded) {
         error.clear();
       }
     } catch (const Json::exception&) {
-      // Not a list; the one that is known stays.
+      // The response is not a valid list, so the previous one is kept.
       version_ = -1;
     }
     executor_.Post([done, error, list = list_]() { done(error, list); });
--- a/src/directory.adapter/http_directory.h
+++ b/src/directory.adapter/http_directory.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The platform's list of instances over HTTP and JSON.
+/// Client of the platform's list of instances over HTTP and JSON.
 
 #ifndef DOORWOOD_DIRECTORY_ADAPTER_HTTP_DIRECTORY_H_
 #define DOORWOOD_DIRECTORY_ADAPTER_HTTP_DIRECTORY_H_
@@ -31,8 +31,8 @@
   std::string address_;
   std::string data_centre_;
   Executor& executor_;
-  // Used on the pool's one thread only: the newest list and its version, so
-  // that an unchanged list does not travel again.
+  // The latest list and its version, so that an unchanged list is not
+  // transferred again. Used only on the single thread of the pool.
   int64_t version_ = -1;
   std::vector<InstanceInfo> list_;
   HttpCaller caller_;
--- a/src/http.adapter/bounded_queue.cpp
+++ b/src/http.adapter/bounded_queue.cpp
@@ -10,11 +10,12 @@
 }  // namespace
 
 BoundedQueue::BoundedQueue(size_t threads)
-    : most_threads_(threads), refuser_([this]() { Refuse(); }) {}
+    : max_threads_(threads),
+      refusal_thread_([this]() { RunRefusalThread(); }) {}
 
 void BoundedQueue::enqueue(std::function<void()> fn) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (busy_ + queue_.size() >= most_threads_) {
+  if (busy_ + queue_.size() >= max_threads_) {
     refused_.push_back(std::move(fn));
     refusals_.notify_one();
     return;
@@ -22,7 +23,7 @@
   queue_.push_back(std::move(fn));
   const bool idle_thread = threads_.size() >= busy_ + queue_.size();
   if (!idle_thread) {
-    threads_.emplace_back([this]() { Serve(); });
+    threads_.emplace_back([this]() { RunServingThread(); });
   }
   work_.notify_one();
 }
@@ -37,14 +38,14 @@
   for (std::thread& thread : threads_) {
     thread.join();
   }
-  refuser_.join();
+  refusal_thread_.join();
 }
 
 bool BoundedQueue::IsOverloadThread() {
   return overload_thread;
 }
 
-void BoundedQueue::Serve() {
+void BoundedQueue::RunServingThread() {
   std::unique_lock<std::mutex> lock(mutex_);
   while (true) {
     work_.wait(lock, [this]() { return stopping_ || !queue_.empty(); });
@@ -61,7 +62,7 @@
   }
 }
 
-void BoundedQueue::Refuse() {
+void BoundedQueue::RunRefusalThread() {
   overload_thread = true;
   std::unique_lock<std::mutex> lock(mutex_);
   while (true) {
--- a/src/http.adapter/bounded_queue.h
+++ b/src/http.adapter/bounded_queue.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Thread pool for the HTTP server that bounds the connections served.
+/// Thread pool of the HTTP server that limits the number of connections served
+/// at a time.
 
 #ifndef DOORWOOD_HTTP_ADAPTER_BOUNDED_QUEUE_H_
 #define DOORWOOD_HTTP_ADAPTER_BOUNDED_QUEUE_H_
@@ -17,9 +18,10 @@
 
 namespace doorwood {
 
-/// Serves up to `threads` connections at a time, each on a thread of its own,
-/// started when first needed. Connections past that are answered by one more
-/// thread, on which `IsOverloadThread` is true: the server refuses there.
+/// Serves up to `threads` connections at a time, each on its own thread;
+/// threads are started when first needed. Further connections are handled by
+/// one extra thread, on which `IsOverloadThread` returns true and the server
+/// refuses every request.
 class BoundedQueue : public httplib::TaskQueue {
  public:
   explicit BoundedQueue(size_t threads);
@@ -28,20 +30,21 @@
   void enqueue(std::function<void()> fn) override;
   void shutdown() override;
 
+  /// Returns true on the thread that refuses connections above the limit.
   static bool IsOverloadThread();
 
  private:
-  void Serve();
-  void Refuse();
+  void RunServingThread();
+  void RunRefusalThread();
 
-  size_t most_threads_;
+  size_t max_threads_;
   std::mutex mutex_;
   std::condition_variable work_;
   std::condition_variable refusals_;
   std::deque<std::function<void()>> queue_;
   std::deque<std::function<void()>> refused_;
   std::vector<std::thread> threads_;
-  std::thread refuser_;
+  std::thread refusal_thread_;
   size_t busy_ = 0;
   bool stopping_ = false;
 };
--- a/src/http.adapter/front.cpp
+++ b/src/http.adapter/front.cpp
@@ -19,44 +19,44 @@
 constexpr int kUnauthorized = 401;
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
-constexpr time_t kIdleSeconds = 5;
-constexpr time_t kReadSeconds = 10;
+constexpr time_t kKeepAliveSeconds = 5;
+constexpr time_t kReadWriteTimeoutSeconds = 10;
 constexpr const char* kJsonType = "application/json";
 
 int64_t ParseNumber(const std::string& text, int64_t fallback) {
   int64_t value = 0;
   const char* end = text.data() + text.size();
   const auto result = std::from_chars(text.data(), end, value);
-  const bool whole = result.ec == std::errc() && result.ptr == end;
-  return whole ? value : fallback;
+  const bool valid = result.ec == std::errc() && result.ptr == end;
+  return valid ? value : fallback;
 }
 
-// Headers that are not handed to backend servers.
-bool IsPrivateHeader(const std::string& name) {
-  constexpr const char* kPrivate[] = {"host",
-                                      "connection",
-                                      "keep-alive",
-                                      "content-length",
-                                      "content-type",
-                                      "transfer-encoding",
-                                      "authorization",
-                                      "remote_addr",
-                                      "remote_port",
-                                      "local_addr",
-                                      "local_port",
-                                      "accept-encoding",
-                                      "x-request-id",
-                                      "x-doorwood-passed-on",
-                                      "user-agent",
-                                      "expect",
-                                      "x-doorwood-deadline-ms",
-                                      "x-doorwood-member",
-                                      "x-doorwood-repeatable",
-                                      "idempotency-key"};
+// Returns true for headers that are not forwarded to backend servers.
+bool IsNotForwarded(const std::string& name) {
+  constexpr const char* kNotForwarded[] = {"host",
+                                           "connection",
+                                           "keep-alive",
+                                           "content-length",
+                                           "content-type",
+                                           "transfer-encoding",
+                                           "authorization",
+                                           "remote_addr",
+                                           "remote_port",
+                                           "local_addr",
+                                           "local_port",
+                                           "accept-encoding",
+                                           "x-request-id",
+                                           "x-doorwood-passed-on",
+                                           "user-agent",
+                                           "expect",
+                                           "x-doorwood-deadline-ms",
+                                           "x-doorwood-member",
+                                           "x-doorwood-repeatable",
+                                           "idempotency-key"};
   std::string lower = name;
   std::transform(lower.begin(), lower.end(), lower.begin(),
                  [](unsigned char c) { return std::tolower(c); });
-  return std::any_of(std::begin(kPrivate), std::end(kPrivate),
+  return std::any_of(std::begin(kNotForwarded), std::end(kNotForwarded),
                      [&](const char* known) { return lower == known; });
 }
 
@@ -77,10 +77,10 @@
   };
   server_.set_tcp_nodelay(true);
   server_.set_payload_max_length(options_.largest_body);
-  server_.set_keep_alive_timeout(kIdleSeconds);
+  server_.set_keep_alive_timeout(kKeepAliveSeconds);
   server_.set_keep_alive_max_count(1'000'000);
-  server_.set_read_timeout(kReadSeconds);
-  server_.set_write_timeout(kReadSeconds);
+  server_.set_read_timeout(kReadWriteTimeoutSeconds);
+  server_.set_write_timeout(kReadWriteTimeoutSeconds);
   AddRoutes();
   AddOperatorRoutes();
   const size_t colon = options_.listen.rfind(':');
@@ -152,7 +152,7 @@
 }
 
 void Front::AddOperatorRoutes() {
-  // A POST body is passed on as it is; its members are checked by the core.
+  // The body of a POST is forwarded unchanged; the core validates its fields.
   const auto post = [this](const char* path, const std::string& method) {
     server_.Post(path, [this, method](const httplib::Request& request,
                                       httplib::Response& response) {
@@ -199,7 +199,7 @@
                        const httplib::Request& request,
                        httplib::Response& response) {
   if (!IsOperator(request)) {
-    log_.Write("warn", "front", "operator call refused",
+    log_.Write("warn", "front", "operator call without a valid token rejected",
                {{"method", method}, {"from", request.remote_addr}});
     response.status = kUnauthorized;
     response.set_header("WWW-Authenticate", "Bearer");
@@ -251,15 +251,15 @@
   const std::string repeatable = request.get_header_value(kRepeatableHeader);
   const bool safe = request.method == "GET" || request.method == "HEAD";
   caller.repeatable = repeatable.empty() ? safe : repeatable == "yes";
-  caller.passed_on = SameSecret(request.get_header_value(kPassedOnHeader),
+  caller.passed_on = SameSecret(request.get_header_value(kForwardedHeader),
                                 options_.peer_token);
   const int64_t asked = ParseNumber(request.get_header_value(kDeadlineHeader),
                                     options_.default_deadline.count());
   const Millis deadline =
-      std::clamp(Millis(asked), Millis(1), options_.longest_deadline);
+      std::clamp(Millis(asked), Millis(1), options_.max_deadline);
   caller.deadline = BootClock::now() + deadline;
   for (const auto& [name, value] : request.headers) {
-    if (!IsPrivateHeader(name)) {
+    if (!IsNotForwarded(name)) {
       caller.headers.push_back({name, value});
     }
   }
--- a/src/http.adapter/front.h
+++ b/src/http.adapter/front.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The HTTP side of an entry instance: callers' requests, operators' calls,
-/// health and metrics.
+/// HTTP server of an entry instance: requests of callers, calls of operators,
+/// health checks and metrics.
 
 #ifndef DOORWOOD_HTTP_ADAPTER_FRONT_H_
 #define DOORWOOD_HTTP_ADAPTER_FRONT_H_
@@ -20,20 +20,21 @@
 namespace doorwood {
 
 struct FrontOptions {
-  /// IP number and port to listen on; port 0 picks one.
+  /// IP address and port to listen on; port 0 selects a free port.
   std::string listen;
   std::string operator_token;
   std::string peer_token;
-  /// Connections served at a time.
+  /// Maximum number of connections served at a time.
   size_t connections = 96;
   size_t largest_body = 8 * 1024 * 1024;
   Millis default_deadline{10000};
-  Millis longest_deadline{60000};
-  /// How long an operator's call may take.
+  Millis max_deadline{60000};
+  /// Maximum duration of an operator's call; the reply is then 504.
   Millis operator_timeout{6000};
 };
 
-/// What the front asks of the rest of the process.
+/// Functions of the process that the HTTP server depends on. Called on the
+/// server's threads.
 class FrontBackend {
  public:
   virtual ~FrontBackend() = default;
@@ -42,13 +43,13 @@
   virtual void Operate(const OperatorCall& call,
                        std::function<void(OperatorReply)> done) = 0;
   virtual bool ready() const = 0;
-  /// Metrics in Prometheus text.
+  /// Returns the metrics in the Prometheus text format.
   virtual std::string Metrics() = 0;
 };
 
 class Front {
  public:
-  /// Listens at once and serves on threads of its own; throws
+  /// Starts listening immediately and serves on its own threads. Throws
   /// std::runtime_error if the address cannot be used.
   Front(const FrontOptions& options,
         Router& router,
@@ -59,7 +60,8 @@
   Front(const Front&) = delete;
   Front& operator=(const Front&) = delete;
 
-  /// Answers what is in progress, then returns.
+  /// Stops accepting connections and returns when the requests in progress are
+  /// answered.
   void Stop();
   int port() const { return port_; }
 
--- a/src/http.adapter/http_call.cpp
+++ b/src/http.adapter/http_call.cpp
@@ -7,16 +7,17 @@
 namespace doorwood {
 namespace {
 
-constexpr size_t kMostIdleOfAddress = 64;
-// Shorter than the keep-alive time of usual servers.
-constexpr Millis kLongestIdle{3000};
+constexpr size_t kMaxIdlePerAddress = 64;
+// Shorter than the keep-alive timeout of common servers.
+constexpr Millis kMaxIdleTime{3000};
 constexpr int kHighestPort = 65535;
 
-// What the library adds to path, address and length: method, version, and the
-// headers Accept, Connection, Content-Length, Content-Type, Host, User-Agent.
+// Bytes that the library adds to path, address and length: method, version, and
+// the headers Accept, Connection, Content-Length, Content-Type, Host and
+// User-Agent.
 constexpr uint64_t kFixedRequestBytes = 155;
 constexpr uint64_t kStatusLineBytes = 19;
-// ": " and the line's end.
+// ": " and the line end.
 constexpr uint64_t kHeaderExtraBytes = 4;
 
 uint64_t RequestBytes(const std::string& address,
@@ -66,7 +67,7 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     auto& idle = idle_[address];
-    const Instant oldest = BootClock::now() - kLongestIdle;
+    const Instant oldest = BootClock::now() - kMaxIdleTime;
     while (!idle.empty()) {
       Idle last = std::move(idle.back());
       idle.pop_back();
@@ -83,11 +84,11 @@
   return client;
 }
 
-void ClientPool::Give(const std::string& address,
-                      std::unique_ptr<httplib::Client> client) {
+void ClientPool::Return(const std::string& address,
+                        std::unique_ptr<httplib::Client> client) {
   const std::lock_guard<std::mutex> lock(mutex_);
   auto& idle = idle_[address];
-  if (idle.size() < kMostIdleOfAddress) {
+  if (idle.size() < kMaxIdlePerAddress) {
     idle.push_back({std::move(client), BootClock::now()});
   }
 }
@@ -112,12 +113,12 @@
   client->set_write_timeout(read_timeout_);
   const std::string text = body.dump();
   CallAnswer answer;
-  if (!Enter(client.get())) {
+  if (!BeginCall(client.get())) {
     return answer;
   }
   const httplib::Result result =
       client->Post(path.c_str(), text, "application/json");
-  Exit(client.get());
+  EndCall(client.get());
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     CallTraffic& traffic = traffic_[path];
@@ -128,35 +129,35 @@
     }
   }
   if (!result) {
-    answer.fate =
-        IsNotSent(result.error()) ? CallFate::kNotSent : CallFate::kNoAnswer;
+    answer.outcome = IsNotSent(result.error()) ? CallOutcome::kNotSent
+                                               : CallOutcome::kNoAnswer;
     return answer;
   }
-  answer.fate = CallFate::kAnswered;
+  answer.outcome = CallOutcome::kAnswered;
   answer.status = result->status;
   answer.body = ParseJson(result->body).value_or(Json());
-  clients_.Give(address, std::move(client));
+  clients_.Return(address, std::move(client));
   return answer;
 }
 
-bool HttpCaller::Enter(httplib::Client* client) {
+bool HttpCaller::BeginCall(httplib::Client* client) {
   const std::lock_guard<std::mutex> lock(mutex_);
   if (stopped_) {
     return false;
   }
-  under_way_.insert(client);
+  active_clients_.insert(client);
   return true;
 }
 
-void HttpCaller::Exit(httplib::Client* client) {
+void HttpCaller::EndCall(httplib::Client* client) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  under_way_.erase(client);
+  active_clients_.erase(client);
 }
 
 void HttpCaller::Stop() {
   const std::lock_guard<std::mutex> lock(mutex_);
   stopped_ = true;
-  for (httplib::Client* client : under_way_) {
+  for (httplib::Client* client : active_clients_) {
     client->stop();
   }
 }
--- a/src/http.adapter/http_call.h
+++ b/src/http.adapter/http_call.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// JSON calls over HTTP to the platform's services, shared by the adapters.
+/// Blocking JSON calls over HTTP to the services of the platform, shared by the
+/// adapters.
 
 #ifndef DOORWOOD_HTTP_ADAPTER_HTTP_CALL_H_
 #define DOORWOOD_HTTP_ADAPTER_HTTP_CALL_H_
@@ -21,48 +22,49 @@
 
 namespace doorwood {
 
-/// IP number and port, parsed from "127.0.0.1:8080".
+/// IP address and port, parsed from text such as "127.0.0.1:8080".
 struct HostPort {
   std::string host;
   int port = 0;
 };
 
-/// Port 0 if the text is not an address.
+/// Returns port 0 if the text is not an address with a port.
 HostPort ParseHostPort(std::string_view address);
 
-enum class CallFate {
-  /// An HTTP answer came, whole.
+enum class CallOutcome {
+  /// A complete HTTP response was received.
   kAnswered,
   /// The connection could not be opened; nothing was sent.
   kNotSent,
-  /// Sent, and no whole answer came.
+  /// The request may have been sent, but no complete response was received.
   kNoAnswer,
 };
 
 struct CallAnswer {
-  CallFate fate = CallFate::kNotSent;
+  CallOutcome outcome = CallOutcome::kNotSent;
   int status = 0;
   Json body;
 };
 
-/// Calls and bytes, of headers and bodies, by path. What TCP and IP add is
-/// not in it.
+/// Number of calls of one path and the bytes of their headers and bodies,
+/// without the overhead of TCP and IP.
 struct CallTraffic {
   uint64_t calls = 0;
   uint64_t bytes = 0;
 };
 
-/// Idle connections by address; may be used from several threads.
+/// Pool of idle connections by address. Thread-safe.
 class ClientPool {
  public:
   explicit ClientPool(Millis connect_timeout);
 
-  /// A connection for one call. A connection that idled for long is not used
-  /// again: the other side may be closing it just now.
+  /// Returns a connection for one call: an idle one or a new one. Connections
+  /// that were idle for too long are not reused, because the server may be
+  /// closing them.
   std::unique_ptr<httplib::Client> Take(const std::string& address);
-  /// Gives a connection back after a whole answer.
-  void Give(const std::string& address,
-            std::unique_ptr<httplib::Client> client);
+  /// Returns a connection to the pool after a complete response.
+  void Return(const std::string& address,
+              std::unique_ptr<httplib::Client> client);
 
  private:
   struct Idle {
@@ -75,41 +77,42 @@
   std::map<std::string, std::vector<Idle>> idle_;
 };
 
-/// Keeps connections open, one call at a time on each; may be used from
-/// several threads.
+/// Makes calls over persistent connections, one call at a time on each.
+/// Thread-safe.
 class HttpCaller {
  public:
   HttpCaller(Millis connect_timeout, Millis read_timeout);
 
-  /// Posts a JSON body and blocks for the JSON answer.
+  /// Posts a JSON body and blocks until the JSON response arrives.
   CallAnswer Post(const std::string& address,
                   const std::string& path,
                   const Json& body);
-  /// As `Post`, with a wait of its own instead of the read time-out.
+  /// Like `Post`, but with `wait` instead of the read timeout.
   CallAnswer PostAndWait(const std::string& address,
                          const std::string& path,
                          const Json& body,
                          Millis wait);
 
-  /// Breaks off the calls under way, and all later ones.
+  /// Cancels the calls in progress; later calls fail at once.
   void Stop();
 
   std::map<std::string, CallTraffic> traffic() const;
 
  private:
-  /// False after `Stop`.
-  bool Enter(httplib::Client* client);
-  void Exit(httplib::Client* client);
+  /// Registers a call, so that `Stop` can cancel it. Returns false after
+  /// `Stop`.
+  bool BeginCall(httplib::Client* client);
+  void EndCall(httplib::Client* client);
 
   Millis read_timeout_;
   ClientPool clients_;
   mutable std::mutex mutex_;
   std::map<std::string, CallTraffic> traffic_;
-  std::set<httplib::Client*> under_way_;
+  std::set<httplib::Client*> active_clients_;
   bool stopped_ = false;
 };
 
-/// True if the library's error means that nothing was sent.
+/// Returns true if the error of the HTTP library means that nothing was sent.
 bool IsNotSent(httplib::Error error);
 
 }  // namespace doorwood
--- a/src/http.adapter/http_sender.cpp
+++ b/src/http.adapter/http_sender.cpp
@@ -22,7 +22,8 @@
   return headers;
 }
 
-// Headers of one hop, or written anew by the library.
+// Returns true for hop-by-hop headers and for headers that the library sets
+// itself.
 bool IsHopHeader(const std::string& name) {
   constexpr const char* kHop[] = {"connection",     "keep-alive",
                                   "content-length", "transfer-encoding",
@@ -34,9 +35,9 @@
                      [&](const char* hop) { return lower == hop; });
 }
 
-// Without a declared length the library cannot tell a whole body from one
-// that was cut off.
-bool IsWhole(const httplib::Response& response, const std::string& method) {
+// Returns true if the body is known to be complete. Without a declared length
+// the library cannot distinguish a complete body from a truncated one.
+bool IsComplete(const httplib::Response& response, const std::string& method) {
   constexpr int kNoContent = 204;
   constexpr int kNotModified = 304;
   const bool bodiless = method == "HEAD" || response.status == kNoContent ||
@@ -86,7 +87,7 @@
   }
   httplib::Result result = client->send(message);
   if (result) {
-    clients_.Give(address, std::move(client));
+    clients_.Return(address, std::move(client));
   }
   return result;
 }
@@ -104,7 +105,7 @@
   if (refused) {
     return {.fate = AttemptFate::kRefused};
   }
-  if (!IsWhole(*result, request.method)) {
+  if (!IsComplete(*result, request.method)) {
     return {.fate = AttemptFate::kUnknown};
   }
   return {AttemptFate::kAnswered, ResponseOf(*result)};
@@ -114,7 +115,7 @@
                                  const CallerRequest& request,
                                  Millis timeout) {
   httplib::Headers headers = HeadersOf(request);
-  headers.emplace(kPassedOnHeader, peer_token_);
+  headers.emplace(kForwardedHeader, peer_token_);
   headers.emplace(kDeadlineHeader, std::to_string(timeout.count()));
   headers.emplace(kRepeatableHeader, request.repeatable ? "yes" : "no");
   headers.emplace(kMemberHeader, request.member);
@@ -128,13 +129,14 @@
   if (outcome == ToString(RequestFate::kNotRun)) {
     return {.fate = AttemptFate::kRefused};
   }
-  const bool told_unknown = outcome == ToString(RequestFate::kUnknown);
-  if (!told_unknown && outcome != ToString(RequestFate::kAnswered)) {
+  const bool reported_unknown = outcome == ToString(RequestFate::kUnknown);
+  if (!reported_unknown && outcome != ToString(RequestFate::kAnswered)) {
     return {.fate = AttemptFate::kUnknown};
   }
   AttemptResult answered{AttemptFate::kAnswered, ResponseOf(*result)};
-  if (told_unknown) {
-    // The peer's own word about the request is an answer, too.
+  if (reported_unknown) {
+    // The other instance reports that the outcome is unknown. That is a valid
+    // response, too.
     answered.response.fate = RequestFate::kUnknown;
   }
   std::erase_if(answered.response.headers, [](const HttpHeader& header) {
--- a/src/http.adapter/http_sender.h
+++ b/src/http.adapter/http_sender.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Sends callers' requests to backend servers and to peers over HTTP.
+/// Sends the requests of callers to backend servers and to other instances over
+/// HTTP.
 
 #ifndef DOORWOOD_HTTP_ADAPTER_HTTP_SENDER_H_
 #define DOORWOOD_HTTP_ADAPTER_HTTP_SENDER_H_
@@ -13,21 +14,23 @@
 
 namespace doorwood {
 
-// Headers between doorwood, its callers and backend servers. Documented in
+// Headers exchanged with callers, backend servers and other instances. See
 // docs/OPERATIONS.md.
 inline constexpr const char* kRequestIdHeader = "X-Request-Id";
 inline constexpr const char* kDeadlineHeader = "X-Doorwood-Deadline-Ms";
 inline constexpr const char* kRepeatableHeader = "X-Doorwood-Repeatable";
 inline constexpr const char* kMemberHeader = "X-Doorwood-Member";
 inline constexpr const char* kOutcomeHeader = "X-Doorwood-Outcome";
-inline constexpr const char* kPassedOnHeader = "X-Doorwood-Passed-On";
+inline constexpr const char* kForwardedHeader = "X-Doorwood-Passed-On";
 inline constexpr const char* kIdempotencyHeader = "Idempotency-Key";
-/// Set by a backend server on a 503 that it gives before it starts.
+/// Set by a backend server on a 503 response if it refused the request before
+/// it began to process it.
 inline constexpr const char* kRefusedHeader = "X-Refused-Before-Start";
 
 class HttpSender : public RequestSender {
  public:
-  /// `peer_token` marks requests that are passed on as coming from a peer.
+  /// `peer_token` is sent with forwarded requests and proves to the receiver
+  /// that they come from another instance.
   explicit HttpSender(std::string peer_token);
 
   AttemptResult Send(const BackendTarget& target,
--- a/src/kv.adapter/http_kv.cpp
+++ b/src/kv.adapter/http_kv.cpp
@@ -12,19 +12,20 @@
 constexpr int kConflict = 409;
 constexpr int kUnavailable = 503;
 
-// A call that changes nothing has had no effect, whatever became of it.
-std::error_code ErrorOf(const CallAnswer& answer, bool changes) {
-  if (answer.fate == CallFate::kNotSent) {
+// Maps the result of a call to an error. A call that does not change the store
+// has no effect, whatever its outcome, so its failure is never kUnknown.
+std::error_code ErrorOf(const CallAnswer& answer, bool mutates) {
+  if (answer.outcome == CallOutcome::kNotSent) {
     return KvErrc::kUnavailable;
   }
-  const std::error_code unclear =
-      changes ? KvErrc::kUnknown : KvErrc::kUnavailable;
-  if (answer.fate == CallFate::kNoAnswer) {
-    return unclear;
+  const std::error_code ambiguous =
+      mutates ? KvErrc::kUnknown : KvErrc::kUnavailable;
+  if (answer.outcome == CallOutcome::kNoAnswer) {
+    return ambiguous;
   }
   switch (answer.status) {
     case kOk:
-      return answer.body.is_object() ? std::error_code() : unclear;
+      return answer.body.is_object() ? std::error_code() : ambiguous;
     case kNotFound:
       return KvErrc::kNotFound;
     case kConflict:
@@ -32,7 +33,7 @@
     case kUnavailable:
       return KvErrc::kUnavailable;
     default:
-      return unclear;
+      return ambiguous;
   }
 }
 
@@ -58,7 +59,8 @@
       calls_(options.threads) {}
 
 HttpKv::~HttpKv() {
-  // A watch may wait for long.
+  // A watch may block for a long time, so the calls in progress are cancelled
+  // before the threads are joined.
   caller_.Stop();
   calls_.Stop();
   watches_.Stop();
@@ -68,12 +70,12 @@
                    const std::string& path,
                    Json body,
                    Millis wait,
-                   bool changes,
+                   bool mutates,
                    Finish finish) {
-  pool.Run([this, path, body = std::move(body), wait, changes,
+  pool.Run([this, path, body = std::move(body), wait, mutates,
             finish = std::move(finish)]() {
     CallAnswer answer = caller_.PostAndWait(options_.address, path, body, wait);
-    const std::error_code error = ErrorOf(answer, changes);
+    const std::error_code error = ErrorOf(answer, mutates);
     executor_.Post([finish, error, json = std::move(answer.body)]() {
       finish(error, json);
     });
@@ -82,7 +84,7 @@
 
 void HttpKv::Read(const std::string& key, Callback<KvEntry> done) {
   Start(calls_, "/kv/read", {{"key", key}}, options_.call_timeout,
-        /*changes=*/false,
+        /*mutates=*/false,
         [done, key](std::error_code error, const Json& json) {
           done(error, error ? KvEntry{.key = key} : EntryOf(json));
         });
@@ -91,7 +93,7 @@
 void HttpKv::List(const std::string& prefix,
                   Callback<std::vector<KvEntry>> done) {
   Start(calls_, "/kv/list", {{"prefix", prefix}}, options_.call_timeout,
-        /*changes=*/false, [done](std::error_code error, const Json& json) {
+        /*mutates=*/false, [done](std::error_code error, const Json& json) {
           done(error, error ? std::vector<KvEntry>() : EntriesOf(json));
         });
 }
@@ -102,7 +104,7 @@
          {"value", write.value},
          {"expected_version", write.expected_version},
          {"lease", write.lease}},
-        options_.call_timeout, /*changes=*/true,
+        options_.call_timeout, /*mutates=*/true,
         [done](std::error_code error, const Json& json) {
           done(error, error ? 0 : json.value("version", int64_t{0}));
         });
@@ -113,13 +115,13 @@
                     Callback<int64_t> done) {
   Start(calls_, "/kv/remove",
         {{"key", key}, {"expected_version", expected_version}},
-        options_.call_timeout, /*changes=*/true,
+        options_.call_timeout, /*mutates=*/true,
         [done](std::error_code error, const Json&) { done(error, 0); });
 }
 
 void HttpKv::GrantLease(Millis lifetime, Callback<int64_t> done) {
   Start(calls_, "/kv/grant", {{"lifetime_ms", lifetime.count()}},
-        options_.call_timeout, /*changes=*/true,
+        options_.call_timeout, /*mutates=*/true,
         [done](std::error_code error, const Json& json) {
           done(error, error ? 0 : json.value("lease", int64_t{0}));
         });
@@ -127,7 +129,7 @@
 
 void HttpKv::RenewLease(int64_t lease, Callback<int64_t> done) {
   Start(calls_, "/kv/renew", {{"lease", lease}}, options_.call_timeout,
-        /*changes=*/true,
+        /*mutates=*/true,
         [done](std::error_code error, const Json&) { done(error, 0); });
 }
 
@@ -138,7 +140,7 @@
         {{"prefix", prefix},
          {"after", after},
          {"wait_ms", options_.watch_wait.count()}},
-        options_.watch_wait + options_.call_timeout, /*changes=*/false,
+        options_.watch_wait + options_.call_timeout, /*mutates=*/false,
         [done](std::error_code error, const Json& json) {
           done(error, error ? std::vector<KvEntry>() : EntriesOf(json));
         });
--- a/src/kv.adapter/http_kv.h
+++ b/src/kv.adapter/http_kv.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Key-value service over HTTP and JSON.
+/// Client of the key-value store over HTTP and JSON.
 
 #ifndef DOORWOOD_KV_ADAPTER_HTTP_KV_H_
 #define DOORWOOD_KV_ADAPTER_HTTP_KV_H_
@@ -19,7 +19,8 @@
   std::string address;
   Millis connect_timeout{300};
   Millis call_timeout{1000};
-  /// How long the service holds a watch before it answers without news.
+  /// How long the store holds a watch request before it answers that nothing
+  /// has changed.
   Millis watch_wait{10000};
   size_t threads = 3;
 };
@@ -49,19 +50,21 @@
  private:
   using Finish = std::function<void(std::error_code, const Json&)>;
 
-  // Runs a call on the pool and `finish` on the control thread.
+  // Runs a call on the pool, then `finish` on the control thread. `mutates`:
+  // the call changes state in the store, so a missing response leaves its
+  // effect unknown.
   void Start(BlockingPool& pool,
              const std::string& path,
              Json body,
              Millis wait,
-             bool changes,
+             bool mutates,
              Finish finish);
 
   HttpKvOptions options_;
   Executor& executor_;
   HttpCaller caller_;
   BlockingPool calls_;
-  // Watches block for long, so they have a thread of their own.
+  // Watches block for a long time, so they run on a separate thread.
   BlockingPool watches_{1};
 };
 
--- a/src/worker.adapter/http_workers.cpp
+++ b/src/worker.adapter/http_workers.cpp
@@ -9,19 +9,19 @@
 namespace {
 
 constexpr int kOk = 200;
-constexpr int kHeld = 409;
-constexpr int kStale = 412;
+constexpr int kConflict = 409;
+constexpr int kPreconditionFailed = 412;
 
 std::error_code ErrorOf(const CallAnswer& answer) {
-  if (answer.fate != CallFate::kAnswered) {
+  if (answer.outcome != CallOutcome::kAnswered) {
     return WorkerErrc::kUnreachable;
   }
   switch (answer.status) {
     case kOk:
       return std::error_code();
-    case kHeld:
+    case kConflict:
       return WorkerErrc::kHeld;
-    case kStale:
+    case kPreconditionFailed:
       return WorkerErrc::kStaleEpoch;
     default:
       return WorkerErrc::kUnreachable;
--- a/src/worker.adapter/http_workers.h
+++ b/src/worker.adapter/http_workers.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The platform's workers over HTTP and JSON.
+/// Client of the platform's workers over HTTP and JSON.
 
 #ifndef DOORWOOD_WORKER_ADAPTER_HTTP_WORKERS_H_
 #define DOORWOOD_WORKER_ADAPTER_HTTP_WORKERS_H_
@@ -16,14 +16,14 @@
 namespace doorwood {
 
 struct HttpWorkersOptions {
-  /// Name under which leases are asked for: instance and incarnation.
+  /// Name under which leases are requested: instance and incarnation.
   std::string holder;
   Millis control_lease{3000};
   Millis task_lease{10000};
   Millis connect_timeout{300};
   Millis call_timeout{800};
-  /// Threads for calls. A worker that does not answer holds one for the
-  /// call's time-out.
+  /// Number of threads for calls. An unresponsive worker occupies one of them
+  /// for the timeout of the call.
   size_t threads = 16;
 };
 
