--- a/src/peer.adapter/peer.capnp
+++ b/src/peer.adapter/peer.capnp
@@ -1,6 +1,6 @@
 # SPDX-License-Identifier: Apache-2.0
-# Messages between entry instances; src/include/doorwood/peer.h tells what
-# they mean. After a change run `make generate` and commit its result.
+# Messages between entry instances; src/include/doorwood/peer.h documents their
+# meaning. After a change, run `make generate` and commit the generated files.
 @0xc3a9d2f05b7e4181;
 
 using Cxx = import "/capnp/c++.capnp";
@@ -174,7 +174,8 @@
   call @0 (request :Request) -> (reply :Reply);
 }
 
-# What a connection offers first.
+# Bootstrap interface of a connection: exchanges the token for the peer
+# interface.
 interface Gate {
   login @0 (token :Text) -> (peer :Peer);
 }
--- a/src/peer.adapter/peer_codec.h
+++ b/src/peer.adapter/peer_codec.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Translation between the messages of doorwood/peer.h and their Cap'n Proto
-/// forms.
+/// Conversion between the messages of doorwood/peer.h and their Cap'n Proto
+/// representation.
 
 #ifndef DOORWOOD_PEER_ADAPTER_PEER_CODEC_H_
 #define DOORWOOD_PEER_ADAPTER_PEER_CODEC_H_
@@ -14,12 +14,12 @@
 
 void Build(const PeerRequest& request, wire::Request::Builder out);
 void Build(const PeerReply& reply, wire::Reply::Builder out);
-/// Unknown kinds, as from a newer instance, become an empty heartbeat, which
-/// receivers ignore.
+/// Messages of an unknown kind, for example from a newer instance, become an
+/// empty heartbeat, which receivers ignore.
 PeerRequest Parse(wire::Request::Reader in);
 PeerReply Parse(wire::Reply::Reader in);
 
-/// Short name of a message's kind, for metrics.
+/// Short name of the kind of a message, for metrics.
 std::string_view KindOf(const PeerRequest& request);
 
 }  // namespace doorwood
--- a/src/peer.adapter/peer_network.cpp
+++ b/src/peer.adapter/peer_network.cpp
@@ -27,7 +27,8 @@
   return size.wordCount * kBytesPerWord;
 }
 
-// Counts messages by kind; used on the KJ thread and read from others.
+// Counts calls and bytes by kind of message. The KJ thread writes the counters;
+// other threads read them.
 class TrafficCounter {
  public:
   void Add(std::string_view kind, uint64_t calls, uint64_t bytes) {
@@ -47,7 +48,7 @@
   std::map<std::string, PeerTraffic> traffic_;
 };
 
-// Hands a call to the control thread and its reply back to the KJ thread.
+// Forwards a call to the control thread and its reply back to the KJ thread.
 class PeerServer final : public wire::Peer::Server {
  public:
   PeerServer(Executor& executor,
@@ -88,7 +89,7 @@
   TrafficCounter& counter_;
 };
 
-// Gives out the peer interface in exchange for the token.
+// Grants access to the peer interface to clients with the right token.
 class GateServer final : public wire::Gate::Server {
  public:
   GateServer(std::string token, wire::Peer::Client peer)
@@ -107,7 +108,7 @@
   wire::Peer::Client peer_;
 };
 
-// One connection to a peer; broken ones are replaced by the next call.
+// One connection to a peer. After a failure the next call opens a new one.
 struct Connection {
   explicit Connection(kj::Own<kj::AsyncIoStream> io)
       : stream(kj::mv(io)), client(*stream) {}
@@ -185,7 +186,7 @@
       stop_ = kj::mv(stop.fulfiller);
       port.set_value(static_cast<int>(listener->getPort()));
       tasks.add(server.listen(*listener));
-      tasks.add(Drain());
+      tasks.add(RunPosted());
       stop.promise.wait(io.waitScope);
       connections_.clear();
     } catch (const kj::Exception& e) {
@@ -194,8 +195,8 @@
     }
   }
 
-  // Runs what other threads have posted, then waits to be woken.
-  kj::Promise<void> Drain() {
+  // Runs the functions that other threads have posted, then waits for more.
+  kj::Promise<void> RunPosted() {
     std::vector<std::function<void()>> functions;
     kj::Promise<void> woken = kj::READY_NOW;
     {
@@ -208,7 +209,7 @@
     for (auto& function : functions) {
       function();
     }
-    return woken.then([this]() { return Drain(); });
+    return woken.then([this]() { return RunPosted(); });
   }
 
   void StartCall(const std::string& address,
@@ -253,20 +254,20 @@
   }
 
   kj::Promise<ConnectionPtr> Connect(const std::string& address) {
-    const auto known = connections_.find(address);
-    if (known != connections_.end() && !known->second->broken) {
-      return known->second;
+    const auto found = connections_.find(address);
+    if (found != connections_.end() && !found->second->broken) {
+      return found->second;
     }
     auto& timer = io_->provider->getTimer();
-    auto opened = io_->provider->getNetwork()
-                      .parseAddress(address.c_str())
-                      .then([](kj::Own<kj::NetworkAddress> parsed) {
-                        auto connecting = parsed->connect();
-                        return connecting.attach(kj::mv(parsed));
-                      });
+    auto stream_promise = io_->provider->getNetwork()
+                              .parseAddress(address.c_str())
+                              .then([](kj::Own<kj::NetworkAddress> parsed) {
+                                auto connecting = parsed->connect();
+                                return connecting.attach(kj::mv(parsed));
+                              });
     return timer
         .timeoutAfter(kConnectTimeout.count() * kj::MILLISECONDS,
-                      kj::mv(opened))
+                      kj::mv(stream_promise))
         .then([this, address](kj::Own<kj::AsyncIoStream> stream) {
           return Login(address, kj::mv(stream));
         });
@@ -312,14 +313,14 @@
   std::vector<std::function<void()>> queue_;
   std::optional<kj::Own<kj::CrossThreadPromiseFulfiller<void>>> wake_;
 
-  // KJ thread only.
+  // Used on the KJ thread only.
   kj::AsyncIoContext* io_ = nullptr;
   kj::TaskSet* tasks_ = nullptr;
   kj::Own<kj::PromiseFulfiller<void>> stop_;
   std::map<std::string, ConnectionPtr> connections_;
 };
 
-// --- The port ---------------------------------------------------------------
+// --- Public interface --------------------------------------------------------
 
 RpcPeerNetwork::RpcPeerNetwork(const PeerNetworkOptions& options,
                                Executor& executor)
--- a/src/peer.adapter/peer_network.h
+++ b/src/peer.adapter/peer_network.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Calls between entry instances over Cap'n Proto RPC, on a KJ event loop in
-/// a thread of its own.
+/// Calls between entry instances over Cap'n Proto RPC. A dedicated thread runs
+/// the KJ event loop.
 
 #ifndef DOORWOOD_PEER_ADAPTER_PEER_NETWORK_H_
 #define DOORWOOD_PEER_ADAPTER_PEER_NETWORK_H_
@@ -17,30 +17,32 @@
 
 namespace doorwood {
 
-/// Bytes and calls of one kind of message, both directions.
+/// Number of calls of one kind of message, sent and received, and the bytes of
+/// their requests and replies.
 struct PeerTraffic {
   uint64_t calls = 0;
   uint64_t bytes = 0;
 };
 
 struct PeerNetworkOptions {
-  /// IP number and port to listen on; port 0 picks one.
+  /// IP address and port to listen on; port 0 selects a free port.
   std::string listen;
-  /// Both sides must have the same token.
+  /// Shared secret; calls between instances with different tokens fail.
   std::string token;
 };
 
 class RpcPeerNetwork : public PeerNetwork {
  public:
-  /// Handles and callbacks run on `executor`. Listens at once; throws
-  /// std::runtime_error if the address cannot be used.
+  /// Requests are handled and callbacks invoked on `executor`. Starts listening
+  /// immediately; throws std::runtime_error if the address cannot be used.
   RpcPeerNetwork(const PeerNetworkOptions& options, Executor& executor);
   ~RpcPeerNetwork() override;
 
   RpcPeerNetwork(const RpcPeerNetwork&) = delete;
   RpcPeerNetwork& operator=(const RpcPeerNetwork&) = delete;
 
-  /// Until it is called, calls of peers are refused.
+  /// Sets the handler of incoming calls. While it is null, as at first, these
+  /// calls are rejected.
   void set_service(PeerService* service);
 
   void Call(const std::string& address,
@@ -48,9 +50,9 @@
             Millis timeout,
             Callback done) override;
 
-  /// Port that is listened on.
+  /// The port that this instance listens on.
   int port() const;
-  /// Figures by kind of message.
+  /// Traffic counters by kind of message.
   std::map<std::string, PeerTraffic> traffic() const;
 
  private:
--- a/src/peer.adapter/peer_network_test.cpp
+++ b/src/peer.adapter/peer_network_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Calls between instances over real sockets, and the codec.
+// Calls between instances over real sockets, and the message codec.
 
 #include "peer.adapter/peer_network.h"
 
@@ -20,13 +20,14 @@
 namespace doorwood {
 namespace {
 
-// Answers with a script, or not at all.
+// Replies to operator calls with their body and to other calls with a
+// placement, or does not reply at all.
 class EchoService : public PeerService {
  public:
   void Handle(const PeerRequest& request, Reply reply) override {
     ++calls;
-    if (silent) {
-      kept.push_back(std::move(reply));
+    if (withhold_replies) {
+      withheld_replies.push_back(std::move(reply));
       return;
     }
     if (const auto* call = std::get_if<OperatorCall>(&request)) {
@@ -37,17 +38,17 @@
   }
 
   int calls = 0;
-  bool silent = false;
-  std::vector<Reply> kept;
+  bool withhold_replies = false;
+  std::vector<Reply> withheld_replies;
 };
 
-struct Wire {
-  Wire()
+struct NetworkFixture {
+  NetworkFixture()
       : server({.listen = "127.0.0.1:0", .token = "same token"}, executor),
         client({.listen = "127.0.0.1:0", .token = "same token"}, executor) {
     server.set_service(&service);
   }
-  ~Wire() { server.set_service(nullptr); }
+  ~NetworkFixture() { server.set_service(nullptr); }
 
   std::error_code Call(RpcPeerNetwork& from,
                        int port,
@@ -77,50 +78,52 @@
 
 BOOST_AUTO_TEST_SUITE(peer_network)
 
-BOOST_AUTO_TEST_CASE(call_to_a_serving_peer_is_answered_and_counted) {
-  Wire wire;
+BOOST_AUTO_TEST_CASE(call_to_serving_peer_is_answered_and_counted) {
+  NetworkFixture fixture;
   PeerReply reply;
   const std::string body(100'000, 'x');
-  BOOST_TEST(!wire.Call(wire.client, wire.server.port(),
-                        OperatorCall{"m", body}, &reply));
+  BOOST_TEST(!fixture.Call(fixture.client, fixture.server.port(),
+                           OperatorCall{"m", body}, &reply));
   BOOST_TEST(std::get<OperatorReply>(reply).body == body);
-  const auto traffic = wire.client.traffic();
+  const auto traffic = fixture.client.traffic();
   BOOST_TEST(traffic.at("operate").calls == 1u);
   BOOST_TEST(traffic.at("operate").bytes > 200'000u);
 }
 
-BOOST_AUTO_TEST_CASE(call_to_nobody_is_told_as_not_sent) {
-  Wire wire;
+BOOST_AUTO_TEST_CASE(call_to_closed_port_is_reported_as_not_sent) {
+  NetworkFixture fixture;
   PeerReply reply;
-  // A port that was free a moment ago.
+  // The port of a listener that was just closed.
   int port = 0;
   {
-    RpcPeerNetwork gone({.listen = "127.0.0.1:0", .token = "t"}, wire.executor);
-    port = gone.port();
+    RpcPeerNetwork closed({.listen = "127.0.0.1:0", .token = "t"},
+                          fixture.executor);
+    port = closed.port();
   }
-  BOOST_TEST(wire.Call(wire.client, port, Heartbeat(), &reply) ==
+  BOOST_TEST(fixture.Call(fixture.client, port, Heartbeat(), &reply) ==
              make_error_code(PeerErrc::kNotSent));
 }
 
-BOOST_AUTO_TEST_CASE(call_to_a_silent_peer_is_told_as_unanswered) {
-  Wire wire;
+BOOST_AUTO_TEST_CASE(call_to_unresponsive_peer_is_reported_as_unanswered) {
+  NetworkFixture fixture;
   PeerReply reply;
-  wire.service.silent = true;
-  BOOST_TEST(wire.Call(wire.client, wire.server.port(), Heartbeat(), &reply) ==
-             make_error_code(PeerErrc::kNoAnswer));
-  // A new connection works once it speaks again.
-  wire.service.silent = false;
-  BOOST_TEST(!wire.Call(wire.client, wire.server.port(), Heartbeat(), &reply));
+  fixture.service.withhold_replies = true;
+  BOOST_TEST(fixture.Call(fixture.client, fixture.server.port(), Heartbeat(),
+                          &reply) == make_error_code(PeerErrc::kNoAnswer));
+  // A new connection works once the peer replies again.
+  fixture.service.withhold_replies = false;
+  BOOST_TEST(!fixture.Call(fixture.client, fixture.server.port(), Heartbeat(),
+                           &reply));
 }
 
-BOOST_AUTO_TEST_CASE(call_with_a_wrong_token_reaches_nobody) {
-  Wire wire;
-  RpcPeerNetwork stranger({.listen = "127.0.0.1:0", .token = "other token"},
-                          wire.executor);
+BOOST_AUTO_TEST_CASE(call_with_wrong_token_is_rejected_before_the_service) {
+  NetworkFixture fixture;
+  RpcPeerNetwork unauthorized({.listen = "127.0.0.1:0", .token = "other token"},
+                              fixture.executor);
   PeerReply reply;
-  BOOST_TEST(wire.Call(stranger, wire.server.port(), Heartbeat(), &reply) ==
-             make_error_code(PeerErrc::kUnauthorized));
-  BOOST_TEST(wire.service.calls == 0);
+  BOOST_TEST(fixture.Call(unauthorized, fixture.server.port(), Heartbeat(),
+                          &reply) == make_error_code(PeerErrc::kUnauthorized));
+  BOOST_TEST(fixture.service.calls == 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -136,11 +139,11 @@
 }
 
 std::vector<PeerRequest> Corpus() {
-  Heartbeat beat;
-  beat.instance = "a";
-  beat.shards = {{{"plaka", 3}, 7}};
-  beat.open_services = {"stream"};
-  beat.leaving_workers = {"w1"};
+  Heartbeat heartbeat;
+  heartbeat.instance = "a";
+  heartbeat.shards = {{{"plaka", 3}, 7}};
+  heartbeat.open_services = {"stream"};
+  heartbeat.leaving_workers = {"w1"};
   PlaceRequest place{.shard = {"plaka", 1},
                      .attempt = {4, 9},
                      .task = {"j", "t"},
@@ -155,18 +158,18 @@
                 .repeatable = false,
                 .max_attempts = 2,
                 .payload = "p"};
-  const Sighting seen{{1, 2},           {"j", "t"},           "w",
-                      RunState::kEnded, AttemptEnd::kStopped, "ck"};
-  return {beat,
+  const Sighting sighting{{1, 2},           {"j", "t"},           "w",
+                          RunState::kEnded, AttemptEnd::kStopped, "ck"};
+  return {heartbeat,
           place,
           StopRequest{{"plaka", 1}, {1, 2}, true},
           CensusRequest{{"plaka", 1}, {3, 4}},
-          EndReport{{"plaka", 1}, {seen, seen}},
+          EndReport{{"plaka", 1}, {sighting, sighting}},
           OperatorCall{"m", "b", 2},
           ConfigFetch{5}};
 }
 
-BOOST_AUTO_TEST_CASE(request_of_each_kind_comes_back_with_the_same_bytes) {
+BOOST_AUTO_TEST_CASE(request_of_each_kind_survives_encoding_and_decoding) {
   for (const PeerRequest& request : Corpus()) {
     capnp::MallocMessageBuilder message;
     Build(request, message.initRoot<wire::Request>());
@@ -177,7 +180,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(request_with_random_bytes_is_parsed_or_refused) {
+BOOST_AUTO_TEST_CASE(request_with_corrupted_bytes_is_parsed_or_rejected) {
   std::mt19937_64 random(5);
   const std::vector<PeerRequest> corpus = Corpus();
   constexpr int kRounds = 20000;
@@ -197,7 +200,7 @@
       Parse(reader.getRoot<wire::Request>());
       ++parsed;
     } catch (const kj::Exception&) {
-      // Refused; the connection that it came over would be closed.
+      // Rejected; the connection that delivered it would be closed.
     }
   }
   BOOST_TEST(parsed > 0);
