--- a/src/asio.adapter/asio_executor.h
+++ b/src/asio.adapter/asio_executor.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Executor on one Asio thread.
+/// Executor on a single Asio thread.
 
 #ifndef DOORWOOD_ASIO_ADAPTER_ASIO_EXECUTOR_H_
 #define DOORWOOD_ASIO_ADAPTER_ASIO_EXECUTOR_H_
--- a/src/asio.adapter/blocking_pool.h
+++ b/src/asio.adapter/blocking_pool.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A bounded set of threads for calls that block, such as those of the HTTP
+/// Thread pool of fixed size for blocking calls, such as those of the HTTP
 /// client library.
 
 #ifndef DOORWOOD_ASIO_ADAPTER_BLOCKING_POOL_H_
@@ -24,7 +24,7 @@
     asio::post(pool_, std::move(function));
   }
 
-  /// Drops what has not begun and waits for what has.
+  /// Discards functions that have not started and waits for those that have.
   void Stop() {
     pool_.stop();
     pool_.join();
--- a/src/log.adapter/bounded_appender.cpp
+++ b/src/log.adapter/bounded_appender.cpp
@@ -18,17 +18,17 @@
 namespace doorwood {
 namespace {
 
-// Most bytes kept while standard output is not read.
-constexpr size_t kMostGathered = 256 * 1024;
-// A pipe that is ready takes this much without blocking.
-constexpr size_t kWrittenAtOnce = 4096;
+// Maximum number of bytes buffered while standard output is not read.
+constexpr size_t kMaxBufferedBytes = 256 * 1024;
+// A pipe that is ready for writing accepts this many bytes without blocking.
+constexpr size_t kMaxWriteBytes = 4096;
 
-std::string& Gathered() {
+std::string& BufferedLines() {
   static std::string lines;
   return lines;
 }
 
-uint64_t& Dropped() {
+uint64_t& DroppedLineCount() {
   static uint64_t lines = 0;
   return lines;
 }
@@ -40,10 +40,10 @@
 
  protected:
   void append(const log4cplus::spi::InternalLoggingEvent& event) override {
-    std::string& lines = Gathered();
+    std::string& lines = BufferedLines();
     const std::string& message = event.getMessage();
-    if (lines.size() + message.size() + 1 > kMostGathered) {
-      ++Dropped();
+    if (lines.size() + message.size() + 1 > kMaxBufferedBytes) {
+      ++DroppedLineCount();
       return;
     }
     lines += message;
@@ -51,7 +51,7 @@
   }
 };
 
-bool TakesBytes(int descriptor) {
+bool IsWritable(int descriptor) {
   pollfd entry{descriptor, POLLOUT, 0};
   return poll(&entry, 1, 0) == 1 && (entry.revents & POLLOUT) != 0;
 }
@@ -67,10 +67,10 @@
 }
 
 void FlushLog() {
-  std::string& lines = Gathered();
+  std::string& lines = BufferedLines();
   size_t written = 0;
-  while (written < lines.size() && TakesBytes(STDOUT_FILENO)) {
-    const size_t size = std::min(kWrittenAtOnce, lines.size() - written);
+  while (written < lines.size() && IsWritable(STDOUT_FILENO)) {
+    const size_t size = std::min(kMaxWriteBytes, lines.size() - written);
     const ssize_t count = write(STDOUT_FILENO, lines.data() + written, size);
     if (count <= 0) {
       break;
@@ -81,7 +81,7 @@
 }
 
 uint64_t DroppedLogLines() {
-  return Dropped();
+  return DroppedLineCount();
 }
 
 }  // namespace doorwood
--- a/src/log.adapter/bounded_appender.h
+++ b/src/log.adapter/bounded_appender.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Log lines to standard output that never block: lines are gathered, written
-/// when the pipe takes them, and dropped with a count when it does not.
+/// Non-blocking logging to standard output: lines are buffered and written when
+/// the pipe is ready. Lines that do not fit into the buffer are dropped and
+/// counted.
 
 #ifndef DOORWOOD_LOG_ADAPTER_BOUNDED_APPENDER_H_
 #define DOORWOOD_LOG_ADAPTER_BOUNDED_APPENDER_H_
@@ -12,14 +13,15 @@
 
 namespace doorwood {
 
-/// Sets log4cplus up once for JSON lines on standard output. `level` is debug,
-/// info, warn or error. Lines leave with `FlushLog`.
+/// Initializes log4cplus on the first call and sets it up to buffer JSON lines
+/// for standard output, which `FlushLog` writes. `level` is debug, info, warn
+/// or error.
 void StartBoundedLogging(std::string_view level);
 
-/// Writes what is gathered as far as standard output takes it.
+/// Writes as much of the buffer as standard output accepts without blocking.
 void FlushLog();
 
-/// Lines dropped so far, because standard output was not read.
+/// Number of lines dropped so far because standard output was not read.
 uint64_t DroppedLogLines();
 
 }  // namespace doorwood
--- a/src/log.adapter/json_log.cpp
+++ b/src/log.adapter/json_log.cpp
@@ -30,21 +30,22 @@
   return {text.data(), length};
 }
 
-// Many lines fall into one second, whose text is kept.
+// Many lines are written within one second, so the formatted text of the
+// current second is cached.
 std::string Timestamp() {
-  thread_local std::time_t kept_second = -1;
-  thread_local std::string kept_text;
+  thread_local std::time_t cached_second = -1;
+  thread_local std::string cached_text;
   const auto now = std::chrono::system_clock::now();
   const auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(
                           now.time_since_epoch())
                           .count();
   const std::time_t second = millis / 1000;
-  if (second != kept_second) {
-    kept_second = second;
-    kept_text = FormatSecond(second);
+  if (second != cached_second) {
+    cached_second = second;
+    cached_text = FormatSecond(second);
   }
   const std::string fraction = std::to_string(1000 + millis % 1000);
-  return kept_text + "." + fraction.substr(1) + "Z";
+  return cached_text + "." + fraction.substr(1) + "Z";
 }
 
 std::string Quote(std::string_view text) {
@@ -88,8 +89,9 @@
   if (!IsEnabled(level)) {
     return;
   }
-  // Put together by hand: one object for the line and another for its fields
-  // cost twice as much, and a busy leader writes two thousand lines a second.
+  // The line is concatenated as text. Building one JSON object for the line and
+  // another for its fields costs twice as much, and a busy leader writes 2,000
+  // lines per second.
   std::string line = R"({"time":")" + Timestamp() + R"(","level":)" +
                      Quote(level) + quoted_instance_ + R"(,"component":)" +
                      Quote(component) + R"(,"message":)" + Quote(message);
--- a/src/log.adapter/json_log.h
+++ b/src/log.adapter/json_log.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Event log as JSON lines, through log4cplus.
+/// Event log that writes JSON lines through log4cplus.
 
 #ifndef DOORWOOD_LOG_ADAPTER_JSON_LOG_H_
 #define DOORWOOD_LOG_ADAPTER_JSON_LOG_H_
@@ -15,15 +15,16 @@
 
 namespace doorwood {
 
-/// The library's level for debug, info, warn or error; info for other words.
+/// The log4cplus level for debug, info, warn or error; info for any other name.
 log4cplus::LogLevel LogLevelOf(std::string_view name);
 
-/// Sets log4cplus up once; `level` is debug, info, warn or error.
+/// Initializes log4cplus on the first call and sets it up to write JSON lines
+/// to standard error. `level` is debug, info, warn or error.
 void StartLogging(std::string_view level);
 
 class JsonLog : public EventLog {
  public:
-  /// `instance` stands in each line.
+  /// `instance` is written as a field of each line.
   explicit JsonLog(std::string_view instance);
 
   bool IsEnabled(std::string_view level) const override;
@@ -33,7 +34,7 @@
              const Json& fields) override;
 
  private:
-  /// `,"instance":"NAME"`, as it stands in each line.
+  /// `,"instance":"NAME"`, the form in which it is inserted into each line.
   const std::string quoted_instance_;
   log4cplus::Logger logger_;
 };
