--- a/src/include/doorwood/config.h
+++ b/src/include/doorwood/config.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The operators' configuration: services, members and rules. One document,
-/// changed as a whole. Format: docs/CONFIGURATION.md.
+/// The operators' configuration: services, members and rules. It is one
+/// document that is replaced as a whole. Format: docs/CONFIGURATION.md.
 
 #ifndef DOORWOOD_CONFIG_H_
 #define DOORWOOD_CONFIG_H_
@@ -17,29 +17,30 @@
 
 namespace doorwood {
 
-/// A latency-critical service and what is promised of it.
+/// A latency-critical service and its service-level objective.
 struct ServiceConfig {
   std::string name;
-  /// Requests slower than this miss the target.
+  /// A request that takes longer misses the target.
   Millis latency_target{100};
-  /// Share of requests that must meet the target, as in 0.99.
+  /// Fraction of requests that must meet the target, for example 0.99.
   double objective = 0.99;
-  /// Most requests that wait for a slot at one entry instance.
+  /// Maximum number of requests that wait for a slot at one entry instance.
   int queue_limit = 64;
-  /// Share of requests that may be retries, as in 0.1.
+  /// Fraction of requests that may be retries, for example 0.1.
   double retry_share = 0.1;
 };
 
-/// A member and how much of one data centre its jobs may hold at a time.
+/// A member (workspace) and the maximum resources that its jobs may use in one
+/// data centre at a time.
 struct MemberConfig {
   std::string name;
   Resources quota;
 };
 
-/// A rule for all work that carries certain labels. Set parts replace what
-/// the work itself declares.
+/// A rule for all tasks whose labels match. Fields that are set replace the
+/// values that the task itself declares.
 struct RuleConfig {
-  /// Selector over the labels of work.
+  /// Selector over the labels of tasks.
   std::string match;
   std::string beside;
   std::string on;
@@ -52,8 +53,8 @@
   std::vector<RuleConfig> rules;
 };
 
-/// Parses and checks a whole document. `file` is used in messages. Gives
-/// nothing if there is any problem.
+/// Parses and validates a whole document. Returns nothing if there is any
+/// problem; `problems` then holds one line for each.
 std::optional<Configuration> ParseConfiguration(std::string_view text,
                                                 Problems* problems);
 
@@ -62,7 +63,8 @@
 const MemberConfig* FindMember(const Configuration& config,
                                std::string_view name);
 
-/// Applies the rules to a task, in order.
+/// Applies all matching rules to a task in document order, so that later rules
+/// override earlier ones.
 void ApplyRules(const Configuration& config, TaskSpec* spec);
 
 }  // namespace doorwood
--- a/src/include/doorwood/config_follower.h
+++ b/src/include/doorwood/config_follower.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Keeps the newest queue table of the operators in force. A version never
-/// goes down within one life of the process.
+/// Follows the operators' queue table and keeps its newest version in force.
+/// The version in force never decreases while the process runs.
 
 #ifndef DOORWOOD_CONFIG_FOLLOWER_H_
 #define DOORWOOD_CONFIG_FOLLOWER_H_
@@ -17,13 +17,16 @@
 namespace doorwood {
 
 struct ConfigFollowerOptions {
-  /// Short, since a watch may hear nothing without saying so.
+  /// Maximum time that one watch call waits. It is short because a watch can
+  /// stop delivering changes without reporting an error.
   Millis watch_wait{700};
   Millis retry_pause{120};
-  /// A full read this often, whatever the watch says.
+  /// Interval between full reads, which find changes that the watch missed.
   Millis read_interval{1500};
 };
 
+/// Reads the queue table once, then watches it for changes, and rereads it
+/// after errors and at a fixed interval.
 class ConfigFollower {
  public:
   using ChangeHandler =
@@ -34,15 +37,17 @@
                  EventLog& log,
                  const ConfigFollowerOptions& options);
 
+  /// `on_change` is called with each table that comes into force.
   void Start(ChangeHandler on_change);
   void Stop() { stopped_ = true; }
 
+  /// The table in force; null before the first successful read.
   const std::shared_ptr<const QueueTable>& table() const { return table_; }
 
  private:
   void Read();
-  void Wait();
-  void Take(const QueueTableSource::Snapshot& snapshot);
+  void Watch();
+  void ApplyIfNewer(const QueueTableSource::Snapshot& snapshot);
 
   Executor& executor_;
   QueueTableSource& source_;
@@ -50,8 +55,8 @@
   const ConfigFollowerOptions options_;
   ChangeHandler on_change_;
   std::shared_ptr<const QueueTable> table_;
-  int64_t at_ = 0;
-  Instant read_at_{};
+  int64_t watched_revision_ = 0;
+  Instant last_read_{};
   bool reachable_ = true;
   bool stopped_ = false;
 };
--- a/src/include/doorwood/config_keeper.h
+++ b/src/include/doorwood/config_keeper.h
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Keeper of the configuration in force: applies changes by compare-and-swap
-/// on one key, and takes newer revisions from the key-value service and from
-/// peers. The revision in force only rises. docs/design/configuration.md.
+/// Maintains the configuration in force: applies changes by compare-and-swap
+/// on one key, and adopts newer revisions from the key-value service and from
+/// peers. The revision in force never decreases. Design:
+/// docs/design/configuration.md.
 
 #ifndef DOORWOOD_CONFIG_KEEPER_H_
 #define DOORWOOD_CONFIG_KEEPER_H_
@@ -22,33 +23,35 @@
 
 namespace doorwood {
 
-/// A change that an operator asks for.
+/// A change that an operator requests.
 struct ConfigChange {
   std::string text;
-  /// Revision that the change rests on; nothing: whatever is newest.
+  /// Revision that the change is based on. Without one, the change applies to
+  /// the newest revision.
   std::optional<uint64_t> base;
-  /// Made up by the client; makes asking again harmless.
+  /// Id chosen by the client. A retry with the same id is not applied again.
   std::string operation;
-  /// Who asks, for the history.
+  /// Author of the change, recorded in the history.
   std::string author;
 };
 
 struct ConfigOutcome {
   std::error_code error;
   uint64_t revision = 0;
-  /// Problems of the document, if it was refused.
+  /// Validation errors of the document, if it was rejected.
   std::vector<std::string> problems;
 };
 
 struct ConfigKeeperOptions {
   Millis watch_retry{200};
-  Millis watch_retry_longest{2000};
+  Millis max_watch_retry{2000};
 };
 
-/// All calls on the control thread.
+/// All calls must be made on the control thread.
 class ConfigKeeper : public std::enable_shared_from_this<ConfigKeeper> {
  public:
-  /// Called with each configuration that comes into force.
+  /// Called whenever a configuration or a set of drained workers comes into
+  /// force.
   using OnChange = std::function<void()>;
 
   ConfigKeeper(const ConfigKeeperOptions& options,
@@ -56,40 +59,43 @@
                KvStore& kv,
                OnChange on_change);
 
-  /// Begins to watch the key-value service, for as long as it lives.
+  /// Starts watching the key-value service, until `Stop` is called.
   void Start();
   void Stop();
 
+  /// Validates and stores a change. `done` receives the revision that it made,
+  /// or the error.
   void Apply(const ConfigChange& change,
              std::function<void(ConfigOutcome)> done);
-  /// Sets whether `worker` is drained.
+  /// Records in the key-value service whether `worker` is drained.
   void SetDrained(const std::string& worker,
                   bool drained,
                   std::function<void(std::error_code)> done);
-  /// Takes a stored value, from the service or a peer, if it is newer.
+  /// Adopts a stored value, from the key-value service or a peer, if its
+  /// revision is newer than the one in force.
   void Take(const std::string& value);
 
   uint64_t revision() const { return revision_; }
   const Configuration& configuration() const { return *configuration_; }
   std::shared_ptr<const Configuration> shared() const { return configuration_; }
-  /// Text in force.
+  /// Text of the configuration in force.
   const std::string& text() const { return text_; }
-  /// The stored value in force, as given to peers.
+  /// The stored value in force, as sent to peers.
   const std::string& value() const { return value_; }
-  /// Earlier revisions, newest first, as JSON.
+  /// The revision in force and earlier ones, newest first, as JSON.
   Json History() const;
   const std::set<std::string>& drained() const { return drained_; }
 
  private:
   void Watch();
   void OnWatched(std::error_code error, const std::vector<KvEntry>& entries);
-  void TakeDrained(const std::string& value, int64_t version);
+  void AdoptDrained(const std::string& value, int64_t version);
   void TryApply(const ConfigChange& change,
-                int tries,
+                int tries_left,
                 std::function<void(ConfigOutcome)> done);
   void WriteChange(const ConfigChange& change,
                    const KvEntry& entry,
-                   int tries,
+                   int tries_left,
                    std::function<void(ConfigOutcome)> done);
   void ConfirmChange(const ConfigChange& change,
                      std::function<void(ConfigOutcome)> done);
@@ -99,8 +105,8 @@
   KvStore& kv_;
   OnChange on_change_;
   bool stopped_ = false;
-  Millis retry_;
-  int64_t watched_ = 0;
+  Millis retry_pause_;
+  int64_t watched_version_ = 0;
   uint64_t revision_ = 0;
   std::string text_;
   std::string value_;
--- a/src/include/doorwood/entry_settings.h
+++ b/src/include/doorwood/entry_settings.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Settings of one entry instance that schedules cells, from a YAML file.
+/// Settings of one entry instance that schedules cells, read from a YAML file.
 /// Format: docs/CONFIGURATION.md.
 
 #ifndef DOORWOOD_ENTRY_SETTINGS_H_
@@ -17,48 +17,52 @@
 
 namespace doorwood {
 
-/// Which workers one cell has.
+/// Which workers belong to one cell.
 enum class CellSpan {
-  /// Those of all data centres: one leader packs all work. Up to some hundred
-  /// workers.
+  /// Workers of all data centres: one leader places all work. Suitable for up
+  /// to a few hundred workers.
   kEverywhere,
-  /// Those of one data centre.
+  /// Workers of one data centre.
   kDataCentre,
 };
 
 struct EntrySettings {
   std::string instance;
   std::string data_centre;
-  /// IP number and port: for callers, for the balancer's readiness question,
-  /// for other entry instances, for metrics.
+  /// Addresses (IP address and port) to listen on: for clients, for the load
+  /// balancer's readiness checks, for other entry instances, and for metrics.
   std::string front;
   std::string ready;
   std::string peer;
   std::string metrics;
-  /// The platform's store.
+  /// Address of the platform's key-value store.
   std::string store;
-  /// The adviser of queues that need one; empty: none.
+  /// Address of the adviser service, for queues that use one; empty if there is
+  /// none.
   std::string adviser;
-  /// The platform's service for the workers' machines; empty: none.
+  /// Address of the platform's service that manages the workers' machines;
+  /// empty if there is none.
   std::string machines;
   std::string log_level = "info";
   CellSpan cell_span = CellSpan::kEverywhere;
-  /// Share of a processor that the machine has.
+  /// CPU share of the machine, in processors.
   double cpu_share = 1.0;
-  /// Time between the order to stop and the end by force.
+  /// Time between the request to stop and forced termination.
   Millis grace{6000};
-  /// The longest lease a worker grants to what it runs.
+  /// Longest lease that a worker accepts for a run.
   Millis longest_run_lease{10000};
-  /// How long a finished job can be asked for.
+  /// How long a finished job can still be queried.
   Millis keep_finished{120'000};
-  /// Two leaders do not take turns at one machine within this time.
+  /// Minimum time before another leader may take over the handling of a
+  /// machine, so that two leaders do not alternate on it.
   Millis machine_holder_lease{3000};
 };
 
-/// Parses and checks. Gives nothing if there is any problem.
+/// Parses and validates the settings. Returns nothing if there is any problem.
 std::optional<EntrySettings> ParseEntrySettings(std::string_view text,
                                                 Problems* problems);
 
+/// Returns the cell options that follow from the settings.
 CellOptions MakeCellOptions(const EntrySettings& settings);
 
 }  // namespace doorwood
--- a/src/include/doorwood/manifest.h
+++ b/src/include/doorwood/manifest.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A job as its submitter writes it, in YAML or JSON. Format:
+/// Job manifests as clients submit them, in YAML or JSON. Format:
 /// docs/CONFIGURATION.md.
 
 #ifndef DOORWOOD_MANIFEST_H_
@@ -15,12 +15,12 @@
 
 namespace doorwood {
 
-/// Most tasks of one job: keeps a job far below one value of the key-value
-/// service.
+/// Maximum number of tasks in one job. It keeps a stored job far below the
+/// maximum size of a value in the key-value service.
 inline constexpr int kMostTasksOfJob = 500;
 
-/// Parses and checks a manifest. Gives nothing if there is any problem. The
-/// job's id stays empty; `home` is empty unless the manifest names it.
+/// Parses and validates a manifest. Returns nothing if there is any problem.
+/// The job's id stays empty; `home` is empty unless the manifest names it.
 std::optional<JobSpec> ParseManifest(std::string_view text, Problems* problems);
 
 }  // namespace doorwood
--- a/src/include/doorwood/queue_table.h
+++ b/src/include/doorwood/queue_table.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The queues in force: which requests belong to which queue, and what the
-/// operators ask of each. One document, replaced as a whole.
+/// The queues in force: which requests belong to which queue, and the policy of
+/// each queue. It is one document that is replaced as a whole.
 
 #ifndef DOORWOOD_QUEUE_TABLE_H_
 #define DOORWOOD_QUEUE_TABLE_H_
@@ -21,7 +21,7 @@
 
 namespace doorwood {
 
-/// Times that an adviser of a queue takes; see docs/CONFIGURATION.md.
+/// Timing of a queue's adviser; see docs/CONFIGURATION.md.
 struct AdvicePolicy {
   Millis decide{0};
   Millis each{0};
@@ -32,19 +32,21 @@
   std::string name;
   std::string host;
   std::string path_prefix;
-  /// Pool of workers that run its tasks.
+  /// Service whose pool of workers runs the queue's tasks.
   std::string service;
-  /// 0 comes first.
+  /// Queues with lower numbers are served first; 0 is the highest priority.
   int priority = 0;
-  /// Runs of a task, or of a gang, that may end in failure.
+  /// Number of failed runs after which a task or gang fails.
   int max_attempts = 1;
-  /// A job is on time within `stretch` * its longest chain + `latency_target`.
+  /// A job is on time if it finishes within `stretch` times the duration of its
+  /// longest dependency chain plus `latency_target`.
   double stretch = 1.0;
   Millis latency_target{0};
   Millis timeout{0};
   std::optional<AdvicePolicy> advice;
 };
 
+/// Limits for incoming HTTP requests.
 struct FrontLimits {
   size_t header_bytes = 16 * 1024;
   size_t body_bytes = 1024 * 1024;
@@ -63,11 +65,12 @@
   const FrontLimits& limits() const { return limits_; }
   const std::vector<Queue>& queues() const { return queues_; }
 
-  /// The queue whose host is `host` and whose prefix is the longest one that
-  /// `path` begins with; null: none.
+  /// Returns the queue for `host` with the longest path prefix that `path`
+  /// starts with, or null if there is none.
   const Queue* Match(std::string_view host, std::string_view path) const;
   const Queue* FindByName(std::string_view name) const;
-  /// False: workers of the service start whatever they are told.
+  /// Returns false if the workers of the service start every task they are
+  /// sent, without checking their own free capacity.
   bool GuardsCapacity(std::string_view service) const;
 
  private:
@@ -77,21 +80,22 @@
   std::vector<std::string> unguarded_services_;
 };
 
-/// Port to the operators' configuration.
+/// Interface to the operators' configuration.
 class QueueTableSource {
  public:
   struct Snapshot {
-    /// Null: nothing changed, or there is none yet.
+    /// Null if nothing changed or no table exists yet.
     std::shared_ptr<const QueueTable> table;
-    /// The store's revision that the snapshot is good for.
+    /// Store revision at which the snapshot was taken.
     int64_t at = 0;
   };
   using Callback = std::function<void(std::error_code, Snapshot)>;
 
   virtual ~QueueTableSource() = default;
 
+  /// Reads the current table.
   virtual void Read(Callback done) = 0;
-  /// Waits up to `wait` for a change after revision `after`.
+  /// Waits up to `wait` for a change after store revision `after`.
   virtual void WaitForChange(int64_t after, Millis wait, Callback done) = 0;
 };
 
--- a/src/include/doorwood/selector.h
+++ b/src/include/doorwood/selector.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Selectors over labels: "rack=r1, accelerator, tier!=old, !draining".
+/// Label selectors, for example "rack=r1, accelerator, tier!=old, !draining".
 
 #ifndef DOORWOOD_SELECTOR_H_
 #define DOORWOOD_SELECTOR_H_
@@ -23,14 +23,15 @@
   std::string value;
 };
 
-/// All requirements must hold. No requirement: everything matches.
+/// Matches labels that meet all requirements. A selector without requirements
+/// matches everything.
 struct Selector {
   std::vector<Requirement> requirements;
 };
 
-/// Parses comma-separated requirements. On failure gives nothing and puts a
-/// sentence for the operator into `error`. Requirements that can never hold
-/// together ("a=1,a=2") are a failure.
+/// Parses comma-separated requirements. On failure returns nothing and sets
+/// `error` to a message for the operator. Requirements that contradict each
+/// other ("a=1,a=2") are an error.
 std::optional<Selector> ParseSelector(std::string_view text,
                                       std::string* error);
 
--- a/src/include/doorwood/settings.h
+++ b/src/include/doorwood/settings.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Settings of one process, from a YAML file. Format: docs/CONFIGURATION.md.
+/// Settings of one process, read from a YAML file. Format:
+/// docs/CONFIGURATION.md.
 
 #ifndef DOORWOOD_SETTINGS_H_
 #define DOORWOOD_SETTINGS_H_
@@ -19,9 +20,9 @@
 struct Settings {
   std::string instance;
   std::string data_centre;
-  /// IP number and port for callers and operators.
+  /// IP address and port to listen on for clients and operators.
   std::string listen;
-  /// IP number and port for other entry instances.
+  /// IP address and port to listen on for other entry instances.
   std::string peer_listen;
   /// Addresses of the platform's key-value service and instance list.
   std::string kv;
@@ -29,15 +30,17 @@
   std::string operator_token;
   std::string peer_token;
   std::string log_level = "info";
-  /// Connections served at a time.
+  /// Maximum number of connections served at a time.
   int connections = 96;
+  /// Maximum size of a request body, in bytes.
   int64_t largest_body = 8 * 1024 * 1024;
-  /// Calls to the key-value service that this instance may make, a second.
+  /// Maximum number of calls to the key-value service per second.
   int kv_calls = 50;
-  /// How long a planned stop may take before it gives up waiting.
+  /// Maximum duration of a planned shutdown. After it the process stops without
+  /// waiting for work that is still unfinished.
   Millis leave_patience{20000};
-  /// How long requests are still taken after a planned stop began, so that
-  /// the balancer can see that this instance is not ready.
+  /// How long requests are still accepted after a planned shutdown began, so
+  /// that the load balancer notices that this instance is not ready.
   Millis leave_grace{1000};
   int shard_count = 8;
   Millis heartbeat_interval{500};
@@ -51,11 +54,11 @@
   Millis drift{300};
 };
 
-/// Parses and checks. Gives nothing if there is any problem.
+/// Parses and validates the settings. Returns nothing if there is any problem.
 std::optional<Settings> ParseSettings(std::string_view text,
                                       Problems* problems);
 
-/// Options of the control core that follow from the settings.
+/// Returns the options of the control core that follow from the settings.
 InstanceOptions MakeInstanceOptions(const Settings& settings,
                                     uint64_t incarnation);
 
--- a/src/include/doorwood/settings_file.h
+++ b/src/include/doorwood/settings_file.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Reading the files that a program is started with.
+/// Reads settings files at program start.
 
 #ifndef DOORWOOD_SETTINGS_FILE_H_
 #define DOORWOOD_SETTINGS_FILE_H_
@@ -14,11 +14,12 @@
 
 namespace doorwood {
 
-/// A whole file; nothing if it can't be opened.
+/// Returns the contents of a file, or nothing if it cannot be opened.
 std::optional<std::string> ReadTextFile(const std::string& path);
 
-/// What `parse(text, problems)` makes of a settings file. If that is nothing,
-/// the reasons are on standard error.
+/// Reads a settings file and returns the result of `parse(text, problems)`. If
+/// the file cannot be read or parsed, returns nothing and prints the reasons to
+/// standard error.
 template <typename Parse>
 auto LoadSettings(const std::string& path, Parse parse)
     -> decltype(parse(std::string(), nullptr)) {
--- a/src/include/doorwood/yaml_reader.h
+++ b/src/include/doorwood/yaml_reader.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Checked reading of YAML documents. Every problem is collected with file,
-/// line, column and key, so that an operator sees all of them at once, and
-/// nothing is used from a document that has any.
+/// Validating reader of YAML documents. All problems are collected with file,
+/// line, column and key, so that an operator sees them at once. A document with
+/// any problem is rejected as a whole.
 
 #ifndef DOORWOOD_YAML_READER_H_
 #define DOORWOOD_YAML_READER_H_
@@ -41,20 +41,21 @@
   std::vector<std::string> lines_;
 };
 
-/// Accepted range of a whole number, both ends included.
+/// Accepted range of an integer, both ends included.
 struct Range {
   int64_t low = 0;
   int64_t high = 0;
 };
 
-/// Reads one YAML mapping. Keys that were not asked for by `Finish` are
+/// Reads one YAML mapping. `Finish` reports keys that no call has read as
 /// problems.
 class MapReader {
  public:
-  /// `path` names the mapping in messages, as in "services[0]".
+  /// `path` names the mapping in messages, for example "services[0]".
   MapReader(const YAML::Node& node, std::string path, Problems* problems);
 
-  /// Each reader leaves `out` as it is if the key is not there.
+  /// Each overload leaves `out` unchanged if the key is missing, and adds a
+  /// problem if the value is invalid.
   void Read(std::string_view key, std::string* out);
   void Read(std::string_view key, bool* out);
   void Read(std::string_view key, Range range, int64_t* out);
@@ -63,38 +64,38 @@
   void Read(std::string_view key, Range millis, Millis* out);
   void Read(std::string_view key, Labels* out);
   void Read(std::string_view key, Resources* out);
-  /// A selector's text, checked.
+  /// Reads the text of a label selector and validates it.
   void ReadSelector(std::string_view key, std::string* out);
-  /// One of `words`; `out` is the index.
+  /// Reads one of `words`; `out` becomes its index.
   void ReadWord(std::string_view key,
                 std::initializer_list<std::string_view> words,
                 size_t* out);
-  /// Calls `each` with every element of a sequence and its path.
+  /// Calls `each` with each element of a sequence and the element's path.
   void ReadEach(
       std::string_view key,
       const std::function<void(const YAML::Node&, std::string)>& each);
 
-  /// Adds a problem if `key` is not there.
+  /// Adds a problem if `key` is missing.
   void Require(std::string_view key);
   void AddProblem(std::string_view key, std::string_view sentence);
-  /// Adds a problem for each key that no reader asked for.
+  /// Adds a problem for each key that no call has read.
   void Finish();
 
  private:
   YAML::Node Find(std::string_view key);
   std::string PathOf(std::string_view key) const;
-  void AddAt(const YAML::Node& node,
-             std::string_view key,
-             std::string_view sentence);
+  void AddProblemAt(const YAML::Node& node,
+                    std::string_view key,
+                    std::string_view sentence);
 
   YAML::Node node_;
   std::string path_;
   Problems* problems_;
-  std::vector<std::string> known_;
+  std::vector<std::string> known_keys_;
 };
 
-/// Parses text into a mapping. Gives a null node, with a problem added, if
-/// the text is not YAML or not a mapping.
+/// Parses text into a mapping. If the text is not valid YAML or not a mapping,
+/// adds a problem and returns a null node.
 YAML::Node ParseYamlMap(std::string_view text, Problems* problems);
 
 }  // namespace doorwood
--- a/src/libdoorwood/config/config.cpp
+++ b/src/libdoorwood/config/config.cpp
@@ -13,8 +13,8 @@
 constexpr Range kLatencyMillis{1, 600'000};
 constexpr Range kQueueLimit{0, 100'000};
 constexpr Range kYields{0, 100};
-constexpr double kLowestObjective = 0.5;
-constexpr double kHighestObjective = 0.99999;
+constexpr double kMinObjective = 0.5;
+constexpr double kMaxObjective = 0.99999;
 
 template <typename T>
 const T* FindByName(const std::vector<T>& items, std::string_view name) {
@@ -23,7 +23,7 @@
   return item == items.end() ? nullptr : &*item;
 }
 
-// Reads a required name and refuses one that was seen before.
+// Reads a required name and reports a duplicate as a problem.
 void ReadUniqueName(MapReader* reader,
                     std::set<std::string>* seen,
                     std::string* out) {
@@ -42,8 +42,7 @@
   MapReader reader(node, path, problems);
   ReadUniqueName(&reader, names, &service.name);
   reader.Read("latency_target_ms", kLatencyMillis, &service.latency_target);
-  reader.Read("objective", kLowestObjective, kHighestObjective,
-              &service.objective);
+  reader.Read("objective", kMinObjective, kMaxObjective, &service.objective);
   reader.Read("queue_limit", kQueueLimit, &service.queue_limit);
   reader.Read("retry_share", 0.0, 1.0, &service.retry_share);
   reader.Finish();
--- a/src/libdoorwood/config/config_follower.cpp
+++ b/src/libdoorwood/config/config_follower.cpp
@@ -27,7 +27,7 @@
     if (error) {
       if (reachable_) {
         reachable_ = false;
-        log_.Write("warn", "config", "the configuration can't be read",
+        log_.Write("warn", "config", "cannot read the configuration",
                    {{"error", error.message()},
                     {"version", table_ ? table_->version() : 0}});
       }
@@ -36,47 +36,47 @@
     }
     if (!reachable_) {
       reachable_ = true;
-      log_.Write("info", "config", "the configuration can be read again",
+      log_.Write("info", "config", "configuration is readable again",
                  Json::object());
     }
-    read_at_ = executor_.Now();
-    Take(snapshot);
+    last_read_ = executor_.Now();
+    ApplyIfNewer(snapshot);
     if (!table_) {
       executor_.Schedule(options_.retry_pause, [this] { Read(); });
       return;
     }
-    Wait();
+    Watch();
   });
 }
 
-void ConfigFollower::Wait() {
+void ConfigFollower::Watch() {
   if (stopped_) {
     return;
   }
   source_.WaitForChange(
-      at_, options_.watch_wait,
+      watched_revision_, options_.watch_wait,
       [this](std::error_code error,
              const QueueTableSource::Snapshot& snapshot) {
         if (error) {
           executor_.Schedule(options_.retry_pause, [this] { Read(); });
           return;
         }
-        Take(snapshot);
-        if (executor_.Now() - read_at_ >= options_.read_interval) {
+        ApplyIfNewer(snapshot);
+        if (executor_.Now() - last_read_ >= options_.read_interval) {
           Read();
         } else {
-          Wait();
+          Watch();
         }
       });
 }
 
-void ConfigFollower::Take(const QueueTableSource::Snapshot& snapshot) {
-  at_ = std::max(at_, snapshot.at);
+void ConfigFollower::ApplyIfNewer(const QueueTableSource::Snapshot& snapshot) {
+  watched_revision_ = std::max(watched_revision_, snapshot.at);
   if (!snapshot.table ||
       (table_ && snapshot.table->version() <= table_->version())) {
     return;
   }
-  log_.Write("info", "config", "configuration in force",
+  log_.Write("info", "config", "new configuration in force",
              {{"version", snapshot.table->version()},
               {"before", table_ ? table_->version() : 0},
               {"queues", snapshot.table->queues().size()},
--- a/src/libdoorwood/config/config_keeper.cpp
+++ b/src/libdoorwood/config/config_keeper.cpp
@@ -12,17 +12,18 @@
 constexpr const char* kPrefix = "config/";
 constexpr const char* kCurrentKey = "config/current";
 constexpr const char* kDrainedKey = "config/drained";
-constexpr size_t kHistoryKept = 10;
-// A value of the key-value service holds at most a megabyte.
-constexpr size_t kLargestText = 64 * 1024;
-constexpr int kTries = 5;
+constexpr size_t kMaxHistory = 10;
+// A value of the key-value service holds at most 1 MB, and the stored value
+// contains the history as well as the current text.
+constexpr size_t kMaxTextBytes = 64 * 1024;
+constexpr int kMaxTries = 5;
 
 uint64_t RevisionOf(const Json& stored) {
   return stored.value("revision", uint64_t{0});
 }
 
-// The revision that an operation made, or 0 if the stored value and its
-// history do not show it.
+// Returns the revision that an operation created, or 0 if neither the stored
+// value nor its history contains the operation.
 uint64_t RevisionOfOperation(const Json& stored, const std::string& operation) {
   if (stored.value("operation", "") == operation) {
     return RevisionOf(stored);
@@ -35,7 +36,7 @@
   return 0;
 }
 
-// The stored value that follows `before`.
+// Returns the stored value that replaces `before` when `change` is applied.
 Json NextValue(const Json& before, const ConfigChange& change) {
   Json history = before.value("history", Json::array());
   if (RevisionOf(before) > 0) {
@@ -43,7 +44,7 @@
     earlier.erase("history");
     history.insert(history.begin(), earlier);
   }
-  while (history.size() > kHistoryKept) {
+  while (history.size() > kMaxHistory) {
     history.erase(history.size() - 1);
   }
   return Json{{"revision", RevisionOf(before) + 1},
@@ -63,13 +64,13 @@
       executor_(executor),
       kv_(kv),
       on_change_(std::move(on_change)),
-      retry_(options.watch_retry),
+      retry_pause_(options.watch_retry),
       configuration_(std::make_shared<Configuration>()) {}
 
-// --- Taking revisions ---
+// --- Adopting revisions ---
 
 void ConfigKeeper::Start() {
-  // The first read asks for all there is, without waiting.
+  // The first read lists all current keys without waiting for a change.
   kv_.List(kPrefix, [self = shared_from_this()](std::error_code error,
                                                 std::vector<KvEntry> entries) {
     self->OnWatched(error, entries);
@@ -84,7 +85,7 @@
   if (stopped_) {
     return;
   }
-  kv_.Watch(kPrefix, watched_,
+  kv_.Watch(kPrefix, watched_version_,
             [self = shared_from_this()](std::error_code error,
                                         std::vector<KvEntry> entries) {
               self->OnWatched(error, entries);
@@ -94,20 +95,21 @@
 void ConfigKeeper::OnWatched(std::error_code error,
                              const std::vector<KvEntry>& entries) {
   if (error) {
-    const auto half = static_cast<uint64_t>(retry_.count() / 2 + 1);
+    const auto half = static_cast<uint64_t>(retry_pause_.count() / 2 + 1);
     const Millis pause =
-        retry_ / 2 + Millis(static_cast<int64_t>(executor_.Random() % half));
-    retry_ = std::min(retry_ * 2, options_.watch_retry_longest);
+        retry_pause_ / 2 +
+        Millis(static_cast<int64_t>(executor_.Random() % half));
+    retry_pause_ = std::min(retry_pause_ * 2, options_.max_watch_retry);
     executor_.Schedule(pause, [self = shared_from_this()]() { self->Watch(); });
     return;
   }
-  retry_ = options_.watch_retry;
+  retry_pause_ = options_.watch_retry;
   for (const KvEntry& entry : entries) {
-    watched_ = std::max(watched_, entry.version);
+    watched_version_ = std::max(watched_version_, entry.version);
     if (entry.key == kCurrentKey) {
       Take(entry.value);
     } else if (entry.key == kDrainedKey) {
-      TakeDrained(entry.value, entry.version);
+      AdoptDrained(entry.value, entry.version);
     }
   }
   Watch();
@@ -122,8 +124,9 @@
   Problems problems("configuration");
   auto parsed = ParseConfiguration(text, &problems);
   if (!parsed) {
-    // Checked before it was stored; a version that knows less keeps what it
-    // has in force.
+    // The text was validated before it was stored, but possibly by a newer
+    // software version. A version that cannot parse it keeps its current
+    // configuration.
     return;
   }
   revision_ = RevisionOf(*stored);
@@ -133,7 +136,7 @@
   on_change_();
 }
 
-void ConfigKeeper::TakeDrained(const std::string& value, int64_t version) {
+void ConfigKeeper::AdoptDrained(const std::string& value, int64_t version) {
   const auto stored = ParseJson(value);
   if (!stored || !stored->is_array() || version <= drained_version_) {
     return;
@@ -163,9 +166,9 @@
 void ConfigKeeper::Apply(const ConfigChange& change,
                          std::function<void(ConfigOutcome)> done) {
   Problems problems("configuration");
-  if (change.text.size() > kLargestText) {
+  if (change.text.size() > kMaxTextBytes) {
     problems.Add(YAML::Mark::null_mark(), "",
-                 "is longer than " + std::to_string(kLargestText) + " bytes");
+                 "is longer than " + std::to_string(kMaxTextBytes) + " bytes");
   } else {
     ParseConfiguration(change.text, &problems);
   }
@@ -173,32 +176,33 @@
     done({CoreErrc::kInvalid, revision_, problems.lines()});
     return;
   }
-  TryApply(change, kTries, std::move(done));
+  TryApply(change, kMaxTries, std::move(done));
 }
 
 void ConfigKeeper::TryApply(const ConfigChange& change,
-                            int tries,
+                            int tries_left,
                             std::function<void(ConfigOutcome)> done) {
-  kv_.Read(kCurrentKey, [self = shared_from_this(), change, tries, done](
+  kv_.Read(kCurrentKey, [self = shared_from_this(), change, tries_left, done](
                             std::error_code error, const KvEntry& entry) {
     if (error && error != KvErrc::kNotFound) {
-      // Reading changes nothing, whatever became of the answer.
+      // A failed read has no effect, so even an unknown outcome is reported as
+      // unavailable.
       done({CoreErrc::kStoreUnavailable, self->revision_, {}});
       return;
     }
-    self->WriteChange(change, entry, tries, done);
+    self->WriteChange(change, entry, tries_left, done);
   });
 }
 
 void ConfigKeeper::WriteChange(const ConfigChange& change,
                                const KvEntry& entry,
-                               int tries,
+                               int tries_left,
                                std::function<void(ConfigOutcome)> done) {
   const Json before = ParseJson(entry.value).value_or(Json::object());
-  const uint64_t made = RevisionOfOperation(before, change.operation);
-  if (made != 0) {
+  const uint64_t made_revision = RevisionOfOperation(before, change.operation);
+  if (made_revision != 0) {
     Take(entry.value);
-    done({std::error_code(), made, {}});
+    done({std::error_code(), made_revision, {}});
     return;
   }
   const uint64_t newest = RevisionOf(before);
@@ -213,7 +217,7 @@
                       .value = next.dump(),
                       .expected_version = entry.version,
                       .priority = KvPriority::kConfig};
-  kv_.Write(write, [self = shared_from_this(), change, tries, done,
+  kv_.Write(write, [self = shared_from_this(), change, tries_left, done,
                     value = write.value,
                     revision = newest + 1](std::error_code error, int64_t) {
     if (!error) {
@@ -225,29 +229,30 @@
       self->ConfirmChange(change, done);
       return;
     }
-    if (error == KvErrc::kConflict && tries > 1) {
-      self->TryApply(change, tries - 1, done);
+    if (error == KvErrc::kConflict && tries_left > 1) {
+      self->TryApply(change, tries_left - 1, done);
       return;
     }
     done({ToCoreError(error), self->revision_, {}});
   });
 }
 
-// The answer to a write was lost: only reading back tells.
+// Called when the answer to a write was lost: reads the value back to find out
+// whether the write took effect.
 void ConfigKeeper::ConfirmChange(const ConfigChange& change,
                                  std::function<void(ConfigOutcome)> done) {
   kv_.Read(kCurrentKey, [self = shared_from_this(), change, done](
                             std::error_code error, const KvEntry& entry) {
     const auto stored = error ? std::nullopt : ParseJson(entry.value);
-    const uint64_t made =
+    const uint64_t made_revision =
         stored ? RevisionOfOperation(*stored, change.operation) : 0;
-    if (made == 0) {
-      // The write may still arrive.
+    if (made_revision == 0) {
+      // The write may still take effect later, so the outcome is unknown.
       done({CoreErrc::kOutcomeUnknown, self->revision_, {}});
       return;
     }
     self->Take(entry.value);
-    done({std::error_code(), made, {}});
+    done({std::error_code(), made_revision, {}});
   });
 }
 
@@ -274,7 +279,7 @@
     self->kv_.Write(write, [self, value = write.value, done](
                                std::error_code write_error, int64_t version) {
       if (!write_error) {
-        self->TakeDrained(value, version);
+        self->AdoptDrained(value, version);
       }
       done(write_error ? ToCoreError(write_error) : std::error_code());
     });
--- a/src/libdoorwood/config/entry_settings.cpp
+++ b/src/libdoorwood/config/entry_settings.cpp
@@ -9,18 +9,22 @@
 
 constexpr Range kGraceMillis{500, 600'000};
 constexpr Range kLeaseMillis{1000, 600'000};
-constexpr Range kKeepMillis{1000, 86'400'000};
+constexpr Range kRetentionMillis{1000, 86'400'000};
 constexpr double kSmallestShare = 0.001;
 constexpr double kLargestShare = 1024;
-// Runs go on this long without word from a leader: longer than a leader's
-// death (2 s), its successor's takeover and a short outage of all instances,
-// and a data centre's cut of 6 s (all standard days have one) with a look that
-// is 1.2 s old; short enough that a silent worker's work starts elsewhere.
+// A run continues for this long without contact from a leader. The lease
+// outlasts the detection of a leader's failure (2 s) plus its successor's
+// takeover and a short outage of all instances. It also outlasts a network
+// partition of a data centre of 6 s (every standard day has one) when the last
+// contact was 1.2 s before it. It is short enough that the work of an
+// unresponsive worker is restarted elsewhere.
 constexpr Millis kRunLease{8500};
-// Added to the lease of a machine's holder, for the late end of an order.
+// Added to the lease of a machine's holder, to cover a machine order that
+// completes late.
 constexpr Millis kHolderLeaseSlack{500};
-// Finished jobs are kept this much longer than can be asked for.
-constexpr Millis kKeepSlack{30'000};
+// Finished jobs are kept this much longer than the period in which they can be
+// queried.
+constexpr Millis kRetentionSlack{30'000};
 
 }  // namespace
 
@@ -32,12 +36,12 @@
     return std::nullopt;
   }
   MapReader reader(root, "", problems);
-  const std::pair<std::string_view, std::string*> needed[] = {
+  const std::pair<std::string_view, std::string*> required_texts[] = {
       {"instance", &settings.instance}, {"data_centre", &settings.data_centre},
       {"front", &settings.front},       {"ready", &settings.ready},
       {"peer", &settings.peer},         {"metrics", &settings.metrics},
       {"store", &settings.store}};
-  for (const auto& [key, out] : needed) {
+  for (const auto& [key, out] : required_texts) {
     reader.Require(key);
     reader.Read(key, out);
   }
@@ -52,7 +56,7 @@
   reader.Read("grace_ms", kGraceMillis, &settings.grace);
   reader.Read("longest_run_lease_ms", kLeaseMillis,
               &settings.longest_run_lease);
-  reader.Read("keep_finished_ms", kKeepMillis, &settings.keep_finished);
+  reader.Read("keep_finished_ms", kRetentionMillis, &settings.keep_finished);
   reader.Read("machine_holder_lease_ms", kLeaseMillis,
               &settings.machine_holder_lease);
   reader.Finish();
@@ -73,7 +77,7 @@
   options.sessions.run_lease = std::min(kRunLease, settings.longest_run_lease);
   options.waves.holder_lease =
       settings.machine_holder_lease + kHolderLeaseSlack;
-  options.keep_finished = settings.keep_finished + kKeepSlack;
+  options.keep_finished = settings.keep_finished + kRetentionSlack;
   return options;
 }
 
--- a/src/libdoorwood/config/manifest.cpp
+++ b/src/libdoorwood/config/manifest.cpp
@@ -12,7 +12,8 @@
 constexpr Range kCount{1, kMostTasksOfJob};
 constexpr int kServiceYields = 0;
 
-// Reads a task and appends it as often as its `count` says.
+// Reads a task and appends `count` copies of it to the job. Copies are numbered
+// if there is more than one.
 void ParseTask(const YAML::Node& node,
                const std::string& path,
                std::set<std::string>* names,
@@ -68,7 +69,7 @@
   reader.Require("member");
   reader.Read("member", &job.member);
   reader.Read("home", &job.home);
-  // Taking a job over in another data centre by itself is not built yet, so
+  // Automatic failover of a job to another data centre is not implemented, so
   // only the default is accepted.
   reader.ReadWord("failover", {"never"}, &failover);
   reader.Require("tasks");
--- a/src/libdoorwood/config/parse_test.cpp
+++ b/src/libdoorwood/config/parse_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Selectors, configuration, manifest and settings: what is taken, and the
-// problem that each bad document is refused with.
+// Parsers of selectors, configurations, manifests and settings: which documents
+// are accepted, and the error message for each invalid one.
 
 #include <boost/test/unit_test.hpp>
 #include <fstream>
@@ -49,7 +49,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(selector_that_is_malformed_or_contradicts_is_refused) {
+BOOST_AUTO_TEST_CASE(malformed_or_contradictory_selector_is_rejected) {
   for (const char* text : {"=", "a=", "a b", "a=b=c", ",", "a=1,a=2",
                            "a=1,a!=1", "a,!a", "a=1,!a"}) {
     std::string error;
@@ -60,15 +60,15 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-// One bad document and the line that it must be refused with.
-struct BadRow {
+// An invalid document and the start of the problem line it must produce.
+struct InvalidDocument {
   const char* text;
   const char* problem;
 };
 
 template <typename Parse>
-void CheckBad(const std::vector<BadRow>& rows, Parse parse) {
-  for (const BadRow& row : rows) {
+void CheckRejected(const std::vector<InvalidDocument>& rows, Parse parse) {
+  for (const InvalidDocument& row : rows) {
     Problems problems("f");
     BOOST_TEST(!parse(row.text, &problems).has_value(), row.text);
     bool found = false;
@@ -81,8 +81,8 @@
 
 BOOST_AUTO_TEST_SUITE(documents)
 
-BOOST_AUTO_TEST_CASE(configuration_that_is_bad_is_refused_with_its_place) {
-  CheckBad(
+BOOST_AUTO_TEST_CASE(invalid_configuration_is_rejected_with_its_location) {
+  CheckRejected(
       {{"[1, 2]", "f:1:1: must be a mapping"},
        {"services: 3", "f:1:11: services: must be a list"},
        {"services: [{}]", "f:1:12: services[0].name: is missing"},
@@ -119,22 +119,23 @@
   BOOST_TEST(spec.on == "hall=east");
 }
 
-BOOST_AUTO_TEST_CASE(manifest_that_is_bad_is_refused_with_its_place) {
-  CheckBad({{"tasks: []", "f:1:1: member: is missing"},
-            {"member: m\ntasks: []", "f:2:8: tasks: must hold at least one"},
-            {"member: m\ntasks: [{name: a}]", "f:2:9: tasks[0].size: is"},
-            {"member: m\ntasks: [{name: a, size: {}, class: fast}]",
-             "f:2:36: tasks[0].class: must be one of: batch service"},
-            {"member: m\nfailover: 30m\ntasks: [{name: a, size: {}}]",
-             "f:2:11: failover: must be one of: never"},
-            {"member: m\ntasks: [{name: a, size: {}},{name: a, size: {}}]",
-             "f:2:36: tasks[1].name: 'a' stands twice"},
-            {"member: m\ntasks: [{name: a, size: {}, count: 300}, {name: b, "
-             "size: {}, count: 300}]",
-             "f:2:8: tasks: must hold at most 500 tasks"},
-            {"member: m\ntasks: [{name: a, size: {}, repeatable: perhaps}]",
-             "f:2:41: tasks[0].repeatable: must be true or false"}},
-           ParseManifest);
+BOOST_AUTO_TEST_CASE(invalid_manifest_is_rejected_with_its_location) {
+  CheckRejected(
+      {{"tasks: []", "f:1:1: member: is missing"},
+       {"member: m\ntasks: []", "f:2:8: tasks: must hold at least one"},
+       {"member: m\ntasks: [{name: a}]", "f:2:9: tasks[0].size: is"},
+       {"member: m\ntasks: [{name: a, size: {}, class: fast}]",
+        "f:2:36: tasks[0].class: must be one of: batch service"},
+       {"member: m\nfailover: 30m\ntasks: [{name: a, size: {}}]",
+        "f:2:11: failover: must be one of: never"},
+       {"member: m\ntasks: [{name: a, size: {}},{name: a, size: {}}]",
+        "f:2:36: tasks[1].name: 'a' stands twice"},
+       {"member: m\ntasks: [{name: a, size: {}, count: 300}, {name: b, "
+        "size: {}, count: 300}]",
+        "f:2:8: tasks: must hold at most 500 tasks"},
+       {"member: m\ntasks: [{name: a, size: {}, repeatable: perhaps}]",
+        "f:2:41: tasks[0].repeatable: must be true or false"}},
+      ParseManifest);
 }
 
 BOOST_AUTO_TEST_CASE(manifest_in_json_with_count_gives_numbered_tasks) {
@@ -155,24 +156,25 @@
     "127.0.0.1:2\nkv: 127.0.0.1:3\ndirectory: 127.0.0.1:4\noperator_token: "
     "12345678\npeer_token: 12345678\n";
 
-BOOST_AUTO_TEST_CASE(settings_that_are_bad_are_refused_with_their_place) {
+BOOST_AUTO_TEST_CASE(invalid_settings_are_rejected_with_their_location) {
   const std::string good = kSettings;
   const std::string lease = good + "control_lease_ms: 1000\n";
   const std::string task = good + "task_lease_ms: 4000\n";
   const std::string beat = good + "heartbeat_timeout_ms: 600\n";
-  CheckBad({{"listen: localhost:1", "f:1:9: listen: must be an IP number"},
-            {"listen: 1.2.3.256:1", "f:1:9: listen: must be an IP number"},
-            {"listen: 1.2.3.4:65536", "f:1:9: listen: must be an IP number"},
-            {"listen: 1.2.3.4", "f:1:9: listen: must be an IP number"},
-            {"peer_token: short", "f:1:13: peer_token: must be at least 8"},
-            {"data_centre: a/b", "f:1:14: data_centre: may hold letters"},
-            {lease.c_str(), "f:1:1: renew_interval_ms: must leave room"},
-            {task.c_str(), "f:9:16: task_lease_ms: must be at least twice"},
-            {beat.c_str(), "f:9:23: heartbeat_timeout_ms: must be at least"}},
-           ParseSettings);
+  CheckRejected(
+      {{"listen: localhost:1", "f:1:9: listen: must be an IP number"},
+       {"listen: 1.2.3.256:1", "f:1:9: listen: must be an IP number"},
+       {"listen: 1.2.3.4:65536", "f:1:9: listen: must be an IP number"},
+       {"listen: 1.2.3.4", "f:1:9: listen: must be an IP number"},
+       {"peer_token: short", "f:1:13: peer_token: must be at least 8"},
+       {"data_centre: a/b", "f:1:14: data_centre: may hold letters"},
+       {lease.c_str(), "f:1:1: renew_interval_ms: must leave room"},
+       {task.c_str(), "f:9:16: task_lease_ms: must be at least twice"},
+       {beat.c_str(), "f:9:23: heartbeat_timeout_ms: must be at least"}},
+      ParseSettings);
 }
 
-BOOST_AUTO_TEST_CASE(settings_that_are_good_become_options) {
+BOOST_AUTO_TEST_CASE(valid_settings_become_options) {
   Problems problems("f");
   const auto settings = ParseSettings(
       std::string(kSettings) + "control_lease_ms: 4000\nshard_count: 16\n",
@@ -184,8 +186,8 @@
   BOOST_TEST(options.incarnation == 7u);
 }
 
-// Documents changed at random, byte by byte: the parsers must come back with
-// a value or with a problem, whatever they read.
+// Applies random byte changes to valid documents: each parser must return
+// either a value or a problem for any input.
 BOOST_AUTO_TEST_CASE(documents_with_random_bytes_give_a_value_or_a_problem) {
   const std::string configuration =
       "services:\n  - name: a\n    objective: 0.99\nmembers:\n  - name: m\n "
--- a/src/libdoorwood/config/queue_table.cpp
+++ b/src/libdoorwood/config/queue_table.cpp
@@ -15,7 +15,7 @@
       queues_(std::move(queues)),
       limits_(limits),
       unguarded_services_(std::move(unguarded_services)) {
-  // Longest prefix first, so that the first match is the one wanted.
+  // Longest prefix first, so that the first match is the most specific one.
   std::stable_sort(queues_.begin(), queues_.end(),
                    [](const Queue& a, const Queue& b) {
                      return a.path_prefix.size() > b.path_prefix.size();
--- a/src/libdoorwood/config/selector.cpp
+++ b/src/libdoorwood/config/selector.cpp
@@ -63,8 +63,9 @@
   return false;
 }
 
-// True if no label value can meet both.
-bool Contradict(const Requirement& a, const Requirement& b) {
+// Returns true if no labels can meet both requirements. The order of the
+// arguments matters; callers check both orders.
+bool Contradicts(const Requirement& a, const Requirement& b) {
   if (a.key != b.key) {
     return false;
   }
@@ -85,7 +86,7 @@
 bool HasContradiction(const std::vector<Requirement>& requirements) {
   for (const Requirement& a : requirements) {
     for (const Requirement& b : requirements) {
-      if (Contradict(a, b)) {
+      if (Contradicts(a, b)) {
         return true;
       }
     }
--- a/src/libdoorwood/config/settings.cpp
+++ b/src/libdoorwood/config/settings.cpp
@@ -15,9 +15,9 @@
 constexpr Range kShards{1, 1024};
 constexpr Range kShortMillis{10, 60'000};
 constexpr Range kLongMillis{10, 600'000};
-constexpr size_t kShortestToken = 8;
+constexpr size_t kMinTokenLength = 8;
 
-// "127.0.0.1:8080": four numbers below 256 and a port.
+// Accepts an IPv4 address and a port, for example "127.0.0.1:8080".
 bool IsAddress(std::string_view text) {
   constexpr std::array<std::pair<char, int>, 5> kParts = {
       {{'.', 255}, {'.', 255}, {'.', 255}, {':', 255}, {'\0', 65535}}};
@@ -50,14 +50,16 @@
 void ReadToken(MapReader* reader, std::string_view key, std::string* out) {
   reader->Require(key);
   reader->Read(key, out);
-  if (!out->empty() && out->size() < kShortestToken) {
+  if (!out->empty() && out->size() < kMinTokenLength) {
     reader->AddProblem(key, "must be at least " +
-                                std::to_string(kShortestToken) +
+                                std::to_string(kMinTokenLength) +
                                 " characters long");
   }
 }
 
-// A data centre's name is part of keys and job ids.
+// Names of data centres and instances are part of store keys, and a data
+// centre's name is also part of job ids, so only characters that are safe there
+// are accepted.
 void CheckName(MapReader* reader, std::string_view key, std::string_view name) {
   constexpr std::string_view kAllowed =
       "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_";
--- a/src/libdoorwood/config/yaml_reader.cpp
+++ b/src/libdoorwood/config/yaml_reader.cpp
@@ -11,11 +11,11 @@
 namespace doorwood {
 namespace {
 
-constexpr int64_t kMostCpuMillis = 1'024'000;
-constexpr int64_t kMostMemoryMib = 16 * 1024 * 1024;
-constexpr int64_t kMostAccelerators = 64;
+constexpr int64_t kMaxCpuMillis = 1'024'000;
+constexpr int64_t kMaxMemoryMib = 16 * 1024 * 1024;
+constexpr int64_t kMaxAccelerators = 64;
 
-std::optional<int64_t> ParseWhole(const std::string& text) {
+std::optional<int64_t> ParseInteger(const std::string& text) {
   int64_t value = 0;
   const char* end = text.data() + text.size();
   const auto result = std::from_chars(text.data(), end, value);
@@ -71,7 +71,7 @@
     return;
   }
   if (!node.IsScalar()) {
-    AddAt(node, key, "must be text");
+    AddProblemAt(node, key, "must be text");
     return;
   }
   *out = node.Scalar();
@@ -83,7 +83,7 @@
     return;
   }
   if (!node.IsScalar() || !YAML::convert<bool>::decode(node, *out)) {
-    AddAt(node, key, "must be true or false");
+    AddProblemAt(node, key, "must be true or false");
   }
 }
 
@@ -92,9 +92,10 @@
   if (!node) {
     return;
   }
-  const auto value = node.IsScalar() ? ParseWhole(node.Scalar()) : std::nullopt;
+  const auto value =
+      node.IsScalar() ? ParseInteger(node.Scalar()) : std::nullopt;
   if (!value || *value < range.low || *value > range.high) {
-    AddAt(node, key, RangeSentence(range));
+    AddProblemAt(node, key, RangeSentence(range));
     return;
   }
   *out = *value;
@@ -117,11 +118,11 @@
   double value = 0;
   const bool is_number =
       node.IsScalar() && YAML::convert<double>::decode(node, value);
-  // The negated form also refuses not-a-number.
+  // The negated comparison also rejects NaN.
   if (!is_number || !(value >= low && value <= high)) {
-    AddAt(node, key,
-          "must be a number from " + std::to_string(low) + " to " +
-              std::to_string(high));
+    AddProblemAt(node, key,
+                 "must be a number from " + std::to_string(low) + " to " +
+                     std::to_string(high));
     return;
   }
   *out = value;
@@ -139,12 +140,12 @@
     return;
   }
   if (!node.IsMap()) {
-    AddAt(node, key, "must be a mapping of label to value");
+    AddProblemAt(node, key, "must be a mapping of label to value");
     return;
   }
   for (const auto& item : node) {
     if (!item.first.IsScalar() || !item.second.IsScalar()) {
-      AddAt(node, key, "each label and each value must be text");
+      AddProblemAt(node, key, "each label and each value must be text");
       return;
     }
     (*out)[item.first.Scalar()] = item.second.Scalar();
@@ -157,9 +158,9 @@
     return;
   }
   MapReader reader(node, PathOf(key), problems_);
-  reader.Read("cpu_millis", Range{0, kMostCpuMillis}, &out->cpu_millis);
-  reader.Read("memory_mib", Range{0, kMostMemoryMib}, &out->memory_mib);
-  reader.Read("accelerators", Range{0, kMostAccelerators}, &out->accelerators);
+  reader.Read("cpu_millis", Range{0, kMaxCpuMillis}, &out->cpu_millis);
+  reader.Read("memory_mib", Range{0, kMaxMemoryMib}, &out->memory_mib);
+  reader.Read("accelerators", Range{0, kMaxAccelerators}, &out->accelerators);
   reader.Finish();
 }
 
@@ -191,7 +192,7 @@
   for (const std::string_view accepted : words) {
     sentence += " " + std::string(accepted);
   }
-  AddAt(node, key, sentence);
+  AddProblemAt(node, key, sentence);
 }
 
 void MapReader::ReadEach(
@@ -202,7 +203,7 @@
     return;
   }
   if (!node.IsSequence()) {
-    AddAt(node, key, "must be a list");
+    AddProblemAt(node, key, "must be a list");
     return;
   }
   for (size_t i = 0; i < node.size(); ++i) {
@@ -212,13 +213,13 @@
 
 void MapReader::Require(std::string_view key) {
   if (!Find(key)) {
-    AddAt(node_, key, "is missing");
+    AddProblemAt(node_, key, "is missing");
   }
 }
 
 void MapReader::AddProblem(std::string_view key, std::string_view sentence) {
   const YAML::Node node = Find(key);
-  AddAt(node ? node : node_, key, sentence);
+  AddProblemAt(node ? node : node_, key, sentence);
 }
 
 void MapReader::Finish() {
@@ -227,20 +228,22 @@
   }
   for (const auto& item : node_) {
     if (!item.first.IsScalar()) {
-      AddAt(item.first, "", "keys must be text");
+      AddProblemAt(item.first, "", "keys must be text");
       continue;
     }
     const std::string key = item.first.Scalar();
-    if (std::find(known_.begin(), known_.end(), key) == known_.end()) {
-      AddAt(item.first, key, "is not a known key");
+    if (std::find(known_keys_.begin(), known_keys_.end(), key) ==
+        known_keys_.end()) {
+      AddProblemAt(item.first, key, "is not a known key");
     }
   }
 }
 
 YAML::Node MapReader::Find(std::string_view key) {
   std::string name(key);
-  if (std::find(known_.begin(), known_.end(), name) == known_.end()) {
-    known_.push_back(name);
+  if (std::find(known_keys_.begin(), known_keys_.end(), name) ==
+      known_keys_.end()) {
+    known_keys_.push_back(name);
   }
   if (!node_.IsMap()) {
     return YAML::Node(YAML::NodeType::Undefined);
@@ -255,9 +258,9 @@
   return path_ + "." + std::string(key);
 }
 
-void MapReader::AddAt(const YAML::Node& node,
-                      std::string_view key,
-                      std::string_view sentence) {
+void MapReader::AddProblemAt(const YAML::Node& node,
+                             std::string_view key,
+                             std::string_view sentence) {
   problems_->Add(node.Mark(), PathOf(key), sentence);
 }
 
