--- a/src/include/doorwood/instance.h
+++ b/src/include/doorwood/instance.h
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The control core of one entry instance: joins membership, worker holding,
-/// shard owning and configuration, and answers peers and operators. All calls
-/// on the control thread; outside systems only through ports.
+/// The control core of one entry instance. It combines membership, worker
+/// leases, shard ownership and configuration, and answers peers and operators.
+/// All calls must be made on the control thread; external systems are reached
+/// only through the interfaces in `InstancePorts`.
 
 #ifndef DOORWOOD_INSTANCE_H_
 #define DOORWOOD_INSTANCE_H_
@@ -26,20 +27,22 @@
 namespace doorwood {
 
 struct InstanceOptions {
-  /// This instance, as in the platform's list.
+  /// This instance, as it appears in the platform's instance list.
   InstanceInfo self;
   /// Differs with each start of the process.
   uint64_t incarnation = 0;
-  /// Shards of each data centre. The same on all instances, for good.
+  /// Number of shards in each data centre. It must be the same on all instances
+  /// and must never change.
   uint32_t shard_count = 8;
   Millis heartbeat_interval{500};
-  /// Every so many heartbeats go to other data centres too.
+  /// Every `remote_every`-th heartbeat is also sent to other data centres.
   uint64_t remote_every = 4;
   Millis list_interval{1000};
   Millis call_timeout{2000};
   /// Lifetime of this instance's registration in the key-value service.
   Millis registration{6000};
-  /// Pause between two looks at what ought to be held and owned.
+  /// Interval between two checks of which workers to hold and which shards to
+  /// own.
   Millis rebalance_interval{250};
   MembershipOptions membership;
   HolderOptions holder;
@@ -47,7 +50,8 @@
   ConfigKeeperOptions config;
 };
 
-/// Where the control core tells traffic what to use.
+/// Interface through which the control core tells the request path which
+/// backend servers, peers and configuration to use.
 class RouteSink {
  public:
   virtual ~RouteSink() = default;
@@ -56,14 +60,16 @@
   virtual void OnPeers(std::vector<PeerTarget> peers) = 0;
   virtual void OnConfiguration(
       std::shared_ptr<const Configuration> configuration) = 0;
-  /// Services with free slots here, for heartbeats.
+  /// Services that have free slots at this instance, for heartbeats.
   virtual std::vector<std::string> OpenServices() = 0;
-  /// Requests under way on a worker's backend servers.
+  /// Number of requests in progress on a worker's backend servers.
   virtual int SlotsInUse(const std::string& worker) = 0;
-  /// Burn of service-level objectives as seen by this instance, as JSON.
+  /// Burn rates of service-level objectives as measured by this instance, as
+  /// JSON.
   virtual Json Burn() = 0;
 };
 
+/// External systems that the control core uses. They must outlive it.
 struct InstancePorts {
   Executor& executor;
   KvStore& kv;
@@ -85,25 +91,27 @@
   ~Instance() override;
 
   void Start();
-  /// Gives away workers and shards; `done` once that is over or `patience`
-  /// has passed.
-  void Leave(Millis patience, std::function<void()> done);
+  /// Starts a planned shutdown: releases workers and hands over shards. Calls
+  /// `done` when all are released or `leave_timeout` has elapsed.
+  void Leave(Millis leave_timeout, std::function<void()> done);
 
   // PeerService:
   void Handle(const PeerRequest& request, Reply reply) override;
 
-  /// Answers an operator's call, here or at the instance that can. Methods
-  /// are listed in docs/ARCHITECTURE.md.
+  /// Answers an operator's call, or forwards it to the instance that can answer
+  /// it. Methods are listed in docs/ARCHITECTURE.md.
   void Operate(const OperatorCall& call, OperatorDone done);
-  /// Records an idempotency key with its shard's owner.
+  /// Records with the owner of the key's shard that `request` uses an
+  /// idempotency key.
   void Claim(const std::string& key,
              const std::string& request,
              std::function<void(ClaimOutcome)> done);
+  /// Withdraws a claim, best effort.
   void Unclaim(const std::string& key, const std::string& request);
 
   const InstanceOptions& options() const { return options_; }
   bool leaving() const { return leaving_; }
-  /// True once the list and a configuration or its absence are known.
+  /// True once the instance list is known and until a planned shutdown starts.
   bool ready() const { return membership_.list_known() && !leaving_; }
   const WorkerHolder& holder() const { return holder_; }
   const Membership& membership() const { return membership_; }
@@ -112,12 +120,12 @@
   std::vector<const ShardOwner*> owners() const;
 
  private:
-  struct Owning {
+  struct ShardOwnership {
     std::shared_ptr<ShardOwner> owner;
     bool active = false;
     bool closing = false;
-    // True while it is open whether the store still names this owner.
-    bool in_doubt = false;
+    // True until it is verified that the store still names this owner.
+    bool needs_verification = false;
     bool verifying = false;
   };
 
@@ -140,36 +148,36 @@
                    const TaskId& task,
                    std::string_view detail) override;
 
-  // Loops.
-  void Every(Millis interval, void (Instance::*step)());
+  // Periodic work.
+  void RunPeriodically(Millis interval, void (Instance::*step)());
   void FetchList();
   void SendHeartbeats();
   void Rebalance();
   std::vector<InstanceInfo> WorkersToHold(Instant now);
-  void FlushEnds();
+  void SendPendingEnds();
   void RenewRegistration();
   void Register();
 
   // Heartbeats.
   Heartbeat MakeHeartbeat() const;
   void OnHeartbeat(const Heartbeat& heartbeat);
-  bool HeardLately(const std::string& peer) const;
+  bool HeardRecently(const std::string& peer) const;
   void FetchConfigFrom(const std::string& instance);
 
   // Shards.
   void OpenShard(const ShardId& shard);
   bool StoreReachable() const;
   void CloseShard(const ShardId& shard);
-  void DropShard(const ShardId& shard);
-  void DoubtAllShards();
+  void AbandonShard(const ShardId& shard);
+  void MarkAllShardsUnverified();
   void VerifyShard(const ShardId& shard);
   ShardOwner* ActiveOwner(const ShardId& shard);
   std::string OwnerOf(const ShardId& shard) const;
 
-  // Ends on their way to the owners.
+  // Attempt ends that are reported to the shards' owners.
   void SendEnds(const ShardId& shard);
 
-  // Traffic.
+  // Request routing.
   void PublishRoutes();
   void OnConfigChanged();
 
@@ -192,23 +200,24 @@
   void OperateDrain(const Json& body, OperatorDone done);
   void OperateStatus(OperatorDone done);
   void OperateBurn(const OperatorCall& call, OperatorDone done);
-  /// Answers a call about one job or key as the owner of its shard.
+  /// Answers a call about a job or an idempotency key as the owner of its
+  /// shard.
   void AnswerAsOwner(ShardOwner& owner,
                      const OperatorCall& call,
                      const Json& body,
                      OperatorDone done);
-  void ToOwner(const ShardId& shard,
-               const OperatorCall& call,
-               OperatorDone done);
-  void ToDataCentre(const std::string& data_centre,
-                    const OperatorCall& call,
-                    OperatorDone done);
-  void PassOn(const std::string& instance,
-              const OperatorCall& call,
-              OperatorDone done);
-  /// Asks every heard instance of this data centre and joins the answers,
-  /// which are JSON lists.
-  void Gather(const OperatorCall& call, Json own, OperatorDone done);
+  void ForwardToOwner(const ShardId& shard,
+                      const OperatorCall& call,
+                      OperatorDone done);
+  void ForwardToDataCentre(const std::string& data_centre,
+                           const OperatorCall& call,
+                           OperatorDone done);
+  void ForwardToInstance(const std::string& instance,
+                         const OperatorCall& call,
+                         OperatorDone done);
+  /// Asks all known instances of this data centre and concatenates their
+  /// answers, which are JSON lists, with `own`.
+  void GatherFromPeers(const OperatorCall& call, Json own, OperatorDone done);
 
   InstanceOptions options_;
   Executor& executor_;
@@ -220,24 +229,26 @@
   Membership membership_;
   WorkerHolder holder_;
   std::shared_ptr<ConfigKeeper> config_;
-  std::map<ShardId, Owning> shards_;
-  std::map<ShardId, Instant> next_open_;
-  std::map<ShardId, std::map<AttemptId, Sighting>> ends_;
+  std::map<ShardId, ShardOwnership> shards_;
+  std::map<ShardId, Instant> next_open_attempt_;
+  std::map<ShardId, std::map<AttemptId, Sighting>> unreported_ends_;
   std::set<ShardId> sending_ends_;
   std::set<std::string> fetching_config_;
-  // Held only until the requests under way there are answered.
+  // Workers that are held only until the requests in progress on their backend
+  // servers are answered.
   std::set<std::string> closing_workers_;
   bool leaving_ = false;
-  bool rebalance_soon_ = false;
+  bool publish_scheduled_ = false;
   uint64_t holdings_version_ = 0;
-  uint64_t beat_ = 0;
+  uint64_t heartbeat_count_ = 0;
   int64_t registration_lease_ = 0;
   Instant registration_valid_until_{};
   bool registered_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-/// The shard that a member's jobs belong to.
+/// Returns the index of the shard for a member's jobs (or for an idempotency
+/// key).
 uint32_t ShardOfMember(std::string_view member, uint32_t shard_count);
 
 }  // namespace doorwood
--- a/src/libdoorwood/instance/instance.cpp
+++ b/src/libdoorwood/instance/instance.cpp
@@ -11,7 +11,7 @@
 namespace doorwood {
 namespace {
 
-constexpr Millis kEndRetry{500};
+constexpr Millis kEndReportInterval{500};
 constexpr Millis kRegistrationRetry{500};
 constexpr int kRenewalsPerLifetime = 3;
 
@@ -21,7 +21,7 @@
   return XXH3_64bits(member.data(), member.size()) % shard_count;
 }
 
-// --- Life ---
+// --- Start and planned shutdown ---
 
 Instance::Instance(const InstanceOptions& options, const InstancePorts& ports)
     : options_(options),
@@ -57,53 +57,53 @@
               {"data_centre", options_.self.data_centre}});
   config_->Start();
   Register();
-  Every(options_.list_interval, &Instance::FetchList);
-  Every(options_.heartbeat_interval, &Instance::SendHeartbeats);
-  Every(options_.rebalance_interval, &Instance::Rebalance);
-  Every(kEndRetry, &Instance::FlushEnds);
+  RunPeriodically(options_.list_interval, &Instance::FetchList);
+  RunPeriodically(options_.heartbeat_interval, &Instance::SendHeartbeats);
+  RunPeriodically(options_.rebalance_interval, &Instance::Rebalance);
+  RunPeriodically(kEndReportInterval, &Instance::SendPendingEnds);
 }
 
-// Runs `step` now and then every `interval`, as long as this object lives.
-void Instance::Every(Millis interval, void (Instance::*step)()) {
+// Calls `step` immediately and then every `interval` while this object exists.
+void Instance::RunPeriodically(Millis interval, void (Instance::*step)()) {
   (this->*step)();
   executor_.Schedule(interval, [this, alive = alive_, interval, step]() {
     if (*alive) {
-      Every(interval, step);
+      RunPeriodically(interval, step);
     }
   });
 }
 
-void Instance::Leave(Millis patience, std::function<void()> done) {
+void Instance::Leave(Millis leave_timeout, std::function<void()> done) {
   leaving_ = true;
   membership_.set_leaving();
   log_.Write("info", "instance", "leaving", Json::object());
   SendHeartbeats();
   Rebalance();
-  const Instant end = executor_.Now() + patience;
-  auto look = std::make_shared<std::function<void()>>();
-  *look = [this, alive = alive_, end, done, look]() {
+  const Instant deadline = executor_.Now() + leave_timeout;
+  auto check_released = std::make_shared<std::function<void()>>();
+  *check_released = [this, alive = alive_, deadline, done, check_released]() {
     if (!*alive) {
       return;
     }
-    // Without the store no shard can be given away: their next owners wait
-    // for the registration to lapse.
+    // Without the store no shard can be handed over. Its next owner waits until
+    // this instance's registration expires.
     const bool shards_gone = shards_.empty() || !StoreReachable();
     const bool gone = shards_gone && holder_.rows().empty();
-    if (gone || executor_.Now() >= end) {
-      // Peers hear at once that nothing is held or owned here any more.
+    if (gone || executor_.Now() >= deadline) {
+      // Notify peers immediately that this instance holds and owns nothing.
       SendHeartbeats();
       done();
-      *look = nullptr;
+      *check_released = nullptr;
       return;
     }
     Rebalance();
-    executor_.Schedule(Millis(50), [look]() {
-      if (*look) {
-        (*look)();
+    executor_.Schedule(Millis(50), [check_released]() {
+      if (*check_released) {
+        (*check_released)();
       }
     });
   };
-  executor_.Post([look]() { (*look)(); });
+  executor_.Post([check_released]() { (*check_released)(); });
 }
 
 // --- Registration in the key-value service ---
@@ -165,7 +165,7 @@
     }
     if (error == make_error_code(KvErrc::kNotFound)) {
       registered_ = false;
-      DoubtAllShards();
+      MarkAllShardsUnverified();
       Register();
       return;
     }
@@ -231,14 +231,15 @@
 
 void Instance::SendHeartbeats() {
   const Heartbeat beat = MakeHeartbeat();
-  ++beat_;
-  const bool remote = beat_ % options_.remote_every == 0;
-  for (const InstanceInfo& target : membership_.HeartbeatTargets(beat_)) {
+  ++heartbeat_count_;
+  const bool remote = heartbeat_count_ % options_.remote_every == 0;
+  for (const InstanceInfo& target :
+       membership_.HeartbeatTargets(heartbeat_count_)) {
     const bool here = target.data_centre == options_.self.data_centre;
     if (!here && !remote) {
       continue;
     }
-    if (here && !leaving_ && HeardLately(target.id)) {
+    if (here && !leaving_ && HeardRecently(target.id)) {
       continue;
     }
     peers_.Call(
@@ -252,9 +253,10 @@
   }
 }
 
-// The reply to a heartbeat carries the receiver's state, so one instance of a
-// pair is enough to send: the one whose id comes first, as long as it does.
-bool Instance::HeardLately(const std::string& peer) const {
+// The reply to a heartbeat contains the receiver's state, so only one instance
+// of a pair needs to send. That is the one whose id sorts first; the other one
+// starts sending when no heartbeat has arrived within the heartbeat interval.
+bool Instance::HeardRecently(const std::string& peer) const {
   const auto known = membership_.peers().find(peer);
   const bool they_send = peer < options_.self.id;
   return they_send && known != membership_.peers().end() &&
@@ -270,7 +272,7 @@
     const bool replaced = mine != shards_.end() && mine->second.active &&
                           mine->second.owner->epoch() < owned.epoch;
     if (replaced) {
-      mine->second.in_doubt = true;
+      mine->second.needs_verification = true;
     }
   }
   if (heartbeat.config_revision > config_->revision()) {
@@ -297,7 +299,7 @@
                });
 }
 
-// --- What is held and owned ---
+// --- Held workers and owned shards ---
 
 void Instance::Rebalance() {
   const Instant now = executor_.Now();
@@ -332,9 +334,10 @@
   PublishRoutes();
 }
 
-// The workers that belong to this instance, and those it has to hold a little
-// longer: while requests run on a worker's backend servers, their slots are
-// counted here, and another holder would count them as free.
+// Returns the workers assigned to this instance, and those that it must
+// continue to hold for now: while requests run on a worker's backend servers,
+// this instance counts their slots, and another holder would count them as
+// free.
 std::vector<InstanceInfo> Instance::WorkersToHold(Instant now) {
   std::vector<InstanceInfo> workers;
   if (!leaving_) {
@@ -348,8 +351,8 @@
         [&](const InstanceInfo& worker) { return worker.id == info.id; });
     const bool held =
         !wanted && info.role == InstanceRole::kWorker && holder_.Holds(info.id);
-    // One more round after closing, so that a request that took a slot just
-    // before is seen.
+    // A worker is released one round after closing at the earliest, so that a
+    // request that took a slot just before closing is counted.
     const bool idle =
         closing.contains(info.id) && routes_.SlotsInUse(info.id) == 0;
     if (held && !idle) {
@@ -360,10 +363,10 @@
   return workers;
 }
 
-// --- Ends on their way to the owners ---
+// --- Reporting attempt ends to the shards' owners ---
 
 void Instance::OnAttemptEnded(const ShardId& shard, const Sighting& ended) {
-  ends_[shard][ended.attempt] = ended;
+  unreported_ends_[shard][ended.attempt] = ended;
   executor_.Post([this, alive = alive_, shard]() {
     if (*alive) {
       SendEnds(shard);
@@ -371,9 +374,9 @@
   });
 }
 
-void Instance::FlushEnds() {
+void Instance::SendPendingEnds() {
   std::vector<ShardId> waiting;
-  for (const auto& [shard, ends] : ends_) {
+  for (const auto& [shard, ends] : unreported_ends_) {
     if (!ends.empty()) {
       waiting.push_back(shard);
     }
@@ -384,8 +387,8 @@
 }
 
 void Instance::SendEnds(const ShardId& shard) {
-  const auto ends = ends_.find(shard);
-  const bool nothing = ends == ends_.end() || ends->second.empty();
+  const auto ends = unreported_ends_.find(shard);
+  const bool nothing = ends == unreported_ends_.end() || ends->second.empty();
   if (nothing || sending_ends_.contains(shard)) {
     return;
   }
@@ -411,7 +414,7 @@
                    return;
                  }
                  for (const AttemptId& attempt : answer->logged) {
-                   ends_[shard].erase(attempt);
+                   unreported_ends_[shard].erase(attempt);
                  }
                  holder_.Logged(shard, answer->logged);
                });
@@ -421,13 +424,13 @@
 
 void Instance::OnHeldChanged() {
   ++holdings_version_;
-  if (rebalance_soon_) {
+  if (publish_scheduled_) {
     return;
   }
-  rebalance_soon_ = true;
+  publish_scheduled_ = true;
   executor_.Post([this, alive = alive_]() {
     if (*alive) {
-      rebalance_soon_ = false;
+      publish_scheduled_ = false;
       PublishRoutes();
     }
   });
@@ -538,10 +541,11 @@
   }
 }
 
-// --- Traffic ---
+// --- Request routing ---
 
 void Instance::OnConfigChanged() {
-  log_.Write("info", "config", "in force", {{"revision", config_->revision()}});
+  log_.Write("info", "config", "new configuration in force",
+             {{"revision", config_->revision()}});
   routes_.OnConfiguration(config_->shared());
   holder_.SetDrained(config_->drained());
 }
@@ -551,8 +555,9 @@
   for (const InstanceInfo& info : membership_.list()) {
     const bool here = info.role == InstanceRole::kBackend &&
                       info.data_centre == options_.self.data_centre;
-    // Slots are counted by whoever holds the worker below the backend server.
-    // Others are told too, closed, so that requests know what to wait for.
+    // The instance that holds a backend server's worker counts its slots. On
+    // other instances the backend server is listed as closed, so that requests
+    // know which services exist and can wait for them.
     if (here) {
       const bool open = holder_.Holds(info.worker) && !info.leaving &&
                         !closing_workers_.contains(info.worker);
--- a/src/libdoorwood/instance/instance_operator.cpp
+++ b/src/libdoorwood/instance/instance_operator.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Operators' calls: answered here, or passed on to the instance that can.
+// Operators' calls: answered locally, or forwarded to the instance that can.
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 namespace doorwood {
 namespace {
 
-constexpr uint32_t kMostHops = 3;
+constexpr uint32_t kMaxHops = 3;
 constexpr int kRetryAfterSeconds = 1;
 
 constexpr int kOk = 200;
@@ -52,7 +52,7 @@
   return {status, body.dump()};
 }
 
-// Job ids read "<data centre>.<shard>.<token>".
+// Extracts the shard from a job id, "<data centre>.<shard>.<token>".
 std::optional<ShardId> ShardOfJob(const std::string& job) {
   const size_t last = job.rfind('.');
   if (last == std::string::npos || last == 0) {
@@ -142,7 +142,7 @@
       done(Failure(CoreErrc::kInvalid, {"the job's id is malformed"}));
       return;
     }
-    ToOwner(*shard, call, done);
+    ForwardToOwner(*shard, call, done);
     return;
   }
   Problems problems(body.value("file", "manifest"));
@@ -172,7 +172,8 @@
   const ShardId shard{job->home,
                       ShardOfMember(job->member, options_.shard_count)};
   job->id = shard.data_centre + "." + std::to_string(shard.index) + "." + token;
-  ToOwner(shard, {call.method, Json{{"job", *job}}.dump(), call.hops}, done);
+  ForwardToOwner(shard, {call.method, Json{{"job", *job}}.dump(), call.hops},
+                 done);
 }
 
 void Instance::OperateOnJob(const Json& body,
@@ -183,15 +184,16 @@
     done(Failure(CoreErrc::kNotFound));
     return;
   }
-  ToOwner(*shard, call, done);
+  ForwardToOwner(*shard, call, done);
 }
 
 void Instance::OperateOnKey(const Json& body,
                             const OperatorCall& call,
                             OperatorDone done) {
   const std::string key = body.value("key", "");
-  ToOwner({options_.self.data_centre, ShardOfMember(key, options_.shard_count)},
-          call, done);
+  ForwardToOwner(
+      {options_.self.data_centre, ShardOfMember(key, options_.shard_count)},
+      call, done);
 }
 
 void Instance::AnswerAsOwner(ShardOwner& owner,
@@ -242,7 +244,7 @@
       }
     }
   }
-  Gather(call, std::move(own), std::move(done));
+  GatherFromPeers(call, std::move(own), std::move(done));
 }
 
 // --- Configuration ---
@@ -282,7 +284,7 @@
                    {"attempts", row.attempts},
                    {"drained", row.drained}});
   }
-  Gather(call, std::move(own), std::move(done));
+  GatherFromPeers(call, std::move(own), std::move(done));
 }
 
 void Instance::OperateDrain(const Json& body, OperatorDone done) {
@@ -334,7 +336,7 @@
 }
 
 void Instance::OperateBurn(const OperatorCall& call, OperatorDone done) {
-  Gather(call, routes_.Burn(), std::move(done));
+  GatherFromPeers(call, routes_.Burn(), std::move(done));
 }
 
 // --- Idempotency keys ---
@@ -363,13 +365,13 @@
   Operate({"unclaim", body.dump()}, [](const OperatorReply&) {});
 }
 
-// --- Passing on ---
+// --- Forwarding calls ---
 
-void Instance::ToOwner(const ShardId& shard,
-                       const OperatorCall& call,
-                       OperatorDone done) {
+void Instance::ForwardToOwner(const ShardId& shard,
+                              const OperatorCall& call,
+                              OperatorDone done) {
   if (shard.data_centre != options_.self.data_centre) {
-    ToDataCentre(shard.data_centre, call, done);
+    ForwardToDataCentre(shard.data_centre, call, done);
     return;
   }
   if (ShardOwner* owner = ActiveOwner(shard)) {
@@ -381,12 +383,12 @@
     done(Failure(CoreErrc::kNoOwner));
     return;
   }
-  PassOn(owner, call, done);
+  ForwardToInstance(owner, call, done);
 }
 
-void Instance::ToDataCentre(const std::string& data_centre,
-                            const OperatorCall& call,
-                            OperatorDone done) {
+void Instance::ForwardToDataCentre(const std::string& data_centre,
+                                   const OperatorCall& call,
+                                   OperatorDone done) {
   const std::vector<InstanceInfo> instances =
       membership_.EntryInstancesOf(data_centre);
   if (instances.empty()) {
@@ -394,20 +396,20 @@
                                        data_centre + "' is known"}));
     return;
   }
-  PassOn(instances.front().id, call, done);
+  ForwardToInstance(instances.front().id, call, done);
 }
 
-void Instance::PassOn(const std::string& instance,
-                      const OperatorCall& call,
-                      OperatorDone done) {
-  if (call.hops >= kMostHops) {
+void Instance::ForwardToInstance(const std::string& instance,
+                                 const OperatorCall& call,
+                                 OperatorDone done) {
+  if (call.hops >= kMaxHops) {
     done(Failure(CoreErrc::kNoOwner));
     return;
   }
-  OperatorCall passed = call;
-  ++passed.hops;
+  OperatorCall forwarded = call;
+  ++forwarded.hops;
   CallInstance(
-      instance, passed, options_.call_timeout,
+      instance, forwarded, options_.call_timeout,
       [done](std::error_code error, const PeerReply& reply) {
         const auto* answer = std::get_if<OperatorReply>(&reply);
         if (!error && answer != nullptr) {
@@ -419,28 +421,31 @@
       });
 }
 
-void Instance::Gather(const OperatorCall& call, Json own, OperatorDone done) {
+void Instance::GatherFromPeers(const OperatorCall& call,
+                               Json own,
+                               OperatorDone done) {
   struct Progress {
-    size_t missing = 1;
+    size_t pending = 1;
     Json rows;
-    std::vector<std::string> silent;
+    std::vector<std::string> unanswered;
   };
   auto progress = std::make_shared<Progress>();
   progress->rows = std::move(own);
   const auto finish = [progress, done]() {
-    if (--progress->missing == 0) {
-      done(Answer({{"rows", progress->rows}, {"silent", progress->silent}}));
+    if (--progress->pending == 0) {
+      done(
+          Answer({{"rows", progress->rows}, {"silent", progress->unanswered}}));
     }
   };
   if (call.hops == 0) {
-    OperatorCall passed = call;
-    passed.hops = kMostHops;
+    OperatorCall forwarded = call;
+    forwarded.hops = kMaxHops;
     for (const auto& [id, peer] : membership_.peers()) {
       if (peer.heartbeat.data_centre != options_.self.data_centre) {
         continue;
       }
-      ++progress->missing;
-      CallInstance(id, passed, options_.call_timeout,
+      ++progress->pending;
+      CallInstance(id, forwarded, options_.call_timeout,
                    [progress, finish, id = id](std::error_code error,
                                                const PeerReply& reply) {
                      const auto* answer = std::get_if<OperatorReply>(&reply);
@@ -448,7 +453,7 @@
                                            ? ParseJson(answer->body)
                                            : std::nullopt;
                      if (!json || !json->contains("rows")) {
-                       progress->silent.push_back(id);
+                       progress->unanswered.push_back(id);
                      } else {
                        for (const Json& row : (*json)["rows"]) {
                          progress->rows.push_back(row);
--- a/src/libdoorwood/instance/instance_shards.cpp
+++ b/src/libdoorwood/instance/instance_shards.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Job shards of an instance: opening, closing, doubting and finding owners.
+// Job shards of an instance: opening, closing and verifying owned shards, and
+// finding the owners of others.
 
 #include <algorithm>
 
@@ -15,12 +16,13 @@
 
 void Instance::OpenShard(const ShardId& shard) {
   const Instant now = executor_.Now();
-  const bool pause = now < next_open_[shard];
-  // While its owner is heard, the shard is taken only when it is handed over.
+  const bool pause = now < next_open_attempt_[shard];
+  // While its owner sends heartbeats, the shard is opened only after the owner
+  // hands it over.
   if (pause || !registered_ || !OwnerOf(shard).empty()) {
     return;
   }
-  next_open_[shard] = now + kOpenRetry;
+  next_open_attempt_[shard] = now + kOpenRetry;
   auto owner = std::make_shared<ShardOwner>(
       options_.owner, shard, options_.self.id, options_.incarnation, executor_,
       kv_, static_cast<OwnerEnvironment&>(*this));
@@ -31,7 +33,7 @@
   owner->set_on_fenced([this, alive = alive_, shard]() {
     if (*alive) {
       log_.Write("warn", "owner", "fenced", {{"shard", ToString(shard)}});
-      DropShard(shard);
+      AbandonShard(shard);
     }
   });
   owner->Open([this, alive = alive_, shard, owner](std::error_code error) {
@@ -41,14 +43,14 @@
       return;
     }
     if (error) {
-      log_.Write("debug", "owner", "shard not taken",
+      log_.Write("debug", "owner", "could not acquire shard",
                  {{"shard", ToString(shard)}, {"error", error.message()}});
-      DropShard(shard);
+      AbandonShard(shard);
       return;
     }
     shards_[shard].active = true;
     holder_.Fence(shard, {owner->epoch(), 0});
-    log_.Write("info", "owner", "shard taken",
+    log_.Write("info", "owner", "shard acquired",
                {{"shard", ToString(shard)},
                 {"epoch", owner->epoch()},
                 {"open_tasks", owner->open_tasks()}});
@@ -56,16 +58,17 @@
   });
 }
 
-// True if the last renewal of the registration was answered lately.
+// Returns true if the registration was renewed recently: more than half of its
+// lifetime remains.
 bool Instance::StoreReachable() const {
   return executor_.Now() + options_.registration / 2 <
          registration_valid_until_;
 }
 
 void Instance::CloseShard(const ShardId& shard) {
-  Owning& owning = shards_[shard];
-  // Without the store a shard cannot change hands, and pausing it would only
-  // hold up its jobs.
+  ShardOwnership& owning = shards_[shard];
+  // Without the store a shard cannot be handed over, and closing it would only
+  // delay its jobs.
   if (owning.closing || !owning.active || !StoreReachable()) {
     return;
   }
@@ -78,13 +81,13 @@
       shards_[shard].closing = false;
       return;
     }
-    log_.Write("info", "owner", "shard given away",
+    log_.Write("info", "owner", "shard handed over",
                {{"shard", ToString(shard)}});
-    DropShard(shard);
+    AbandonShard(shard);
   });
 }
 
-void Instance::DropShard(const ShardId& shard) {
+void Instance::AbandonShard(const ShardId& shard) {
   const auto owning = shards_.find(shard);
   if (owning == shards_.end()) {
     return;
@@ -94,17 +97,17 @@
   shards_.erase(owning);
 }
 
-// After this instance's registration may have lapsed, others may have taken
-// its shards.
-void Instance::DoubtAllShards() {
+// Called when this instance's registration may have expired: other instances
+// may have taken over its shards since.
+void Instance::MarkAllShardsUnverified() {
   for (auto& [shard, owning] : shards_) {
-    owning.in_doubt = true;
+    owning.needs_verification = true;
   }
 }
 
 void Instance::VerifyShard(const ShardId& shard) {
-  Owning& owning = shards_[shard];
-  if (!owning.active || !owning.in_doubt || owning.verifying) {
+  ShardOwnership& owning = shards_[shard];
+  if (!owning.active || !owning.needs_verification || owning.verifying) {
     return;
   }
   owning.verifying = true;
@@ -116,7 +119,7 @@
       return;
     }
     shards_[shard].verifying = false;
-    shards_[shard].in_doubt = static_cast<bool>(error);
+    shards_[shard].needs_verification = static_cast<bool>(error);
   });
 }
 
@@ -127,7 +130,8 @@
   return active ? owning->second.owner.get() : nullptr;
 }
 
-// The heard instance that owns a shard at the highest epoch; empty: none.
+// Returns the known peer that owns a shard at the highest epoch, or an empty
+// string if there is none.
 std::string Instance::OwnerOf(const ShardId& shard) const {
   std::string best;
   uint64_t best_epoch = 0;
--- a/src/libdoorwood/instance/instance_test.cpp
+++ b/src/libdoorwood/instance/instance_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Whole control cores joined by fakes, in virtual time. Each case brings a
-// fault about; the rules are checked from the workers' side.
+// Complete control cores, connected by fakes and run in virtual time. Most
+// cases inject a fault; the invariants are checked on what the workers observe.
 
 #include "doorwood/instance.h"
 
@@ -21,17 +21,17 @@
 using fakes::WorldOptions;
 
 constexpr Millis kStartup{4000};
-constexpr Millis kLong{60000};
+constexpr Millis kTimeout{60000};
 
-// A data centre that is up, configured, and ready for jobs.
-struct Running {
-  explicit Running(const WorldOptions& options = {}) : world(options) {
+// A data centre that is started, configured and ready for jobs.
+struct RunningCluster {
+  explicit RunningCluster(const WorldOptions& options = {}) : world(options) {
     world.StartAll();
     world.Run(kStartup);
     world.Configure("plaka-1");
   }
 
-  // Submits a job of `count` tasks that must be accepted.
+  // Submits a job of `count` tasks and requires that it is accepted.
   std::string Submit(int count,
                      const std::string& payload,
                      const std::string& more = "") {
@@ -40,7 +40,7 @@
     return job;
   }
 
-  // The job's shard owner and another instance.
+  // Returns the instance that owns the job's shard, or an empty string.
   std::string OwnerOf(const std::string& job) {
     const uint32_t index = std::stoul(job.substr(job.find('.') + 1));
     for (const char* id : {"plaka-1", "plaka-2"}) {
@@ -62,10 +62,10 @@
 
   bool Finishes(const std::string& via, const std::string& job) {
     return world.RunUntil(
-        kLong, [&]() { return world.Phase(via, job) == "succeeded"; });
+        kTimeout, [&]() { return world.Phase(via, job) == "succeeded"; });
   }
 
-  // Brings killed instances back, as the platform does.
+  // Restarts killed instances, as the platform does.
   void StartMissing() {
     for (const char* id : {"plaka-1", "plaka-2"}) {
       if (!world.Has(id)) {
@@ -75,7 +75,7 @@
     world.Run(kStartup);
   }
 
-  void CheckRules() {
+  void CheckInvariants() {
     for (const std::string& violation : world.violations()) {
       BOOST_ERROR(violation);
     }
@@ -87,7 +87,7 @@
 BOOST_AUTO_TEST_SUITE(instance_cluster)
 
 BOOST_AUTO_TEST_CASE(job_without_faults_finishes_each_task_once) {
-  Running cluster;
+  RunningCluster cluster;
   const std::string job = cluster.Submit(5, "run-ms=1000");
   BOOST_TEST(cluster.Finishes("plaka-2", job));
   for (int n = 0; n < 5; ++n) {
@@ -95,56 +95,56 @@
     BOOST_TEST(cluster.world.Starts(task) == 1);
     BOOST_TEST(cluster.world.Successes(task) == 1);
   }
-  cluster.CheckRules();
+  cluster.CheckInvariants();
 }
 
 BOOST_AUTO_TEST_CASE(urgent_service_task_without_faults_starts_within_2400_ms) {
-  Running cluster;
+  RunningCluster cluster;
   const Instant submitted = cluster.world.time().now();
   const std::string job =
       cluster.Submit(1, "run-ms=100", "    class: service\n");
   BOOST_TEST(cluster.world.RunUntil(
-      kLong, [&]() { return cluster.world.Starts("task") == 1; }));
+      kTimeout, [&]() { return cluster.world.Starts("task") == 1; }));
   BOOST_TEST((cluster.world.time().now() - submitted <= Millis(2400)));
 }
 
-// One row: a job of long tasks is running, a fault strikes, the job must end
-// with the rules kept.
-struct FaultRow {
+// A fault that is injected while a job of long tasks runs. The job must end and
+// the invariants must hold.
+struct FaultCase {
   const char* name;
-  std::function<void(Running&, const std::string& job)> strike;
-  // True if every task must have been started exactly once.
+  std::function<void(RunningCluster&, const std::string& job)> inject;
+  // True if each task must start exactly once when only this fault occurs.
   bool started_once = false;
 };
 
-void KillOwner(Running& cluster, const std::string& job) {
+void KillOwner(RunningCluster& cluster, const std::string& job) {
   cluster.world.Kill(cluster.OwnerOf(job));
 }
 
-void KillOther(Running& cluster, const std::string& job) {
-  const std::string other = Running::Other(cluster.OwnerOf(job));
-  // An earlier fault may have killed it already.
+void KillOther(RunningCluster& cluster, const std::string& job) {
+  const std::string other = RunningCluster::Other(cluster.OwnerOf(job));
+  // An earlier fault may already have killed it.
   if (cluster.world.Has(other)) {
     cluster.world.Kill(other);
   }
 }
 
-void RestartOwner(Running& cluster, const std::string& job) {
+void RestartOwner(RunningCluster& cluster, const std::string& job) {
   const std::string owner = cluster.OwnerOf(job);
   cluster.world.Kill(owner);
   cluster.world.Run(Millis(300));
   cluster.world.Start(owner);
 }
 
-void FreezeOwnerPastLeases(Running& cluster, const std::string& job) {
+void FreezeOwnerPastLeases(RunningCluster& cluster, const std::string& job) {
   const std::string owner = cluster.OwnerOf(job);
   cluster.world.Freeze(owner);
   cluster.world.Run(Millis(9000));
   cluster.world.Thaw(owner);
 }
 
-void FreezeOtherPastLeases(Running& cluster, const std::string& job) {
-  const std::string other = Running::Other(cluster.OwnerOf(job));
+void FreezeOtherPastLeases(RunningCluster& cluster, const std::string& job) {
+  const std::string other = RunningCluster::Other(cluster.OwnerOf(job));
   if (!cluster.world.Has(other)) {
     return;
   }
@@ -153,69 +153,69 @@
   cluster.world.Thaw(other);
 }
 
-void StoreDownPastLeases(Running& cluster, const std::string&) {
+void StoreDownPastLeases(RunningCluster& cluster, const std::string&) {
   cluster.world.SetKvFault(Fault::kDown);
   cluster.world.Run(Millis(20000));
   cluster.world.SetKvFault(Fault::kNone);
 }
 
-void StoreLosesAnswers(Running& cluster, const std::string&) {
+void StoreLosesAnswers(RunningCluster& cluster, const std::string&) {
   cluster.world.SetKvFault(Fault::kAnswerLost);
   cluster.world.Run(Millis(5000));
   cluster.world.SetKvFault(Fault::kNone);
 }
 
-void StoreDelaysWrites(Running& cluster, const std::string&) {
+void StoreDelaysWrites(RunningCluster& cluster, const std::string&) {
   cluster.world.SetKvFault(Fault::kLate);
   cluster.world.Run(Millis(3000));
   cluster.world.SetKvFault(Fault::kNone);
 }
 
-void PeersCutOff(Running& cluster, const std::string&) {
+void PeersPartitioned(RunningCluster& cluster, const std::string&) {
   cluster.world.network().SetCut("peer:plaka-1", "peer:plaka-2", true);
   cluster.world.Run(Millis(8000));
   cluster.world.network().SetCut("peer:plaka-1", "peer:plaka-2", false);
 }
 
-void RepliesLost(Running& cluster, const std::string&) {
+void RepliesLost(RunningCluster& cluster, const std::string&) {
   cluster.world.network().LoseReplies(6);
 }
 
-void WorkerUnreachablePastLeases(Running& cluster, const std::string&) {
+void WorkerUnreachablePastLeases(RunningCluster& cluster, const std::string&) {
   cluster.world.SetWorkerFault("plaka-w1", Fault::kDown);
   cluster.world.Run(Millis(14000));
   cluster.world.SetWorkerFault("plaka-w1", Fault::kNone);
 }
 
-void WorkerAnswersLost(Running& cluster, const std::string&) {
+void WorkerAnswersLost(RunningCluster& cluster, const std::string&) {
   cluster.world.SetWorkerFault("plaka-w1", Fault::kAnswerLost);
   cluster.world.Run(Millis(2000));
   cluster.world.SetWorkerFault("plaka-w1", Fault::kNone);
 }
 
-void WorkerOrdersLate(Running& cluster, const std::string&) {
+void WorkerOrdersLate(RunningCluster& cluster, const std::string&) {
   cluster.world.SetWorkerFault("plaka-w1", Fault::kLate);
   cluster.world.Run(Millis(2000));
   cluster.world.SetWorkerFault("plaka-w1", Fault::kNone);
 }
 
-void WorkerRestarts(Running& cluster, const std::string&) {
+void WorkerRestarts(RunningCluster& cluster, const std::string&) {
   cluster.world.worker("plaka-w1").Restart(cluster.world.time().millis());
 }
 
-void WorkerLeaves(Running& cluster, const std::string&) {
+void WorkerLeaves(RunningCluster& cluster, const std::string&) {
   cluster.world.SetLeaving("plaka-w1");
 }
 
-void OwnerLeaves(Running& cluster, const std::string& job) {
+void OwnerLeaves(RunningCluster& cluster, const std::string& job) {
   World::Entry& entry = cluster.world.At(cluster.OwnerOf(job));
   Instance* instance = entry.instance.get();
   entry.executor->Post(
       [instance]() { instance->Leave(Millis(5000), []() {}); });
 }
 
-const std::vector<FaultRow>& FaultRows() {
-  static const std::vector<FaultRow> rows = {
+const std::vector<FaultCase>& FaultCases() {
+  static const std::vector<FaultCase> rows = {
       {"kill_owner", KillOwner, true},
       {"kill_other", KillOther, true},
       {"restart_owner", RestartOwner, true},
@@ -224,7 +224,7 @@
       {"store_down", StoreDownPastLeases, true},
       {"store_loses_answers", StoreLosesAnswers, true},
       {"store_delays_writes", StoreDelaysWrites, true},
-      {"peers_cut", PeersCutOff},
+      {"peers_cut", PeersPartitioned},
       {"replies_lost", RepliesLost},
       {"worker_unreachable", WorkerUnreachablePastLeases},
       {"worker_answers_lost", WorkerAnswersLost, true},
@@ -236,17 +236,17 @@
   return rows;
 }
 
-// Runs a job of five tasks through one fault or more; `before` is how long
-// the job runs before the first one strikes.
-void RunThrough(const std::vector<const FaultRow*>& faults, Millis before) {
-  Running cluster;
+// Runs a job of five tasks and injects one fault or more, the first after the
+// job has run for `before`.
+void RunWithFaults(const std::vector<const FaultCase*>& faults, Millis before) {
+  RunningCluster cluster;
   const std::string job = cluster.Submit(5, "run-ms=15000");
   cluster.world.Run(before);
-  for (const FaultRow* fault : faults) {
-    // A fault that strikes the owner needs one.
-    cluster.world.RunUntil(kLong,
+  for (const FaultCase* fault : faults) {
+    // Faults of the shard's owner need an owner.
+    cluster.world.RunUntil(kTimeout,
                            [&]() { return !cluster.OwnerOf(job).empty(); });
-    fault->strike(cluster, job);
+    fault->inject(cluster, job);
   }
   if (faults.size() > 1) {
     cluster.StartMissing();
@@ -260,24 +260,25 @@
       BOOST_TEST(cluster.world.Starts(task) == 1);
     }
   }
-  cluster.CheckRules();
+  cluster.CheckInvariants();
 }
 
-BOOST_AUTO_TEST_CASE(running_job_under_one_fault_finishes_by_the_rules) {
-  for (const FaultRow& row : FaultRows()) {
+BOOST_AUTO_TEST_CASE(running_job_under_one_fault_keeps_the_invariants) {
+  for (const FaultCase& row : FaultCases()) {
     for (const Millis before : {Millis(0), Millis(30), Millis(2000)}) {
       BOOST_TEST_CONTEXT(row.name << " after " << before.count() << " ms") {
-        RunThrough({&row}, before);
+        RunWithFaults({&row}, before);
       }
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(running_job_under_each_pair_of_faults_keeps_the_rules) {
-  for (const FaultRow& first : FaultRows()) {
-    for (const FaultRow& second : FaultRows()) {
+BOOST_AUTO_TEST_CASE(
+    running_job_under_each_pair_of_faults_keeps_the_invariants) {
+  for (const FaultCase& first : FaultCases()) {
+    for (const FaultCase& second : FaultCases()) {
       BOOST_TEST_CONTEXT(first.name << " then " << second.name) {
-        RunThrough({&first, &second}, Millis(2000));
+        RunWithFaults({&first, &second}, Millis(2000));
       }
     }
   }
@@ -285,9 +286,10 @@
 
 // --- Eviction, checkpoint, resume ---
 
-// One worker full of batch work; a service task needs room there.
-struct Evicting : Running {
-  Evicting() : Running({.workers = 1}) {
+// One worker that is fully used by batch tasks when a service task needs
+// capacity on it.
+struct EvictingCluster : RunningCluster {
+  EvictingCluster() : RunningCluster({.workers = 1}) {
     batch = Submit(4, "run-ms=6000");
     world.Run(Millis(2000));
     Submit(1, "run-ms=1000", "    class: service\n");
@@ -303,7 +305,8 @@
     return count;
   }
 
-  // Every start after an eviction goes on from that eviction's checkpoint.
+  // Checks that each start after an eviction resumes from the checkpoint of
+  // that eviction.
   void CheckResumes() {
     std::map<TaskId, std::string> checkpoints;
     for (const auto& event : world.events()) {
@@ -325,22 +328,23 @@
 };
 
 BOOST_AUTO_TEST_CASE(full_worker_with_service_task_evicts_one_and_resumes_it) {
-  Evicting cluster;
+  EvictingCluster cluster;
   BOOST_TEST(cluster.Finishes("plaka-1", cluster.batch));
   BOOST_TEST(cluster.Evictions() == 1);
   cluster.CheckResumes();
-  cluster.CheckRules();
+  cluster.CheckInvariants();
 }
 
-// Strikes after each step of virtual time around the eviction.
-void StrikeAtEveryStep(const std::function<void(Evicting&)>& strike) {
+// Injects a fault after every second step of virtual time around the eviction,
+// each time in a new cluster.
+void InjectAtEveryStep(const std::function<void(EvictingCluster&)>& inject) {
   constexpr int kSteps = 240;
   for (int steps = 0; steps < kSteps; steps += 2) {
-    Evicting cluster;
+    EvictingCluster cluster;
     for (int n = 0; n < steps; ++n) {
-      cluster.world.time().Step(cluster.world.time().now() + kLong);
+      cluster.world.time().Step(cluster.world.time().now() + kTimeout);
     }
-    strike(cluster);
+    inject(cluster);
     cluster.StartMissing();
     BOOST_TEST_CONTEXT("after " << steps << " steps") {
       BOOST_TEST(cluster.Finishes("plaka-1", cluster.batch));
@@ -349,13 +353,13 @@
         BOOST_TEST(cluster.world.Successes(task) == 1);
       }
       cluster.CheckResumes();
-      cluster.CheckRules();
+      cluster.CheckInvariants();
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(evicted_task_with_owner_killed_at_every_step_resumes) {
-  StrikeAtEveryStep([](Evicting& cluster) {
+  InjectAtEveryStep([](EvictingCluster& cluster) {
     const std::string owner = cluster.OwnerOf(cluster.batch);
     if (!owner.empty()) {
       cluster.world.Kill(owner);
@@ -364,54 +368,56 @@
 }
 
 BOOST_AUTO_TEST_CASE(evicted_task_with_holder_killed_at_every_step_resumes) {
-  StrikeAtEveryStep([](Evicting& cluster) {
+  InjectAtEveryStep([](EvictingCluster& cluster) {
     cluster.world.Kill(cluster.world.HolderOf("plaka-w1"));
   });
 }
 
-BOOST_AUTO_TEST_CASE(evicted_task_with_both_killed_at_every_step_resumes) {
-  StrikeAtEveryStep([](Evicting& cluster) {
+BOOST_AUTO_TEST_CASE(
+    evicted_task_with_both_instances_killed_at_every_step_resumes) {
+  InjectAtEveryStep([](EvictingCluster& cluster) {
     cluster.world.Kill("plaka-1");
     cluster.world.Kill("plaka-2");
   });
 }
 
-// --- What may not be repeated ---
+// --- Tasks that must not be repeated ---
 
-constexpr const char* kOnce = "    repeatable: false\n";
+constexpr const char* kNotRepeatable = "    repeatable: false\n";
 
 BOOST_AUTO_TEST_CASE(unrepeatable_task_under_one_fault_starts_at_most_once) {
-  for (const FaultRow& row : FaultRows()) {
+  for (const FaultCase& row : FaultCases()) {
     for (const Millis before : {Millis(0), Millis(5), Millis(24), Millis(30),
                                 Millis(60), Millis(2000)}) {
       BOOST_TEST_CONTEXT(row.name << " after " << before.count() << " ms") {
-        Running cluster;
-        const std::string job = cluster.Submit(5, "run-ms=15000", kOnce);
+        RunningCluster cluster;
+        const std::string job =
+            cluster.Submit(5, "run-ms=15000", kNotRepeatable);
         cluster.world.Run(before);
-        row.strike(cluster, job);
+        row.inject(cluster, job);
         cluster.StartMissing();
-        const bool ended = cluster.world.RunUntil(kLong, [&]() {
+        const bool ended = cluster.world.RunUntil(kTimeout, [&]() {
           const std::string phase = cluster.world.Phase("plaka-1", job);
           return phase == "succeeded" || phase == "failed";
         });
-        BOOST_TEST(ended, "no end is told");
+        BOOST_TEST(ended, "no end of the job is reported");
         for (int n = 0; n < 5; ++n) {
           const std::string task = "task-" + std::to_string(n);
           BOOST_TEST(cluster.world.Starts(task) <= 1);
         }
-        cluster.CheckRules();
+        cluster.CheckInvariants();
       }
     }
   }
 }
 
-// --- Answers of the store that get lost ---
+// --- Lost answers of the store ---
 
 BOOST_AUTO_TEST_CASE(submission_with_unknown_outcome_runs_once_when_logged) {
   for (const Fault fault :
        {Fault::kAnswerLost, Fault::kRequestLost, Fault::kLate, Fault::kDown}) {
     BOOST_TEST_CONTEXT("fault " << static_cast<int>(fault)) {
-      Running cluster;
+      RunningCluster cluster;
       const Json body{{"token", "same"},
                       {"manifest",
                        "member: museum\ntasks: [{name: task, size: "
@@ -438,22 +444,22 @@
 // --- Placements that arrive late ---
 
 BOOST_AUTO_TEST_CASE(placement_that_arrives_after_a_census_is_refused) {
-  for (const char* more : {"", kOnce}) {
-    Running cluster;
+  for (const char* more : {"", kNotRepeatable}) {
+    RunningCluster cluster;
     cluster.world.network().DelayPlacements(5);
     const std::string job = cluster.Submit(5, "run-ms=20000", more);
-    BOOST_TEST(cluster.world.RunUntil(kLong, [&]() {
+    BOOST_TEST(cluster.world.RunUntil(kTimeout, [&]() {
       const std::string phase = cluster.world.Phase("plaka-1", job);
       return phase == "succeeded" || phase == "failed";
     }));
-    cluster.CheckRules();
+    cluster.CheckInvariants();
   }
 }
 
 // --- Cancellation ---
 
 BOOST_AUTO_TEST_CASE(cancelled_job_with_queued_and_running_tasks_ends) {
-  Running cluster({.workers = 1});
+  RunningCluster cluster({.workers = 1});
   const std::string job = cluster.Submit(10, "run-ms=60000");
   cluster.world.Run(Millis(1000));
   const auto reply =
@@ -462,7 +468,8 @@
   BOOST_TEST(cluster.world.RunUntil(Millis(10000), [&]() {
     return cluster.world.Phase("plaka-1", job) == "cancelled";
   }));
-  // What ran was stopped, and nothing that was queued has started since.
+  // The running tasks were stopped, and no queued task has started since: all
+  // capacity is free.
   BOOST_TEST(
       cluster.world.At("plaka-1").instance->holder().free().cpu_millis +
           cluster.world.At("plaka-2").instance->holder().free().cpu_millis ==
@@ -471,8 +478,9 @@
 
 // --- Jobs that can never run ---
 
-BOOST_AUTO_TEST_CASE(job_larger_than_any_worker_is_told_and_blocks_nobody) {
-  Running cluster;
+BOOST_AUTO_TEST_CASE(
+    job_larger_than_any_worker_is_reported_and_blocks_no_other) {
+  RunningCluster cluster;
   const std::string manifest =
       "member: museum\ntasks:\n  - name: giant\n    size: {cpu_millis: "
       "64000}\n";
@@ -487,9 +495,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(failing_job_with_capped_attempts_ends_as_failed) {
-  Running cluster;
+  RunningCluster cluster;
   const std::string job = cluster.Submit(1, "fail");
-  BOOST_TEST(cluster.world.RunUntil(kLong, [&]() {
+  BOOST_TEST(cluster.world.RunUntil(kTimeout, [&]() {
     return cluster.world.Phase("plaka-1", job) == "failed";
   }));
   BOOST_TEST(cluster.world.Starts("task") == 3);
@@ -497,20 +505,21 @@
 
 // --- Workers that do not refuse older epochs ---
 
-BOOST_AUTO_TEST_CASE(worker_without_fencing_and_killed_holder_keeps_the_rules) {
-  Running cluster({.workers = 1, .fences = false});
+BOOST_AUTO_TEST_CASE(
+    worker_without_fencing_and_killed_holder_keeps_the_invariants) {
+  RunningCluster cluster({.workers = 1, .fences = false});
   const std::string job = cluster.Submit(3, "run-ms=9000");
   cluster.world.Run(Millis(4000));
   cluster.world.Kill(cluster.world.HolderOf("plaka-w1"));
   cluster.StartMissing();
   BOOST_TEST(cluster.Finishes("plaka-1", job));
-  cluster.CheckRules();
+  cluster.CheckInvariants();
 }
 
-// --- Leaving ---
+// --- Planned shutdown ---
 
 BOOST_AUTO_TEST_CASE(leaving_worker_seen_in_the_list_gets_nothing_new) {
-  Running cluster;
+  RunningCluster cluster;
   cluster.world.SetLeaving("plaka-w1");
   cluster.world.Run(Millis(2000));
   const size_t before = cluster.world.events().size();
@@ -524,7 +533,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(leaving_instance_with_work_hands_over_before_it_is_done) {
-  Running cluster;
+  RunningCluster cluster;
   const std::string job = cluster.Submit(5, "run-ms=8000");
   cluster.world.Run(Millis(500));
   Instance* instance = cluster.world.At("plaka-1").instance.get();
@@ -538,7 +547,7 @@
   cluster.world.Kill("plaka-1");
   BOOST_TEST(cluster.Finishes("plaka-2", job));
   BOOST_TEST(cluster.world.Starts("task-0") == 1);
-  cluster.CheckRules();
+  cluster.CheckInvariants();
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/libdoorwood/instance/random_walk_test.cpp
+++ b/src/libdoorwood/instance/random_walk_test.cpp
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A seeded random walk over the control cores: jobs and faults in any order,
-// the rules checked throughout, and at the end every accepted job has ended.
-// Usage: random_walk_test -- [first seed] [number of seeds]
+// A seeded random walk over complete control cores: submits jobs and injects
+// faults in random order. The invariants must hold throughout, and every
+// accepted job must end once all faults are removed. Usage: random_walk_test --
+// [first seed] [number of seeds]
 
 #include <boost/test/unit_test.hpp>
 #include <map>
@@ -23,12 +24,12 @@
 constexpr uint64_t kFirstSeed = 1;
 constexpr uint64_t kSeeds = 400;
 constexpr int kSteps = 30;
-// Seeds that failed once; each stays.
-constexpr uint64_t kKeptSeeds[] = {23, 28, 101, 1026, 1034, 1057, 1079};
+// Seeds that failed in the past, kept as regression tests.
+constexpr uint64_t kRegressionSeeds[] = {23, 28, 101, 1026, 1034, 1057, 1079};
 
-class Walk {
+class RandomWalk {
  public:
-  explicit Walk(uint64_t seed)
+  explicit RandomWalk(uint64_t seed)
       : random_(seed), options_(Options(seed)), world_(options_) {}
 
   void Run() {
@@ -39,9 +40,9 @@
       Step();
       world_.Run(Millis(Pick(1500)));
     }
-    Heal();
+    RemoveFaults();
     CheckEnds();
-    CheckRules();
+    CheckInvariants();
   }
 
  private:
@@ -57,30 +58,30 @@
 
   int Pick(int below) { return static_cast<int>(random_() % below); }
 
-  std::string AnyEntry() {
+  std::string RandomEntry() {
     return "plaka-" + std::to_string(1 + Pick(options_.entries));
   }
 
-  std::string AnyWorker() {
+  std::string RandomWorker() {
     return "plaka-w" + std::to_string(1 + Pick(options_.workers));
   }
 
-  Fault AnyFault() {
+  Fault RandomFault() {
     constexpr Fault kFaults[] = {Fault::kNone, Fault::kDown, Fault::kAnswerLost,
                                  Fault::kRequestLost, Fault::kLate};
     return kFaults[Pick(5)];
   }
 
   void Step() {
-    const std::string entry = AnyEntry();
+    const std::string entry = RandomEntry();
     const bool usable =
         world_.Has(entry) && !world_.At(entry).executor->frozen();
     const int kind = Pick(12);
     constexpr const char* kKinds[] = {
-        "submit",       "submit",          "submit",
-        "kill",         "start",           "freeze",
-        "thaw",         "store",           "worker way",
-        "way to peers", "worker restarts", "late placements"};
+        "submit",         "submit",          "submit",
+        "kill",           "start",           "freeze",
+        "thaw",           "store",           "worker fault",
+        "peer partition", "worker restarts", "late placements"};
     world_.trace().push_back(std::to_string(world_.time().millis()) + " STEP " +
                              kKinds[kind] + " " + entry);
     switch (kind) {
@@ -112,7 +113,7 @@
         }
         break;
       case 7:
-        world_.SetKvFault(AnyFault());
+        world_.SetKvFault(RandomFault());
         break;
       case 8:
         SetWorkerFault();
@@ -121,7 +122,7 @@
         world_.network().SetCut("peer:plaka-1", "peer:" + entry, Pick(2) == 0);
         break;
       case 10:
-        world_.worker(AnyWorker()).Restart(world_.time().millis());
+        world_.worker(RandomWorker()).Restart(world_.time().millis());
         break;
       case 11:
         world_.network().DelayPlacements(Pick(4));
@@ -130,30 +131,30 @@
   }
 
   void SetWorkerFault() {
-    const Fault fault = AnyFault();
-    // A worker without fencing is safe only if no order is held up for longer
-    // than the lease; see docs/design/worker-lease.md.
+    const Fault fault = RandomFault();
+    // A worker without fencing is safe only if no order is delayed for longer
+    // than its lease; see docs/design/worker-lease.md.
     const bool unsafe = !options_.fences && fault == Fault::kLate;
-    world_.SetWorkerFault(AnyWorker(), unsafe ? Fault::kDown : fault);
+    world_.SetWorkerFault(RandomWorker(), unsafe ? Fault::kDown : fault);
   }
 
   void Submit(const std::string& entry) {
-    const bool once = Pick(3) == 0;
+    const bool not_repeatable = Pick(3) == 0;
     const bool service = Pick(4) == 0;
     std::string more;
-    more += once ? "    repeatable: false\n" : "";
+    more += not_repeatable ? "    repeatable: false\n" : "";
     more += service ? "    class: service\n" : "";
     const std::string payload = "run-ms=" + std::to_string(Pick(9000));
     const std::string job = world_.Submit(entry, 1 + Pick(4), payload, more);
     if (!job.empty()) {
       jobs_.insert(job);
-      if (once) {
-        once_.insert(job);
+      if (not_repeatable) {
+        not_repeatable_jobs_.insert(job);
       }
     }
   }
 
-  void Heal() {
+  void RemoveFaults() {
     world_.SetKvFault(Fault::kNone);
     for (int n = 1; n <= options_.workers; ++n) {
       world_.SetWorkerFault("plaka-w" + std::to_string(n), Fault::kNone);
@@ -184,12 +185,12 @@
     });
     BOOST_TEST(all, "an accepted job has no end: " << open);
     if (!all) {
-      Report();
+      PrintTrace();
     }
   }
 
-  // All that happened, to find the cause.
-  void Report() {
+  // Prints the trace, the jobs and the store, to find the cause of a failure.
+  void PrintTrace() {
     for (const std::string& line : world_.trace()) {
       BOOST_TEST_MESSAGE(line);
     }
@@ -202,12 +203,12 @@
     }
   }
 
-  void CheckRules() {
+  void CheckInvariants() {
     for (const std::string& violation : world_.violations()) {
       BOOST_ERROR(violation);
     }
     if (!world_.violations().empty()) {
-      Report();
+      PrintTrace();
     }
     std::map<TaskId, int> starts;
     for (const auto& event : world_.events()) {
@@ -215,7 +216,7 @@
       starts[event.task] += start ? 1 : 0;
     }
     for (const auto& [task, count] : starts) {
-      if (once_.contains(task.job) && count > 1) {
+      if (not_repeatable_jobs_.contains(task.job) && count > 1) {
         BOOST_ERROR("started " << count << " times: " << ToString(task));
       }
     }
@@ -225,24 +226,24 @@
   WorldOptions options_;
   World world_;
   std::set<std::string> jobs_;
-  std::set<std::string> once_;
+  std::set<std::string> not_repeatable_jobs_;
 };
 
 void RunSeed(uint64_t seed) {
   BOOST_TEST_CONTEXT("seed " << seed) {
-    Walk(seed).Run();
+    RandomWalk(seed).Run();
   }
 }
 
 BOOST_AUTO_TEST_SUITE(random_walk)
 
-BOOST_AUTO_TEST_CASE(kept_seeds_with_any_faults_keep_the_rules) {
-  for (const uint64_t seed : kKeptSeeds) {
+BOOST_AUTO_TEST_CASE(regression_seeds_with_random_faults_keep_the_invariants) {
+  for (const uint64_t seed : kRegressionSeeds) {
     RunSeed(seed);
   }
 }
 
-BOOST_AUTO_TEST_CASE(fresh_seeds_with_any_faults_keep_the_rules) {
+BOOST_AUTO_TEST_CASE(fresh_seeds_with_random_faults_keep_the_invariants) {
   const auto& suite = boost::unit_test::framework::master_test_suite();
   const uint64_t first =
       suite.argc > 1 ? std::stoull(suite.argv[1]) : kFirstSeed;
