--- a/src/include/doorwood/config_keeper.h
+++ b/src/include/doorwood/config_keeper.h
@@ -43,7 +43,7 @@
 };
 
 struct ConfigKeeperOptions {
-  Millis watch_retry{200};
+  Millis min_watch_retry{200};
   Millis max_watch_retry{2000};
 };
 
@@ -77,13 +77,15 @@
 
   uint64_t revision() const { return revision_; }
   const Configuration& configuration() const { return *configuration_; }
-  std::shared_ptr<const Configuration> shared() const { return configuration_; }
+  std::shared_ptr<const Configuration> shared_configuration() const {
+    return configuration_;
+  }
   /// Text of the configuration in force.
   const std::string& text() const { return text_; }
   /// The stored value in force, as sent to peers.
   const std::string& value() const { return value_; }
   /// The revision in force and earlier ones, newest first, as JSON.
-  Json History() const;
+  Json RevisionHistory() const;
   const std::set<std::string>& drained() const { return drained_; }
 
  private:
--- a/src/include/doorwood/entry_settings.h
+++ b/src/include/doorwood/entry_settings.h
@@ -49,7 +49,7 @@
   double cpu_share = 1.0;
   /// Time between the request to stop and forced termination.
   Millis grace{6000};
-  /// Longest lease that a worker accepts for a run.
+  /// Longest lease that a worker grants to a run.
   Millis max_run_lease{10000};
   /// How long a finished job can still be queried.
   Millis keep_finished{120'000};
--- a/src/include/doorwood/instance.h
+++ b/src/include/doorwood/instance.h
@@ -35,8 +35,9 @@
   /// and must never change.
   uint32_t shard_count = 8;
   Millis heartbeat_interval{500};
-  /// Every `remote_every`-th heartbeat is also sent to other data centres.
-  uint64_t remote_every = 4;
+  /// Every `remote_heartbeat_every`-th heartbeat is also sent to other data
+  /// centres.
+  uint64_t remote_heartbeat_every = 4;
   Millis list_interval{1000};
   Millis call_timeout{2000};
   /// Lifetime of this instance's registration in the key-value service.
--- a/src/include/doorwood/yaml_reader.h
+++ b/src/include/doorwood/yaml_reader.h
@@ -67,11 +67,11 @@
   /// Reads the text of a label selector and validates it.
   void ReadSelector(std::string_view key, std::string* out);
   /// Reads one of `words`; `out` becomes its index.
-  void ReadWord(std::string_view key,
-                std::initializer_list<std::string_view> words,
-                size_t* out);
+  void ReadChoice(std::string_view key,
+                  std::initializer_list<std::string_view> words,
+                  size_t* out);
   /// Calls `each` with each element of a sequence and the element's path.
-  void ReadEach(
+  void ReadSequence(
       std::string_view key,
       const std::function<void(const YAML::Node&, std::string)>& each);
 
--- a/src/libdoorwood/config/config.cpp
+++ b/src/libdoorwood/config/config.cpp
@@ -93,13 +93,14 @@
   std::set<std::string> services;
   std::set<std::string> members;
   MapReader reader(root, "", problems);
-  reader.ReadEach("services", [&](const YAML::Node& node, std::string path) {
+  reader.ReadSequence("services", [&](const YAML::Node& node,
+                                      std::string path) {
     config.services.push_back(ParseService(node, path, &services, problems));
   });
-  reader.ReadEach("members", [&](const YAML::Node& node, std::string path) {
+  reader.ReadSequence("members", [&](const YAML::Node& node, std::string path) {
     config.members.push_back(ParseMember(node, path, &members, problems));
   });
-  reader.ReadEach("rules", [&](const YAML::Node& node, std::string path) {
+  reader.ReadSequence("rules", [&](const YAML::Node& node, std::string path) {
     config.rules.push_back(ParseRule(node, path, problems));
   });
   reader.Finish();
--- a/src/libdoorwood/config/config_keeper.cpp
+++ b/src/libdoorwood/config/config_keeper.cpp
@@ -64,7 +64,7 @@
       executor_(executor),
       kv_(kv),
       on_change_(std::move(on_change)),
-      retry_pause_(options.watch_retry),
+      retry_pause_(options.min_watch_retry),
       configuration_(std::make_shared<Configuration>()) {}
 
 // --- Adopting revisions ---
@@ -103,7 +103,7 @@
     executor_.Schedule(pause, [self = shared_from_this()]() { self->Watch(); });
     return;
   }
-  retry_pause_ = options_.watch_retry;
+  retry_pause_ = options_.min_watch_retry;
   for (const KvEntry& entry : entries) {
     watched_version_ = std::max(watched_version_, entry.version);
     if (entry.key == kCurrentKey) {
@@ -149,7 +149,7 @@
   }
 }
 
-Json ConfigKeeper::History() const {
+Json ConfigKeeper::RevisionHistory() const {
   const auto stored = ParseJson(value_);
   if (!stored) {
     return Json::array();
--- a/src/libdoorwood/config/entry_settings.cpp
+++ b/src/libdoorwood/config/entry_settings.cpp
@@ -49,7 +49,7 @@
   reader.Read("machines", &settings.machines);
   reader.Read("log_level", &settings.log_level);
   size_t scope = 0;
-  reader.ReadWord("cell_span", {"everywhere", "data_centre"}, &scope);
+  reader.ReadChoice("cell_span", {"everywhere", "data_centre"}, &scope);
   settings.cell_scope =
       scope == 0 ? CellScope::kEverywhere : CellScope::kDataCentre;
   reader.Read("cpu_share", kSmallestShare, kLargestShare, &settings.cpu_share);
--- a/src/libdoorwood/config/manifest.cpp
+++ b/src/libdoorwood/config/manifest.cpp
@@ -26,7 +26,7 @@
   reader.Require("name");
   reader.Read("name", &task.name);
   reader.Read("count", kCount, &count);
-  reader.ReadWord("class", {"batch", "service"}, &work_class);
+  reader.ReadChoice("class", {"batch", "service"}, &work_class);
   task.work_class = work_class == 1 ? WorkClass::kService : WorkClass::kBatch;
   if (task.work_class == WorkClass::kService) {
     task.yields = kServiceYields;
@@ -71,9 +71,9 @@
   reader.Read("home", &job.home);
   // Automatic failover of a job to another data centre is not implemented, so
   // only the default is accepted.
-  reader.ReadWord("failover", {"never"}, &failover);
+  reader.ReadChoice("failover", {"never"}, &failover);
   reader.Require("tasks");
-  reader.ReadEach("tasks", [&](const YAML::Node& node, std::string path) {
+  reader.ReadSequence("tasks", [&](const YAML::Node& node, std::string path) {
     ParseTask(node, path, &names, &job, problems);
   });
   reader.Finish();
--- a/src/libdoorwood/config/settings.cpp
+++ b/src/libdoorwood/config/settings.cpp
@@ -124,7 +124,7 @@
   size_t level = 1;
   constexpr std::array<const char*, 4> kLevels = {"debug", "info", "warn",
                                                   "error"};
-  reader.ReadWord("log_level", {"debug", "info", "warn", "error"}, &level);
+  reader.ReadChoice("log_level", {"debug", "info", "warn", "error"}, &level);
   settings.log_level = kLevels[level];
   reader.Read("connections", kConnections, &settings.connections);
   reader.Read("largest_body", kBody, &settings.largest_body);
--- a/src/libdoorwood/config/yaml_reader.cpp
+++ b/src/libdoorwood/config/yaml_reader.cpp
@@ -175,9 +175,9 @@
   *out = text;
 }
 
-void MapReader::ReadWord(std::string_view key,
-                         std::initializer_list<std::string_view> words,
-                         size_t* out) {
+void MapReader::ReadChoice(std::string_view key,
+                           std::initializer_list<std::string_view> words,
+                           size_t* out) {
   const YAML::Node node = Find(key);
   if (!node) {
     return;
@@ -195,7 +195,7 @@
   AddProblemAt(node, key, sentence);
 }
 
-void MapReader::ReadEach(
+void MapReader::ReadSequence(
     std::string_view key,
     const std::function<void(const YAML::Node&, std::string)>& each) {
   const YAML::Node node = Find(key);
--- a/src/libdoorwood/instance/instance.cpp
+++ b/src/libdoorwood/instance/instance.cpp
@@ -232,7 +232,7 @@
 void Instance::SendHeartbeats() {
   const Heartbeat beat = MakeHeartbeat();
   ++heartbeat_count_;
-  const bool remote = heartbeat_count_ % options_.remote_every == 0;
+  const bool remote = heartbeat_count_ % options_.remote_heartbeat_every == 0;
   for (const InstanceInfo& target :
        membership_.HeartbeatTargets(heartbeat_count_)) {
     const bool here = target.data_centre == options_.self.data_centre;
@@ -546,7 +546,7 @@
 void Instance::OnConfigChanged() {
   log_.Write("info", "config", "new configuration in force",
              {{"revision", config_->revision()}});
-  routes_.OnConfiguration(config_->shared());
+  routes_.OnConfiguration(config_->shared_configuration());
   holder_.SetDrained(config_->drained());
 }
 
--- a/src/libdoorwood/instance/instance_operator.cpp
+++ b/src/libdoorwood/instance/instance_operator.cpp
@@ -113,7 +113,7 @@
     } else if (call.method == "config.get") {
       OperateConfigGet(done);
     } else if (call.method == "config.history") {
-      done(Answer({{"revisions", config_->History()}}));
+      done(Answer({{"revisions", config_->RevisionHistory()}}));
     } else if (call.method == "workers") {
       OperateWorkers(call, done);
     } else if (call.method == "drain") {
--- a/src/libdoorwood/instance/random_walk_test.cpp
+++ b/src/libdoorwood/instance/random_walk_test.cpp
@@ -2,8 +2,8 @@
 
 // A seeded random walk over complete control cores: submits jobs and injects
 // faults in random order. The invariants must hold throughout, and every
-// accepted job must end once all faults are removed. Usage: random_walk_test --
-// [first seed] [number of seeds]
+// accepted job must end once all faults are removed.
+// Usage: random_walk_test -- [first seed] [number of seeds]
 
 #include <boost/test/unit_test.hpp>
 #include <map>
