--- a/src/include/doorwood/error.h
+++ b/src/include/doorwood/error.h
@@ -23,9 +23,9 @@
   kNotFound,
   /// This instance's call budget is exhausted; nothing was sent.
   kOverBudget,
-  /// The revision that a watch requested has been compacted; the caller must
-  /// read
-  /// again.
+  /// The revision that a watch requested has been compacted
+  /// from the history of the service. The caller must read
+  /// again from the current revision.
   kCompacted,
 };
 
