--- a/src/libdoorwood/config/manifest.cpp
+++ b/src/libdoorwood/config/manifest.cpp
@@ -12,7 +12,8 @@
 constexpr Range kCount{1, kMostTasksOfJob};
 constexpr int kServiceYields = 0;
 
-// Reads a task and appends it as often as its `count` says.
+// Reads a task and appends `count` copies of it to the job. Copies are numbered
+// if there is more than one.
 void ParseTask(const YAML::Node& node,
                const std::string& path,
                std::set<std::string>* names,
@@ -25,7 +26,7 @@
   reader.Require("name");
   reader.Read("name", &task.name);
   reader.Read("count", kCount, &count);
-  reader.ReadWord("class", {"batch", "service"}, &work_class);
+  reader.ReadChoice("class", {"batch", "service"}, &work_class);
   task.work_class = work_class == 1 ? WorkClass::kService : WorkClass::kBatch;
   if (task.work_class == WorkClass::kService) {
     task.yields = kServiceYields;
@@ -68,11 +69,11 @@
   reader.Require("member");
   reader.Read("member", &job.member);
   reader.Read("home", &job.home);
-  // Taking a job over in another data centre by itself is not built yet, so
+  // Automatic failover of a job to another data centre is not implemented, so
   // only the default is accepted.
-  reader.ReadWord("failover", {"never"}, &failover);
+  reader.ReadChoice("failover", {"never"}, &failover);
   reader.Require("tasks");
-  reader.ReadEach("tasks", [&](const YAML::Node& node, std::string path) {
+  reader.ReadSequence("tasks", [&](const YAML::Node& node, std::string path) {
     ParseTask(node, path, &names, &job, problems);
   });
   reader.Finish();
