--- a/src/doorwoodd/daemon.cpp
+++ b/src/doorwoodd/daemon.cpp
@@ -16,7 +16,8 @@
 uint64_t NewIncarnation() {
   std::random_device device;
   const uint64_t high = device();
-  // Fits a JSON number that other tools read as a signed 64-bit one.
+  // Shifted so that the value fits a signed 64-bit integer, which is how other
+  // tools read JSON numbers.
   return ((high << 32) | device()) >> 1;
 }
 
@@ -78,31 +79,33 @@
   });
   peers_.set_service(instance_.get());
   instance_->Start();
-  const auto look = std::make_shared<std::function<void()>>();
-  *look = [this, look]() {
+  const auto poll_readiness = std::make_shared<std::function<void()>>();
+  *poll_readiness = [this, poll_readiness]() {
     ready_ = instance_->ready();
-    executor_.Schedule(kReadyInterval, [look]() { (*look)(); });
+    executor_.Schedule(kReadyInterval,
+                       [poll_readiness]() { (*poll_readiness)(); });
   };
-  (*look)();
-  const auto keep = asio::make_work_guard(context_);
+  (*poll_readiness)();
+  const auto work_guard = asio::make_work_guard(context_);
   context_.run();
 }
 
-// A planned stop: not ready at once, requests go on for a while so that the
-// balancer can look away; then control is given away, and the listener stops
-// once what is in progress is answered.
+// Planned shutdown. The instance reports itself as not ready at once and hands
+// over control. It keeps serving for `leave_grace` so that the load balancer
+// can remove it from rotation; the listener stops once requests in progress
+// are answered.
 void Daemon::OnSignal() {
-  if (leaving_.exchange(true)) {
+  if (shutting_down_.exchange(true)) {
     return;
   }
-  log_.Write("info", "daemon", "stop asked for", Json::object());
-  instance_->Leave(settings_.leave_patience, [this]() { FinishLeaving(); });
+  log_.Write("info", "daemon", "shutdown requested", Json::object());
+  instance_->Leave(settings_.leave_patience, [this]() { FinishShutdown(); });
 }
 
-void Daemon::FinishLeaving() {
+void Daemon::FinishShutdown() {
   executor_.Schedule(settings_.leave_grace, [this]() {
-    // Stopping waits for requests in progress, some of which need the control
-    // thread, so it is done on another one.
+    // Stopping waits for requests in progress. Some of them need the control
+    // thread, so a separate thread waits.
     std::thread([this]() {
       front_->Stop();
       executor_.Post([this]() {
@@ -123,7 +126,7 @@
 }
 
 bool Daemon::ready() const {
-  return ready_ && !leaving_;
+  return ready_ && !shutting_down_;
 }
 
 std::string Daemon::Metrics() {
@@ -137,13 +140,13 @@
   metrics_.AddSamples(&samples);
   const auto add_calls = [&samples](const std::string& target,
                                     const auto& traffic) {
-    for (const auto& [kind, figures] : traffic) {
+    for (const auto& [kind, counters] : traffic) {
       const std::map<std::string, std::string> labels = {{"to", target},
                                                          {"kind", kind}};
       samples.push_back(
-          {"doorwood_calls", labels, static_cast<double>(figures.calls)});
+          {"doorwood_calls", labels, static_cast<double>(counters.calls)});
       samples.push_back(
-          {"doorwood_call_bytes", labels, static_cast<double>(figures.bytes)});
+          {"doorwood_call_bytes", labels, static_cast<double>(counters.bytes)});
     }
   };
   add_calls("kv", kv_.traffic());
@@ -168,26 +171,26 @@
   add("doorwood_kv_calls_started", static_cast<double>(budget.started));
   add("doorwood_kv_calls_waited", static_cast<double>(budget.waited));
   add("doorwood_kv_calls_refused", static_cast<double>(budget.refused));
-  OwnerCounters sum;
+  OwnerCounters totals;
   size_t open_tasks = 0;
   for (const ShardOwner* owner : instance_->owners()) {
     const OwnerCounters& counters = owner->counters();
-    sum.accepted += counters.accepted;
-    sum.placed += counters.placed;
-    sum.refused += counters.refused;
-    sum.ended += counters.ended;
-    sum.censuses += counters.censuses;
-    sum.resolved_lost += counters.resolved_lost;
+    totals.accepted += counters.accepted;
+    totals.placed += counters.placed;
+    totals.refused += counters.refused;
+    totals.ended += counters.ended;
+    totals.censuses += counters.censuses;
+    totals.resolved_lost += counters.resolved_lost;
     open_tasks += owner->open_tasks();
   }
   add("doorwood_shards_owned", static_cast<double>(instance_->owners().size()));
   add("doorwood_tasks_open", static_cast<double>(open_tasks));
-  add("doorwood_jobs_accepted", static_cast<double>(sum.accepted));
-  add("doorwood_attempts_placed", static_cast<double>(sum.placed));
-  add("doorwood_placements_refused", static_cast<double>(sum.refused));
-  add("doorwood_attempts_ended", static_cast<double>(sum.ended));
-  add("doorwood_censuses", static_cast<double>(sum.censuses));
-  add("doorwood_attempts_lost", static_cast<double>(sum.resolved_lost));
+  add("doorwood_jobs_accepted", static_cast<double>(totals.accepted));
+  add("doorwood_attempts_placed", static_cast<double>(totals.placed));
+  add("doorwood_placements_refused", static_cast<double>(totals.refused));
+  add("doorwood_attempts_ended", static_cast<double>(totals.ended));
+  add("doorwood_censuses", static_cast<double>(totals.censuses));
+  add("doorwood_attempts_lost", static_cast<double>(totals.resolved_lost));
   return samples;
 }
 
@@ -247,7 +250,7 @@
                        const CallerResponse& response,
                        Millis took) {
   metrics_.OnRequest(request, response, took);
-  // What went well is of interest only when somebody looks for it.
+  // Answered requests are logged at debug level only, to limit log volume.
   const bool answered = response.fate == RequestFate::kAnswered;
   const char* level = answered ? "debug" : "info";
   if (!log_.IsEnabled(level)) {
--- a/src/doorwoodd/daemon.h
+++ b/src/doorwoodd/daemon.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// One running entry instance: adapters and control core put together.
+/// One running entry instance: wires the adapters to the control core.
 
 #ifndef DOORWOOD_DOORWOODD_DAEMON_H_
 #define DOORWOOD_DOORWOODD_DAEMON_H_
@@ -25,16 +25,19 @@
 
 namespace doorwood {
 
+/// Process-level object of an entry instance. Requests are served on the
+/// threads of the HTTP front end; control work runs on one executor.
 class Daemon : private FrontBackend,
                private RouteSink,
                private RequestClaims,
                private RequestObserver {
  public:
-  /// Opens the addresses; throws std::runtime_error if one cannot be used.
+  /// Binds the listening addresses; throws std::runtime_error if one cannot be
+  /// bound.
   explicit Daemon(const Settings& settings);
   ~Daemon() override;
 
-  /// Serves until SIGTERM or SIGINT, then leaves in good order.
+  /// Serves until SIGTERM or SIGINT, then performs a planned shutdown.
   void Run();
 
  private:
@@ -65,7 +68,7 @@
                  Millis took) override;
 
   void OnSignal();
-  void FinishLeaving();
+  void FinishShutdown();
   std::vector<MetricSample> ControlSamples() const;
 
   Settings settings_;
@@ -85,7 +88,7 @@
   std::unique_ptr<Instance> instance_;
   std::unique_ptr<Front> front_;
   std::atomic<bool> ready_ = false;
-  std::atomic<bool> leaving_ = false;
+  std::atomic<bool> shutting_down_ = false;
 };
 
 }  // namespace doorwood
--- a/src/doorwoodd/main.cpp
+++ b/src/doorwoodd/main.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// doorwoodd: one entry instance.
+// doorwoodd: daemon that runs one entry instance.
 
 #include <CLI/CLI.hpp>
 #include <iostream>
--- a/src/doorwoodd/metrics.cpp
+++ b/src/doorwoodd/metrics.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-// Latency of one service, in milliseconds.
+// Streaming latency quantiles of one service, in milliseconds.
 class RequestMetrics::Latency {
  public:
   Latency() : set_(acc::extended_p_square_probabilities = kQuantiles) {}
@@ -80,7 +80,8 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   const ServiceConfig* service = FindService(*configuration_, request.service);
   if (service == nullptr) {
-    // Unknown names come from callers: they must not grow these tables.
+    // Service names come from callers; unknown ones are not counted, so that
+    // callers cannot grow these tables without bound.
     return;
   }
   auto& latency = latencies_[request.service];
@@ -90,7 +91,8 @@
   latency->Add(static_cast<double>(took.count()));
   ++outcomes_[{request.service, std::string(ToString(response.fate))}];
   if (response.status == kStatusKeyUsed) {
-    // The caller's doing, no failure of the service.
+    // The caller reused an idempotency key; this does not count against the
+    // service's objective.
     return;
   }
   const bool good = response.fate == RequestFate::kAnswered &&
--- a/src/doorwoodd/metrics.h
+++ b/src/doorwoodd/metrics.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Figures of one process, shown as Prometheus text.
+/// Metrics of one process in Prometheus text format.
 
 #ifndef DOORWOOD_DOORWOODD_METRICS_H_
 #define DOORWOOD_DOORWOODD_METRICS_H_
@@ -25,11 +25,12 @@
   double value = 0;
 };
 
-/// Prometheus text of the samples, grouped by name.
+/// Returns the samples in Prometheus text format, grouped by name. All metrics
+/// are gauges.
 std::string ToPrometheusText(const std::vector<MetricSample>& samples);
 
-/// Counts finished requests, their latency by quantile, and burn. May be used
-/// from any thread.
+/// Tracks finished requests by outcome, latency quantiles, and error-budget
+/// burn, each by service. Thread-safe.
 class RequestMetrics {
  public:
   RequestMetrics();
@@ -40,7 +41,9 @@
                  const CallerResponse& response,
                  Millis took);
 
+  /// Appends the current samples to `samples`.
   void AddSamples(std::vector<MetricSample>* samples) const;
+  /// Error-budget burn of each service and window.
   std::vector<BurnRow> Burn() const;
 
  private:
