--- a/src/standin/backend.cpp
+++ b/src/standin/backend.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Stand-in for a backend server of a latency-critical service. Answers
+// Stand-in for a backend server of a latency-critical service. Replies
 // "NAME ran REQUEST-ID: BODY". A request's `ms` parameter sets how long it
-// runs. Faults: cut (so many more answers break off in the middle).
+// runs. Fault: `cut` (number of further replies that are truncated).
 
 #include <atomic>
 #include <chrono>
@@ -25,36 +25,36 @@
     const std::string id = request.get_header_value(kRequestIdHeader);
     if (busy_.fetch_add(1) >= role_.slots) {
       busy_.fetch_sub(1);
-      Note("refused", id);
+      RecordEvent("refused", id);
       response.status = kUnavailable;
       response.set_header(kRefusedHeader, "yes");
       response.set_content("no free slot\n", "text/plain");
       return;
     }
-    Note("run", id);
-    Work(request);
+    RecordEvent("run", id);
+    SimulateWork(request);
     busy_.fetch_sub(1);
-    Note("ran", id);
+    RecordEvent("ran", id);
     std::string body = role_.name + " ran " + id + ": " + request.body;
-    if (TakeCut()) {
-      CutOff(std::move(body), response);
+    if (ConsumeTruncation()) {
+      SendTruncated(std::move(body), response);
       return;
     }
     response.set_content(body, "text/plain");
   }
 
   Reply Fault(const Json& call) {
-    cut_ = call.value("cut", 0);
+    truncations_left_ = call.value("cut", 0);
     return {};
   }
 
  private:
-  void Note(const char* event, const std::string& id) {
+  void RecordEvent(const char* event, const std::string& id) {
     recorder_.Write(
         {{"event", event}, {"backend", role_.name}, {"request", id}});
   }
 
-  void Work(const httplib::Request& request) const {
+  void SimulateWork(const httplib::Request& request) const {
     int millis = role_.latency_ms;
     if (request.has_param("ms")) {
       millis = std::atoi(request.get_param_value("ms").c_str());
@@ -62,18 +62,19 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(millis));
   }
 
-  bool TakeCut() {
-    int left = cut_;
-    while (left > 0 && !cut_.compare_exchange_weak(left, left - 1)) {
+  bool ConsumeTruncation() {
+    int left = truncations_left_;
+    while (left > 0 &&
+           !truncations_left_.compare_exchange_weak(left, left - 1)) {
     }
     return left > 0;
   }
 
-  // Promises more than it sends.
-  static void CutOff(std::string body, httplib::Response& response) {
-    const size_t promised = body.size() * 2;
+  // Announces twice the length of the body, so that the reply is truncated.
+  static void SendTruncated(std::string body, httplib::Response& response) {
+    const size_t announced_length = body.size() * 2;
     response.set_content_provider(
-        promised, "text/plain",
+        announced_length, "text/plain",
         [body](size_t offset, size_t, httplib::DataSink& sink) {
           if (offset > 0) {
             return false;
@@ -86,7 +87,7 @@
   BackendRole role_;
   Recorder& recorder_;
   std::atomic<int> busy_ = 0;
-  std::atomic<int> cut_ = 0;
+  std::atomic<int> truncations_left_ = 0;
 };
 
 }  // namespace
--- a/src/standin/instances.cpp
+++ b/src/standin/instances.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Stand-in for the platform's lagging list of instances. Changes show after
-// the lag.
+// Stand-in for the platform's eventually consistent list of instances. Changes
+// become visible after a fixed lag.
 
 #include <fstream>
 #include <iostream>
@@ -20,21 +20,22 @@
 
   void Load(const Json& instances) {
     for (const Json& item : instances) {
-      shown_[item.at("id")] = item;
+      visible_[item.at("id")] = item;
     }
   }
 
-  // With a data centre: its workers and backend servers, and every entry
-  // instance. With a version: nothing if the list is still at it.
+  // With `data_centre`: that data centre's workers and backend servers, and all
+  // entry instances. With `unless_version`: only "unchanged" if the list still
+  // has that version.
   Reply List(const Json& call) {
     const std::lock_guard<std::mutex> lock(mutex_);
-    ApplyDue();
+    ApplyDueChanges();
     if (call.value("unless_version", int64_t{-1}) == version_) {
       return {200, {{"unchanged", true}}};
     }
     const std::string dc = call.value("data_centre", "");
     Json instances = Json::array();
-    for (const auto& [id, item] : shown_) {
+    for (const auto& [id, item] : visible_) {
       const bool wanted = dc.empty() || item.value("role", "") == "entry" ||
                           item.value("data_centre", "") == dc;
       if (wanted) {
@@ -44,7 +45,8 @@
     return {200, {{"instances", std::move(instances)}, {"version", version_}}};
   }
 
-  // {"id": ..., "remove": true} or members to change or add.
+  // Queues a change: {"id": ..., "remove": true}, or the fields to set for the
+  // instance `id`.
   Reply Change(const Json& call) {
     const std::lock_guard<std::mutex> lock(mutex_);
     pending_.push_back({MonotonicMillis() + lag_ms_, call});
@@ -57,7 +59,7 @@
     Json change;
   };
 
-  void ApplyDue() {
+  void ApplyDueChanges() {
     const int64_t now = MonotonicMillis();
     while (!pending_.empty() && pending_.front().due <= now) {
       const Json change = pending_.front().change;
@@ -65,9 +67,9 @@
       const std::string id = change.at("id");
       ++version_;
       if (change.value("remove", false)) {
-        shown_.erase(id);
+        visible_.erase(id);
       } else {
-        Json& item = shown_[id];
+        Json& item = visible_[id];
         item = item.is_null() ? Json::object() : item;
         item.update(change);
       }
@@ -75,10 +77,11 @@
   }
 
   int64_t lag_ms_;
-  // Starts anew with the process, so it begins at a number of its own.
+  // Initialized from the clock, so that versions of a restarted process do not
+  // repeat earlier ones.
   int64_t version_ = MonotonicMillis();
   std::mutex mutex_;
-  std::map<std::string, Json> shown_;
+  std::map<std::string, Json> visible_;
   std::vector<Pending> pending_;
 };
 
--- a/src/standin/kv.cpp
+++ b/src/standin/kv.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Stand-in for the platform's key-value service. Faults: down (refuses),
-// slow (delays), lose (takes effect, the answer comes too late).
+// Stand-in for the platform's key-value service. Faults: `down` (all calls get
+// status 503), `slow_ms` (delays every call), `lose` (number of further writes
+// and removals that take effect but are answered too late).
 
 #include <chrono>
 #include <condition_variable>
@@ -21,7 +22,7 @@
 constexpr int kTooLarge = 413;
 constexpr int kUnavailable = 503;
 constexpr size_t kLargestValue = 1024 * 1024;
-// Longer than any client waits.
+// Delay of a lost reply; longer than any client's timeout.
 constexpr int kLostMillis = 2500;
 
 Json EntryJson(const KvEntry& entry) {
@@ -44,7 +45,7 @@
   return {error == make_error_code(KvErrc::kNotFound) ? kNotFound : kConflict};
 }
 
-// The model behind a lock, with waiting watches.
+// Guards the model with a lock and adds blocking watches.
 class Kv {
  public:
   Reply Read(const Json& call) {
@@ -94,7 +95,7 @@
     return ReplyOf(model_.Renew(call.at("lease"), MonotonicMillis()));
   }
 
-  // Ends the watches that wait.
+  // Ends the blocked watches.
   void Stop() {
     const std::lock_guard<std::mutex> lock(mutex_);
     stopping_ = true;
@@ -120,12 +121,13 @@
   bool stopping_ = false;
 };
 
-// Switched from outside; applies to all calls.
+// Faults set by /fault, and call counts for /stats. Applies to all calls.
 struct Faults {
   std::mutex mutex;
   bool down = false;
   int slow_ms = 0;
-  // The answers to so many more writes get lost.
+  // Number of further writes and removals whose replies are delayed by
+  // kLostMillis.
   int lose = 0;
   std::map<std::string, int64_t> calls;
 };
--- a/src/standin/kv_model.cpp
+++ b/src/standin/kv_model.cpp
@@ -11,7 +11,7 @@
 std::error_code KvModel::Read(const std::string& key,
                               int64_t now,
                               KvEntry* out) {
-  Expire(now);
+  ExpireLeases(now);
   const auto entry = entries_.find(key);
   if (entry == entries_.end()) {
     return KvErrc::kNotFound;
@@ -21,7 +21,7 @@
 }
 
 std::vector<KvEntry> KvModel::List(const std::string& prefix, int64_t now) {
-  Expire(now);
+  ExpireLeases(now);
   std::vector<KvEntry> entries;
   for (auto it = entries_.lower_bound(prefix);
        it != entries_.end() && it->first.starts_with(prefix); ++it) {
@@ -33,7 +33,7 @@
 std::error_code KvModel::Write(const KvWrite& write,
                                int64_t now,
                                int64_t* version) {
-  Expire(now);
+  ExpireLeases(now);
   if (write.lease != 0 && !leases_.contains(write.lease)) {
     return KvErrc::kNotFound;
   }
@@ -48,7 +48,7 @@
 std::error_code KvModel::Remove(const std::string& key,
                                 int64_t expected_version,
                                 int64_t now) {
-  Expire(now);
+  ExpireLeases(now);
   const bool matches =
       expected_version < 0 || VersionOf(key) == expected_version;
   if (!matches) {
@@ -67,7 +67,7 @@
 }
 
 std::error_code KvModel::Renew(int64_t lease, int64_t now) {
-  Expire(now);
+  ExpireLeases(now);
   const auto item = leases_.find(lease);
   if (item == leases_.end()) {
     return KvErrc::kNotFound;
@@ -85,7 +85,7 @@
   return newest;
 }
 
-void KvModel::Expire(int64_t now) {
+void KvModel::ExpireLeases(int64_t now) {
   std::erase_if(leases_,
                 [now](const auto& item) { return item.second.end < now; });
   std::erase_if(entries_, [this](const auto& item) {
--- a/src/standin/kv_model.h
+++ b/src/standin/kv_model.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What the platform's key-value service does, without network or clock.
-/// Shared by the stand-in process and the fake of unit tests.
+/// Model of the platform's key-value service without network or clock. Shared
+/// by the stand-in process and the fake of the unit tests.
 
 #ifndef DOORWOOD_STANDIN_KV_MODEL_H_
 #define DOORWOOD_STANDIN_KV_MODEL_H_
@@ -16,20 +16,23 @@
 
 namespace doorwood::standin {
 
-/// `now` is in milliseconds of any one clock. Every failure is a KvErrc.
+/// Versioned entries with leases. `now` is in milliseconds of any one steady
+/// clock. Every error is a KvErrc.
 class KvModel {
  public:
   std::error_code Read(const std::string& key, int64_t now, KvEntry* out);
   std::vector<KvEntry> List(const std::string& prefix, int64_t now);
   std::error_code Write(const KvWrite& write, int64_t now, int64_t* version);
+  /// A negative `expected_version` removes any version.
   std::error_code Remove(const std::string& key,
                          int64_t expected_version,
                          int64_t now);
+  /// Returns the id of a new lease.
   int64_t Grant(int64_t lifetime_ms, int64_t now);
   std::error_code Renew(int64_t lease, int64_t now);
-  /// Highest version under a prefix.
+  /// Highest version of the entries under `prefix`; 0 if there are none.
   int64_t NewestUnder(const std::string& prefix) const;
-  /// Rises with each change.
+  /// Increases with each write and removal. Expired leases do not change it.
   int64_t revision() const { return revision_; }
 
  private:
@@ -44,7 +47,7 @@
     int64_t end = 0;
   };
 
-  void Expire(int64_t now);
+  void ExpireLeases(int64_t now);
   int64_t VersionOf(const std::string& key) const;
 
   std::map<std::string, Stored> entries_;
--- a/src/standin/link.cpp
+++ b/src/standin/link.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Stand-in for the wire between two places: passes bytes on, until it is cut.
-// Fault: cut (breaks connections and takes no new ones).
+// Stand-in for a network link: a TCP proxy that can simulate a partition.
+// Fault: `cut` (closes all connections and accepts no new ones).
 
 #include <array>
 #include <asio.hpp>
@@ -24,35 +24,37 @@
           static_cast<uint16_t>(target.port)};
 }
 
-// One connection and the one that it leads to. It lives as long as bytes are
-// on their way.
+// An accepted connection and its connection to the target. Pending reads and
+// writes keep the session alive.
 class Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(tcp::socket near_end, const std::atomic<bool>& cut)
-      : near_(std::move(near_end)), far_(near_.get_executor()), cut_(cut) {}
+  Session(tcp::socket client, const std::atomic<bool>& cut)
+      : client_(std::move(client)),
+        upstream_(client_.get_executor()),
+        cut_(cut) {}
 
   void Start(const tcp::endpoint& target) {
-    far_.async_connect(
+    upstream_.async_connect(
         target, [self = shared_from_this()](const asio::error_code& error) {
           if (error) {
             self->Close();
             return;
           }
-          self->Pass(self->near_, self->far_, self->out_);
-          self->Pass(self->far_, self->near_, self->in_);
+          self->Relay(self->client_, self->upstream_, self->to_upstream_);
+          self->Relay(self->upstream_, self->client_, self->to_client_);
         });
   }
 
   void Close() {
     asio::error_code ignored;
-    near_.close(ignored);
-    far_.close(ignored);
+    client_.close(ignored);
+    upstream_.close(ignored);
   }
 
  private:
   using Buffer = std::array<char, 16384>;
 
-  void Pass(tcp::socket& from, tcp::socket& to, Buffer& buffer) {
+  void Relay(tcp::socket& from, tcp::socket& to, Buffer& buffer) {
     from.async_read_some(
         asio::buffer(buffer),
         [self = shared_from_this(), &from, &to, &buffer](
@@ -68,19 +70,20 @@
                                 self->Close();
                                 return;
                               }
-                              self->Pass(from, to, buffer);
+                              self->Relay(from, to, buffer);
                             });
         });
   }
 
-  tcp::socket near_;
-  tcp::socket far_;
+  tcp::socket client_;
+  tcp::socket upstream_;
   const std::atomic<bool>& cut_;
-  Buffer out_{};
-  Buffer in_{};
+  Buffer to_upstream_{};
+  Buffer to_client_{};
 };
 
-// Takes connections and remembers them, to break them when cut.
+// Accepts connections and tracks their sessions, so that a partition can close
+// them.
 class Link {
  public:
   Link(asio::io_context& context,
@@ -93,14 +96,14 @@
     Accept();
   }
 
-  void SetCut(bool cut) {
+  void SetPartitioned(bool cut) {
     asio::post(context_, [this, cut]() {
       if (cut_ == cut) {
         return;
       }
       cut_ = cut;
       if (cut) {
-        Break();
+        CloseAll();
       } else {
         acceptor_ = tcp::acceptor(context_, listen_);
         Accept();
@@ -111,7 +114,7 @@
  private:
   using WeakSession = std::weak_ptr<Session>;
 
-  void Break() {
+  void CloseAll() {
     acceptor_.close();
     for (const auto& weak : sessions_) {
       if (const auto session = weak.lock()) {
@@ -154,7 +157,7 @@
   control.listen = role.control;
   Server server(control);
   server.AddCall("/fault", [&link](const Json& body) {
-    link.SetCut(body.value("cut", false));
+    link.SetPartitioned(body.value("cut", false));
     return Reply();
   });
   const int code = server.Run();
--- a/src/standin/main.cpp
+++ b/src/standin/main.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// doorwood-standin: stand-ins for the platform, one role a process.
+// doorwood-standin: stand-ins for the platform's services, one role a process.
 
 #include <CLI/CLI.hpp>
 
--- a/src/standin/record_store_model.cpp
+++ b/src/standin/record_store_model.cpp
@@ -9,13 +9,13 @@
 
 void RecordStoreModel::Advance(int64_t now) {
   now_ = now;
-  std::vector<int64_t> over;
+  std::vector<int64_t> expired;
   for (const auto& [id, lease] : leases_) {
-    if (lease.until <= now_) {
-      over.push_back(id);
+    if (lease.expires_at <= now_) {
+      expired.push_back(id);
     }
   }
-  for (const int64_t id : over) {
+  for (const int64_t id : expired) {
     End(id);
   }
 }
@@ -43,7 +43,7 @@
 std::error_code RecordStoreModel::Changes(const std::string& prefix,
                                           int64_t after,
                                           StoreItems* events) const {
-  if (after < compacted_) {
+  if (after < compacted_revision_) {
     return KvErrc::kCompacted;
   }
   events->at = revision_;
@@ -58,16 +58,17 @@
 
 std::error_code RecordStoreModel::Commit(const StoreTransaction& transaction,
                                          StoreCommit* commit) {
-  bool holds = true;
-  for (const ExpectedRevision& row : transaction.expected) {
+  bool all_match = true;
+  for (const ExpectedRevision& expectation : transaction.expected) {
     StoreItem item;
-    const bool there = !Get(row.key, &item);
-    holds = holds && (there ? item.revision : 0) == row.revision;
-    if (there) {
+    const bool exists = !Get(expectation.key, &item);
+    all_match =
+        all_match && (exists ? item.revision : 0) == expectation.revision;
+    if (exists) {
       commit->current.push_back(item);
     }
   }
-  if (!holds) {
+  if (!all_match) {
     return KvErrc::kConflict;
   }
   commit->current.clear();
@@ -118,7 +119,7 @@
   if (found == leases_.end()) {
     return KvErrc::kNotFound;
   }
-  found->second.until = now_ + found->second.lifetime;
+  found->second.expires_at = now_ + found->second.lifetime;
   return {};
 }
 
@@ -126,11 +127,11 @@
   if (leases_.erase(lease) == 0) {
     return KvErrc::kNotFound;
   }
-  DropKeysOf(lease);
+  RemoveKeysOfLease(lease);
   return {};
 }
 
-void RecordStoreModel::DropKeysOf(int64_t lease) {
+void RecordStoreModel::RemoveKeysOfLease(int64_t lease) {
   std::vector<std::string> keys;
   for (const auto& [key, item] : items_) {
     if (item.lease == lease) {
@@ -147,12 +148,12 @@
 }
 
 void RecordStoreModel::Compact() {
-  compacted_ = revision_;
+  compacted_revision_ = revision_;
   history_.clear();
 }
 
 void RecordStoreModel::Revoke(int64_t lease) {
-  DropKeysOf(lease);
+  RemoveKeysOfLease(lease);
 }
 
 }  // namespace doorwood::standin
--- a/src/standin/record_store_model.h
+++ b/src/standin/record_store_model.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a store with conditional transactions, leases and history does, as
-/// pure state. Shared by the fakes and by the stand-in.
+/// Model of a key-value store with conditional transactions, leases, and
+/// history, without network or clock. Shared by the fakes and the stand-in.
 
 #ifndef DOORWOOD_STANDIN_RECORD_STORE_MODEL_H_
 #define DOORWOOD_STANDIN_RECORD_STORE_MODEL_H_
@@ -17,26 +17,34 @@
 
 namespace doorwood::standin {
 
+/// Every error is a KvErrc.
 class RecordStoreModel {
  public:
-  /// Time in milliseconds of any steady clock; leases lapse as it goes on.
+  /// Sets the time, in milliseconds of any one steady clock, and ends the
+  /// leases that have expired.
   void Advance(int64_t now);
 
   std::error_code Get(const std::string& key, StoreItem* item) const;
   StoreItems List(const std::string& prefix) const;
-  /// Changes under `prefix` after revision `after`; KvErrc::kCompacted if they
-  /// are no longer known.
+  /// Changes under `prefix` after revision `after`; KvErrc::kCompacted if that
+  /// part of the history has been compacted.
   std::error_code Changes(const std::string& prefix,
                           int64_t after,
                           StoreItems* events) const;
+  /// Applies the transaction if all expected revisions match. On a conflict
+  /// `commit->current` lists the expected keys that exist.
   std::error_code Commit(const StoreTransaction& transaction,
                          StoreCommit* commit);
+  /// Grants a lease of `lifetime` milliseconds and returns its id.
   int64_t Grant(int64_t lifetime);
+  /// Renews the lease for its full lifetime.
   std::error_code Keep(int64_t lease);
+  /// Ends the lease and removes its keys.
   std::error_code End(int64_t lease);
 
-  /// Faults: forget the history; take a lease's keys away without a word.
+  /// Fault: discards the history up to the current revision.
   void Compact();
+  /// Fault: removes the keys of a lease while the lease itself stays valid.
   void Revoke(int64_t lease);
 
   int64_t revision() const { return revision_; }
@@ -44,17 +52,17 @@
  private:
   struct Lease {
     int64_t lifetime = 0;
-    int64_t until = 0;
+    int64_t expires_at = 0;
   };
 
   void Put(const StorePut& put);
   void Remove(const std::string& key);
-  void DropKeysOf(int64_t lease);
+  void RemoveKeysOfLease(int64_t lease);
 
   int64_t now_ = 0;
   int64_t revision_ = 0;
   int64_t last_lease_ = 0;
-  int64_t compacted_ = 0;
+  int64_t compacted_revision_ = 0;
   std::map<std::string, StoreItem> items_;
   std::map<int64_t, Lease> leases_;
   std::vector<StoreItem> history_;
--- a/src/standin/run_worker_model.cpp
+++ b/src/standin/run_worker_model.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr int kFullProgress = 100;
-// Ends that one report lists, as on the platform.
-constexpr size_t kMostEndsListed = 500;
+// Most completions that one report lists; the platform has the same limit.
+constexpr size_t kMaxEndsListed = 500;
 
 int64_t NumberAfter(const std::string& text, std::string_view word) {
   const size_t at = text.find(word);
@@ -27,7 +27,7 @@
 
 std::optional<Millis> CrashesAfter(const StartOrder& order) {
   constexpr std::string_view kWord = "crashes=";
-  constexpr Millis kAtOnce{10};
+  constexpr Millis kDefaultDelay{10};
   const size_t at = order.payload.find(kWord);
   if (at == std::string::npos) {
     return std::nullopt;
@@ -39,7 +39,7 @@
     return std::nullopt;
   }
   const Millis after(NumberAfter(order.payload, "crashes_after="));
-  return after > Millis(0) ? after : kAtOnce;
+  return after > Millis(0) ? after : kDefaultDelay;
 }
 
 std::vector<std::string> RunWorkerModel::running_tasks() const {
@@ -52,39 +52,40 @@
 
 void RunWorkerModel::Advance(int64_t now) {
   now_ = now;
-  std::vector<std::pair<std::string, RunEnd>> over;
+  std::vector<std::pair<std::string, RunEnd>> ended_tasks;
   for (const auto& [task, active] : runs_) {
     const bool finished =
         active.duration > 0 && now_ >= active.started + active.duration;
     const bool stopped = active.stops_at > 0 && now_ >= active.stops_at;
     if (finished) {
-      over.emplace_back(task, active.fails ? RunEnd::kFailed : RunEnd::kDone);
+      ended_tasks.emplace_back(task,
+                               active.fails ? RunEnd::kFailed : RunEnd::kDone);
     } else if (stopped) {
-      over.emplace_back(task, RunEnd::kStopped);
+      ended_tasks.emplace_back(task, RunEnd::kStopped);
     } else if (now_ >= lease_until_) {
-      over.emplace_back(task, RunEnd::kLapsed);
+      ended_tasks.emplace_back(task, RunEnd::kLapsed);
     }
   }
-  for (const auto& [task, end] : over) {
+  for (const auto& [task, end] : ended_tasks) {
     End(task, end);
   }
   if (now_ >= lease_until_) {
-    lapsed_end_ = last_end_;
-    NoteLapsedFailures();
+    last_end_at_lease_expiry_ = last_end_;
+    RecordFailuresAtLeaseExpiry();
   }
 }
 
-void RunWorkerModel::NoteLapsedFailures() {
+void RunWorkerModel::RecordFailuresAtLeaseExpiry() {
   for (const EndedRun& end : ended_) {
     if (end.end == RunEnd::kFailed) {
-      lapsed_failures_[end.task].insert(end.run);
+      failures_at_lease_expiry_[end.task].insert(end.run);
     }
   }
 }
 
 int RunWorkerModel::lapsed_failures(const std::string& task) const {
-  const auto found = lapsed_failures_.find(task);
-  return found == lapsed_failures_.end()
+  const auto found = failures_at_lease_expiry_.find(task);
+  return found == failures_at_lease_expiry_.end()
              ? 0
              : static_cast<int>(found->second.size());
 }
@@ -92,11 +93,11 @@
 void RunWorkerModel::End(const std::string& task, RunEnd end) {
   const auto found = runs_.find(task);
   const uint32_t run = found->second.run;
-  over_[task] = std::max(over_[task], run);
+  highest_ended_run_[task] = std::max(highest_ended_run_[task], run);
   ended_.push_back({++last_end_, task, run, end, ""});
   runs_.erase(found);
-  if (watcher_ != nullptr) {
-    watcher_->OnEnded(ended_.back());
+  if (observer_ != nullptr) {
+    observer_->OnEnded(ended_.back());
   }
 }
 
@@ -108,17 +109,17 @@
   return false;
 }
 
-void RunWorkerModel::Extend(int64_t until) {
+void RunWorkerModel::ExtendLease(int64_t until) {
   lease_until_ = std::max(lease_until_, until);
 }
 
-void RunWorkerModel::Forget(uint64_t last_seen) {
+void RunWorkerModel::DropAcknowledgedEnds(uint64_t last_seen) {
   std::erase_if(ended_, [&](const EndedRun& end) {
-    const bool noted = end.number <= last_seen;
-    if (noted && watcher_ != nullptr) {
-      watcher_->OnNoted(end);
+    const bool acknowledged = end.number <= last_seen;
+    if (acknowledged && observer_ != nullptr) {
+      observer_->OnNoted(end);
     }
-    return noted;
+    return acknowledged;
   });
 }
 
@@ -127,13 +128,13 @@
   if (IsFenced(order.token)) {
     return RunErrc::kFenced;
   }
-  Extend(order.until);
-  Forget(order.last_seen);
+  ExtendLease(order.until);
+  DropAcknowledgedEnds(order.last_seen);
   report->clock = now_;
-  const size_t listed = std::min(ended_.size(), kMostEndsListed);
+  const size_t listed = std::min(ended_.size(), kMaxEndsListed);
   report->ended.assign(ended_.begin(),
                        ended_.begin() + static_cast<std::ptrdiff_t>(listed));
-  report->more_ended = listed == kMostEndsListed;
+  report->more_ended = listed == kMaxEndsListed;
   for (const auto& [task, active] : runs_) {
     ActiveRun row;
     row.task = task;
@@ -151,12 +152,12 @@
   if (IsFenced(order.token)) {
     return RunErrc::kFenced;
   }
-  Extend(order.until);
+  ExtendLease(order.until);
   const auto running = runs_.find(order.task);
   if (running != runs_.end() && running->second.run == order.run) {
     return {};
   }
-  if (over_[order.task] >= order.run || running != runs_.end()) {
+  if (highest_ended_run_[order.task] >= order.run || running != runs_.end()) {
     return RunErrc::kOldRun;
   }
   if (order.until <= now_) {
@@ -168,8 +169,8 @@
   active.duration = NumberAfter(order.payload, "ms=");
   active.fails = order.run <= NumberAfter(order.payload, "fails=");
   runs_[order.task] = active;
-  if (watcher_ != nullptr) {
-    watcher_->OnStarted(order);
+  if (observer_ != nullptr) {
+    observer_->OnStarted(order);
   }
   return {};
 }
@@ -181,11 +182,12 @@
   const auto running = runs_.find(order.task);
   if (running != runs_.end() && running->second.run <= order.run) {
     if (running->second.stops_at == 0) {
-      running->second.stops_at = now_ + stop_takes_;
+      running->second.stops_at = now_ + stop_duration_ms_;
     }
     Advance(now_);
   }
-  over_[order.task] = std::max(over_[order.task], order.run);
+  highest_ended_run_[order.task] =
+      std::max(highest_ended_run_[order.task], order.run);
   return {};
 }
 
--- a/src/standin/run_worker_model.h
+++ b/src/standin/run_worker_model.h
@@ -1,14 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a worker that runs tasks under leases does, as pure state. Shared by
-/// the fakes and by the stand-in.
+/// Model of a worker that runs tasks under leases, without network or clock.
+/// Shared by the fakes and the stand-in.
 ///
-/// A task's payload says how it goes: "ms=300" runs that long (without it the
-/// task lasts until it is stopped), "fails=2" fails its first two runs,
-/// "crashes=0.0.3" takes its worker down if the task's name ends so (nothing
-/// behind the sign: any task), "crashes_after=300" so many milliseconds after
-/// the start, else after 10.
+/// The payload of a task sets its behavior:
+/// - "ms=300": it runs for 300 ms; without it, until it is stopped;
+/// - "fails=2": its first two runs fail;
+/// - "crashes=0.0.3": it crashes its worker if the task's name ends in "0.0.3";
+///   with an empty value, any task does;
+/// - "crashes_after=300": the crash comes 300 ms after the start instead of
+///   10 ms.
 
 #ifndef DOORWOOD_STANDIN_RUN_WORKER_MODEL_H_
 #define DOORWOOD_STANDIN_RUN_WORKER_MODEL_H_
@@ -25,28 +27,28 @@
 
 namespace doorwood::standin {
 
-/// How long after its start the run takes its worker down; nothing: it does
-/// not.
+/// Time from the start of a run until it crashes its worker; nullopt if it does
+/// not crash it.
 std::optional<Millis> CrashesAfter(const StartOrder& order);
 
-/// Told what happens to runs while it happens.
+/// Observer that is called synchronously when runs start and end.
 class RunWatcher {
  public:
   virtual ~RunWatcher() = default;
   virtual void OnStarted(const StartOrder& order) = 0;
   virtual void OnEnded(const EndedRun& end) = 0;
-  /// The end was seen by whoever holds the worker, and is forgotten here.
+  /// The worker's holder has acknowledged the end, and the worker drops it.
   virtual void OnNoted(const EndedRun& end) = 0;
 };
 
 class RunWorkerModel {
  public:
-  void SetWatcher(RunWatcher* watcher) { watcher_ = watcher; }
-  /// How long a stopped run still runs.
-  void SetStopTakes(Millis time) { stop_takes_ = time.count(); }
+  void SetWatcher(RunWatcher* watcher) { observer_ = watcher; }
+  /// Sets how long a run continues after a stop order.
+  void SetStopTakes(Millis time) { stop_duration_ms_ = time.count(); }
 
-  /// `now` is the worker's steady clock in milliseconds. Ends what is done and
-  /// what has lapsed.
+  /// Sets the worker's steady clock in milliseconds, and ends the runs that are
+  /// finished or stopped, or all runs if the worker's lease has expired.
   void Advance(int64_t now);
 
   std::error_code Hold(const HoldOrder& order, WorkerReport* report);
@@ -59,42 +61,43 @@
   bool Runs(const std::string& task) const { return runs_.contains(task); }
   size_t running() const { return runs_.size(); }
   std::vector<std::string> running_tasks() const;
-  /// The newest end that was there when the lease ran out: ends up to it count
-  /// for nothing if they are noted only now.
-  uint64_t lapsed_end() const { return lapsed_end_; }
-  /// Failures of the task that were still listed when the lease ran out: the
-  /// platform doesn't count them as attempts when they are noted later.
+  /// Number of the newest end listed when the lease expired. Ends up to it do
+  /// not count if they are acknowledged only later.
+  uint64_t lapsed_end() const { return last_end_at_lease_expiry_; }
+  /// Number of failed runs of the task that were still unacknowledged when the
+  /// lease expired. The platform does not count them as attempts when they are
+  /// acknowledged later.
   int lapsed_failures(const std::string& task) const;
 
  private:
   struct Active {
     uint32_t run = 0;
     int64_t started = 0;
-    /// 0: lasts until stopped.
+    /// In milliseconds; 0: runs until it is stopped.
     int64_t duration = 0;
     bool fails = false;
-    /// When it ends for having been stopped; 0: it wasn't.
+    /// Time at which a stop order takes effect; 0: no stop was ordered.
     int64_t stops_at = 0;
   };
 
   bool IsFenced(uint64_t token);
-  void Extend(int64_t until);
-  void Forget(uint64_t last_seen);
+  void ExtendLease(int64_t until);
+  void DropAcknowledgedEnds(uint64_t last_seen);
   void End(const std::string& task, RunEnd end);
-  void NoteLapsedFailures();
+  void RecordFailuresAtLeaseExpiry();
 
-  RunWatcher* watcher_ = nullptr;
-  int64_t stop_takes_ = 0;
+  RunWatcher* observer_ = nullptr;
+  int64_t stop_duration_ms_ = 0;
   int64_t now_ = 0;
   int64_t lease_until_ = 0;
   uint64_t token_ = 0;
   uint64_t last_end_ = 0;
-  uint64_t lapsed_end_ = 0;
+  uint64_t last_end_at_lease_expiry_ = 0;
   std::map<std::string, Active> runs_;
   std::vector<EndedRun> ended_;
-  std::map<std::string, std::set<uint32_t>> lapsed_failures_;
-  /// Highest run of each task that ended or was stopped here.
-  std::map<std::string, uint32_t> over_;
+  std::map<std::string, std::set<uint32_t>> failures_at_lease_expiry_;
+  /// Highest run of each task that ended or was stopped on this worker.
+  std::map<std::string, uint32_t> highest_ended_run_;
 };
 
 }  // namespace doorwood::standin
--- a/src/standin/standin.cpp
+++ b/src/standin/standin.cpp
@@ -36,7 +36,8 @@
     return new httplib::ThreadPool(threads);
   };
   http_.set_tcp_nodelay(true);
-  // An idle connection holds a thread, and a stop waits for it.
+  // An idle connection occupies a thread, and stopping waits for that thread;
+  // the keep-alive timeout (in seconds) is therefore short.
   http_.set_keep_alive_timeout(1);
   http_.set_keep_alive_max_count(10'000'000);
 }
--- a/src/standin/standin.h
+++ b/src/standin/standin.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Common parts of the stand-ins: small programs that take the place of the
-/// platform's services in tests and in the demo. Each keeps a record of what
-/// really happened, which tests trust rather than doorwood's own word.
+/// Common parts of the stand-ins: small programs that replace the platform's
+/// services in tests and in the demo. Each records the events it observes, so
+/// that tests can check them independently of what doorwood reports.
 
 #ifndef DOORWOOD_STANDIN_STANDIN_H_
 #define DOORWOOD_STANDIN_STANDIN_H_
@@ -19,25 +19,27 @@
 
 namespace doorwood::standin {
 
-/// Where to listen, and how long to live.
+/// Options that all stand-ins share.
 struct ServerOptions {
+  /// IP number and port; port 0 picks a free one.
   std::string listen = "127.0.0.1:0";
-  /// Ends by itself after this long, so that nothing outlives a test.
+  /// Seconds after which the process exits, so that none outlives its test.
   int lifetime_s = 900;
-  /// File for the record, one JSON line an event; empty: none.
+  /// File for the recorded events, one JSON object a line; empty: none.
   std::string record;
+  /// Threads that handle calls.
   size_t threads = 64;
 };
 
-/// Milliseconds of the clock that all processes of a machine share.
+/// Milliseconds of the steady clock, which all processes of a machine share.
 int64_t MonotonicMillis();
 
-/// Appends events to a file.
+/// Appends events to a file; thread-safe.
 class Recorder {
  public:
   explicit Recorder(const std::string& file);
 
-  /// Adds the time and writes the line at once.
+  /// Adds the time as `t`, writes the line, and flushes it.
   void Write(Json event);
 
  private:
@@ -45,7 +47,7 @@
   std::ofstream out_;
 };
 
-/// Answer to a JSON call.
+/// Reply to a JSON call.
 struct Reply {
   int status = 200;
   Json body = Json::object();
@@ -53,18 +55,22 @@
 
 using Handler = std::function<Reply(const Json&)>;
 
-/// An HTTP server with JSON calls.
+/// HTTP server for JSON calls.
 class Server {
  public:
   explicit Server(const ServerOptions& options);
 
   httplib::Server& http() { return http_; }
+  /// Handles POST requests to `path`. The reply is 400 if the body is not JSON
+  /// or lacks a field that the handler needs.
   void AddCall(const std::string& path, Handler handler);
-  /// Called when the server is about to stop, to end calls that wait.
+  /// Sets a callback that runs just before the server stops; it ends blocked
+  /// calls.
   void set_on_stop(std::function<void()> on_stop) {
     on_stop_ = std::move(on_stop);
   }
-  /// Serves until SIGTERM or the end of the lifetime. The exit code.
+  /// Serves until SIGTERM, SIGINT, or the end of the lifetime. Returns the exit
+  /// code.
   int Run();
 
  private:
@@ -73,7 +79,8 @@
   httplib::Server http_;
 };
 
-/// Roles; each runs until told to stop and gives the exit code.
+// Options of the roles that a stand-in process can take.
+
 struct KvRole {
   ServerOptions server;
 };
@@ -81,29 +88,36 @@
   ServerOptions server;
   std::string name = "worker";
   Resources capacity{32000, 125 * 1024, 0};
+  /// Rejects orders of older epochs.
   bool fences = true;
 };
 struct BackendRole {
   ServerOptions server;
   std::string name = "backend";
+  /// Requests that run at the same time; further ones are refused.
   int slots = 8;
+  /// Run time of a request that sets none.
   int latency_ms = 2;
 };
 struct InstancesRole {
   ServerOptions server;
+  /// JSON array of the initial instances.
   std::string file;
+  /// Delay until a change becomes visible.
   int lag_ms = 200;
 };
 
-/// A way between two addresses that can be cut.
+/// TCP proxy in front of one address that can simulate a network partition.
 struct LinkRole {
   ServerOptions server;
-  /// IP number and port that connections lead to.
+  /// IP number and port that connections are forwarded to.
   std::string target;
-  /// Port of the calls that switch faults; `server.listen` is the way itself.
+  /// Address of the calls that set faults; `server.listen` is the proxy's own.
   std::string control = "127.0.0.1:0";
 };
 
+// Each runs the role until SIGTERM, SIGINT, or the end of the lifetime, and
+// returns the exit code of the process.
 int RunLink(const LinkRole& role);
 int RunKv(const KvRole& role);
 int RunWorker(const WorkerRole& role);
--- a/src/standin/worker.cpp
+++ b/src/standin/worker.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Stand-in for one of the platform's workers. Faults: fail_starts (every task
-// fails at once), refuse_starts.
+// Stand-in for one of the platform's workers. Faults: `fail_starts` (every task
+// fails immediately after its start), `refuse_starts` (start orders are
+// refused).
 
 #include <atomic>
 #include <chrono>
--- a/src/standin/worker_model.cpp
+++ b/src/standin/worker_model.cpp
@@ -36,7 +36,7 @@
                                      int64_t now,
                                      WorkerInventory* out) {
   Tick(now);
-  const bool held = now < control_end_ && holder != holder_;
+  const bool held = now < control_lease_expiry_ && holder != holder_;
   if (held) {
     return WorkerErrc::kHeld;
   }
@@ -44,7 +44,7 @@
   ++epoch_;
   control_lease_ = control_lease_ms;
   task_lease_ = task_lease_ms;
-  control_end_ = now + control_lease_;
+  control_lease_expiry_ = now + control_lease_;
   on_event_({.kind = WorkerEventKind::kAcquired,
              .worker = name_,
              .holder = holder,
@@ -61,13 +61,13 @@
                                   int64_t now,
                                   WorkerAnswer* out) {
   Tick(now);
-  const bool stale = epoch != epoch_ || now >= control_end_;
+  const bool stale = epoch != epoch_ || now >= control_lease_expiry_;
   if (fences_ && stale) {
     return WorkerErrc::kStaleEpoch;
   }
   out->boot = boot_;
-  control_end_ = now + control_lease_;
-  task_end_ = now + task_lease_;
+  control_lease_expiry_ = now + control_lease_;
+  task_lease_expiry_ = now + task_lease_;
   for (const WorkerOrder& order : orders) {
     const auto run = runs_.find({order.shard, order.attempt});
     if (order.kind == OrderKind::kStart) {
@@ -90,15 +90,15 @@
   if (epoch != epoch_) {
     return WorkerErrc::kStaleEpoch;
   }
-  control_end_ = 0;
+  control_lease_expiry_ = 0;
   on_event_({.kind = WorkerEventKind::kReleased, .worker = name_});
   return {};
 }
 
 void WorkerModel::Tick(int64_t now) {
-  const bool lapsed = task_lease_ > 0 && now >= task_end_;
+  const bool lease_expired = task_lease_ > 0 && now >= task_lease_expiry_;
   for (auto& [key, run] : runs_) {
-    if (lapsed) {
+    if (lease_expired) {
       End(run, AttemptEnd::kLost);
     } else if (ProgressAt(run, now) >= run.run_ms) {
       End(run, run.fail ? AttemptEnd::kFailed : AttemptEnd::kSucceeded);
@@ -113,8 +113,9 @@
   }
   runs_.clear();
   ++boot_;
-  control_end_ = 0;
-  // The epoch survives: the platform keeps it with the worker's identity.
+  control_lease_expiry_ = 0;
+  // The epoch survives a restart: the platform stores it with the worker's
+  // identity.
 }
 
 OrderResult WorkerModel::Start(const WorkerOrder& order, int64_t now) {
--- a/src/standin/worker_model.h
+++ b/src/standin/worker_model.h
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What one of the platform's workers does, without network or clock. Shared
-/// by the stand-in process and the fake of unit tests. Tasks run by the clock;
-/// a task's payload is words: "run-ms=N" (default 200), "fail".
+/// Model of one of the platform's workers without network or clock. Shared by
+/// the stand-in process and the fake of the unit tests. The payload of a task
+/// is a list of words: "run-ms=N" sets its run time (default 200 ms), "fail"
+/// makes it fail at its end.
 
 #ifndef DOORWOOD_STANDIN_WORKER_MODEL_H_
 #define DOORWOOD_STANDIN_WORKER_MODEL_H_
@@ -21,7 +22,7 @@
 
 enum class WorkerEventKind { kAcquired, kReleased, kStart, kEnd };
 
-/// What really happened on a worker.
+/// An event on a worker, as the worker itself saw it.
 struct WorkerEvent {
   WorkerEventKind kind = WorkerEventKind::kStart;
   std::string worker;
@@ -31,16 +32,20 @@
   AttemptId attempt;
   AttemptEnd end = AttemptEnd::kSucceeded;
   std::string checkpoint;
-  /// Milliseconds of work done before this attempt.
+  /// Progress in milliseconds restored from a checkpoint of an earlier attempt.
   int64_t resumed_ms = 0;
+  /// The running tasks exceed the worker's capacity.
   bool overcommitted = false;
 };
 
-/// `now` is in milliseconds of any one clock.
+/// `now` is in milliseconds of any one steady clock. Every error is a
+/// WorkerErrc.
 class WorkerModel {
  public:
   using OnEvent = std::function<void(const WorkerEvent&)>;
 
+  /// With `fences` orders of an older epoch, or after the control lease has
+  /// expired, are rejected.
   WorkerModel(std::string name,
               const Resources& capacity,
               bool fences,
@@ -56,9 +61,9 @@
                        int64_t now,
                        WorkerAnswer* out);
   std::error_code Release(uint64_t epoch);
-  /// Ends what is done; stops all if nobody has renewed in time.
+  /// Ends finished attempts, and all attempts if the task lease has expired.
   void Tick(int64_t now);
-  /// The worker's process died and came back: it knows nothing.
+  /// Simulates a process restart, which loses all tasks but keeps the epoch.
   void Restart(int64_t now);
 
   void set_boot(uint64_t boot) { boot_ = boot; }
@@ -89,8 +94,8 @@
   uint64_t boot_ = 1;
   int64_t control_lease_ = 0;
   int64_t task_lease_ = 0;
-  int64_t control_end_ = 0;
-  int64_t task_end_ = 0;
+  int64_t control_lease_expiry_ = 0;
+  int64_t task_lease_expiry_ = 0;
   Resources used_;
   bool fail_starts_ = false;
   bool refuse_starts_ = false;
