--- a/src/bench/bench.h
+++ b/src/bench/bench.h
@@ -1,9 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Measuring programs: load on entry instances, a bare forwarding hop to
-/// compare with, the speed of placement decisions, and the cost of a cell's
-/// leader.
+/// Benchmarks: request load on entry instances, a minimal forwarding hop as a
+/// baseline, the rate of placement decisions, and the cost of a cell's leader.
 
 #ifndef DOORWOOD_BENCH_BENCH_H_
 #define DOORWOOD_BENCH_BENCH_H_
@@ -13,49 +12,56 @@
 
 namespace doorwood::bench {
 
+/// Options of the closed-loop load generator.
 struct LoadOptions {
-  /// Addresses, tried in turn as a balancer does.
+  /// Addresses, tried in round-robin order as by a load balancer. A connection
+  /// moves to the next one after it fails.
   std::vector<std::string> targets;
-  /// What stands before each path, as "/svc/stream"; empty for a backend
-  /// server itself.
+  /// Prefix of each request path, such as "/svc/stream"; empty to call a
+  /// backend server directly.
   std::string prefix;
   int connections = 1;
-  /// Each connection ends after so many requests or seconds.
+  /// Each connection stops after this many requests or seconds, whichever comes
+  /// first.
   int requests = 1000;
   int seconds = 10;
-  /// How long each request runs, asked of the backend server; -1: its own.
+  /// Run time in milliseconds requested from the backend server; -1: the
+  /// server's default.
   int run_ms = -1;
   bool repeatable = true;
   /// Sends an idempotency key with each request.
   bool keys = false;
   int deadline_ms = 5000;
-  /// Pause between two requests of a connection.
+  /// Pause in milliseconds between two requests of a connection.
   int pause_ms = 0;
-  /// File for one JSON line a request; empty: none.
+  /// File that gets one JSON line per request; empty: none.
   std::string record;
 };
 
+/// Options of the minimal forwarding hop.
 struct HopOptions {
   std::string listen;
   std::string target;
   int lifetime_s = 120;
 };
 
-/// Prints one JSON object with the figures.
+/// Sends the load and prints one JSON object with the results.
 int RunLoad(const LoadOptions& options);
-/// Serves until the end of its lifetime or SIGTERM.
+/// Forwards requests until SIGTERM, SIGINT, or the end of the lifetime.
 int RunHop(const HopOptions& options);
-/// Prints decisions a second at several sizes.
+/// Prints placement decisions per second for several fleet sizes.
 int RunDecisions();
 
+/// Options of the benchmark of a cell's leader.
 struct CellBenchOptions {
   int workers = 350;
   double jobs_per_second = 32;
-  /// Of virtual time.
+  /// Duration in virtual time.
   int seconds = 20;
 };
 
-/// Plays a fleet of fakes under one leader and prints the real time it took.
+/// Simulates a fleet of fake workers under one leader in virtual time, and
+/// prints the real time that this took.
 int RunCell(const CellBenchOptions& options);
 
 }  // namespace doorwood::bench
--- a/src/bench/cell.cpp
+++ b/src/bench/cell.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// What a cell's leader costs: a fleet of fakes in virtual time under a load
-// like that of the grown sites, and the real time that playing it takes.
+// Cost of a cell's leader: simulates a fleet of fake workers in virtual time,
+// under a load like that of the enlarged sites, and measures the real time.
 
 #include <chrono>
 #include <iostream>
@@ -15,27 +15,28 @@
 namespace {
 
 constexpr int64_t kWorkerCores = 32'000;
-constexpr int kTaskMillisMean = 1'000;
-constexpr Millis kSlice{50};
+constexpr int kMeanTaskMillis = 1'000;
+constexpr Millis kTimeStep{50};
 
-// A job as the grown sites hand them in: short ordinary work, long filling
-// work, and some that lasts and serves.
+// Draws a job with the mix of the enlarged sites: 55% short ordinary jobs, 43%
+// longer best-effort jobs, and 2% long-running jobs with a latency target.
 JobPlan DrawJob(std::mt19937_64* random, int number) {
   const auto kind = (*random)() % 100;
-  const bool lasting = kind < 2;
-  const bool fills = !lasting && kind < 45;
-  const int millis = fills ? 2 * kTaskMillisMean : kTaskMillisMean * 6 / 10;
+  const bool long_running = kind < 2;
+  const bool best_effort = !long_running && kind < 45;
+  const int millis =
+      best_effort ? 2 * kMeanTaskMillis : kMeanTaskMillis * 6 / 10;
   JobPlan plan = fakes::MakePlan(
       "job" + std::to_string(number), 1 + static_cast<int>((*random)() % 3),
-      1 + static_cast<int>((*random)() % (fills ? 40 : 20)),
-      lasting ? "" : "ms=" + std::to_string(millis));
+      1 + static_cast<int>((*random)() % (best_effort ? 40 : 20)),
+      long_running ? "" : "ms=" + std::to_string(millis));
   for (StepPlan& step : plan.steps) {
     step.size = {static_cast<int64_t>(2000 + (*random)() % 4000), 6000, 0};
     step.estimate = Millis(millis);
-    step.fills = fills;
-    step.checkpoints = fills;
-    step.lasting = lasting;
-    step.latency_target = Millis(lasting ? 150 : 0);
+    step.fills = best_effort;
+    step.checkpoints = best_effort;
+    step.lasting = long_running;
+    step.latency_target = Millis(long_running ? 150 : 0);
     step.image = "image" + std::to_string((*random)() % 18);
   }
   return plan;
@@ -55,20 +56,20 @@
   world.WaitForLeader();
   world.Run(Millis(2000));
   std::mt19937_64 random(1);
-  const double per_slice =
-      options.jobs_per_second * static_cast<double>(kSlice.count()) / 1e3;
-  double owed = 0;
+  const double jobs_per_step =
+      options.jobs_per_second * static_cast<double>(kTimeStep.count()) / 1e3;
+  double jobs_due = 0;
   int jobs = 0;
   const auto begin = std::chrono::steady_clock::now();
   for (Millis passed{0}; passed < Millis(options.seconds * 1000);
-       passed += kSlice) {
-    owed += per_slice;
-    for (; owed >= 1; owed -= 1) {
+       passed += kTimeStep) {
+    jobs_due += jobs_per_step;
+    for (; jobs_due >= 1; jobs_due -= 1) {
       JobPlan plan = DrawJob(&random, jobs++);
       plan.accepted_at = world.time().millis();
       world.Leader()->cell->Submit(plan, [](std::error_code, AcceptOutcome) {});
     }
-    world.Run(kSlice);
+    world.Run(kTimeStep);
   }
   const double seconds =
       std::chrono::duration<double>(std::chrono::steady_clock::now() - begin)
--- a/src/bench/decisions.cpp
+++ b/src/bench/decisions.cpp
@@ -12,12 +12,13 @@
 namespace doorwood::bench {
 namespace {
 
-constexpr int kDecisions = 20000;
-constexpr double kSecondsAtMost = 4;
+constexpr int kMaxDecisions = 20000;
+constexpr double kMaxSeconds = 4;
 constexpr Resources kCapacity{32000, 125 * 1024, 2};
-constexpr int kTasksOfWorker = 14;
+constexpr int kTasksPerWorker = 14;
 
-// A fleet with as many running tasks a worker as in docs/CAPACITY.md.
+// A random fleet with as many running tasks per worker as docs/CAPACITY.md
+// assumes.
 class Fleet {
  public:
   explicit Fleet(int workers) : random_(1) {
@@ -31,7 +32,7 @@
     for (int n = 0; n < workers; ++n) {
       residents_.emplace_back();
       Resources used;
-      for (int t = 0; t < kTasksOfWorker; ++t) {
+      for (int t = 0; t < kTasksPerWorker; ++t) {
         specs_.push_back(RandomSpec());
         const AttemptKey key{{"plaka", 0},
                              {1, static_cast<uint64_t>(specs_.size())}};
@@ -74,10 +75,10 @@
     Fleet fleet(workers);
     const auto policy = MakeDefaultPolicy();
     int placed = 0;
-    int made = 0;
+    int decisions = 0;
     const auto begin = std::chrono::steady_clock::now();
     double seconds = 0;
-    for (; made < kDecisions && seconds < kSecondsAtMost; ++made) {
+    for (; decisions < kMaxDecisions && seconds < kMaxSeconds; ++decisions) {
       const TaskSpec spec = fleet.RandomSpec();
       placed += policy->Decide(spec, fleet.views()).worker >= 0 ? 1 : 0;
       seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() -
@@ -85,11 +86,11 @@
                     .count();
     }
     std::cout << Json{{"workers", workers},
-                      {"running_tasks", workers * kTasksOfWorker},
-                      {"decisions", made},
+                      {"running_tasks", workers * kTasksPerWorker},
+                      {"decisions", decisions},
                       {"placed", placed},
                       {"decisions_per_second",
-                       static_cast<int64_t>(made / seconds)}}
+                       static_cast<int64_t>(decisions / seconds)}}
                      .dump()
               << std::endl;
   }
--- a/src/bench/hop.cpp
+++ b/src/bench/hop.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The bare hop: what forwarding costs with the same HTTP library and nothing
-// else. The floor to compare the router with.
+// Minimal forwarding hop: measures what forwarding costs with the same HTTP
+// library and nothing else. It is the baseline for the router.
 
 #include <httplib.h>
 
--- a/src/bench/load.cpp
+++ b/src/bench/load.cpp
@@ -21,37 +21,38 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr Millis kTurnPause{20};
+constexpr Millis kReconnectPause{20};
 
-// How a request ended, as its caller saw it.
+// Result of a request as the caller sees it.
 enum Outcome {
-  kWhole,
-  // An answer, but not the one to this request.
+  kCorrect,
+  // A reply, but not the expected one for this request.
   kWrong,
   kNotRun,
   kUnknown,
-  // The connection broke: nothing was promised.
+  // The connection broke before a reply; the request may have run.
   kBroken,
-  // No connection; the next address is tried.
+  // No connection was made; the next address is tried.
   kNoConnection,
-  kOutcomes,
+  kOutcomeCount,
 };
 
-constexpr const char* kNames[] = {"whole",   "wrong",  "not_run",
-                                  "unknown", "broken", "no_connection"};
+constexpr const char* kOutcomeNames[] = {"whole",   "wrong",  "not_run",
+                                         "unknown", "broken", "no_connection"};
 
 struct Totals {
   std::mutex mutex;
-  std::vector<double> micros;
-  std::vector<uint64_t> outcomes = std::vector<uint64_t>(kOutcomes, 0);
+  std::vector<double> latencies_us;
+  std::vector<uint64_t> outcomes = std::vector<uint64_t>(kOutcomeCount, 0);
   std::ofstream record;
 };
 
-class Caller {
+// One connection that sends its requests in a closed loop.
+class LoadConnection {
  public:
-  Caller(const LoadOptions& options, int number, Totals& totals)
+  LoadConnection(const LoadOptions& options, int number, Totals& totals)
       : options_(options), number_(number), totals_(totals) {
-    turn_ = static_cast<size_t>(number);
+    target_index_ = static_cast<size_t>(number);
     prefix_ = std::to_string(Clock::now().time_since_epoch().count()) + "-" +
               std::to_string(number) + "-";
   }
@@ -61,28 +62,29 @@
     for (int n = 0; n < options_.requests && Clock::now() < end; ++n) {
       const std::string id = prefix_ + std::to_string(n);
       const auto begin = Clock::now();
-      const Outcome outcome = Ask(id);
+      const Outcome outcome = SendRequest(id);
       const std::chrono::duration<double, std::micro> took =
           Clock::now() - begin;
-      Note(id, outcome, took.count());
+      RecordOutcome(id, outcome, took.count());
       if (outcome == kNoConnection || outcome == kBroken) {
         client_.reset();
-        ++turn_;
-        std::this_thread::sleep_for(kTurnPause);
+        ++target_index_;
+        std::this_thread::sleep_for(kReconnectPause);
       }
       if (options_.pause_ms > 0) {
         std::this_thread::sleep_for(Millis(options_.pause_ms));
       }
     }
     const std::lock_guard<std::mutex> lock(totals_.mutex);
-    totals_.micros.insert(totals_.micros.end(), micros_.begin(), micros_.end());
+    totals_.latencies_us.insert(totals_.latencies_us.end(),
+                                latencies_us_.begin(), latencies_us_.end());
   }
 
  private:
-  Outcome Ask(const std::string& id) {
+  Outcome SendRequest(const std::string& id) {
     if (!client_) {
-      const HostPort target =
-          ParseHostPort(options_.targets[turn_ % options_.targets.size()]);
+      const HostPort target = ParseHostPort(
+          options_.targets[target_index_ % options_.targets.size()]);
       client_ = std::make_unique<httplib::Client>(target.host, target.port);
       client_->set_tcp_nodelay(true);
       client_->set_keep_alive(true);
@@ -112,17 +114,21 @@
     if (fate == "unknown") {
       return kUnknown;
     }
-    return result->body.ends_with(" ran " + id + ": " + body) ? kWhole : kWrong;
+    return result->body.ends_with(" ran " + id + ": " + body) ? kCorrect
+                                                              : kWrong;
   }
 
-  void Note(const std::string& id, Outcome outcome, double micros) {
-    if (outcome == kWhole) {
-      micros_.push_back(micros);
+  void RecordOutcome(const std::string& id,
+                     Outcome outcome,
+                     double latency_us) {
+    if (outcome == kCorrect) {
+      latencies_us_.push_back(latency_us);
     }
     const std::lock_guard<std::mutex> lock(totals_.mutex);
     ++totals_.outcomes[outcome];
     if (totals_.record) {
-      totals_.record << Json{{"request", id}, {"outcome", kNames[outcome]}}
+      totals_.record << Json{{"request", id},
+                             {"outcome", kOutcomeNames[outcome]}}
                      << "\n";
     }
   }
@@ -130,17 +136,17 @@
   const LoadOptions& options_;
   int number_;
   Totals& totals_;
-  size_t turn_ = 0;
+  size_t target_index_ = 0;
   std::string prefix_;
   std::unique_ptr<httplib::Client> client_;
-  std::vector<double> micros_;
+  std::vector<double> latencies_us_;
 };
 
-double Quantile(const std::vector<double>& sorted, double share) {
+double Quantile(const std::vector<double>& sorted, double probability) {
   if (sorted.empty()) {
     return 0;
   }
-  const double position = share * static_cast<double>(sorted.size() - 1);
+  const double position = probability * static_cast<double>(sorted.size() - 1);
   return sorted[static_cast<size_t>(std::lround(position))];
 }
 
@@ -155,21 +161,21 @@
   std::vector<std::thread> threads;
   for (int n = 0; n < options.connections; ++n) {
     threads.emplace_back(
-        [&options, &totals, n]() { Caller(options, n, totals).Run(); });
+        [&options, &totals, n]() { LoadConnection(options, n, totals).Run(); });
   }
   for (std::thread& thread : threads) {
     thread.join();
   }
   const std::chrono::duration<double> took = Clock::now() - begin;
-  std::sort(totals.micros.begin(), totals.micros.end());
+  std::sort(totals.latencies_us.begin(), totals.latencies_us.end());
   Json result;
-  for (int outcome = 0; outcome < kOutcomes; ++outcome) {
-    result[kNames[outcome]] = totals.outcomes[outcome];
+  for (int outcome = 0; outcome < kOutcomeCount; ++outcome) {
+    result[kOutcomeNames[outcome]] = totals.outcomes[outcome];
   }
   result["per_second"] =
-      static_cast<double>(totals.micros.size()) / took.count();
-  result["p50_us"] = Quantile(totals.micros, 0.5);
-  result["p99_us"] = Quantile(totals.micros, 0.99);
+      static_cast<double>(totals.latencies_us.size()) / took.count();
+  result["p50_us"] = Quantile(totals.latencies_us, 0.5);
+  result["p99_us"] = Quantile(totals.latencies_us, 0.99);
   std::cout << result.dump() << std::endl;
   return 0;
 }
--- a/src/bench/main.cpp
+++ b/src/bench/main.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// doorwood-bench: measuring programs, used by `make bench`, `make capacity`
-// and the sessions under testsuite/.
+// doorwood-bench: benchmark programs, used by `make bench`, `make capacity`,
+// and the scripts under testsuite/.
 
 #include <CLI/CLI.hpp>
 
