--- a/src/soak/callers.h
+++ b/src/soak/callers.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Callers that hand jobs in, ask for their states and cancel some of them,
-/// over connections that they keep.
+/// Simulated callers that submit jobs, poll their states and cancel some of
+/// them over persistent connections.
 
 #ifndef DOORWOOD_SOAK_CALLERS_H_
 #define DOORWOOD_SOAK_CALLERS_H_
@@ -22,69 +22,73 @@
  public:
   Callers(World& world, uint64_t seed);
 
-  /// Hands in jobs that last, with so many tasks in all.
-  void AddLasting(int jobs, int tasks, int cpu);
-  /// Hands in jobs that end, one in each pause, until `Stop`.
-  void Start(Millis pause) { KeepHandingIn(pause); }
-  /// Hands in jobs whose tasks take their workers down, one in each pause,
-  /// until `Stop`.
-  void StartCrashing(Millis pause) { KeepHandingInCrashing(pause); }
+  /// Submits `jobs` long-running jobs with `tasks` tasks each; `cpu` is the
+  /// CPU demand of a task.
+  void AddLongRunning(int jobs, int tasks, int cpu);
+  /// Submits a job with an end every `pause` until `Stop`.
+  void Start(Millis pause) { SubmitPeriodically(pause); }
+  /// Submits a job whose tasks crash their workers every `pause` until `Stop`.
+  void StartCrashing(Millis pause) { SubmitCrashingPeriodically(pause); }
   void Stop() { stopped_ = true; }
-  /// From now on a call that breaks off without an answer is told as lost: for
-  /// times without faults but planned stops.
+  /// From now on, reports a call whose connection is lost without an answer as
+  /// a violation. For periods whose only faults are planned stops.
   void ExpectAnswers() { expects_answers_ = true; }
-  /// Waits until every accepted job is as it must be; tells what is not.
-  void AwaitAll(Millis patience, std::function<void()> done);
-  /// Every lasting task runs.
-  bool AllLastingRun() const;
+  /// Waits until every accepted job is in its expected state; reports those
+  /// that are not within the time-out as violations.
+  void AwaitAll(Millis timeout, std::function<void()> done);
+  /// True if every long-running task runs.
+  bool AllLongRunningTasksRun() const;
 
   size_t accepted() const;
-  size_t not_taken() const;
+  size_t not_accepted() const;
 
  private:
-  struct Known {
+  struct TrackedJob {
     platform::SoakJob job;
     bool accepted = false;
     bool cancelled = false;
-    /// Whether it stops asking once all tries were rejected, and whether it
-    /// cancels what is accepted.
+    /// Whether the caller stops submitting once all attempts were rejected, and
+    /// whether it cancels the job once it is accepted.
     bool gives_up = false;
     bool cancels = false;
-    /// Some try was not rejected.
-    bool may_be_taken = false;
-    bool over = false;
+    /// At least one attempt was not rejected.
+    bool may_be_accepted = false;
+    bool finished = false;
   };
 
-  /// Status 0: no answer.
-  using Answered = std::function<void(const HttpReply&)>;
+  /// Called with status 0 if there was no answer.
+  using ReplyHandler = std::function<void(const HttpReply&)>;
 
-  void HandIn(Known* known, int tries_left);
-  void OnHandedIn(Known* known, int tries_left, const HttpReply& reply);
-  void Look(Known* known);
-  void OnState(Known* known, const HttpReply& reply);
-  void Cancel(Known* known);
-  /// A job that ends so is as it must be.
-  static bool MayFail(const Known& known, std::string_view state);
-  void KeepHandingIn(Millis pause);
-  void KeepHandingInCrashing(Millis pause);
+  void Submit(TrackedJob* known, int attempts_left);
+  void OnSubmitted(TrackedJob* known,
+                   int attempts_left,
+                   const HttpReply& reply);
+  void PollState(TrackedJob* known);
+  void OnState(TrackedJob* known, const HttpReply& reply);
+  void Cancel(TrackedJob* known);
+  /// True if the job may end in this state although it did not complete.
+  static bool IsExpectedFailure(const TrackedJob& known,
+                                std::string_view state);
+  void SubmitPeriodically(Millis pause);
+  void SubmitCrashingPeriodically(Millis pause);
   void Call(std::string method,
-            const Known& known,
+            const TrackedJob& known,
             std::string body,
-            Answered done);
-  void OnBrokenOff(const std::string& what,
-                   std::error_code error,
-                   Millis after);
+            ReplyHandler done);
+  void OnConnectionLost(const std::string& what,
+                        std::error_code error,
+                        Millis after);
   void AwaitUntil(int64_t until, const std::function<void()>& done);
-  Known* Add(platform::SoakJob job);
-  bool IsSettled(const Known& known) const;
+  TrackedJob* Add(platform::SoakJob job);
+  bool IsSettled(const TrackedJob& known) const;
   uint64_t Draw(uint64_t below) { return random_() % below; }
 
   World& world_;
   HttpClient client_;
   std::mt19937_64 random_;
-  // On its own, so that the other jobs of a seed stay the same.
+  // Separate generator: crashing jobs do not change the other jobs of a seed.
   std::mt19937_64 crashing_random_;
-  std::map<std::string, Known> jobs_;
+  std::map<std::string, TrackedJob> jobs_;
   bool stopped_ = false;
   bool expects_answers_ = false;
 };
--- a/src/soak/child.h
+++ b/src/soak/child.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// One entry instance as a process that this one starts, signals and restarts.
+/// An entry instance as a child process that can be started, signalled and
+/// restarted.
 
 #ifndef DOORWOOD_SOAK_CHILD_H_
 #define DOORWOOD_SOAK_CHILD_H_
@@ -14,18 +15,19 @@
 
 class Child {
  public:
-  /// `settings` and `log` are files; the log is appended to.
+  /// `settings` and `log` are file paths; output is appended to the log.
   Child(std::string program, std::string settings, std::string log);
-  /// Kills it.
+  /// Kills the process if it runs.
   ~Child();
   Child(const Child&) = delete;
   Child& operator=(const Child&) = delete;
 
-  /// False if it can't be started.
+  /// Returns false if the process cannot be started.
   bool Start();
-  /// Does nothing unless it runs.
+  /// Does nothing if the process does not run.
   void Signal(int number) const;
-  /// True once after it has ended; how is in `status`, as waitpid tells it.
+  /// Returns true once after the process has ended; `status` is that of
+  /// waitpid.
   bool HasEnded(int* status);
 
   bool runs() const { return pid_ > 0; }
--- a/src/soak/config_watch.h
+++ b/src/soak/config_watch.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Asks each instance which configuration it serves by, as callers see it.
+/// Probes, as a caller, which configuration version each instance serves.
 
 #ifndef DOORWOOD_SOAK_CONFIG_WATCH_H_
 #define DOORWOOD_SOAK_CONFIG_WATCH_H_
@@ -14,34 +14,35 @@
 
 namespace doorwood::soak {
 
-/// Each version has a route more than the one before. Within one life of a
-/// process a route that it served never turns unknown.
+/// Each version adds one route to the one before. Checks that a process never
+/// forgets a route that it has served.
 class ConfigWatch {
  public:
   explicit ConfigWatch(World& world);
 
   void Start();
-  /// Waits until every instance serves the newest route; tells which do not.
-  void AwaitNewest(Millis patience, std::function<void()> done);
+  /// Waits until every instance serves the newest route; reports a violation if
+  /// some do not within the time-out.
+  void AwaitNewest(Millis timeout, std::function<void()> done);
 
  private:
-  /// What the instance's present life has served.
+  /// What the present process of the instance has served.
   struct Served {
-    int life = 0;
+    int restarts = 0;
     int version = 0;
-    /// When that was heard: answers to earlier questions may come later.
-    int64_t heard_at = 0;
+    /// Time of that answer: answers to earlier probes may arrive later.
+    int64_t confirmed_at = 0;
   };
-  struct Question {
+  struct Probe {
     size_t instance = 0;
-    int life = 0;
+    int restarts = 0;
     int version = 0;
-    int64_t sent = 0;
+    int64_t sent_at = 0;
   };
 
-  void AskAll();
-  void Ask(size_t instance, int version);
-  void OnAnswer(const Question& question, int status);
+  void ProbeAll();
+  void SendProbe(size_t instance, int version);
+  void OnAnswer(const Probe& probe, int status);
   bool ServesNewest(size_t instance) const;
   void AwaitUntil(int64_t until, const std::function<void()>& done);
 
--- a/src/soak/fault_plan.cpp
+++ b/src/soak/fault_plan.cpp
@@ -36,50 +36,51 @@
     "a new configuration",
     "settings are read again",
     "a worker is replaced"};
-// One in so many is a cut in steps, which needs time to tell.
-constexpr uint64_t kStepsAmong = 8;
-constexpr uint64_t kShortestPause = 100;    // ms
-constexpr uint64_t kLongestPause = 1800;    // ms
-constexpr uint64_t kShortestFault = 400;    // ms
-constexpr uint64_t kLongestFault = 9000;    // ms
-constexpr uint64_t kShortestSteps = 8000;   // ms
-constexpr uint64_t kLongestSteps = 14'000;  // ms
-constexpr uint64_t kLongestResume = 6000;   // ms
-constexpr uint64_t kShortestCalm = 300;     // ms
-constexpr uint64_t kLongestCalm = 3000;     // ms
-constexpr uint64_t kLongestSeries = 5;      // changes
-constexpr uint64_t kShortestBetween = 5;    // ms
-constexpr uint64_t kLongestBetween = 250;   // ms
-// So that the two plans of a seed do not begin alike.
+// One fault in this many is a stepwise partition: it is rarer than the others
+// because it takes longer to have an effect.
+constexpr uint64_t kSteppedCutOneIn = 8;
+constexpr uint64_t kShortestPause = 100;        // ms
+constexpr uint64_t kLongestPause = 1800;        // ms
+constexpr uint64_t kShortestFault = 400;        // ms
+constexpr uint64_t kLongestFault = 9000;        // ms
+constexpr uint64_t kShortestSteps = 8000;       // ms
+constexpr uint64_t kLongestSteps = 14'000;      // ms
+constexpr uint64_t kLongestResumeDelay = 6000;  // ms
+constexpr uint64_t kShortestCalm = 300;         // ms
+constexpr uint64_t kLongestCalm = 3000;         // ms
+constexpr uint64_t kLongestSeries = 5;          // changes
+constexpr uint64_t kShortestBetween = 5;        // ms
+constexpr uint64_t kLongestBetween = 250;       // ms
+// Mixed into the seed so that the plans of a seed do not begin alike.
 constexpr uint64_t kChangesSeed = 0x636f6e666967;
 constexpr uint64_t kReplacedSeed = 0x7265706c616365;
-constexpr uint64_t kShortestReplaced = 700;   // ms, from one to the next
-constexpr uint64_t kLongestReplaced = 2000;   // ms
-constexpr uint64_t kShortestServesOn = 3000;  // ms
-constexpr uint64_t kLongestServesOn = 5000;   // ms
-// After a worker was replaced its work moves within this time.
-constexpr uint64_t kShortestMoves = 300;  // ms
-constexpr uint64_t kLongestMoves = 1300;  // ms
-// The series begins within the first part of its time.
-constexpr int kSeriesBegins = 4;
-
-// How the lead changes hands beside replaced workers.
-struct LeadChange {
+constexpr uint64_t kShortestReplaced = 700;  // ms, from one to the next
+constexpr uint64_t kLongestReplaced = 2000;  // ms
+constexpr uint64_t kShortestOverlap = 3000;  // ms
+constexpr uint64_t kLongestOverlap = 5000;   // ms
+// The tasks of a replaced worker move within this time after the replacement.
+constexpr uint64_t kShortestMoveTime = 300;  // ms
+constexpr uint64_t kLongestMoveTime = 1300;  // ms
+// The series begins within the first fourth of its time.
+constexpr int kSeriesStartDivisor = 4;
+
+// How the leader changes while workers are replaced.
+struct LeaderChange {
   FaultKind kind;
   bool leader;
   uint64_t shortest;  // ms, from one to the next
   uint64_t longest;   // ms
 };
-constexpr std::array<LeadChange, 4> kLeadChanges = {
+constexpr std::array<LeaderChange, 4> kLeaderChanges = {
     {{FaultKind::kPlannedStop, false, 2000, 2500},
      {FaultKind::kPlannedStop, true, 3000, 6000},
      {FaultKind::kKill, true, 8000, 11'000},
      {FaultKind::kKill, true, 10'000, 14'000}}};
-// A stopped instance is back after about 3.5 s.
+// A stopped instance runs again after about 3.5 s.
 constexpr Millis kBetweenStops{2500};
 
-// Numbers that depend on nothing but the seed; those of the standard's
-// distributions may differ from library to library.
+// Random numbers that depend on the seed alone. The distributions of the
+// standard library are not used: their results differ between libraries.
 class Draws {
  public:
   explicit Draws(uint64_t seed) : random_(seed) {}
@@ -101,42 +102,43 @@
 
 Fault DrawFault(Draws* draws) {
   Fault fault;
-  fault.kind = draws->Below(kStepsAmong) == 0
+  fault.kind = draws->Below(kSteppedCutOneIn) == 0
                    ? FaultKind::kCutCentreInSteps
                    : static_cast<FaultKind>(draws->Below(kFaultKinds));
-  // Most are short, some outlast every lease.
+  // Most faults are short; some last longer than every lease.
   const uint64_t longest =
       draws->Below(2) == 0 ? kLongestFault / 4 : kLongestFault;
-  fault.lasts = draws->Between(kShortestFault, longest);
+  fault.duration = draws->Between(kShortestFault, longest);
   if (fault.kind == FaultKind::kCutCentreInSteps) {
-    fault.lasts = draws->Between(kShortestSteps, kLongestSteps);
+    fault.duration = draws->Between(kShortestSteps, kLongestSteps);
   }
   fault.leader = draws->Below(2) == 0;
   fault.pick = static_cast<uint32_t>(draws->Below(UINT32_MAX));
   fault.way = DrawWay(draws);
-  fault.old_after =
-      draws->Below(2) == 0 ? Millis(0) : draws->Between(0, kLongestResume);
+  fault.resume_delay =
+      draws->Below(2) == 0 ? Millis(0) : draws->Between(0, kLongestResumeDelay);
   return fault;
 }
 
-std::vector<Fault> DrawReplaced(Draws* draws, Millis from, Millis until) {
+std::vector<Fault> DrawReplacements(Draws* draws, Millis from, Millis until) {
   std::vector<Fault> plan;
   Fault fault;
   fault.kind = FaultKind::kReplaceWorker;
-  for (fault.at = from; fault.at + Millis(kLongestServesOn) <= until;
+  for (fault.at = from; fault.at + Millis(kLongestOverlap) <= until;
        fault.at += draws->Between(kShortestReplaced, kLongestReplaced)) {
-    fault.lasts = draws->Between(kShortestServesOn, kLongestServesOn);
+    fault.duration = draws->Between(kShortestOverlap, kLongestOverlap);
     plan.push_back(fault);
   }
   return plan;
 }
 
-// Who leads is hit while the work of a replaced worker moves.
-std::vector<Fault> DrawLeadChanges(Draws* draws,
-                                   const std::vector<Fault>& replaced,
-                                   Millis from,
-                                   Millis until) {
-  const LeadChange& change = kLeadChanges[draws->Below(kLeadChanges.size())];
+// Faults of the leader are placed while the tasks of a replaced worker move.
+std::vector<Fault> DrawLeaderChanges(Draws* draws,
+                                     const std::vector<Fault>& replaced,
+                                     Millis from,
+                                     Millis until) {
+  const LeaderChange& change =
+      kLeaderChanges[draws->Below(kLeaderChanges.size())];
   std::vector<Fault> plan;
   Fault fault;
   fault.kind = change.kind;
@@ -150,7 +152,8 @@
     }
     fault.at = at;
     if (change.leader && moving != replaced.end()) {
-      fault.at = moving->at + draws->Between(kShortestMoves, kLongestMoves);
+      fault.at =
+          moving->at + draws->Between(kShortestMoveTime, kLongestMoveTime);
     }
     if (fault.at > until) {
       return plan;
@@ -175,7 +178,7 @@
     case FaultKind::kPlannedStop:
     case FaultKind::kWorkerLeaves:
     case FaultKind::kConfigure:
-    case FaultKind::kHangUp:
+    case FaultKind::kReloadSettings:
     case FaultKind::kReplaceWorker:
       return false;
     default:
@@ -194,7 +197,7 @@
     }
     Fault fault = DrawFault(&draws);
     fault.at = at;
-    fault.lasts = std::min(fault.lasts, length - at);
+    fault.duration = std::min(fault.duration, length - at);
     plan.push_back(fault);
   }
 }
@@ -207,8 +210,8 @@
     at += draws.Between(kShortestCalm, kLongestCalm);
     const uint64_t series = 1 + draws.Below(kLongestSeries);
     Fault change;
-    change.kind =
-        draws.Below(2) == 0 ? FaultKind::kConfigure : FaultKind::kHangUp;
+    change.kind = draws.Below(2) == 0 ? FaultKind::kConfigure
+                                      : FaultKind::kReloadSettings;
     change.leader = draws.Below(2) == 0;
     change.pick = static_cast<uint32_t>(draws.Below(UINT32_MAX));
     for (uint64_t i = 0; i < series; ++i) {
@@ -225,9 +228,9 @@
 std::vector<Fault> MakeReplacePlan(uint64_t seed, Millis from, Millis until) {
   Draws draws(seed ^ kReplacedSeed);
   const Millis begin =
-      from + draws.Between(0, (until - from).count() / kSeriesBegins);
-  std::vector<Fault> plan = DrawReplaced(&draws, begin, until);
-  const auto changes = DrawLeadChanges(&draws, plan, begin, until);
+      from + draws.Between(0, (until - from).count() / kSeriesStartDivisor);
+  std::vector<Fault> plan = DrawReplacements(&draws, begin, until);
+  const auto changes = DrawLeaderChanges(&draws, plan, begin, until);
   plan.insert(plan.end(), changes.begin(), changes.end());
   std::stable_sort(plan.begin(), plan.end(), IsEarlier);
   return plan;
--- a/src/soak/fault_plan.h
+++ b/src/soak/fault_plan.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Which faults come when: the same for the same seed.
+/// Schedules of faults, reproducible from a seed.
 
 #ifndef DOORWOOD_SOAK_FAULT_PLAN_H_
 #define DOORWOOD_SOAK_FAULT_PLAN_H_
@@ -28,7 +28,7 @@
   kStoreRefusesAll,
   kStoreSlow,
   kStoreSilent,
-  kStoreForgets,
+  kCompactStore,
   kRevoke,
   kKill,
   kPause,
@@ -36,44 +36,45 @@
   kCrashWorker,
   kWorkerLeaves,
   kDropEntry,
-  /// From here on not drawn among the faults: see MakeChangePlan.
+  /// The kinds from here on are not part of MakeFaultPlan; see MakeChangePlan.
   kConfigure,
-  kHangUp,
+  kReloadSettings,
   /// See MakeReplacePlan.
   kReplaceWorker,
   kCount,
 };
 
 std::string_view ToString(FaultKind kind);
-/// Something that operators do not do on purpose.
+/// True for faults, false for what operators do on purpose.
 bool IsUnplanned(FaultKind kind);
 
 struct Fault {
-  /// From the beginning of the faults.
+  /// Start, from the beginning of the plan.
   Millis at{0};
-  Millis lasts{0};
+  Millis duration{0};
   FaultKind kind = FaultKind::kCutStore;
-  /// Hits who leads then; otherwise, whom `pick` falls on.
+  /// Whether the target is the leader at that time; otherwise `pick` selects
+  /// it.
   bool leader = false;
   uint32_t pick = 0;
   Way way = Way::kBoth;
   /// See `Link::Heal`.
-  Millis old_after{0};
+  Millis resume_delay{0};
 };
 
-/// Sorted by time; all are over after `length`.
+/// Random faults, sorted by time; all have ended after `length`.
 std::vector<Fault> MakeFaultPlan(uint64_t seed, Millis length);
 
-/// Configurations and changed settings, single and in quick series, to be
-/// played beside the faults.
+/// New configurations and reloaded settings, single and in quick series, to be
+/// played alongside the faults.
 std::vector<Fault> MakeChangePlan(uint64_t seed, Millis length);
 
-/// Workers replaced one by one from about `from` on, and beside it either
-/// planned stops of all instances in turn, or of who leads, or kills of who
-/// leads. Sorted by time; all are over after `until`.
+/// Workers replaced one by one from about `from` on, together with either
+/// planned stops of all instances in turn, planned stops of the leader, or
+/// kills of the leader. Sorted by time; all have ended after `until`.
 std::vector<Fault> MakeReplacePlan(uint64_t seed, Millis from, Millis until);
 
-/// Planned stops of one instance after the other, and of who leads.
+/// Planned stops of one instance after the other, and of the leader.
 std::vector<Fault> MakeStopPlan(Millis length);
 
 }  // namespace doorwood::soak
--- a/src/soak/fault_plan_test.cpp
+++ b/src/soak/fault_plan_test.cpp
@@ -16,19 +16,19 @@
   BOOST_REQUIRE_EQUAL(one.size(), other.size());
   for (size_t i = 0; i < one.size(); ++i) {
     BOOST_TEST(one[i].at.count() == other[i].at.count());
-    BOOST_TEST(one[i].lasts.count() == other[i].lasts.count());
+    BOOST_TEST(one[i].duration.count() == other[i].duration.count());
     BOOST_TEST((one[i].kind == other[i].kind));
     BOOST_TEST(one[i].pick == other[i].pick);
   }
 }
 
-BOOST_AUTO_TEST_CASE(Plan_AnySeed_IsOverInTime) {
+BOOST_AUTO_TEST_CASE(Plan_AnySeed_EndsInTime) {
   for (uint64_t seed = 0; seed < 200; ++seed) {
     Millis last{0};
     for (const Fault& fault : MakeFaultPlan(seed, kLength)) {
       BOOST_TEST((fault.at >= last));
-      BOOST_TEST((fault.at + fault.lasts <= kLength));
-      BOOST_TEST((fault.lasts > Millis(0)));
+      BOOST_TEST((fault.at + fault.duration <= kLength));
+      BOOST_TEST((fault.duration > Millis(0)));
       last = fault.at;
     }
   }
@@ -51,7 +51,7 @@
   BOOST_TEST(kinds.size() == static_cast<size_t>(FaultKind::kCount));
 }
 
-BOOST_AUTO_TEST_CASE(ChangePlan_AnySeed_HasSeriesAndIsOverInTime) {
+BOOST_AUTO_TEST_CASE(ChangePlan_AnySeed_HasSeriesAndEndsInTime) {
   size_t series = 0;
   for (uint64_t seed = 0; seed < 50; ++seed) {
     Millis last{0};
@@ -64,7 +64,7 @@
   BOOST_TEST(series > 50U);
 }
 
-BOOST_AUTO_TEST_CASE(ReplacePlan_AnySeed_IsASeriesAndOverInTime) {
+BOOST_AUTO_TEST_CASE(ReplacePlan_AnySeed_IsASeriesAndEndsInTime) {
   constexpr Millis kFrom{20'000};
   for (uint64_t seed = 0; seed < 200; ++seed) {
     Millis last{0};
@@ -72,12 +72,13 @@
     size_t replaced = 0;
     for (const Fault& fault : MakeReplacePlan(seed, kFrom, kLength)) {
       BOOST_TEST((fault.at >= last && fault.at >= kFrom));
-      BOOST_TEST((fault.at + fault.lasts <= kLength));
+      BOOST_TEST((fault.at + fault.duration <= kLength));
       last = fault.at;
       if (fault.kind != FaultKind::kReplaceWorker) {
         continue;
       }
-      BOOST_TEST((fault.lasts >= Millis(3000) && fault.lasts <= Millis(5000)));
+      BOOST_TEST(
+          (fault.duration >= Millis(3000) && fault.duration <= Millis(5000)));
       if (replaced++ > 0) {
         const Millis gap = fault.at - last_replaced;
         BOOST_TEST((gap >= Millis(700) && gap <= Millis(2000)));
@@ -103,12 +104,12 @@
   BOOST_REQUIRE_EQUAL(one.size(), other.size());
   for (size_t i = 0; i < one.size(); ++i) {
     BOOST_TEST(one[i].at.count() == other[i].at.count());
-    BOOST_TEST(one[i].lasts.count() == other[i].lasts.count());
+    BOOST_TEST(one[i].duration.count() == other[i].duration.count());
     BOOST_TEST((one[i].kind == other[i].kind));
   }
 }
 
-BOOST_AUTO_TEST_CASE(ReplacePlan_ManySeeds_ChangeTheLeadInEveryWay) {
+BOOST_AUTO_TEST_CASE(ReplacePlan_ManySeeds_CoverEveryLeaderChange) {
   size_t in_turn = 0;
   size_t leader_stopped = 0;
   size_t leader_killed = 0;
@@ -142,7 +143,8 @@
   }
   for (const FaultKind kind :
        {FaultKind::kPlannedStop, FaultKind::kWorkerLeaves,
-        FaultKind::kReplaceWorker, FaultKind::kConfigure, FaultKind::kHangUp}) {
+        FaultKind::kReplaceWorker, FaultKind::kConfigure,
+        FaultKind::kReloadSettings}) {
     BOOST_TEST(!IsUnplanned(kind), ToString(kind));
   }
 }
--- a/src/soak/fault_player.cpp
+++ b/src/soak/fault_player.cpp
@@ -11,14 +11,14 @@
 namespace {
 
 constexpr Millis kDelay{150};
-constexpr Millis kSlow{300};
-// A worker that went without a word stays in the store so long.
-constexpr Millis kEntryOutlives{4500};
-constexpr Millis kLeastDrain{2000};
-// From a new worker to the word that another one leaves.
-constexpr Millis kUntilLeaving{300};
-// A worker that left as planned stays in the store so long.
-constexpr Millis kEntryStays{600};
+constexpr Millis kStoreDelay{300};
+// How long the entry of a crashed worker stays in the store.
+constexpr Millis kEntryTimeAfterCrash{4500};
+constexpr Millis kMinDrainTime{2000};
+// From the start of a new worker to the announcement that the old one leaves.
+constexpr Millis kLeaveAnnounceDelay{300};
+// How long the entry of a worker that left as planned stays in the store.
+constexpr Millis kEntryTimeAfterLeave{600};
 
 bool IsAtWorker(FaultKind kind) {
   return kind == FaultKind::kCrashWorker || kind == FaultKind::kWorkerLeaves ||
@@ -29,14 +29,14 @@
   return kind <= FaultKind::kCutInstance || kind == FaultKind::kStoreSilent;
 }
 
-// The cut takes longer than a successor needs to take the lead.
-RegainedStore StepsOf(const Fault& fault) {
-  RegainedStore course;
-  course.silent_before = fault.lasts * 2 / 5;
-  course.cut = fault.lasts * 2 / 5;
-  course.workers_later = fault.lasts / 5;
-  course.old_after = fault.old_after;
-  return course;
+// The partition lasts longer than a successor needs for the takeover.
+StepwiseRecovery RecoveryOf(const Fault& fault) {
+  StepwiseRecovery recovery;
+  recovery.worker_partition_time = fault.duration * 2 / 5;
+  recovery.cut = fault.duration * 2 / 5;
+  recovery.workers_delay = fault.duration / 5;
+  recovery.resume_delay = fault.resume_delay;
+  return recovery;
 }
 
 }  // namespace
@@ -44,7 +44,7 @@
 void FaultPlayer::Play(const std::vector<Fault>& plan,
                        std::function<void()> done) {
   done_ = std::move(done);
-  left_ = plan.size() + 1;
+  outstanding_ = plan.size() + 1;
   for (const Fault& fault : plan) {
     world_.After(fault.at, [this, fault] {
       if (fault.kind == FaultKind::kReplaceWorker) {
@@ -56,11 +56,11 @@
       }
     });
   }
-  OnOver();
+  OnFinished();
 }
 
-void FaultPlayer::OnOver() {
-  if (--left_ == 0) {
+void FaultPlayer::OnFinished() {
+  if (--outstanding_ == 0) {
     done_();
   }
 }
@@ -76,28 +76,28 @@
                            world_.NameOf(instance) +
                            (world_.Leader() == instance ? " (leads)" : "");
   world_.Log("fault begins: " + what + ", " +
-             std::to_string(fault.lasts.count()) + " ms, way " +
+             std::to_string(fault.duration.count()) + " ms, way " +
              std::to_string(static_cast<int>(fault.way)) + ", old after " +
-             std::to_string(fault.old_after.count()));
+             std::to_string(fault.resume_delay.count()));
   if (fault.kind == FaultKind::kCutCentreInSteps) {
-    CutInSteps(world_, World::CentreOf(instance), StepsOf(fault),
-               [this] { OnOver(); });
+    CutInSteps(world_, World::DataCentreOf(instance), RecoveryOf(fault),
+               [this] { OnFinished(); });
     return;
   }
   const Undo undo = Begin(fault, instance);
   if (IsUnplanned(fault.kind)) {
-    // What has no end is a moment.
-    const Millis held = IsCut(fault.kind) ? fault.old_after : Millis(0);
+    // A fault without an undo takes no time.
+    const Millis held = IsCut(fault.kind) ? fault.resume_delay : Millis(0);
     world_.watch().OnFaultBegins();
-    world_.After(undo ? fault.lasts + held : Millis(0),
-                 [this] { world_.watch().OnFaultOver(world_.Now()); });
+    world_.After(undo ? fault.duration + held : Millis(0),
+                 [this] { world_.watch().OnFaultEnds(world_.Now()); });
   }
-  world_.After(fault.lasts, [this, undo, what] {
+  world_.After(fault.duration, [this, undo, what] {
     if (undo) {
       undo();
     }
-    world_.Log("fault over: " + what);
-    OnOver();
+    world_.Log("fault ended: " + what);
+    OnFinished();
   });
 }
 
@@ -106,9 +106,9 @@
     case FaultKind::kCutStore:
       return world_.StoreLinks(instance);
     case FaultKind::kCutWorkersElsewhere:
-      return world_.LinksToWorkersElsewhere(World::CentreOf(instance));
+      return world_.LinksToWorkersElsewhere(World::DataCentreOf(instance));
     case FaultKind::kCutCentre:
-      return world_.BorderLinks(World::CentreOf(instance));
+      return world_.BorderLinks(World::DataCentreOf(instance));
     case FaultKind::kCutPeers:
       return world_.PeerLinks(instance);
     default:
@@ -122,7 +122,7 @@
   }
   return [links = std::move(links), fault] {
     for (Link* link : links) {
-      link->Heal(fault.way, fault.old_after);
+      link->Heal(fault.way, fault.resume_delay);
     }
   };
 }
@@ -157,7 +157,7 @@
     case FaultKind::kKill:
     case FaultKind::kPause:
     case FaultKind::kPlannedStop:
-    case FaultKind::kHangUp:
+    case FaultKind::kReloadSettings:
       return BeginAtProcess(fault, instance);
     default:
       return BeginAtStore(fault, instance);
@@ -180,7 +180,7 @@
       store.RefuseAll(true);
       return [&store] { store.RefuseAll(false); };
     case FaultKind::kStoreSlow:
-      store.SlowDown(kSlow);
+      store.SlowDown(kStoreDelay);
       return [&store] { store.SlowDown(Millis(0)); };
     case FaultKind::kStoreSilent: {
       Links links;
@@ -189,7 +189,7 @@
       }
       return Cut(fault, links);
     }
-    case FaultKind::kStoreForgets:
+    case FaultKind::kCompactStore:
       store.Compact();
       return nullptr;
     case FaultKind::kRevoke:
@@ -210,8 +210,8 @@
     world_.Stop(instance);
     return nullptr;
   }
-  if (fault.kind == FaultKind::kHangUp) {
-    world_.HangUp(instance);
+  if (fault.kind == FaultKind::kReloadSettings) {
+    world_.ReloadSettings(instance);
     return nullptr;
   }
   if (!world_.Pause(instance)) {
@@ -224,7 +224,7 @@
   const size_t worker =
       (replaced_ + fault.pick % world_.serving()) % world_.workers();
   if (!busy_workers_.insert(worker).second) {
-    OnOver();
+    OnFinished();
     return;
   }
   const std::string id = world_.WorkerId(worker);
@@ -233,57 +233,59 @@
     world_.watch().OnFaultBegins();
   }
   if (fault.kind == FaultKind::kCrashWorker) {
-    LoseWorker(fault, worker);
+    TakeWorkerDown(fault, worker);
     return;
   }
   if (fault.kind == FaultKind::kWorkerLeaves) {
     world_.AnnounceLeaving(worker);
   } else {
-    world_.DropEntry(id);
+    world_.RemoveEntry(id);
   }
-  world_.After(kLeastDrain + fault.lasts / 2,
-               [this, fault, worker] { LoseWorker(fault, worker); });
+  world_.After(kMinDrainTime + fault.duration / 2,
+               [this, fault, worker] { TakeWorkerDown(fault, worker); });
 }
 
-// It comes back as another life; the old one's entry goes sooner or later.
-void FaultPlayer::LoseWorker(const Fault& fault, size_t worker) {
+// The worker restarts as another incarnation; the entry of the old one is
+// removed some time later.
+void FaultPlayer::TakeWorkerDown(const Fault& fault, size_t worker) {
   const std::string id = world_.WorkerId(worker);
   world_.Log(id + " is gone");
   world_.CrashWorker(worker);
   if (IsUnplanned(fault.kind)) {
-    world_.watch().OnFaultOver(world_.Now());
+    world_.watch().OnFaultEnds(world_.Now());
   }
-  const Millis back = fault.lasts / 4;
+  const Millis back = fault.duration / 4;
   world_.After(back, [this, worker] { world_.BootWorker(worker); });
   const bool crashed = fault.kind == FaultKind::kCrashWorker;
-  world_.After(crashed ? kEntryOutlives : back, [this, worker, id] {
-    world_.DropEntry(id);
+  world_.After(crashed ? kEntryTimeAfterCrash : back, [this, worker, id] {
+    world_.RemoveEntry(id);
     busy_workers_.erase(worker);
-    OnOver();
+    OnFinished();
   });
 }
 
-// Nobody answers at its address until its turn to join again.
+// Nothing answers at the old address until that worker joins again.
 void FaultPlayer::Replace(const Fault& fault) {
   const size_t old = replaced_ % world_.workers();
   const size_t fresh = (replaced_ + world_.serving()) % world_.workers();
   if (busy_workers_.contains(fresh) || !busy_workers_.insert(old).second) {
-    OnOver();
+    OnFinished();
     return;
   }
   ++replaced_;
   const std::string id = world_.WorkerId(old);
   world_.BootWorker(fresh);
   world_.Log(world_.WorkerId(fresh) + " joins, " + id + " leaves");
-  world_.After(kUntilLeaving, [this, old] { world_.AnnounceLeaving(old); });
-  world_.After(fault.lasts, [this, old, id] {
+  world_.After(kLeaveAnnounceDelay,
+               [this, old] { world_.AnnounceLeaving(old); });
+  world_.After(fault.duration, [this, old, id] {
     world_.Log(id + " is gone");
     world_.CrashWorker(old);
   });
-  world_.After(fault.lasts + kEntryStays, [this, old, id] {
-    world_.DropEntry(id);
+  world_.After(fault.duration + kEntryTimeAfterLeave, [this, old, id] {
+    world_.RemoveEntry(id);
     busy_workers_.erase(old);
-    OnOver();
+    OnFinished();
   });
 }
 
--- a/src/soak/fault_player.h
+++ b/src/soak/fault_player.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Carries out planned faults on a world.
+/// Carries out a fault plan on a `World`.
 
 #ifndef DOORWOOD_SOAK_FAULT_PLAYER_H_
 #define DOORWOOD_SOAK_FAULT_PLAYER_H_
@@ -20,17 +20,17 @@
  public:
   explicit FaultPlayer(World& world) : world_(world) {}
 
-  /// `done` is called once every fault is over.
+  /// Calls `done` once every fault has ended.
   void Play(const std::vector<Fault>& plan, std::function<void()> done);
 
  private:
-  /// What ends a fault.
+  /// Ends a fault.
   using Undo = std::function<void()>;
 
   void PlayOne(const Fault& fault);
-  void OnOver();
+  void OnFinished();
   size_t InstanceOf(const Fault& fault) const;
-  /// Nothing: the fault needs no end.
+  /// Returns null if nothing has to be undone.
   Undo Begin(const Fault& fault, size_t instance);
   Undo BeginAtStore(const Fault& fault, size_t instance);
   Undo BeginAtProcess(const Fault& fault, size_t instance);
@@ -38,14 +38,14 @@
   Links CutLinks(const Fault& fault, size_t instance) const;
   void PlayAtWorker(const Fault& fault);
   void Replace(const Fault& fault);
-  void LoseWorker(const Fault& fault, size_t worker);
+  void TakeWorkerDown(const Fault& fault, size_t worker);
 
   World& world_;
   std::set<size_t> busy_workers_;
-  /// Workers replaced so far: they take turns with the spare ones.
+  /// Number of workers replaced so far; they alternate with the spare ones.
   size_t replaced_ = 0;
-  /// Faults that are not over yet.
-  size_t left_ = 0;
+  /// Faults that have not ended yet.
+  size_t outstanding_ = 0;
   std::function<void()> done_;
 };
 
--- a/src/soak/http_door.cpp
+++ b/src/soak/http_door.cpp
@@ -23,7 +23,7 @@
   return {text.data(), text.size()};
 }
 
-DoorRequest Decode(Message* message, const std::string& life_header) {
+DoorRequest Decode(Message* message, const std::string& incarnation_header) {
   DoorRequest decoded;
   HttpRequest& request = decoded.request;
   request.method = ToText(message->method_string());
@@ -33,15 +33,14 @@
   if (mark != std::string::npos) {
     request.query = target.substr(mark + 1);
   }
-  decoded.expected_life = ToText((*message)[life_header]);
+  decoded.expected_life = ToText((*message)[incarnation_header]);
   request.body = std::move(message->body());
   return decoded;
 }
 
 }  // namespace
 
-// One connection, kept alive by its own open operations and by the answers
-// that are still due.
+// One connection. Its outstanding operations and the pending responses own it.
 class HttpDoor::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(const HttpDoor& door, asio::ip::tcp::socket socket)
@@ -64,12 +63,12 @@
  private:
   void Handle() {
     door_.handler_(
-        Decode(&message_, door_.life_header_),
+        Decode(&message_, door_.incarnation_header_),
         [self = shared_from_this()](std::optional<HttpResponse> response) {
           if (response) {
             self->Write(std::move(*response));
           } else {
-            BreakOff(&self->socket_);
+            ResetConnection(&self->socket_);
           }
         });
   }
@@ -100,10 +99,10 @@
 
 HttpDoor::HttpDoor(asio::io_context& context,
                    const std::string& address,
-                   std::string life_header,
+                   std::string incarnation_header,
                    Handler handler)
     : acceptor_(context, ParseEndpoint(address)),
-      life_header_(std::move(life_header)),
+      incarnation_header_(std::move(incarnation_header)),
       handler_(std::move(handler)) {
   Accept();
 }
--- a/src/soak/http_door.h
+++ b/src/soak/http_door.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A small HTTP server whose handlers see a header and may break a connection
-/// off instead of answering.
+/// A small HTTP server whose handlers get the value of one header and may reset
+/// the connection instead of answering.
 
 #ifndef DOORWOOD_SOAK_HTTP_DOOR_H_
 #define DOORWOOD_SOAK_HTTP_DOOR_H_
@@ -19,20 +19,20 @@
 
 struct DoorRequest {
   HttpRequest request;
-  /// The life of a worker that the caller means; empty: any.
+  /// The worker incarnation that the caller expects; empty: any.
   std::string expected_life;
 };
 
 class HttpDoor {
  public:
-  /// No response: the connection breaks off.
+  /// Without a response, the connection is reset.
   using Respond = std::function<void(std::optional<HttpResponse>)>;
   using Handler = std::function<void(DoorRequest, Respond)>;
 
-  /// `life_header` names the header behind `expected_life`.
+  /// `incarnation_header` is the name of the header for `expected_life`.
   HttpDoor(boost::asio::io_context& context,
            const std::string& address,
-           std::string life_header,
+           std::string incarnation_header,
            Handler handler);
   HttpDoor(const HttpDoor&) = delete;
   HttpDoor& operator=(const HttpDoor&) = delete;
@@ -43,7 +43,7 @@
   void Accept();
 
   boost::asio::ip::tcp::acceptor acceptor_;
-  const std::string life_header_;
+  const std::string incarnation_header_;
   const Handler handler_;
 };
 
--- a/src/soak/link.cpp
+++ b/src/soak/link.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr size_t kPieceBytes = 16 * 1024;
+constexpr size_t kChunkBytes = 16 * 1024;
 constexpr int kBacklog = 512;
 
 Instant Now() {
@@ -33,34 +33,34 @@
           static_cast<uint16_t>(std::stoi(address.substr(colon + 1)))};
 }
 
-void BreakOff(tcp::socket* socket) {
+void ResetConnection(tcp::socket* socket) {
   error_code ignored;
   socket->set_option(asio::socket_base::linger(true, 0), ignored);
   socket->close(ignored);
 }
 
-// A caller's connection and the one behind it.
-struct Link::Pair {
-  Pair(asio::io_context& context, Socket accepted)
+// A caller's connection and the matching one to the server.
+struct Link::Relay {
+  Relay(asio::io_context& context, Socket accepted)
       : caller(std::move(accepted)), server(context) {}
 
   void Break() {
-    BreakOff(&caller);
-    BreakOff(&server);
+    ResetConnection(&caller);
+    ResetConnection(&server);
   }
 
   Socket caller;
   Socket server;
-  /// Bytes move from then on.
-  Instant resumes{};
+  /// No bytes are transferred before this time.
+  Instant resumes_at{};
 };
 
 struct Link::Flow {
-  std::shared_ptr<Pair> pair;
+  std::shared_ptr<Relay> relay;
   Socket& from;
   Socket& to;
   const int& cuts;
-  std::array<char, kPieceBytes> piece{};
+  std::array<char, kChunkBytes> chunk{};
 };
 
 Link::Link(asio::io_context& context,
@@ -77,18 +77,18 @@
 void Link::Cut(Way way) {
   if (!IsCut()) {
     acceptor_.cancel();
-    FillQueue();
+    FillAcceptQueue();
   }
   cuts_there_ += way == Way::kBack ? 0 : 1;
   cuts_back_ += way == Way::kThere ? 0 : 1;
 }
 
-void Link::Heal(Way way, Millis old_after) {
+void Link::Heal(Way way, Millis resume_delay) {
   cuts_there_ -= way == Way::kBack ? 0 : 1;
   cuts_back_ -= way == Way::kThere ? 0 : 1;
-  for (const auto& weak : pairs_) {
-    if (const auto pair = weak.lock()) {
-      pair->resumes = std::max(pair->resumes, Now() + old_after);
+  for (const auto& weak : relays_) {
+    if (const auto relay = weak.lock()) {
+      relay->resumes_at = std::max(relay->resumes_at, Now() + resume_delay);
     }
   }
   if (!IsCut()) {
@@ -96,12 +96,13 @@
     acceptor_.listen(kBacklog);
     Accept();
   }
-  WakeAll();
+  ResumeWaiting();
 }
 
-// A queue for no connection takes one; its place is taken here, unless a
-// caller was faster. Not by the library's connect, which then waits.
-void Link::FillQueue() {
+// A listening socket with a backlog of 0 still queues one connection. This
+// takes that place unless a caller was faster; then the library's connect would
+// block, so the non-blocking system call is used.
+void Link::FillAcceptQueue() {
   acceptor_.listen(0);
   filler_.emplace(context_, tcp::v4());
   error_code ignored;
@@ -112,12 +113,12 @@
 }
 
 void Link::Reset() {
-  for (const auto& weak : pairs_) {
-    if (const auto pair = weak.lock()) {
-      pair->Break();
+  for (const auto& weak : relays_) {
+    if (const auto relay = weak.lock()) {
+      relay->Break();
     }
   }
-  WakeAll();
+  ResumeWaiting();
 }
 
 // --- Connections ---
@@ -130,50 +131,51 @@
   acceptor_.async_accept([this](const error_code& error, Socket socket) {
     accepting_ = false;
     if (!error && refuse_) {
-      BreakOff(&socket);
+      ResetConnection(&socket);
     } else if (!error) {
-      auto pair = std::make_shared<Pair>(context_, std::move(socket));
-      std::erase_if(pairs_, [](const auto& weak) { return weak.expired(); });
-      pairs_.push_back(pair);
-      Connect(pair);
+      auto relay = std::make_shared<Relay>(context_, std::move(socket));
+      std::erase_if(relays_, [](const auto& weak) { return weak.expired(); });
+      relays_.push_back(relay);
+      Connect(relay);
     }
     Accept();
   });
 }
 
-void Link::Connect(const std::shared_ptr<Pair>& pair) {
-  WhenPassable(pair, cuts_there_, [this, pair] {
-    pair->server.async_connect(target_, [this, pair](const error_code& error) {
-      if (error || !pair->caller.is_open()) {
-        pair->Break();
+void Link::Connect(const std::shared_ptr<Relay>& relay) {
+  WhenOpen(relay, cuts_there_, [this, relay] {
+    relay->server.async_connect(target_, [this,
+                                          relay](const error_code& error) {
+      if (error || !relay->caller.is_open()) {
+        relay->Break();
         return;
       }
       error_code ignored;
-      pair->caller.set_option(tcp::no_delay(true), ignored);
-      pair->server.set_option(tcp::no_delay(true), ignored);
-      Read(FlowPtr(new Flow{pair, pair->caller, pair->server, cuts_there_}));
-      Read(FlowPtr(new Flow{pair, pair->server, pair->caller, cuts_back_}));
+      relay->caller.set_option(tcp::no_delay(true), ignored);
+      relay->server.set_option(tcp::no_delay(true), ignored);
+      Read(FlowPtr(new Flow{relay, relay->caller, relay->server, cuts_there_}));
+      Read(FlowPtr(new Flow{relay, relay->server, relay->caller, cuts_back_}));
     });
   });
 }
 
 void Link::Read(const FlowPtr& flow) {
-  WhenPassable(flow->pair, flow->cuts, [this, flow] {
+  WhenOpen(flow->relay, flow->cuts, [this, flow] {
     flow->from.async_read_some(
-        asio::buffer(flow->piece),
+        asio::buffer(flow->chunk),
         [this, flow](const error_code& error, size_t size) {
           if (error && error != asio::error::eof) {
-            flow->pair->Break();
+            flow->relay->Break();
             return;
           }
-          PassOn(flow, error ? 0 : size);
+          Forward(flow, error ? 0 : size);
         });
   });
 }
 
-// A size of 0 is the sender's end.
-void Link::PassOn(const FlowPtr& flow, size_t size) {
-  WhenPassable(flow->pair, flow->cuts, [this, flow, size] {
+// A size of 0 means that the sender has closed its side.
+void Link::Forward(const FlowPtr& flow, size_t size) {
+  WhenOpen(flow->relay, flow->cuts, [this, flow, size] {
     if (size == 0) {
       error_code ignored;
       flow->to.shutdown(Socket::shutdown_send, ignored);
@@ -186,10 +188,10 @@
 }
 
 void Link::Write(const FlowPtr& flow, size_t size) {
-  asio::async_write(flow->to, asio::buffer(flow->piece.data(), size),
+  asio::async_write(flow->to, asio::buffer(flow->chunk.data(), size),
                     [this, flow](const error_code& error, size_t) {
                       if (error) {
-                        flow->pair->Break();
+                        flow->relay->Break();
                         return;
                       }
                       Read(flow);
@@ -198,19 +200,19 @@
 
 // --- Waiting ---
 
-void Link::WhenPassable(const std::shared_ptr<Pair>& pair,
-                        const int& cuts,
-                        std::function<void()> function) {
-  if (!pair->caller.is_open()) {
+void Link::WhenOpen(const std::shared_ptr<Relay>& relay,
+                    const int& cuts,
+                    std::function<void()> function) {
+  if (!relay->caller.is_open()) {
     return;
   }
-  auto again = [this, pair, &cuts, function] {
-    WhenPassable(pair, cuts, function);
+  auto retry = [this, relay, &cuts, function] {
+    WhenOpen(relay, cuts, function);
   };
   if (cuts > 0) {
-    waiting_.push_back(std::move(again));
-  } else if (Now() < pair->resumes) {
-    After(pair->resumes, std::move(again));
+    waiting_.push_back(std::move(retry));
+  } else if (Now() < relay->resumes_at) {
+    After(relay->resumes_at, std::move(retry));
   } else {
     function();
   }
@@ -226,7 +228,7 @@
       });
 }
 
-void Link::WakeAll() {
+void Link::ResumeWaiting() {
   const auto waiting = std::exchange(waiting_, {});
   for (const auto& function : waiting) {
     function();
--- a/src/soak/link.h
+++ b/src/soak/link.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// One caller's way to one server: a TCP relay that can be cut, slowed down
-/// and reset like a path between two machines.
+/// TCP relay between one caller and one server that can be partitioned, delayed
+/// and reset like a network path between two machines.
 
 #ifndef DOORWOOD_SOAK_LINK_H_
 #define DOORWOOD_SOAK_LINK_H_
@@ -23,13 +23,14 @@
 enum class Way { kThere, kBack, kBoth };
 
 boost::asio::ip::tcp::endpoint ParseEndpoint(const std::string& address);
-/// Ends a connection with a reset.
-void BreakOff(boost::asio::ip::tcp::socket* socket);
+/// Closes a connection with a reset.
+void ResetConnection(boost::asio::ip::tcp::socket* socket);
 
-/// Cuts of one link add up: it is open once each of them is healed. Bytes on
-/// the way during a cut are held up and arrive once it is healed, unless their
-/// sender resets the connection. New connections hang meanwhile: the queue of
-/// the listening socket is kept full, so that their first packets are dropped.
+/// Cuts of one link nest: it is open again once each of them is healed. Bytes
+/// in flight during a cut are held and arrive once it is healed, unless their
+/// sender resets the connection. New connections hang meanwhile: the accept
+/// queue of the listening socket is kept full, so that their SYN packets are
+/// dropped.
 class Link {
  public:
   Link(boost::asio::io_context& context,
@@ -39,36 +40,37 @@
   Link& operator=(const Link&) = delete;
 
   void Cut(Way way);
-  /// Connections that are open by now move bytes again only after `old_after`,
-  /// as if their lost packets were sent again then; new ones at once.
-  void Heal(Way way, Millis old_after);
-  /// Every connection breaks off with a reset.
+  /// Connections that are open now transfer bytes again only after
+  /// `resume_delay`, as if their lost packets were retransmitted then; new
+  /// connections transfer at once.
+  void Heal(Way way, Millis resume_delay);
+  /// Resets every connection.
   void Reset();
   /// New connections are reset at once while this is set.
   void Refuse(bool refuse) { refuse_ = refuse; }
-  /// Added to each piece, both ways.
+  /// Sets a delay for each chunk in both directions.
   void Delay(Millis delay) { delay_ = delay; }
 
  private:
-  struct Pair;
-  /// One direction of a pair.
+  struct Relay;
+  /// One direction of a relay.
   struct Flow;
   using Socket = boost::asio::ip::tcp::socket;
   using FlowPtr = std::shared_ptr<Flow>;
 
   void Accept();
-  void Connect(const std::shared_ptr<Pair>& pair);
+  void Connect(const std::shared_ptr<Relay>& relay);
   void Read(const FlowPtr& flow);
-  void PassOn(const FlowPtr& flow, size_t size);
+  void Forward(const FlowPtr& flow, size_t size);
   void Write(const FlowPtr& flow, size_t size);
-  /// Calls once bytes of the pair may move; never if it is broken off.
-  void WhenPassable(const std::shared_ptr<Pair>& pair,
-                    const int& cuts,
-                    std::function<void()> function);
+  /// Calls `function` once the relay may transfer bytes; never if it is closed.
+  void WhenOpen(const std::shared_ptr<Relay>& relay,
+                const int& cuts,
+                std::function<void()> function);
   void After(Instant time, std::function<void()> function);
   bool IsCut() const { return cuts_there_ > 0 || cuts_back_ > 0; }
-  void FillQueue();
-  void WakeAll();
+  void FillAcceptQueue();
+  void ResumeWaiting();
 
   boost::asio::io_context& context_;
   boost::asio::ip::tcp::acceptor acceptor_;
@@ -78,10 +80,10 @@
   int cuts_back_ = 0;
   bool refuse_ = false;
   Millis delay_{0};
-  std::list<std::weak_ptr<Pair>> pairs_;
-  /// What waits for the end of a cut.
+  std::list<std::weak_ptr<Relay>> relays_;
+  /// Operations that wait for the end of a cut.
   std::vector<std::function<void()>> waiting_;
-  /// Fills the queue of new connections.
+  /// Occupies the accept queue during a cut.
   std::optional<Socket> filler_;
 };
 
--- a/src/soak/link_test.cpp
+++ b/src/soak/link_test.cpp
@@ -14,7 +14,8 @@
 constexpr char kServer[] = "127.0.9.1:18341";
 constexpr char kThroughLink[] = "127.0.9.2:18341";
 
-// A server that counts, a link to it, and a caller that keeps its connection.
+// A server that counts requests, a link to it, and a client with a persistent
+// connection.
 struct Fixture {
   Fixture()
       : server(context,
@@ -26,11 +27,11 @@
     link.emplace(context, kThroughLink, kServer);
   }
 
-  // The answer's status; 0 if there is none in time.
-  int Call(Millis patience) {
+  // Returns the status of the answer, or 0 if there is none in time.
+  int Call(Millis timeout) {
     HttpCall call;
     call.address = kThroughLink;
-    call.timeout = patience;
+    call.timeout = timeout;
     call.repeatable = false;
     std::optional<int> status;
     client.Send(std::move(call),
@@ -62,7 +63,7 @@
   BOOST_TEST(Call(kLong) == kOk);
 }
 
-BOOST_AUTO_TEST_CASE(Link_Cut_HoldsUpWhatArrivesOnceHealed) {
+BOOST_AUTO_TEST_CASE(Link_Cut_HoldsRequestsUntilHealed) {
   BOOST_TEST(Call(kLong) == kOk);
   link->Cut(Way::kBoth);
   BOOST_TEST(Call(kShort) == 0);
@@ -97,8 +98,8 @@
   BOOST_TEST(arrived == 0);
 }
 
-// A caller's connection waits in the queue already: the cut does not wait for
-// a place in it.
+// Guards against a cut that blocks because a pending connection already fills
+// the accept queue.
 BOOST_AUTO_TEST_CASE(Link_CutWhileACallerConnects_ReturnsAtOnce) {
   boost::asio::ip::tcp::socket caller(context);
   caller.connect(ParseEndpoint(kThroughLink));
@@ -115,7 +116,7 @@
   BOOST_TEST(Call(kShort) == kOk);
 }
 
-BOOST_AUTO_TEST_CASE(Link_Refuses_BreaksOff) {
+BOOST_AUTO_TEST_CASE(Link_Refuses_ResetsConnections) {
   link->Refuse(true);
   BOOST_TEST(Call(kLong) == 0);
   link->Refuse(false);
--- a/src/soak/main.cpp
+++ b/src/soak/main.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// doorwood-soak: entry instances as real processes on a world of this one's
-// making, with cuts, signals and a store that forgets; whoever sees a rule
-// broken says so at once.
+// doorwood-soak: runs entry instances as real processes against simulated
+// workers and a simulated store, with network partitions, signals and store
+// faults. Violations are printed as they are seen.
 
 #include <CLI/CLI.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -26,35 +26,35 @@
   uint64_t seed = 1;
   int seconds = 40;
   std::string scenario = "random";
-  /// Milliseconds.
-  std::vector<int> silent_before = {2000};
+  /// The next three are in milliseconds.
+  std::vector<int> worker_partition_time = {2000};
   std::vector<int> cuts = {4000};
-  int old_after = 0;
-  int lasting_jobs = 18;
+  int resume_delay = 0;
+  int long_running_jobs = 18;
   bool crashing_jobs = false;
 };
 
-constexpr int kLastingTasks = 4;
-constexpr int kLastingCpu = 1500;
+constexpr int kLongRunningTasks = 4;
+constexpr int kLongRunningCpu = 1500;
 constexpr Millis kBetweenJobs{200};
 constexpr Millis kBetweenJobsAtStops{50};
 constexpr Millis kBetweenCrashingJobs{3000};
 constexpr Millis kSettleTime{40'000};
-// Workers are replaced from the middle of the faults until so long after them.
-constexpr Millis kReplacedAfterwards{20'000};
+// Workers are replaced from the middle of the faults until this long after.
+constexpr Millis kReplacementsAfterFaults{20'000};
 
-std::vector<RegainedStore> CoursesOf(const Options& options) {
-  std::vector<RegainedStore> courses;
-  for (const int silent : options.silent_before) {
+std::vector<StepwiseRecovery> RecoveriesOf(const Options& options) {
+  std::vector<StepwiseRecovery> recoveries;
+  for (const int partition_time : options.worker_partition_time) {
     for (const int cut : options.cuts) {
-      RegainedStore course;
-      course.silent_before = Millis(silent);
-      course.cut = Millis(cut);
-      course.old_after = Millis(options.old_after);
-      courses.push_back(course);
+      StepwiseRecovery recovery;
+      recovery.worker_partition_time = Millis(partition_time);
+      recovery.cut = Millis(cut);
+      recovery.resume_delay = Millis(options.resume_delay);
+      recoveries.push_back(recovery);
     }
   }
-  return courses;
+  return recoveries;
 }
 
 class Soak {
@@ -70,7 +70,8 @@
   void Begin() {
     world_.StartAll();
     configurations_.Start();
-    callers_.AddLasting(options_.lasting_jobs, kLastingTasks, kLastingCpu);
+    callers_.AddLongRunning(options_.long_running_jobs, kLongRunningTasks,
+                            kLongRunningCpu);
     const Millis length = std::chrono::seconds(options_.seconds);
     if (options_.scenario == "random") {
       PlayFaults(MakePlan(length), kBetweenJobs);
@@ -83,7 +84,7 @@
       PlayFaults(MakeReplacePlan(options_.seed, Millis(0), length),
                  kBetweenJobs);
     } else {
-      PlayCourses(CoursesOf(options_), 0);
+      PlayRecoveries(RecoveriesOf(options_), 0);
     }
   }
 
@@ -91,10 +92,10 @@
 
   void Summarize() const {
     std::cout << "seed " << options_.seed << ": " << callers_.accepted()
-              << " jobs accepted, " << callers_.not_taken() << " not taken, "
-              << world_.watch().starts() << " starts, " << world_.broken()
+              << " jobs accepted, " << callers_.not_accepted() << " not taken, "
+              << world_.watch().starts() << " starts, " << world_.violations()
               << " broken; lasting work away for up to "
-              << world_.watch().longest_away() << " ms; logs in "
+              << world_.watch().longest_downtime() << " ms; logs in "
               << options_.world.folder << std::endl;
   }
 
@@ -104,13 +105,13 @@
     const auto changes = MakeChangePlan(options_.seed, length);
     plan.insert(plan.end(), changes.begin(), changes.end());
     const auto replaced = MakeReplacePlan(options_.seed, length / 2,
-                                          length + kReplacedAfterwards);
+                                          length + kReplacementsAfterFaults);
     plan.insert(plan.end(), replaced.begin(), replaced.end());
     return plan;
   }
 
   void PlayFaults(const std::vector<Fault>& plan, Millis between_jobs) {
-    AwaitCalm(world_, callers_, [this, plan, between_jobs] {
+    AwaitSteadyState(world_, callers_, [this, plan, between_jobs] {
       callers_.Start(between_jobs);
       if (options_.crashing_jobs) {
         callers_.StartCrashing(kBetweenCrashingJobs);
@@ -119,19 +120,21 @@
     });
   }
 
-  void PlayCourses(const std::vector<RegainedStore>& courses, size_t next) {
-    if (next == courses.size()) {
+  void PlayRecoveries(const std::vector<StepwiseRecovery>& recoveries,
+                      size_t next) {
+    if (next == recoveries.size()) {
       Finish();
       return;
     }
-    const RegainedStore course = courses[next];
-    Play(world_, callers_, course,
-         [this, courses, next, course](size_t broken) {
-           std::cout << "regained-store silent " << course.silent_before.count()
-                     << " cut " << course.cut.count() << " old_after "
-                     << course.old_after.count() << ": " << broken << " broken"
-                     << std::endl;
-           PlayCourses(courses, next + 1);
+    const StepwiseRecovery recovery = recoveries[next];
+    Play(world_, callers_, recovery,
+         [this, recoveries, next, recovery](size_t violations) {
+           std::cout << "regained-store silent "
+                     << recovery.worker_partition_time.count() << " cut "
+                     << recovery.cut.count() << " old_after "
+                     << recovery.resume_delay.count() << ": " << violations
+                     << " broken" << std::endl;
+           PlayRecoveries(recoveries, next + 1);
          });
   }
 
@@ -159,12 +162,12 @@
   soak.Begin();
   boost::asio::signal_set signals(context, SIGTERM, SIGINT);
   signals.async_wait([&](const auto&, int) {
-    soak.world().Break("asked to stop before the end");
+    soak.world().ReportViolation("asked to stop before the end");
     context.stop();
   });
   context.run();
   soak.Summarize();
-  return soak.world().broken() == 0 ? 0 : 1;
+  return soak.world().violations() == 0 ? 0 : 1;
 }
 
 }  // namespace
@@ -187,12 +190,12 @@
                  "regained-store")
       ->check(CLI::IsMember({"random", "planned-stops", "replaced-workers",
                              "changes", "regained-store"}));
-  app.add_option("--silent-before", options.silent_before, "ms, each")
+  app.add_option("--silent-before", options.worker_partition_time, "ms, each")
       ->delimiter(',');
   app.add_option("--cut", options.cuts, "ms, each")->delimiter(',');
-  app.add_option("--old-after", options.old_after,
+  app.add_option("--old-after", options.resume_delay,
                  "ms until connections that lived through a cut move again");
-  app.add_option("--lasting-jobs", options.lasting_jobs);
+  app.add_option("--lasting-jobs", options.long_running_jobs);
   app.add_flag("--crashing-jobs", options.crashing_jobs,
                "also hand in jobs whose tasks take their workers down");
   CLI11_PARSE(app, argc, argv);
--- a/src/soak/scenario.cpp
+++ b/src/soak/scenario.cpp
@@ -7,10 +7,10 @@
 namespace doorwood::soak {
 namespace {
 
-constexpr Millis kCalmPatience{40'000};
-constexpr Millis kLook{100};
-// After all is healed: for what is still decided then.
-constexpr Millis kAfterwards{3000};
+constexpr Millis kSteadyStateTimeout{40'000};
+constexpr Millis kPollInterval{100};
+// Time after the recovery for decisions that follow from it.
+constexpr Millis kSettleTime{3000};
 
 void CutAll(const Links& links) {
   for (Link* link : links) {
@@ -18,41 +18,42 @@
   }
 }
 
-void HealAll(const Links& links, Millis old_after) {
+void HealAll(const Links& links, Millis resume_delay) {
   for (Link* link : links) {
-    link->Heal(Way::kBoth, old_after);
+    link->Heal(Way::kBoth, resume_delay);
   }
 }
 
-void AwaitCalmUntil(World& world,
-                    const Callers& callers,
-                    int64_t until,
-                    const std::function<void()>& done) {
-  if (world.Leader() && callers.AllLastingRun()) {
+void AwaitSteadyStateUntil(World& world,
+                           const Callers& callers,
+                           int64_t until,
+                           const std::function<void()>& done) {
+  if (world.Leader() && callers.AllLongRunningTasksRun()) {
     done();
     return;
   }
   if (world.Now() >= until) {
-    world.Break("no calm to begin with");
+    world.ReportViolation("no calm to begin with");
     done();
     return;
   }
-  world.After(kLook, [&world, &callers, until, done] {
-    AwaitCalmUntil(world, callers, until, done);
+  world.After(kPollInterval, [&world, &callers, until, done] {
+    AwaitSteadyStateUntil(world, callers, until, done);
   });
 }
 
 }  // namespace
 
-void AwaitCalm(World& world,
-               const Callers& callers,
-               std::function<void()> done) {
-  AwaitCalmUntil(world, callers, world.Now() + kCalmPatience.count(), done);
+void AwaitSteadyState(World& world,
+                      const Callers& callers,
+                      std::function<void()> done) {
+  AwaitSteadyStateUntil(world, callers,
+                        world.Now() + kSteadyStateTimeout.count(), done);
 }
 
 void CutInSteps(World& world,
                 size_t centre,
-                RegainedStore course,
+                StepwiseRecovery recovery,
                 std::function<void()> done) {
   const Links silent = world.LinksToWorkersElsewhere(centre);
   const Links border = world.BorderLinks(centre);
@@ -67,42 +68,44 @@
     }
   }
   const std::string who = "data centre " + std::to_string(centre + 1);
-  world.Log("workers elsewhere fall silent to " + who);
+  world.Log("workers elsewhere become unreachable for " + who);
   CutAll(silent);
   world.watch().OnFaultBegins();
-  Millis at = course.silent_before;
+  Millis at = recovery.worker_partition_time;
   world.After(at, [&world, who, border] {
-    world.Log("cut off: " + who);
+    world.Log("partitioned: " + who);
     CutAll(border);
   });
-  at += course.cut;
-  world.After(at, [&world, who, stores, course] {
+  at += recovery.cut;
+  world.After(at, [&world, who, stores, recovery] {
     world.Log("reaches the store again: " + who);
-    HealAll(stores, course.old_after);
+    HealAll(stores, recovery.resume_delay);
   });
-  at += course.workers_later;
-  world.After(at, [&world, who, others, silent, course, done] {
+  at += recovery.workers_delay;
+  world.After(at, [&world, who, others, silent, recovery, done] {
     world.Log("reaches all again: " + who);
-    HealAll(others, course.old_after);
-    HealAll(silent, course.old_after);
-    world.After(course.old_after,
-                [&world] { world.watch().OnFaultOver(world.Now()); });
+    HealAll(others, recovery.resume_delay);
+    HealAll(silent, recovery.resume_delay);
+    world.After(recovery.resume_delay,
+                [&world] { world.watch().OnFaultEnds(world.Now()); });
     done();
   });
 }
 
 void Play(World& world,
           const Callers& callers,
-          RegainedStore course,
+          StepwiseRecovery recovery,
           std::function<void(size_t)> done) {
-  const size_t before = world.broken();
-  const auto after = [&world, before, done] { done(world.broken() - before); };
-  const auto healed = [&world, after] { world.After(kAfterwards, after); };
-  AwaitCalm(world, callers, [&world, course, healed] {
-    world.After(kAfterwards, [&world, course, healed] {
+  const size_t before = world.violations();
+  const auto after = [&world, before, done] {
+    done(world.violations() - before);
+  };
+  const auto healed = [&world, after] { world.After(kSettleTime, after); };
+  AwaitSteadyState(world, callers, [&world, recovery, healed] {
+    world.After(kSettleTime, [&world, recovery, healed] {
       const size_t leader = world.Leader().value_or(0);
       world.Log(World::NameOf(leader) + " leads");
-      CutInSteps(world, World::CentreOf(leader), course, healed);
+      CutInSteps(world, World::DataCentreOf(leader), recovery, healed);
     });
   });
 }
--- a/src/soak/scenario.h
+++ b/src/soak/scenario.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Fixed courses of faults.
+/// Fixed sequences of faults.
 
 #ifndef DOORWOOD_SOAK_SCENARIO_H_
 #define DOORWOOD_SOAK_SCENARIO_H_
@@ -13,37 +13,37 @@
 
 namespace doorwood::soak {
 
-/// A data centre loses workers elsewhere, then everything, and regains the
-/// store first.
-struct RegainedStore {
-  /// From the silence of the workers elsewhere to the cut of the border.
-  Millis silent_before{2000};
+/// A data centre loses the workers in other data centres, then everything
+/// outside, and reaches the store again before the rest.
+struct StepwiseRecovery {
+  /// From the loss of the workers elsewhere to the full partition.
+  Millis worker_partition_time{2000};
   /// From there until the store is reached again.
   Millis cut{4000};
-  /// From there until all is healed.
-  Millis workers_later{2000};
-  /// Connections that lived through the cut move again so much later.
-  Millis old_after{0};
+  /// From there until everything is reached again.
+  Millis workers_delay{2000};
+  /// Connections that survived the partition transfer again this much later.
+  Millis resume_delay{0};
 };
 
-/// `done` is called once all is healed.
+/// Partitions a data centre in these steps; calls `done` once all is healed.
 void CutInSteps(World& world,
                 size_t centre,
-                RegainedStore course,
+                StepwiseRecovery recovery,
                 std::function<void()> done);
 
-/// The same with the leader's data centre, from calm to a while afterwards;
-/// tells how many rules were broken meanwhile.
+/// The same with the leader's data centre, from a steady state until some time
+/// after the recovery; `violations` is their number meanwhile.
 void Play(World& world,
           const Callers& callers,
-          RegainedStore course,
-          std::function<void(size_t broken)> done);
-
-/// Until somebody leads and every lasting task runs; if that takes too long, it
-/// is told as broken.
-void AwaitCalm(World& world,
-               const Callers& callers,
-               std::function<void()> done);
+          StepwiseRecovery recovery,
+          std::function<void(size_t violations)> done);
+
+/// Waits until there is a leader and every long-running task runs; reports a
+/// violation if that takes too long.
+void AwaitSteadyState(World& world,
+                      const Callers& callers,
+                      std::function<void()> done);
 
 }  // namespace doorwood::soak
 
--- a/src/soak/task_watch.cpp
+++ b/src/soak/task_watch.cpp
@@ -14,9 +14,9 @@
 constexpr char kFirstStep[] = ".0.0.";
 constexpr char kSecondStep[] = ".0.1.";
 // ms; see CheckLasting.
-constexpr int64_t kLongestAway = 6000;
-constexpr int64_t kLostAfter = 3000;
-constexpr int64_t kCalmBefore = 4000;
+constexpr int64_t kMaxDowntime = 6000;
+constexpr int64_t kLostGrace = 3000;
+constexpr int64_t kFaultFreeBefore = 4000;
 
 }  // namespace
 
@@ -24,9 +24,10 @@
   return task.substr(0, task.find('.'));
 }
 
-std::string Describe(const SeenRun& run) {
-  std::string text = "run " + std::to_string(run.run) + " on " + run.life +
-                     " under token " + std::to_string(run.token) + " from " +
+std::string Describe(const ObservedRun& run) {
+  std::string text = "run " + std::to_string(run.run) + " on " +
+                     run.incarnation + " under token " +
+                     std::to_string(run.token) + " from " +
                      std::to_string(run.from) + " ms";
   if (!run.active) {
     text += " to " + std::to_string(run.until) + " ms (" +
@@ -35,28 +36,28 @@
   return text;
 }
 
-void TaskWatch::Break(const std::string& sentence) {
+void TaskWatch::ReportViolation(const std::string& sentence) {
   report_(sentence);
 }
 
-void TaskWatch::OnStarted(const std::string& life,
+void TaskWatch::OnStarted(const std::string& incarnation,
                           const StartOrder& order,
                           int64_t at) {
   ++starts_;
-  SeenRun fresh;
+  ObservedRun fresh;
   fresh.task = order.task;
   fresh.run = order.run;
-  fresh.life = life;
+  fresh.incarnation = incarnation;
   fresh.token = order.token;
   fresh.from = at;
-  std::vector<SeenRun>& earlier = runs_[order.task];
-  for (const SeenRun& run : earlier) {
+  std::vector<ObservedRun>& earlier = runs_[order.task];
+  for (const ObservedRun& run : earlier) {
     if (run.active) {
-      Break("two runs at once of " + order.task + ": " + Describe(run) + "; " +
-            Describe(fresh));
-    } else if (run.end == RunEnd::kDone && run.noted) {
-      Break("started after a noted end of " + order.task + ": " +
-            Describe(run) + "; " + Describe(fresh));
+      ReportViolation("two runs at once of " + order.task + ": " +
+                      Describe(run) + "; " + Describe(fresh));
+    } else if (run.end == RunEnd::kDone && run.acknowledged) {
+      ReportViolation("started after a noted end of " + order.task + ": " +
+                      Describe(run) + "; " + Describe(fresh));
     }
   }
   CheckOrder(order.task, fresh);
@@ -64,8 +65,10 @@
   earlier.push_back(std::move(fresh));
 }
 
-// Bound are tasks that take their workers down, not those beside them.
-void TaskWatch::CheckCrashes(const StartOrder& order, const SeenRun& fresh) {
+// The limit applies to tasks that crash their workers, not to other tasks that
+// run on the same worker.
+void TaskWatch::CheckCrashes(const StartOrder& order,
+                             const ObservedRun& fresh) {
   if (!standin::CrashesAfter(order)) {
     return;
   }
@@ -75,12 +78,13 @@
   const auto crashed = crashes_under_.find(task);
   if (crashed != crashes_under_.end() && crashed->second >= kCrashes &&
       ++starts_since_third_[task] == kStartsMore) {
-    Break("started three times more after three workers had crashed under " +
-          task + ": " + Describe(fresh));
+    ReportViolation(
+        "started three times more after three workers had crashed under " +
+        task + ": " + Describe(fresh));
   }
 }
 
-void TaskWatch::CheckOrder(const std::string& task, const SeenRun& fresh) {
+void TaskWatch::CheckOrder(const std::string& task, const ObservedRun& fresh) {
   const std::string job = JobOf(task);
   const auto needed = first_tasks_.find(job);
   if (!task.starts_with(job + kSecondStep) || needed == first_tasks_.end()) {
@@ -88,13 +92,14 @@
   }
   const size_t done = DoneTasks(job + kFirstStep);
   if (done < static_cast<size_t>(needed->second)) {
-    Break("started before its turn: " + task + ": " + Describe(fresh) +
-          "; of the step before, " + std::to_string(done) + " have ended so");
+    ReportViolation("started before its turn: " + task + ": " +
+                    Describe(fresh) + "; of the step before, " +
+                    std::to_string(done) + " have ended so");
   }
 }
 
 size_t TaskWatch::DoneTasks(const std::string& prefix) const {
-  const auto is_done = [](const SeenRun& run) {
+  const auto is_done = [](const ObservedRun& run) {
     return !run.active && run.end == RunEnd::kDone;
   };
   size_t done = 0;
@@ -106,66 +111,68 @@
   return done;
 }
 
-SeenRun* TaskWatch::Find(const std::string& life, const EndedRun& end) {
-  std::vector<SeenRun>& runs = runs_[end.task];
+ObservedRun* TaskWatch::Find(const std::string& incarnation,
+                             const EndedRun& end) {
+  std::vector<ObservedRun>& runs = runs_[end.task];
   const auto found = std::find_if(runs.begin(), runs.end(), [&](const auto& r) {
-    return r.life == life && r.run == end.run;
+    return r.incarnation == incarnation && r.run == end.run;
   });
   return found == runs.end() ? nullptr : &*found;
 }
 
-void TaskWatch::OnEnded(const std::string& life,
+void TaskWatch::OnEnded(const std::string& incarnation,
                         const EndedRun& end,
                         int64_t at) {
-  if (SeenRun* run = Find(life, end)) {
+  if (ObservedRun* run = Find(incarnation, end)) {
     run->active = false;
     run->until = at;
     run->end = end.end;
   }
 }
 
-void TaskWatch::OnNoted(const std::string& life, const EndedRun& end) {
-  SeenRun* run = Find(life, end);
-  if (run == nullptr || run->noted || !run->can_be_noted) {
+void TaskWatch::OnNoted(const std::string& incarnation, const EndedRun& end) {
+  ObservedRun* run = Find(incarnation, end);
+  if (run == nullptr || run->acknowledged || !run->can_be_acknowledged) {
     return;
   }
-  run->noted = true;
+  run->acknowledged = true;
   if (run->end != RunEnd::kDone) {
     return;
   }
-  for (const SeenRun& other : runs_[end.task]) {
+  for (const ObservedRun& other : runs_[end.task]) {
     if (other.from > run->until) {
-      Break("started before an end of " + end.task +
-            " was noted: " + Describe(*run) + "; " + Describe(other));
+      ReportViolation("started before an end of " + end.task +
+                      " was noted: " + Describe(*run) + "; " + Describe(other));
     }
   }
 }
 
-void TaskWatch::OnLapsed(const std::string& life) {
+void TaskWatch::OnLapsed(const std::string& incarnation) {
   for (auto& [task, runs] : runs_) {
-    for (SeenRun& run : runs) {
-      if (run.life == life && !run.active) {
-        run.can_be_noted = false;
+    for (ObservedRun& run : runs) {
+      if (run.incarnation == incarnation && !run.active) {
+        run.can_be_acknowledged = false;
       }
     }
   }
 }
 
-void TaskWatch::OnCrashed(const std::string& life) {
+void TaskWatch::OnCrashed(const std::string& incarnation) {
   for (const auto& [task, runs] : runs_) {
-    const bool there = std::any_of(
-        runs.begin(), runs.end(),
-        [&](const SeenRun& run) { return run.life == life && run.active; });
+    const bool there =
+        std::any_of(runs.begin(), runs.end(), [&](const ObservedRun& run) {
+          return run.incarnation == incarnation && run.active;
+        });
     if (there) {
       ++crashes_under_[task];
     }
   }
 }
 
-void TaskWatch::OnLifeOver(const std::string& life, int64_t at) {
+void TaskWatch::OnLifeOver(const std::string& incarnation, int64_t at) {
   for (auto& [task, runs] : runs_) {
-    for (SeenRun& run : runs) {
-      if (run.life == life && run.active) {
+    for (ObservedRun& run : runs) {
+      if (run.incarnation == incarnation && run.active) {
         run.active = false;
         run.until = at;
       }
@@ -173,51 +180,52 @@
   }
 }
 
-void TaskWatch::OnAttempt(const std::string& job, bool rejected) {
-  taken_[job] = taken_[job] || !rejected;
+void TaskWatch::OnSubmitAttempt(const std::string& job, bool rejected) {
+  may_be_accepted_[job] = may_be_accepted_[job] || !rejected;
 }
 
 void TaskWatch::OnCompleted(const std::string& job, size_t tasks) {
   const size_t done = DoneTasks(job + ".");
   if (done < tasks) {
-    Break("shown as completed: " + job + ", of whose " + std::to_string(tasks) +
-          " tasks " + std::to_string(done) + " have ended so");
+    ReportViolation("shown as completed: " + job + ", of whose " +
+                    std::to_string(tasks) + " tasks " + std::to_string(done) +
+                    " have ended so");
   }
 }
 
-void TaskWatch::CheckRefused() {
+void TaskWatch::CheckRejected() {
   for (const auto& [task, runs] : runs_) {
-    const auto known = taken_.find(JobOf(task));
-    if (known != taken_.end() && !known->second && !runs.empty()) {
-      Break("started though its job was refused: " + task + ": " +
-            Describe(runs.front()));
+    const auto known = may_be_accepted_.find(JobOf(task));
+    if (known != may_be_accepted_.end() && !known->second && !runs.empty()) {
+      ReportViolation("started though its job was refused: " + task + ": " +
+                      Describe(runs.front()));
     }
   }
 }
 
-void TaskWatch::OnFaultOver(int64_t at) {
+void TaskWatch::OnFaultEnds(int64_t at) {
   --faults_;
   last_fault_ = at;
 }
 
-void TaskWatch::CheckLasting(int64_t now) {
+void TaskWatch::CheckLongRunning(int64_t now) {
   if (faults_ > 0) {
     last_fault_ = now;
   }
-  if (now - last_fault_ <= kLostAfter + kCalmBefore) {
+  if (now - last_fault_ <= kLostGrace + kFaultFreeBefore) {
     return;
   }
-  for (const std::string& job : lasting_) {
+  for (const std::string& job : long_running_) {
     for (auto it = runs_.lower_bound(job);
          it != runs_.end() && JobOf(it->first) == job; ++it) {
-      CheckAway(&it->second, now);
+      CheckDowntime(&it->second, now);
     }
   }
 }
 
-void TaskWatch::CheckAway(std::vector<SeenRun>* runs, int64_t now) {
-  SeenRun* last = nullptr;
-  for (SeenRun& run : *runs) {
+void TaskWatch::CheckDowntime(std::vector<ObservedRun>* runs, int64_t now) {
+  ObservedRun* last = nullptr;
+  for (ObservedRun& run : *runs) {
     if (run.active) {
       return;
     }
@@ -226,12 +234,12 @@
   if (last == nullptr) {
     return;
   }
-  const int64_t away = now - last->until;
-  longest_away_ = std::max(longest_away_, away);
-  if (away > kLongestAway + kLostAfter && !last->told_lost) {
-    last->told_lost = true;
-    Break("runs nowhere for " + std::to_string(away) + " ms: " + last->task +
-          ", after " + Describe(*last));
+  const int64_t downtime = now - last->until;
+  longest_downtime_ = std::max(longest_downtime_, downtime);
+  if (downtime > kMaxDowntime + kLostGrace && !last->reported_lost) {
+    last->reported_lost = true;
+    ReportViolation("runs nowhere for " + std::to_string(downtime) +
+                    " ms: " + last->task + ", after " + Describe(*last));
   }
 }
 
@@ -241,7 +249,7 @@
        it != runs_.end() && JobOf(it->first) == job; ++it) {
     const auto& runs = it->second;
     active += std::any_of(runs.begin(), runs.end(),
-                          [](const SeenRun& run) { return run.active; })
+                          [](const ObservedRun& run) { return run.active; })
                   ? 1
                   : 0;
   }
--- a/src/soak/task_watch.h
+++ b/src/soak/task_watch.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What workers and callers saw, and whether it breaks a rule.
+/// Checks what workers and callers observe against the scheduling rules.
 
 #ifndef DOORWOOD_SOAK_TASK_WATCH_H_
 #define DOORWOOD_SOAK_TASK_WATCH_H_
@@ -17,107 +17,114 @@
 
 namespace doorwood::soak {
 
-/// A run of a task on one life of a worker. Times are those of the watch.
-struct SeenRun {
+/// An observed run of a task on one incarnation of a worker. Times are in
+/// milliseconds as passed to the watch.
+struct ObservedRun {
   std::string task;
   uint32_t run = 0;
-  std::string life;
+  std::string incarnation;
   /// Fencing token of the order.
   uint64_t token = 0;
   int64_t from = 0;
   int64_t until = 0;
   bool active = true;
   RunEnd end = RunEnd::kLapsed;
-  /// What ended could still be noted: the lease has not lapsed since.
-  bool can_be_noted = true;
-  bool noted = false;
-  /// It is told that the task ran nowhere for too long after it.
-  bool told_lost = false;
+  /// The end can still be acknowledged: the lease has not expired since.
+  bool can_be_acknowledged = true;
+  bool acknowledged = false;
+  /// A violation was reported because the task ran nowhere for too long after
+  /// this run.
+  bool reported_lost = false;
 };
 
-std::string Describe(const SeenRun& run);
+std::string Describe(const ObservedRun& run);
 
 class TaskWatch {
  public:
-  /// Called with each broken rule, as it is seen.
+  /// Called with each violation when it is detected.
   using Report = std::function<void(const std::string&)>;
 
   explicit TaskWatch(Report report) : report_(std::move(report)) {}
 
-  // --- Seen by workers ---
-  void OnStarted(const std::string& life, const StartOrder& order, int64_t at);
-  void OnEnded(const std::string& life, const EndedRun& end, int64_t at);
-  void OnNoted(const std::string& life, const EndedRun& end);
-  /// The lease of all that runs on the worker is over.
-  void OnLapsed(const std::string& life);
-  /// The worker is about to crash under what runs there.
-  void OnCrashed(const std::string& life);
-  /// The worker is gone, with all that ran there.
-  void OnLifeOver(const std::string& life, int64_t at);
-
-  // --- Done to the world ---
-  /// Something unplanned, that lasts until `OnFaultOver`; several add up.
+  // --- Observed by workers ---
+  void OnStarted(const std::string& incarnation,
+                 const StartOrder& order,
+                 int64_t at);
+  void OnEnded(const std::string& incarnation, const EndedRun& end, int64_t at);
+  void OnNoted(const std::string& incarnation, const EndedRun& end);
+  /// The lease of all runs on the worker has expired.
+  void OnLapsed(const std::string& incarnation);
+  /// The worker is about to crash because of a task that it runs.
+  void OnCrashed(const std::string& incarnation);
+  /// This incarnation of the worker has ended, with all its runs.
+  void OnLifeOver(const std::string& incarnation, int64_t at);
+
+  // --- Injected faults ---
+  /// An unplanned fault begins; it lasts until `OnFaultEnds`. Faults may
+  /// overlap.
   void OnFaultBegins() { ++faults_; }
-  void OnFaultOver(int64_t at);
-
-  // --- Seen by callers ---
-  /// An attempt to hand the job in was rejected, or was not.
-  void OnAttempt(const std::string& job, bool rejected);
-  /// The job's second step, if it has one, waits for so many tasks.
-  void OnHandedIn(const std::string& job, int first_tasks) {
+  void OnFaultEnds(int64_t at);
+
+  // --- Observed by callers ---
+  /// An attempt to submit the job ended, rejected or not.
+  void OnSubmitAttempt(const std::string& job, bool rejected);
+  /// The second step of the job, if there is one, depends on `first_tasks`
+  /// tasks.
+  void OnSubmitted(const std::string& job, int first_tasks) {
     first_tasks_[job] = first_tasks;
   }
-  /// A caller was told that the job is completed; it has so many tasks.
+  /// A caller saw the job, which has `tasks` tasks, as completed.
   void OnCompleted(const std::string& job, size_t tasks);
 
-  /// The job was accepted and is never cancelled; its tasks are to last.
-  void OnLasting(const std::string& job) { lasting_.insert(job); }
+  /// The job was accepted, is long-running and is never cancelled.
+  void OnLongRunning(const std::string& job) { long_running_.insert(job); }
 
-  // --- Often ---
-  /// What lasts is at work again 6 s after its last run, and is lost once it
-  /// ran nowhere for 3 s more. Judged where these 3 s and the 4 s before were
-  /// free of what is unplanned.
-  void CheckLasting(int64_t now);
+  // --- Called periodically ---
+  /// A long-running task must run again within 6 s of its last run and counts
+  /// as lost 3 s later. It is checked only if these 3 s and the 4 s before them
+  /// were free of unplanned faults.
+  void CheckLongRunning(int64_t now);
 
-  // --- Once all is over ---
-  /// Jobs that every attempt was rejected of start nothing.
-  void CheckRefused();
+  // --- Called at the end ---
+  /// Checks that no task of a job whose every attempt was rejected has started.
+  void CheckRejected();
 
   size_t starts() const { return starts_; }
-  /// Longest time without a run of what lasts, in moments that are judged.
-  int64_t longest_away() const { return longest_away_; }
+  /// Longest time in ms without a run of a long-running task while checked.
+  int64_t longest_downtime() const { return longest_downtime_; }
   size_t ActiveTasks(const std::string& job) const;
-  const std::map<std::string, std::vector<SeenRun>>& runs() const {
+  const std::map<std::string, std::vector<ObservedRun>>& runs() const {
     return runs_;
   }
 
  private:
-  void Break(const std::string& sentence);
-  void CheckAway(std::vector<SeenRun>* runs, int64_t now);
-  void CheckOrder(const std::string& task, const SeenRun& fresh);
-  void CheckCrashes(const StartOrder& order, const SeenRun& fresh);
-  /// Tasks that begin with `prefix` and have ended done.
+  void ReportViolation(const std::string& sentence);
+  void CheckDowntime(std::vector<ObservedRun>* runs, int64_t now);
+  void CheckOrder(const std::string& task, const ObservedRun& fresh);
+  void CheckCrashes(const StartOrder& order, const ObservedRun& fresh);
+  /// Number of completed tasks whose names begin with `prefix`.
   size_t DoneTasks(const std::string& prefix) const;
-  SeenRun* Find(const std::string& life, const EndedRun& end);
+  ObservedRun* Find(const std::string& incarnation, const EndedRun& end);
 
   Report report_;
   /// By task, in the order of their starts.
-  std::map<std::string, std::vector<SeenRun>> runs_;
-  /// Jobs of which an attempt was not rejected.
-  std::map<std::string, bool> taken_;
+  std::map<std::string, std::vector<ObservedRun>> runs_;
+  /// By job: whether an attempt was not rejected.
+  std::map<std::string, bool> may_be_accepted_;
   std::map<std::string, int> first_tasks_;
-  std::set<std::string> lasting_;
-  /// Of each task: workers that crashed under it, and starts since the third.
+  std::set<std::string> long_running_;
+  /// By task: workers that crashed while running it, and starts after the third
+  /// crash.
   std::map<std::string, int> crashes_under_;
   std::map<std::string, int> starts_since_third_;
   size_t starts_ = 0;
-  /// Unplanned faults under way, and when one was seen last.
+  /// Active unplanned faults, and the last time at which one was active.
   size_t faults_ = 0;
   int64_t last_fault_ = 0;
-  int64_t longest_away_ = 0;
+  int64_t longest_downtime_ = 0;
 };
 
-/// The job of a task.
+/// Returns the id of the job that a task belongs to.
 std::string JobOf(const std::string& task);
 
 }  // namespace doorwood::soak
--- a/src/soak/task_watch_test.cpp
+++ b/src/soak/task_watch_test.cpp
@@ -11,7 +11,7 @@
 constexpr char kJob[] = "00112233aabbccdd";
 
 struct Fixture {
-  void Start(const std::string& life,
+  void Start(const std::string& incarnation,
              const std::string& task,
              uint32_t run,
              const std::string& payload = "") {
@@ -19,32 +19,34 @@
     order.payload = payload;
     order.task = task;
     order.run = run;
-    watch.OnStarted(life, order, ++now);
+    watch.OnStarted(incarnation, order, ++now);
   }
 
-  void End(const std::string& life,
+  void End(const std::string& incarnation,
            const std::string& task,
            uint32_t run,
            RunEnd how) {
-    watch.OnEnded(life, {1, task, run, how, ""}, ++now);
+    watch.OnEnded(incarnation, {1, task, run, how, ""}, ++now);
   }
 
-  void Note(const std::string& life, const std::string& task, uint32_t run) {
-    watch.OnNoted(life, {1, task, run, RunEnd::kDone, ""});
+  void Note(const std::string& incarnation,
+            const std::string& task,
+            uint32_t run) {
+    watch.OnNoted(incarnation, {1, task, run, RunEnd::kDone, ""});
   }
 
-  // Ends a run of a lasting task at 10 s.
-  void EndLasting(RunEnd how) {
-    watch.OnLasting(kJob);
+  // Ends a run of a long-running task at 10 s.
+  void EndLongRunning(RunEnd how) {
+    watch.OnLongRunning(kJob);
     Start("a", kTask, 1);
     now = 9'999;
     End("a", kTask, 1, how);
   }
 
-  // As if it were looked each moment.
-  void LookUntil(int64_t until) {
+  // Checks once in each millisecond.
+  void CheckUntil(int64_t until) {
     for (; now < until; ++now) {
-      watch.CheckLasting(now);
+      watch.CheckLongRunning(now);
     }
   }
 
@@ -56,12 +58,12 @@
 
 BOOST_FIXTURE_TEST_SUITE(TaskWatchSuite, Fixture)
 
-BOOST_AUTO_TEST_CASE(Watch_StartedThreeTimesMoreAfterThreeCrashes_TellsIt) {
+BOOST_AUTO_TEST_CASE(Watch_StartedThreeTimesMoreAfterThreeCrashes_IsReported) {
   for (uint32_t run = 1; run <= 5; ++run) {
-    const std::string life = "w" + std::to_string(run);
-    Start(life, kTask, run, "crashes=");
-    watch.OnCrashed(life);
-    watch.OnLifeOver(life, ++now);
+    const std::string incarnation = "w" + std::to_string(run);
+    Start(incarnation, kTask, run, "crashes=");
+    watch.OnCrashed(incarnation);
+    watch.OnLifeOver(incarnation, ++now);
   }
   BOOST_TEST(broken.empty());
   Start("w6", kTask, 6, "crashes=");
@@ -69,7 +71,7 @@
   BOOST_TEST(broken[0].find("run 6 on w6") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(Watch_TwoRunsAtOnce_TellsBoth) {
+BOOST_AUTO_TEST_CASE(Watch_TwoRunsAtOnce_ReportsBoth) {
   Start("a", kTask, 1);
   Start("b", kTask, 2);
   BOOST_REQUIRE_EQUAL(broken.size(), 1U);
@@ -127,7 +129,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(Watch_SecondStepBeforeAllOfTheFirst_IsBroken) {
-  watch.OnHandedIn(kJob, 2);
+  watch.OnSubmitted(kJob, 2);
   Start("a", std::string(kJob) + ".0.0.0", 1);
   End("a", std::string(kJob) + ".0.0.0", 1, RunEnd::kDone);
   Start("a", std::string(kJob) + ".0.1.0", 1);
@@ -143,62 +145,62 @@
   BOOST_TEST(broken.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Watch_StartOfARefusedJob_IsBroken) {
-  watch.OnAttempt(kJob, /*rejected=*/true);
+BOOST_AUTO_TEST_CASE(Watch_StartOfARejectedJob_IsBroken) {
+  watch.OnSubmitAttempt(kJob, /*rejected=*/true);
   Start("a", kTask, 1);
-  watch.CheckRefused();
+  watch.CheckRejected();
   BOOST_TEST(broken.size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(Watch_StartOfAJobWithoutAnswer_IsFine) {
-  watch.OnAttempt(kJob, /*rejected=*/false);
-  watch.OnAttempt(kJob, /*rejected=*/true);
+  watch.OnSubmitAttempt(kJob, /*rejected=*/false);
+  watch.OnSubmitAttempt(kJob, /*rejected=*/true);
   Start("a", kTask, 1);
-  watch.CheckRefused();
+  watch.CheckRejected();
   BOOST_TEST(broken.empty());
 }
 
-BOOST_AUTO_TEST_CASE(Lasting_BackAfterNineSeconds_IsFine) {
-  EndLasting(RunEnd::kStopped);
-  LookUntil(19'000);
+BOOST_AUTO_TEST_CASE(LongRunning_RestartedWithinNineSeconds_IsFine) {
+  EndLongRunning(RunEnd::kStopped);
+  CheckUntil(19'000);
   Start("b", kTask, 2);
-  LookUntil(60'000);
+  CheckUntil(60'000);
   BOOST_TEST(broken.empty());
-  BOOST_TEST(watch.longest_away() == 8'999);
+  BOOST_TEST(watch.longest_downtime() == 8'999);
 }
 
-BOOST_AUTO_TEST_CASE(Lasting_AwayForMore_IsToldOnce) {
-  EndLasting(RunEnd::kStopped);
-  LookUntil(19'001);
+BOOST_AUTO_TEST_CASE(LongRunning_DownForLonger_IsReportedOnce) {
+  EndLongRunning(RunEnd::kStopped);
+  CheckUntil(19'001);
   BOOST_TEST(broken.empty());
-  LookUntil(60'000);
+  CheckUntil(60'000);
   BOOST_REQUIRE_EQUAL(broken.size(), 1U);
   BOOST_TEST(broken[0].find("runs nowhere for 9001 ms") != std::string::npos);
   BOOST_TEST(broken[0].find("run 1 on a") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(Lasting_AwayTwice_IsToldTwice) {
-  EndLasting(RunEnd::kStopped);
-  LookUntil(20'000);
+BOOST_AUTO_TEST_CASE(LongRunning_DownTwice_IsReportedTwice) {
+  EndLongRunning(RunEnd::kStopped);
+  CheckUntil(20'000);
   Start("b", kTask, 2);
   End("b", kTask, 2, RunEnd::kStopped);
-  LookUntil(40'000);
+  CheckUntil(40'000);
   BOOST_TEST(broken.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(Lasting_GoneWithItsWorker_CountsFromThere) {
-  watch.OnLasting(kJob);
+BOOST_AUTO_TEST_CASE(LongRunning_WorkerGone_CountsFromThere) {
+  watch.OnLongRunning(kJob);
   Start("a", kTask, 1);
-  LookUntil(30'000);
+  CheckUntil(30'000);
   watch.OnLifeOver("a", now);
-  LookUntil(39'000);
+  CheckUntil(39'000);
   BOOST_TEST(broken.empty());
-  LookUntil(39'010);
+  CheckUntil(39'010);
   BOOST_TEST(broken.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Lasting_LastOfSeveralRuns_Counts) {
-  watch.OnLasting(kJob);
+BOOST_AUTO_TEST_CASE(LongRunning_SeveralRuns_LatestEndCounts) {
+  watch.OnLongRunning(kJob);
   Start("a", kTask, 1);
   Start("b", kTask, 2);
   broken.clear();
@@ -206,41 +208,41 @@
   End("b", kTask, 2, RunEnd::kStopped);
   now = 9'999;
   End("a", kTask, 1, RunEnd::kStopped);
-  LookUntil(19'001);
+  CheckUntil(19'001);
   BOOST_TEST(broken.empty());
-  LookUntil(19'010);
+  CheckUntil(19'010);
   BOOST_TEST(broken.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Lasting_UnplannedWithinSevenSeconds_IsNotJudged) {
-  EndLasting(RunEnd::kStopped);
-  LookUntil(12'500);
+BOOST_AUTO_TEST_CASE(LongRunning_FaultWithinSevenSeconds_IsNotChecked) {
+  EndLongRunning(RunEnd::kStopped);
+  CheckUntil(12'500);
   watch.OnFaultBegins();
-  watch.OnFaultOver(now);
-  LookUntil(19'501);
+  watch.OnFaultEnds(now);
+  CheckUntil(19'501);
   BOOST_TEST(broken.empty());
-  LookUntil(19'510);
+  CheckUntil(19'510);
   BOOST_TEST(broken.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Lasting_UnplannedUnderWay_IsNotJudgedBeforeAllIsOver) {
-  EndLasting(RunEnd::kStopped);
+BOOST_AUTO_TEST_CASE(LongRunning_FaultsActive_IsNotCheckedBeforeAllEnd) {
+  EndLongRunning(RunEnd::kStopped);
   watch.OnFaultBegins();
   watch.OnFaultBegins();
-  LookUntil(20'000);
-  watch.OnFaultOver(now);
-  LookUntil(40'000);
-  watch.OnFaultOver(now);
-  LookUntil(47'001);
+  CheckUntil(20'000);
+  watch.OnFaultEnds(now);
+  CheckUntil(40'000);
+  watch.OnFaultEnds(now);
+  CheckUntil(47'001);
   BOOST_TEST(broken.empty());
-  LookUntil(47'010);
+  CheckUntil(47'010);
   BOOST_TEST(broken.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Lasting_JobsThatEnd_AreNotJudged) {
+BOOST_AUTO_TEST_CASE(LongRunning_JobsThatEnd_AreNotChecked) {
   Start("a", kTask, 1);
   End("a", kTask, 1, RunEnd::kDone);
-  LookUntil(60'000);
+  CheckUntil(60'000);
   BOOST_TEST(broken.empty());
 }
 
--- a/src/soak/world.cpp
+++ b/src/soak/world.cpp
@@ -16,33 +16,33 @@
 namespace doorwood::soak {
 namespace {
 
-// After a task has taken a worker down: its entry goes, and its machine is
-// back.
-constexpr Millis kEntryGoes{800};
-constexpr Millis kBack{2500};
-constexpr const char* kCentres[kDataCentres] = {"plaka", "kerameikos",
-                                                "pireas"};
+// From the crash of a worker by a task to the removal of its entry and to the
+// restart of its machine.
+constexpr Millis kEntryRemovalDelay{800};
+constexpr Millis kWorkerRestartDelay{2500};
+constexpr const char* kDataCentreNames[kDataCentres] = {"plaka", "kerameikos",
+                                                        "pireas"};
 constexpr char kCell[] = "all";
 constexpr Millis kTick{20};
 constexpr Millis kRestartAfter{600};
 constexpr Millis kGraceSlack{150};
-// Addresses: 127.CALLER.BLOCK.NUMBER as a caller sees them.
+// Addresses are 127.CALLER.BLOCK.NUMBER as a caller sees them.
 constexpr int kFirstCaller = 30;
-constexpr int kKept = 29;  // as the store keeps them
+constexpr int kServerSide = 29;  // as written in the store
 constexpr size_t kFirstWorker = 1;
 constexpr size_t kFirstInstance = 200;
 constexpr size_t kStoreNumber = 250;
-constexpr size_t kFirstDoor = 220;
+constexpr size_t kFirstStoreEndpoint = 220;
 constexpr int kWorkerPort = 8200;
 constexpr int kStorePort = 8169;
 constexpr int kPeerPort = 8166;
 constexpr int kFrontPort = 8161;
 constexpr int kReadyPort = 8167;
 constexpr int kMetricsPort = 8168;
-// Clocks of workers lose up to this share.
-constexpr double kSlowestClock = 0.02;
+// The clocks of workers run slow by up to this fraction.
+constexpr double kMaxClockLag = 0.02;
 
-std::string At(const std::string& host, int port) {
+std::string AddressOf(const std::string& host, int port) {
   return host + ":" + std::to_string(port);
 }
 
@@ -60,7 +60,8 @@
       options_(options),
       began_(BootClock::now()),
       log_(options.folder + "/world.log"),
-      watch_([this](const std::string& sentence) { Break(sentence); }),
+      watch_(
+          [this](const std::string& sentence) { ReportViolation(sentence); }),
       store_(context, executor, [this] { return Now(); }) {
   store_.Put(platform::kSoakConfigKey,
              platform::EncodeSoakConfig(config_version_));
@@ -76,7 +77,7 @@
   return std::chrono::duration_cast<Millis>(BootClock::now() - began_).count();
 }
 
-// Begins with the time of day as the instances' logs write it.
+// A line begins with the time of day in the format of the instances' logs.
 void World::Log(const std::string& line) {
   constexpr int64_t kPerSecond = 1000;
   const int64_t unix_ms =
@@ -89,8 +90,8 @@
        << std::endl;
 }
 
-void World::Break(const std::string& sentence) {
-  ++broken_;
+void World::ReportViolation(const std::string& sentence) {
+  ++violations_;
   Log("BROKEN " + sentence);
   std::cout << Now() << " ms: " << sentence << std::endl;
 }
@@ -104,21 +105,22 @@
   return "entry-" + std::to_string(instance + 1);
 }
 
-std::string World::FrontOf(size_t instance) const {
+std::string World::ClientAddressOf(size_t instance) const {
   const int caller = kFirstCaller + static_cast<int>(instance);
-  return At(Host(caller, kFirstInstance + instance), kFrontPort);
+  return AddressOf(Host(caller, kFirstInstance + instance), kFrontPort);
 }
 
 // --- Setting up ---
 
 void World::AddWorker(size_t worker) {
-  const double share = 1 - kSlowestClock * static_cast<double>(worker % 3) / 2;
+  const double share = 1 - kMaxClockLag * static_cast<double>(worker % 3) / 2;
   workers_.push_back(std::make_unique<platform::SoakWorker>(
-      context_, executor_, At(Host(kKept, kFirstWorker + worker), kWorkerPort),
+      context_, executor_,
+      AddressOf(Host(kServerSide, kFirstWorker + worker), kWorkerPort),
       "worker-" + std::to_string(worker + 1), share, [this] { return Now(); },
       watch_, [this] { AdvanceWorkers(); },
-      [this, worker](const std::string& life, Millis after) {
-        CrashForTask(worker, life, after);
+      [this, worker](const std::string& incarnation, Millis after) {
+        CrashForTask(worker, incarnation, after);
       }));
   if (worker < options_.workers) {
     BootWorker(worker);
@@ -132,25 +134,28 @@
   auto added = std::make_unique<Instance>(
       options_.program, WriteSettings(instance),
       options_.folder + "/" + NameOf(instance) + ".log");
-  const std::string door = At(Host(kKept, kFirstDoor + instance), kStorePort);
-  store_.AddDoor(door, Host(caller, 0).substr(0, Host(caller, 0).size() - 1),
-                 Host(kKept, 0).substr(0, Host(kKept, 0).size() - 1));
+  const std::string endpoint =
+      AddressOf(Host(kServerSide, kFirstStoreEndpoint + instance), kStorePort);
+  store_.AddDoor(
+      endpoint, Host(caller, 0).substr(0, Host(caller, 0).size() - 1),
+      Host(kServerSide, 0).substr(0, Host(kServerSide, 0).size() - 1));
   added->store = std::make_unique<Link>(
-      context_, At(Host(caller, kStoreNumber), kStorePort), door);
+      context_, AddressOf(Host(caller, kStoreNumber), kStorePort), endpoint);
   for (size_t worker = 0; worker < workers(); ++worker) {
     const size_t number = kFirstWorker + worker;
-    added->workers.push_back(
-        std::make_unique<Link>(context_, At(Host(caller, number), kWorkerPort),
-                               At(Host(kKept, number), kWorkerPort)));
+    added->workers.push_back(std::make_unique<Link>(
+        context_, AddressOf(Host(caller, number), kWorkerPort),
+        AddressOf(Host(kServerSide, number), kWorkerPort)));
   }
   for (size_t peer = 0; peer < options_.instances; ++peer) {
     const size_t number = kFirstInstance + peer;
     const int callee = kFirstCaller + static_cast<int>(peer);
     added->peers.push_back(
-        peer == instance ? nullptr
-                         : std::make_unique<Link>(
-                               context_, At(Host(caller, number), kPeerPort),
-                               At(Host(callee, number), kPeerPort)));
+        peer == instance
+            ? nullptr
+            : std::make_unique<Link>(
+                  context_, AddressOf(Host(caller, number), kPeerPort),
+                  AddressOf(Host(callee, number), kPeerPort)));
   }
   instances_.push_back(std::move(added));
 }
@@ -161,12 +166,12 @@
   std::string path = options_.folder + "/" + NameOf(instance) + ".yaml";
   std::ofstream file(path);
   file << "instance: " << NameOf(instance) << "\n"
-       << "data_centre: " << kCentres[CentreOf(instance)] << "\n"
-       << "front: " << At(host, kFrontPort) << "\n"
-       << "ready: " << At(host, kReadyPort) << "\n"
-       << "peer: " << At(host, kPeerPort) << "\n"
-       << "metrics: " << At(host, kMetricsPort) << "\n"
-       << "store: " << At(Host(caller, kStoreNumber), kStorePort) << "\n"
+       << "data_centre: " << kDataCentreNames[DataCentreOf(instance)] << "\n"
+       << "front: " << AddressOf(host, kFrontPort) << "\n"
+       << "ready: " << AddressOf(host, kReadyPort) << "\n"
+       << "peer: " << AddressOf(host, kPeerPort) << "\n"
+       << "metrics: " << AddressOf(host, kMetricsPort) << "\n"
+       << "store: " << AddressOf(Host(caller, kStoreNumber), kStorePort) << "\n"
        << "grace_ms: " << kGrace.count() << "\n";
   return path;
 }
@@ -174,13 +179,13 @@
 void World::StartAll() {
   for (size_t i = 0; i < instances(); ++i) {
     if (!instances_[i]->child.Start()) {
-      Break("can't start " + options_.program);
+      ReportViolation("can't start " + options_.program);
     }
   }
   Tick();
 }
 
-// --- What goes on by itself ---
+// --- Periodic work ---
 
 void World::AdvanceWorkers() {
   for (const auto& worker : workers_) {
@@ -194,7 +199,7 @@
     Supervise(i);
   }
   if (!ending_) {
-    watch_.CheckLasting(Now());
+    watch_.CheckLongRunning(Now());
   }
   After(kTick, [this] { Tick(); });
 }
@@ -205,7 +210,7 @@
       instance.stop_since > 0 &&
       Now() - instance.stop_since > (kGrace + kGraceSlack).count();
   if (late) {
-    Break(NameOf(index) + " has not ended in its grace time");
+    ReportViolation(NameOf(index) + " has not ended in its grace time");
     instance.stop_since = 0;
     instance.child.Signal(SIGKILL);
   }
@@ -215,7 +220,8 @@
   }
   Log(NameOf(index) + " has ended, status " + std::to_string(status));
   if (!instance.is_ending || (instance.stop_since > 0 && status != 0)) {
-    Break(NameOf(index) + " ended by itself, status " + std::to_string(status));
+    ReportViolation(NameOf(index) + " ended by itself, status " +
+                    std::to_string(status));
   }
   instance.is_ending = true;
   instance.stop_since = 0;
@@ -227,8 +233,8 @@
 void World::Restart(size_t instance) {
   if (!ending_ && instances_[instance]->child.Start()) {
     instances_[instance]->is_ending = false;
-    ++instances_[instance]->lives;
-    Log(NameOf(instance) + " is started again");
+    ++instances_[instance]->restarts;
+    Log(NameOf(instance) + " is restarted");
   }
 }
 
@@ -291,7 +297,7 @@
   Links links;
   for (size_t i = 0; i < instances(); ++i) {
     for (size_t worker = 0; worker < workers(); ++worker) {
-      if (CentreOf(i) == centre && CentreOf(worker) != centre) {
+      if (DataCentreOf(i) == centre && DataCentreOf(worker) != centre) {
         Append(&links, WorkerLinks(i, worker));
       }
     }
@@ -302,17 +308,17 @@
 Links World::BorderLinks(size_t centre) const {
   Links links;
   for (size_t i = 0; i < instances(); ++i) {
-    const bool inside = CentreOf(i) == centre;
+    const bool inside = DataCentreOf(i) == centre;
     if (inside) {
       Append(&links, StoreLinks(i));
     }
     for (size_t worker = 0; worker < workers(); ++worker) {
-      if (inside != (CentreOf(worker) == centre)) {
+      if (inside != (DataCentreOf(worker) == centre)) {
         Append(&links, WorkerLinks(i, worker));
       }
     }
     for (size_t peer = 0; peer < i; ++peer) {
-      if (inside != (CentreOf(peer) == centre)) {
+      if (inside != (DataCentreOf(peer) == centre)) {
         Append(&links, PeerLinks(i, peer));
       }
     }
@@ -365,7 +371,7 @@
   instances_[index]->child.Signal(SIGCONT);
 }
 
-bool World::HangUp(size_t index) {
+bool World::ReloadSettings(size_t index) {
   Instance& instance = *instances_[index];
   if (!instance.child.runs() || instance.is_ending || instance.paused) {
     return false;
@@ -397,25 +403,29 @@
   if (!workers_[worker]->up()) {
     workers_[worker]->Boot();
   }
-  store_.Put(platform::SoakWorkerKey(workers_[worker]->id()),
-             platform::EncodeSoakWorker(
-                 At(Host(kKept, kFirstWorker + worker), kWorkerPort),
-                 kCentres[CentreOf(worker)], /*leaving=*/false));
-}
-
-void World::CrashForTask(size_t worker, const std::string& life, Millis after) {
-  After(after, [this, worker, life] {
-    if (!workers_[worker]->up() || WorkerId(worker) != life) {
+  store_.Put(
+      platform::SoakWorkerKey(workers_[worker]->id()),
+      platform::EncodeSoakWorker(
+          AddressOf(Host(kServerSide, kFirstWorker + worker), kWorkerPort),
+          kDataCentreNames[DataCentreOf(worker)], /*leaving=*/false));
+}
+
+void World::CrashForTask(size_t worker,
+                         const std::string& incarnation,
+                         Millis after) {
+  After(after, [this, worker, incarnation] {
+    if (!workers_[worker]->up() || WorkerId(worker) != incarnation) {
       return;
     }
-    Log(life + " is taken down by a task");
+    Log(incarnation + " is crashed by a task");
     watch_.OnFaultBegins();
-    watch_.OnCrashed(life);
+    watch_.OnCrashed(incarnation);
     CrashWorker(worker);
-    watch_.OnFaultOver(Now());
-    After(kEntryGoes, [this, life] { DropEntry(life); });
-    After(kBack, [this, worker, life] {
-      if (!workers_[worker]->up() && WorkerId(worker) == life) {
+    watch_.OnFaultEnds(Now());
+    After(kEntryRemovalDelay,
+          [this, incarnation] { RemoveEntry(incarnation); });
+    After(kWorkerRestartDelay, [this, worker, incarnation] {
+      if (!workers_[worker]->up() && WorkerId(worker) == incarnation) {
         BootWorker(worker);
       }
     });
@@ -423,13 +433,14 @@
 }
 
 void World::AnnounceLeaving(size_t worker) {
-  store_.Put(platform::SoakWorkerKey(workers_[worker]->id()),
-             platform::EncodeSoakWorker(
-                 At(Host(kKept, kFirstWorker + worker), kWorkerPort),
-                 kCentres[CentreOf(worker)], /*leaving=*/true));
+  store_.Put(
+      platform::SoakWorkerKey(workers_[worker]->id()),
+      platform::EncodeSoakWorker(
+          AddressOf(Host(kServerSide, kFirstWorker + worker), kWorkerPort),
+          kDataCentreNames[DataCentreOf(worker)], /*leaving=*/true));
 }
 
-void World::DropEntry(const std::string& id) {
+void World::RemoveEntry(const std::string& id) {
   store_.Remove(platform::SoakWorkerKey(id));
 }
 
--- a/src/soak/world.h
+++ b/src/soak/world.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Entry instances as real processes, and everything that they talk to: the
-/// store, the workers and the ways between any two of them.
+/// Entry instances as real processes, and everything that they communicate
+/// with: the store, the workers and the network links between them.
 
 #ifndef DOORWOOD_SOAK_WORLD_H_
 #define DOORWOOD_SOAK_WORLD_H_
@@ -24,20 +24,20 @@
 namespace doorwood::soak {
 
 inline constexpr size_t kDataCentres = 3;
-/// Time between a planned stop's signal and the end by force.
+/// Time between the signal for a planned stop and forced termination.
 inline constexpr Millis kGrace{6000};
 
 struct WorldOptions {
   std::string program;
   std::string folder;
   size_t instances = 8;
-  /// That serve at a time; as many again are there to replace them.
+  /// Workers that serve at a time; the same number of spare ones replaces them.
   size_t workers = 24;
-  /// Third number of all addresses; soaks side by side need their own.
+  /// Third octet of all addresses; concurrent soaks need different ones.
   int block = 1;
 };
 
-/// Ways that are cut and healed together.
+/// Network links that are cut and healed together.
 using Links = std::vector<Link*>;
 
 class World {
@@ -49,28 +49,28 @@
   World& operator=(const World&) = delete;
 
   void StartAll();
-  /// Milliseconds since the world began.
+  /// Milliseconds since construction.
   int64_t Now() const;
-  /// A line of the world's own log.
+  /// Writes a line to world.log.
   void Log(const std::string& line);
-  /// A broken rule: told at once.
-  void Break(const std::string& sentence);
-  size_t broken() const { return broken_; }
+  /// Reports a violation at once and counts it.
+  void ReportViolation(const std::string& sentence);
+  size_t violations() const { return violations_; }
 
   size_t instances() const { return instances_.size(); }
-  /// With those that do not serve now.
+  /// All workers, including those that do not serve now.
   size_t workers() const { return workers_.size(); }
   size_t serving() const { return options_.workers; }
-  static size_t CentreOf(size_t index) { return index % kDataCentres; }
+  static size_t DataCentreOf(size_t index) { return index % kDataCentres; }
   static std::string NameOf(size_t instance);
-  std::string FrontOf(size_t instance) const;
+  std::string ClientAddressOf(size_t instance) const;
   bool IsUp(size_t instance) const {
     return instances_[instance]->child.runs();
   }
-  /// The instance under whose name the lead stands in the store.
+  /// The instance that the leader key in the store names.
   std::optional<size_t> Leader() const;
 
-  // --- Ways ---
+  // --- Links ---
   Links StoreLinks(size_t instance) const;
   Links WorkerLinks(size_t instance, size_t worker) const;
   /// From the instances of a data centre to workers outside.
@@ -79,9 +79,9 @@
   Links PeerLinks(size_t a, size_t b) const;
   /// Between an instance and all others.
   Links PeerLinks(size_t instance) const;
-  /// Everything that crosses the data centre's border; the store lies outside.
+  /// All links that cross the data centre's border; the store lies outside.
   Links BorderLinks(size_t centre) const;
-  /// Everything of an instance.
+  /// All links of an instance.
   Links AllLinks(size_t instance) const;
 
   // --- Processes ---
@@ -91,10 +91,12 @@
   bool Pause(size_t instance);
   void Resume(size_t instance);
 
-  /// Its settings file is written anew, and it is told so.
-  bool HangUp(size_t instance);
-  /// How often the instance's process has been started again.
-  int LivesOf(size_t instance) const { return instances_[instance]->lives; }
+  /// Rewrites the settings file and sends SIGHUP.
+  bool ReloadSettings(size_t instance);
+  /// Number of restarts of the instance's process.
+  int RestartsOf(size_t instance) const {
+    return instances_[instance]->restarts;
+  }
 
   // --- Configuration ---
   /// Puts the next version into the store.
@@ -104,12 +106,14 @@
   // --- Workers ---
   void CrashWorker(size_t worker);
   void BootWorker(size_t worker);
-  /// A task takes that life of the worker down; its machine has another one
-  /// some seconds later.
-  void CrashForTask(size_t worker, const std::string& life, Millis after);
-  /// Its entry says so, or goes without a word.
+  /// Crashes the worker `after` a delay if `incarnation` still runs, as a task
+  /// would; the machine starts another incarnation some seconds later.
+  void CrashForTask(size_t worker,
+                    const std::string& incarnation,
+                    Millis after);
+  /// Marks the entry as leaving, or removes it without an announcement.
   void AnnounceLeaving(size_t worker);
-  void DropEntry(const std::string& id);
+  void RemoveEntry(const std::string& id);
   const std::string& WorkerId(size_t worker) const {
     return workers_[worker]->id();
   }
@@ -122,7 +126,7 @@
   void After(Millis time, std::function<void()> function) {
     executor_.Schedule(time, std::move(function));
   }
-  /// Stops all processes; what takes too long is told.
+  /// Stops all processes; reports those that take too long as violations.
   void StopAll(std::function<void()> done);
 
  private:
@@ -131,8 +135,8 @@
         : child(std::move(program), std::move(settings), std::move(log)) {}
 
     Child child;
-    int lives = 0;
-    /// Told to end, so that its end is no surprise.
+    int restarts = 0;
+    /// The process was told to end, so that its end is expected.
     bool is_ending = false;
     bool paused = false;
     /// Start of a planned stop; 0: none.
@@ -165,7 +169,7 @@
   std::vector<std::unique_ptr<Instance>> instances_;
   int config_version_ = 1;
   bool ending_ = false;
-  size_t broken_ = 0;
+  size_t violations_ = 0;
 };
 
 }  // namespace doorwood::soak
