--- a/src/fakes/contract_test.cpp
+++ b/src/fakes/contract_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// What each port promises, checked against the fakes and, with addresses of
-// stand-ins as arguments (key-value service, worker), against the real
-// adapters over the stand-ins' protocol.
+// Contract of each port, checked against the fakes or, with the addresses of
+// stand-ins (key-value store, worker) as arguments, against the real adapters
+// over the protocol of the stand-ins.
 // Usage: contract_test [-- KV-ADDRESS WORKER-ADDRESS]
 
 #include <asio.hpp>
@@ -31,7 +31,7 @@
   return options;
 }
 
-// Ways to the outside systems, fake or real, and to let time pass.
+// The ports, fake or real, and the passage of time.
 class Ports {
  public:
   virtual ~Ports() = default;
@@ -39,8 +39,9 @@
   virtual KvStore& kv() = 0;
   virtual WorkerControl& worker(bool first_holder) = 0;
   virtual InstanceInfo worker_info() const = 0;
-  /// Lets time pass until `done`, or for `duration`.
-  virtual void Pass(Millis duration, const std::function<bool()>& done) = 0;
+  /// Advances time until `done` returns true, or by `duration`.
+  virtual void AdvanceUntil(Millis duration,
+                            const std::function<bool()>& done) = 0;
 };
 
 class FakePorts : public Ports {
@@ -53,7 +54,8 @@
   KvStore& kv() override { return kv_; }
   WorkerControl& worker(bool first) override { return first ? a_ : b_; }
   InstanceInfo worker_info() const override { return {.address = "w1"}; }
-  void Pass(Millis duration, const std::function<bool()>& done) override {
+  void AdvanceUntil(Millis duration,
+                    const std::function<bool()>& done) override {
     const Instant end = time_.now() + duration;
     while (!done() && time_.Step(end)) {
     }
@@ -80,7 +82,8 @@
   KvStore& kv() override { return kv_; }
   WorkerControl& worker(bool first) override { return first ? a_ : b_; }
   InstanceInfo worker_info() const override { return {.address = worker_}; }
-  void Pass(Millis duration, const std::function<bool()>& done) override {
+  void AdvanceUntil(Millis duration,
+                    const std::function<bool()>& done) override {
     const Instant end = BootClock::now() + duration;
     while (!done() && BootClock::now() < end) {
       context_.restart();
@@ -103,10 +106,10 @@
   HttpWorkers b_{Options("b"), executor_};
 };
 
-// An answer to one call.
+// The answer to one call.
 template <typename T>
 struct Answer {
-  bool there = false;
+  bool received = false;
   std::error_code error;
   T value{};
 };
@@ -128,11 +131,11 @@
           call) {
     auto answer = std::make_shared<Answer<T>>();
     call([answer](std::error_code error, T value) {
-      BOOST_TEST(!answer->there, "answered twice");
+      BOOST_TEST(!answer->received, "answered twice");
       *answer = {true, error, std::move(value)};
     });
-    ports->Pass(Millis(15000), [answer]() { return answer->there; });
-    BOOST_REQUIRE(answer->there);
+    ports->AdvanceUntil(Millis(15000), [answer]() { return answer->received; });
+    BOOST_REQUIRE(answer->received);
     return *answer;
   }
 
@@ -184,7 +187,7 @@
   }
 
   void Sleep(Millis duration) {
-    ports->Pass(duration, []() { return false; });
+    ports->AdvanceUntil(duration, []() { return false; });
   }
 
   static WorkerOrder Order(OrderKind kind,
@@ -275,7 +278,7 @@
   it.Sleep(Millis(200));
   BOOST_TEST(!seen);
   it.Write("w/a", "two", created.value);
-  it.ports->Pass(Millis(5000), [&]() { return seen; });
+  it.ports->AdvanceUntil(Millis(5000), [&]() { return seen; });
   BOOST_TEST(seen);
 }
 
@@ -304,7 +307,8 @@
   const auto stale = it.Send(true, first.value.epoch, {});
   BOOST_TEST(stale.error == make_error_code(WorkerErrc::kStaleEpoch));
   it.Sleep(kControlLease * 2);
-  // A lapsed lease gives no more orders, and goes to whoever asks.
+  // The holder of an expired lease can send no more orders, and any other
+  // instance can acquire the lease.
   BOOST_TEST(it.Send(false, second.value.epoch, {}).error ==
              make_error_code(WorkerErrc::kStaleEpoch));
   const auto third = it.Acquire(true);
--- a/src/fakes/fake_executor_test.cpp
+++ b/src/fakes/fake_executor_test.cpp
@@ -14,7 +14,8 @@
   std::string order;
 };
 
-BOOST_FIXTURE_TEST_CASE(Thaw_AnswersAndTimersWaited_AnswersComeFirst, Fixture) {
+BOOST_FIXTURE_TEST_CASE(Thaw_AnswersAndTimersDeferred_AnswersRunFirst,
+                        Fixture) {
   executor.Freeze();
   executor.Schedule(Millis(10), [this] { order += "t"; });
   executor.Deliver(Millis(20), [this] { order += "a"; });
@@ -26,7 +27,7 @@
   BOOST_TEST(order == "aat");
 }
 
-BOOST_FIXTURE_TEST_CASE(Now_PauseAtSecondCall_OthersGoOnMeanwhile, Fixture) {
+BOOST_FIXTURE_TEST_CASE(Now_PauseAtSecondCall_OthersRunMeanwhile, Fixture) {
   fakes::FakeExecutor other(time, 2);
   other.Schedule(Millis(50), [this] { order += "o"; });
   executor.Schedule(Millis(50), [this] { order += "s"; });
--- a/src/fakes/fakes.cpp
+++ b/src/fakes/fakes.cpp
@@ -13,8 +13,8 @@
 constexpr Millis kLatency{1};
 constexpr Millis kTimeout{800};
 constexpr Millis kLate{8000};
-constexpr Millis kWatchLook{20};
-constexpr int kWatchLooks = 500;
+constexpr Millis kWatchPollInterval{20};
+constexpr int kMaxWatchPolls = 500;
 
 }  // namespace
 
@@ -43,7 +43,7 @@
   const Instant end = now_ + duration;
   while (Step(end)) {
   }
-  now_ = std::max(now_, end);  // a step may have held up everything
+  now_ = std::max(now_, end);  // a step may have advanced the clock
 }
 
 void FakeExecutor::Post(std::function<void()> function) {
@@ -73,7 +73,7 @@
     return;
   }
   if (frozen_) {
-    held_.push_back(std::move(function));
+    deferred_.push_back(std::move(function));
     return;
   }
   function();
@@ -98,7 +98,7 @@
   time_.At(time_.now() + delay,
            [this, function = std::move(function)]() mutable {
              if (frozen_ && !dead_) {
-               arrived_.push_back(std::move(function));
+               deferred_answers_.push_back(std::move(function));
              } else {
                Run(std::move(function));
              }
@@ -107,20 +107,20 @@
 
 void FakeExecutor::Thaw() {
   frozen_ = false;
-  std::vector<std::function<void()>> arrived = std::move(arrived_);
-  arrived_.clear();
+  std::vector<std::function<void()>> arrived = std::move(deferred_answers_);
+  deferred_answers_.clear();
   std::shuffle(arrived.begin(), arrived.end(), order_random_);
   for (auto& function : arrived) {
     Post(std::move(function));
   }
-  std::vector<std::function<void()>> held = std::move(held_);
-  held_.clear();
+  std::vector<std::function<void()>> held = std::move(deferred_);
+  deferred_.clear();
   for (auto& function : held) {
     Post(std::move(function));
   }
 }
 
-// --- Key-value service ------------------------------------------------------
+// --- Key-value store --------------------------------------------------------
 
 template <typename T>
 void FakeKv::Run(bool changes,
@@ -245,12 +245,13 @@
   *look = [this, prefix, after, done, look](int left) {
     const bool news = model_.NewestUnder(prefix) > after;
     if (!news && left > 0 && fault_ == Fault::kNone) {
-      time_.At(time_.now() + kWatchLook, [look, left]() { (*look)(left - 1); });
+      time_.At(time_.now() + kWatchPollInterval,
+               [look, left]() { (*look)(left - 1); });
       return;
     }
     List(prefix, done);
   };
-  (*look)(kWatchLooks);
+  (*look)(kMaxWatchPolls);
 }
 
 // --- Workers ----------------------------------------------------------------
@@ -350,7 +351,7 @@
   return cuts_.contains(std::minmax(a, b));
 }
 
-bool FakeNetwork::TakeLostReply() {
+bool FakeNetwork::ConsumeLostReply() {
   if (lose_replies_ == 0) {
     return false;
   }
@@ -358,7 +359,7 @@
   return true;
 }
 
-bool FakeNetwork::TakeDelayedPlacement(const PeerRequest& request) {
+bool FakeNetwork::ConsumeDelayedPlacement(const PeerRequest& request) {
   const bool take =
       delay_placements_ > 0 && std::holds_alternative<PlaceRequest>(request);
   delay_placements_ -= take ? 1 : 0;
@@ -374,7 +375,7 @@
                      PeerRequest request,
                      Millis timeout,
                      Callback done) {
-  // Whichever comes first answers the caller.
+  // The first of answer and time-out completes the call.
   auto answered = std::make_shared<bool>(false);
   const auto answer = [this, answered, done](std::error_code error,
                                              const PeerReply& reply) {
@@ -393,13 +394,14 @@
              [answer]() { answer(PeerErrc::kNotSent, PeerReply()); });
     return;
   }
-  // A copy: a process that takes the address later gets none of this.
+  // A copy, so that a later process at this address does not get the request.
   const FakeNetwork::Node node = *found;
   time_.At(time_.now() + timeout,
            [answer]() { answer(PeerErrc::kNoAnswer, PeerReply()); });
-  const bool lose =
-      !std::holds_alternative<Heartbeat>(request) && network_.TakeLostReply();
-  const Millis way = network_.TakeDelayedPlacement(request) ? kLate : kLatency;
+  const bool lose = !std::holds_alternative<Heartbeat>(request) &&
+                    network_.ConsumeLostReply();
+  const Millis way =
+      network_.ConsumeDelayedPlacement(request) ? kLate : kLatency;
   time_.At(time_.now() + way, [this, node, answer, lose, address,
                                request = std::move(request)]() {
     node.executor->Post([this, node, answer, lose, address, request]() {
@@ -415,7 +417,7 @@
   });
 }
 
-// --- The rest ---------------------------------------------------------------
+// --- Directory and log ------------------------------------------------------
 
 void FakeDirectory::Fetch(Callback done) {
   const bool down = down_;
--- a/src/fakes/fakes.h
+++ b/src/fakes/fakes.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Small fakes at the ports, in virtual time, with switches for faults.
+/// Fakes of the ports in virtual time, with fault injection.
 
 #ifndef DOORWOOD_FAKES_FAKES_H_
 #define DOORWOOD_FAKES_FAKES_H_
@@ -26,15 +26,15 @@
 
 namespace doorwood::fakes {
 
-/// Virtual time for everything in one test.
+/// The virtual clock and event queue shared by everything in one test.
 class VirtualTime {
  public:
   Instant now() const { return now_; }
   int64_t millis() const;
   void At(Instant time, std::function<void()> function);
-  /// Runs all that is due until `duration` has passed.
+  /// Advances the clock by `duration` and runs all functions due by then.
   void Run(Millis duration);
-  /// Runs the next function; false if there is none within `limit`.
+  /// Runs the next function; returns false if none is due by `limit`.
   bool Step(Instant limit);
 
  private:
@@ -53,7 +53,7 @@
   std::priority_queue<Item> queue_;
 };
 
-/// One process's control thread. It can be frozen and thawed, or die.
+/// The control thread of one process. It can be frozen, thawed and killed.
 class FakeExecutor : public Executor {
  public:
   FakeExecutor(VirtualTime& time, uint64_t seed)
@@ -65,17 +65,17 @@
   void Cancel(TimerId timer) override;
   uint64_t Random() override { return random_(); }
 
-  /// An answer that comes over a socket after `delay`. Those that arrive while
-  /// the process stands still are handled at `Thaw`, before its timers, in an
-  /// order of the seed's.
+  /// Delivers an answer over a socket after `delay`. Answers that arrive while
+  /// the process is frozen are handled at `Thaw`, before its timers, in an
+  /// order drawn from the seed.
   void Deliver(Millis delay, std::function<void()> function);
-  /// Holds back everything until `Thaw`.
+  /// Defers all functions until `Thaw`.
   void Freeze() { frozen_ = true; }
-  /// The process stands still for `pause` in its `call`th asking for the time
-  /// from now on, in the midst of what it does: the others go on meanwhile.
+  /// Pauses the process for `pause` within its `call`th call of `Now` from here
+  /// on, in the middle of a function. Other processes run meanwhile.
   void PauseAtNow(int call, Millis pause);
   void Thaw();
-  /// Nothing runs any more.
+  /// Drops all pending and future functions.
   void Kill() { dead_ = true; }
   bool dead() const { return dead_; }
   bool frozen() const { return frozen_; }
@@ -87,30 +87,30 @@
   std::mt19937_64 random_;
   TimerId last_timer_ = 0;
   std::set<TimerId> cancelled_;
-  std::vector<std::function<void()>> held_;
-  std::vector<std::function<void()>> arrived_;
+  std::vector<std::function<void()>> deferred_;
+  std::vector<std::function<void()>> deferred_answers_;
   std::mt19937_64 order_random_;
-  // Asking for the time is where a process can be stopped.
+  // `Now` is const, but is the point at which a process can be paused.
   mutable int calls_to_pause_ = 0;
   Millis pause_{0};
   bool frozen_ = false;
   bool dead_ = false;
 };
 
-/// What happens to calls through one fake.
+/// Fault injected into calls through one fake.
 enum class Fault {
   kNone,
-  /// Refused before anything happened.
+  /// Refused before it has any effect.
   kDown,
   /// Takes effect; the answer is lost.
   kAnswerLost,
-  /// Does not arrive; the caller cannot know.
+  /// Does not arrive; the caller cannot tell.
   kRequestLost,
-  /// Arrives long after the caller gave up.
+  /// Arrives long after the caller timed out.
   kLate,
 };
 
-/// One instance's way to the key-value service.
+/// One instance's access to the key-value store.
 class FakeKv : public KvStore {
  public:
   FakeKv(VirtualTime& time, Executor& executor, standin::KvModel& model)
@@ -130,8 +130,8 @@
              Callback<std::vector<KvEntry>> done) override;
 
   void set_fault(Fault fault) { fault_ = fault; }
-  /// The fault strikes the next so many writes and no reads; -1: it strikes
-  /// everything and stays.
+  /// Limits the fault to the next `count` writes and no reads; -1 applies it to
+  /// all calls without a limit.
   void set_fault_writes(int count) { fault_writes_ = count; }
   int64_t writes() const { return writes_; }
 
@@ -152,7 +152,7 @@
 /// All workers of a test, by address.
 using FakeFleet = std::map<std::string, std::shared_ptr<standin::WorkerModel>>;
 
-/// One instance's way to the workers.
+/// One instance's access to the workers.
 class FakeWorkers : public WorkerControl {
  public:
   FakeWorkers(VirtualTime& time,
@@ -176,7 +176,7 @@
                uint64_t epoch,
                Callback<bool> done) override;
 
-  /// Sets the fault of calls to one worker.
+  /// Sets the fault injected into calls to one worker.
   void set_fault(const std::string& address, Fault fault) {
     faults_[address] = fault;
   }
@@ -195,7 +195,7 @@
   std::map<std::string, Fault> faults_;
 };
 
-/// The wires between entry instances.
+/// The network between entry instances.
 class FakeNetwork {
  public:
   struct Node {
@@ -204,15 +204,15 @@
   };
 
   void Attach(const std::string& address, Node node) { nodes_[address] = node; }
-  /// Cuts or mends the way between two addresses, both directions.
+  /// Partitions or reconnects two addresses, in both directions.
   void SetCut(const std::string& a, const std::string& b, bool cut);
   bool IsCut(const std::string& a, const std::string& b) const;
-  /// Loses so many of the next replies.
+  /// Drops the next `count` replies.
   void LoseReplies(int count) { lose_replies_ = count; }
-  bool TakeLostReply();
-  /// Holds up so many of the next placements, long past their time-out.
+  bool ConsumeLostReply();
+  /// Delays the next `count` placement requests far beyond their time-out.
   void DelayPlacements(int count) { delay_placements_ = count; }
-  bool TakeDelayedPlacement(const PeerRequest& request);
+  bool ConsumeDelayedPlacement(const PeerRequest& request);
   Node* Find(const std::string& address);
 
  private:
@@ -222,7 +222,7 @@
   int delay_placements_ = 0;
 };
 
-/// One instance's way to its peers.
+/// One instance's access to its peers.
 class FakePeers : public PeerNetwork {
  public:
   FakePeers(VirtualTime& time,
@@ -282,7 +282,7 @@
   int slots_in_use_ = 0;
 };
 
-/// What happened when, in all processes of a test, for failure messages.
+/// Timestamped events of all processes of a test, for failure messages.
 using Trace = std::vector<std::string>;
 
 /// Writes its lines to a trace.
--- a/src/fakes/mutate.h
+++ b/src/fakes/mutate.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// For tests: messages as another writer might leave them, made from good ones
-/// by a seeded generator.
+/// For tests: malformed messages, derived from valid ones by a seeded
+/// generator, as another writer might produce them.
 
 #ifndef DOORWOOD_FAKES_MUTATE_H_
 #define DOORWOOD_FAKES_MUTATE_H_
@@ -22,7 +22,8 @@
 
   size_t Below(size_t bound) { return bound == 0 ? 0 : random_() % bound; }
 
-  /// One to three changes to the text, or to the JSON that it is.
+  /// Applies one to three mutations to the bytes of `good` or, if it is JSON,
+  /// to its values.
   std::string Change(const std::string& good) {
     std::string text = good;
     const size_t changes = 1 + Below(3);
@@ -35,7 +36,7 @@
   }
 
  private:
-  // As text, since some have no form as a value.
+  // Returns JSON text, since some of these have no representation as `Json`.
   std::string OddValue() {
     static const std::array<std::string, 30> values = {
         "null",
@@ -72,13 +73,13 @@
     if (which < values.size()) {
       return values[which];
     }
-    constexpr size_t kDeep = 3000;
-    return std::string(kDeep, '[') + std::string(kDeep, ']');
+    constexpr size_t kNestingDepth = 3000;
+    return std::string(kNestingDepth, '[') + std::string(kNestingDepth, ']');
   }
 
-  // Puts an odd value where some value was, or takes it away, or adds one.
+  // Replaces a random value by an unusual one, or removes a field.
   std::string ChangeValue(const Json& json) {
-    static const std::string mark = "@odd@";
+    static const std::string placeholder = "@odd@";
     Json changed = json;
     Json* at = &changed;
     while (at->is_structured() && !at->empty() && Below(4) != 0) {
@@ -92,12 +93,12 @@
       at->erase(inner);
       return Write(changed);
     }
-    *at = mark;
+    *at = placeholder;
     std::string text = Write(changed);
-    const size_t place = text.find("\"" + mark + "\"");
+    const size_t place = text.find("\"" + placeholder + "\"");
     return place == std::string::npos
                ? text
-               : text.replace(place, mark.size() + 2, OddValue());
+               : text.replace(place, placeholder.size() + 2, OddValue());
   }
 
   static std::string Write(const Json& json) {
--- a/src/fakes/world.cpp
+++ b/src/fakes/world.cpp
@@ -89,7 +89,7 @@
 
 void World::Kill(const std::string& id) {
   At(id).executor->Kill();
-  graveyard_.push_back(std::move(entries_.at(id)));
+  killed_entries_.push_back(std::move(entries_.at(id)));
   entries_.erase(id);
 }
 
@@ -105,7 +105,7 @@
   }
 }
 
-void World::Unlist(const std::string& id) {
+void World::RemoveFromList(const std::string& id) {
   std::erase_if(list_, [&](const InstanceInfo& info) { return info.id == id; });
 }
 
@@ -116,13 +116,13 @@
 }
 
 bool World::RunUntil(Millis limit, const std::function<bool()>& condition) {
-  constexpr Millis kLook{20};
+  constexpr Millis kPollInterval{20};
   const Instant end = time_.now() + limit;
   while (time_.now() < end) {
     if (condition()) {
       return true;
     }
-    Run(kLook);
+    Run(kPollInterval);
   }
   return condition();
 }
@@ -187,8 +187,8 @@
     if (event.overcommitted) {
       violations_.push_back("overcommitted: " + event.worker + " by " + what);
     }
-    // A worker that has not been asked for long still has to notice the end
-    // of its leases before the comparison is fair.
+    // A worker model expires its leases only when it is called: update the
+    // others first, or a run whose lease has expired counts as running.
     for (auto& [name, model] : fleet_) {
       if (name != event.worker) {
         model->Tick(time_.millis());
--- a/src/fakes/world.h
+++ b/src/fakes/world.h
@@ -1,9 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Some entry instances and workers joined by the fakes, and the rules that
-/// must hold whatever happens to them. Not a simulator: it adds nothing to
-/// the fakes but names.
+/// Entry instances and workers connected by the fakes, and the invariants that
+/// must hold under all faults. It adds no simulation of its own to the fakes.
 
 #ifndef DOORWOOD_FAKES_WORLD_H_
 #define DOORWOOD_FAKES_WORLD_H_
@@ -28,7 +27,7 @@
 
 class World {
  public:
-  /// One entry instance and its ways to the outside.
+  /// One entry instance with its ports.
   struct Entry {
     std::string id;
     std::unique_ptr<FakeExecutor> executor;
@@ -44,32 +43,32 @@
 
   explicit World(const WorldOptions& options);
 
-  /// Starts an instance; again after `Kill` it is a new process.
+  /// Starts an instance; after `Kill`, as a new process.
   void Start(const std::string& id);
   void StartAll();
-  /// As SIGKILL.
+  /// Ends the process at once, like SIGKILL.
   void Kill(const std::string& id);
   void Freeze(const std::string& id) { At(id).executor->Freeze(); }
   void Thaw(const std::string& id) { At(id).executor->Thaw(); }
   void SetKvFault(Fault fault);
-  /// Sets how every instance's calls to one worker fare.
+  /// Sets the fault injected into all instances' calls to one worker.
   void SetWorkerFault(const std::string& worker, Fault fault);
-  /// Changes the platform's list.
-  void Unlist(const std::string& id);
+  /// Removes an instance or worker from the platform's list, or marks it as
+  /// leaving there.
+  void RemoveFromList(const std::string& id);
   void SetLeaving(const std::string& id);
 
   void Run(Millis duration) { time_.Run(duration); }
-  /// Runs until `condition` holds; false if it does not within `limit`.
+  /// Runs until `condition` holds; returns false if it does not within `limit`.
   bool RunUntil(Millis limit, const std::function<bool()>& condition);
 
-  /// Calls an operator's method through an instance and runs until it is
-  /// answered.
+  /// Calls an operator method at an instance and runs until it is answered.
   OperatorReply Operate(const std::string& id,
                         const std::string& method,
                         const Json& body);
-  /// Puts a configuration with member "museum" into force.
+  /// Applies a configuration with the member "museum".
   void Configure(const std::string& id);
-  /// Submits a manifest of `count` tasks; the job's id.
+  /// Submits a manifest of `count` tasks and returns the id of the job.
   std::string Submit(const std::string& id,
                      int count,
                      const std::string& payload,
@@ -86,15 +85,14 @@
 
   Trace& trace() { return trace_; }
 
-  /// Rules that were broken so far; empty if all is well. Known from the
-  /// workers alone.
+  /// Violations so far, derived from the events of the workers alone.
   const std::vector<std::string>& violations();
   const std::vector<standin::WorkerEvent>& events() const { return events_; }
-  /// Bodies of submissions that were refused.
+  /// Reply bodies of refused submissions.
   const std::vector<std::string>& refusals() const { return refusals_; }
   int Starts(const std::string& task_name) const;
   int Successes(const std::string& task_name) const;
-  /// The instance that the worker granted its lease to last.
+  /// The instance to which the worker last granted its lease.
   std::string HolderOf(const std::string& worker) const;
 
  private:
@@ -108,8 +106,8 @@
   FakeNetwork network_;
   std::vector<InstanceInfo> list_;
   std::map<std::string, std::unique_ptr<Entry>> entries_;
-  // Killed processes: their callbacks may still be queued.
-  std::vector<std::unique_ptr<Entry>> graveyard_;
+  // Killed processes are kept because their callbacks may still be queued.
+  std::vector<std::unique_ptr<Entry>> killed_entries_;
   uint64_t incarnation_ = 0;
   std::vector<standin::WorkerEvent> events_;
   std::map<TaskId, std::string> running_;
