--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-# A front for CMake; the logic is in src/cmake and src/build-scripts.
+# A wrapper of CMake; the logic is in src/cmake and src/build-scripts.
 
 BUILD_DIR ?= build
 BUILD_TYPE ?= RelWithDebInfo
--- a/src/build-scripts/bench.sh
+++ b/src/build-scripts/bench.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# Measures one entry instance against a bare forwarding hop and a direct call
-# in one run, and placement decisions. Rewrites docs/BENCHMARKS.md.
+# Measures one entry instance against a plain forwarding hop and a direct call
+# in one run, and measures placement decisions. Rewrites docs/BENCHMARKS.md.
 set -u
 cd "$(dirname "$0")/../.." || exit 1
 BIN="$PWD/${1:-build}/src"
@@ -31,7 +31,7 @@
     --connections "$connections" --requests 1000000 --seconds 3
 }
 
-# Three rounds of each, in turn; the median round by p50 counts.
+# Three alternating rounds of each; the round with the median p50 is reported.
 rows=()
 for connections in 1 32 60; do
   for round in 1 2 3; do
--- a/src/build-scripts/capacity.sh
+++ b/src/build-scripts/capacity.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# Measures what control costs at several sizes with small stand-ins, fits
+# Measures the cost of control at several sizes with small stand-ins, fits
 # slopes, and writes docs/capacity/tables.md, docs/capacity/points.tsv and the
 # graphs that docs/CAPACITY.md uses.
 # Usage: capacity.sh BUILD [SECONDS a point]
@@ -13,12 +13,12 @@
 points=$out/points.tsv
 printf 'series\tx\tcpu_percent\trss_mb\tworker_bytes\tpeer_bytes\tdirectory_bytes\tkv_bytes\tkv_reads\tkv_writes\n' >"$points"
 
-# cpu_ticks PID: processor time so far, in hundredths of a second.
+# cpu_ticks PID: prints the CPU time so far in hundredths of a second.
 cpu_ticks() {
   awk '{print $14 + $15}' "/proc/$1/stat"
 }
 
-# metric NAME TARGET: sum of a metric of one kind of call.
+# metric NAME TARGET: prints the sum of a metric over one kind of call.
 metric() {
   awk -v name="$1" -v to="to=\"$2\"" 'index($1, name "{") == 1 && index($0, to) {sum += $NF} END {printf "%.0f", sum}' "$WORK/metrics"
 }
@@ -33,7 +33,7 @@
   echo "$(cpu_ticks "${PID[$1]}") $(metric doorwood_call_bytes worker) $(metric doorwood_call_bytes peer) $(metric doorwood_call_bytes directory) $(metric doorwood_call_bytes kv) $(jq '[.read, .list, .watch] | map(. // 0) | add' "$WORK/stats") $(jq '[.write, .renew, .grant, .remove] | map(. // 0) | add' "$WORK/stats")"
 }
 
-# point SERIES X ENTRY: one row, measured over the window.
+# point SERIES X ENTRY: prints one row, measured over the window.
 point() {
   local before after rss
   before=$(snapshot "$3")
@@ -47,8 +47,8 @@
   tail -1 "$points"
 }
 
-# Each series runs in a process of its own, so that all of it ends with it.
-# A data centre of $2 instances and $1 workers.
+# Starts a data centre of $2 instances and $1 workers. Each series runs in a
+# separate subshell, so that all its processes end with it.
 cluster() {
   EXTRA_SETTINGS="${EXTRA:-}
 log_level: warn"
@@ -89,7 +89,7 @@
   done
 }
 
-# Jobs of ten short tasks, as many a second as asked.
+# Jobs of ten short tasks at given rates per second.
 series_starts() {
   cluster 16 1
   job_file short 10 run-ms=50
@@ -110,7 +110,7 @@
     before=$(jq -s '[.[] | select(.event == "start")] | length' "$WORK/workers.record")
     point starts "$((rate * 10))" plaka-1
     after=$(jq -s '[.[] | select(.event == "start")] | length' "$WORK/workers.record")
-    # What really started in the window is the x value.
+    # The x value is the rate of starts measured in the window.
     awk -F'\t' -v OFS='\t' -v x="$(awk -v a="$before" -v b="$after" -v w="$window" 'BEGIN {printf "%.1f", (b - a) / w}')" \
       '{lines[NR] = $0} END {for (i = 1; i < NR; i++) print lines[i]; $0 = lines[NR]; $2 = x; print}' "$points" >"$WORK/points"
     cp "$WORK/points" "$points"
@@ -118,7 +118,7 @@
   done
 }
 
-# Changes of the configuration, one every two seconds, of a size in KB.
+# Configuration changes of given sizes in KB, one every two seconds.
 series_config() {
   cluster 4 2
   local kb n
@@ -141,7 +141,7 @@
   done
 }
 
-# Small changes of the configuration, as many a minute as asked.
+# Small configuration changes at given rates per minute.
 series_changes() {
   cluster 4 2
   local rate
@@ -182,8 +182,8 @@
 (series_changes) || exit 1
 (series_members) || exit 1
 
-# slope SERIES COLUMN: least squares; prints slope, intercept and the largest
-# residual.
+# slope SERIES COLUMN: prints slope, intercept and the largest residual of a
+# least-squares fit.
 slope() {
   awk -F'\t' -v series="$1" -v col="$2" '
     $1 == series {n++; x[n] = $2; y[n] = $col; sx += $2; sy += $col; sxx += $2 * $2; sxy += $2 * $col}
--- a/src/build-scripts/compare-days.sh
+++ b/src/build-scripts/compare-days.sh
@@ -2,7 +2,7 @@
 # SPDX-License-Identifier: Apache-2.0
 # Plays the same days with the same seeds in two checkouts, several at a time,
 # and prints the paired differences of their worth with mean and spread, so
-# that a change within the noise is seen as that.
+# that a change within the noise is recognizable.
 #
 #   BENCH=PROGRAM compare-days.sh BEFORE AFTER SITE "DAY..." "SEED..." [OPTION...]
 #
@@ -20,7 +20,7 @@
 out=$(mktemp -d)
 trap 'rm -rf "$out"' EXIT
 
-# play DIR NAME DAY SEED [OPTION...]: keeps the day's line.
+# play DIR NAME DAY SEED [OPTION...]: plays one day and stores its result line.
 play() {
   local dir=$1 name=$2 day=$3 seed=$4
   shift 4
@@ -38,7 +38,7 @@
 done
 for day in $days; do
   for seed in $seeds; do
-    # No blank at the end: xargs would join such a line with the next one.
+    # No trailing blank: xargs would join such a line with the next one.
     echo "$before before $day $seed${*:+ $*}"
     echo "$after after $day $seed${*:+ $*}"
   done
--- a/src/build-scripts/demo.sh
+++ b/src/build-scripts/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# The main job on stand-ins: two entry instances, three workers, two backend
+# Demonstration on stand-ins: two entry instances, three workers, two backend
 # servers. A batch job and requests run while one entry instance is killed.
 set -u
 BIN="$(cd "${1:-build}/src" && pwd)"
--- a/src/build-scripts/install-packages.sh
+++ b/src/build-scripts/install-packages.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# Installs the Debian packages that building and testing need.
-# Does nothing where they are all there already.
+# Installs the Debian packages that the build and the tests need. Does nothing
+# if all of them are installed.
 set -euo pipefail
 
 packages=(
--- a/src/build-scripts/run-tests.sh
+++ b/src/build-scripts/run-tests.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# Runs every test: unit tests, then the sessions of whole programs under
+# Runs every test: unit tests, then the integration tests of whole programs under
 # testsuite/, whose output must equal their ref/out.txt. Tests listed in
 # KNOWN-RED.txt may fail; they are printed. Ends with "N passed, N failed".
 set -u
@@ -38,27 +38,28 @@
   record "$name" $? "$log/$name"
 done
 
-# Sessions are independent: each has its own ports and files. A few at a time.
-run_session() {
+# Integration tests are independent: each has its own ports and files. Up to
+# three run at a time.
+run_integration_test() {
   local name=$1
   PORT_BASE=$2 PORT_COUNT=1000 BIN="$PWD/$build/src" timeout 300 bash "testsuite/$name/run.sh" \
     >"$log/$name.out" 2>"$log/$name.err"
   echo $? >"$log/$name.code"
 }
-sessions=()
+integration_tests=()
 for folder in testsuite/*/; do
-  sessions+=("$(basename "$folder")")
+  integration_tests+=("$(basename "$folder")")
 done
 port_base=20000
-for name in "${sessions[@]}"; do
-  run_session "$name" "$port_base" &
+for name in "${integration_tests[@]}"; do
+  run_integration_test "$name" "$port_base" &
   port_base=$((port_base + 1000))
   while [ "$(jobs -rp | wc -l)" -ge 3 ]; do
     sleep 0.2
   done
 done
 wait
-for name in "${sessions[@]}"; do
+for name in "${integration_tests[@]}"; do
   code=$(cat "$log/$name.code")
   if [ "$code" -eq 0 ] && ! diff -u "testsuite/$name/ref/out.txt" "$log/$name.out" >>"$log/$name.err"; then
     code=1
--- a/src/build-scripts/soak.sh
+++ b/src/build-scripts/soak.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# Plays random faults on real processes: soak.sh BUILD SEEDS [FIRST]. So many
-# seeds from FIRST on, three at a time; prints a line for each, and what broke.
-# Logs of a seed that broke nothing are removed; the others' place is printed.
-# CELLD names another program to play, SECONDS_EACH how long each takes.
+# Injects random faults into real processes. Usage: soak.sh BUILD SEEDS [FIRST]
+# Runs SEEDS seeds from FIRST on, three at a time; prints a line and the
+# violations of each. Logs of a seed without violations are removed; the location
+# of the others is printed. CELLD names another program to run, SECONDS_EACH the
+# duration of the faults of each seed.
 set -u
 cd "$(dirname "$0")/../.."
 bin="$PWD/${1:-build}/src"
@@ -11,9 +12,9 @@
 first=${3:-1}
 celld=${CELLD:-$bin/doorwood-celld}
 folder=$(mktemp -d)
-at_once=3
+max_parallel=3
 
-play() {
+run_seed() {
   local seed=$1
   "$bin/doorwood-soak" --celld "$celld" --logs "$folder/$seed" --seed "$seed" \
     --seconds "${SECONDS_EACH:-40}" --block "$((seed % 250 + 1))" >"$folder/$seed.out" 2>&1
@@ -24,8 +25,8 @@
 }
 
 for ((seed = first; seed < first + seeds; seed++)); do
-  play "$seed" &
-  while [ "$(jobs -rp | wc -l)" -ge "$at_once" ]; do
+  run_seed "$seed" &
+  while [ "$(jobs -rp | wc -l)" -ge "$max_parallel" ]; do
     sleep 0.2
   done
 done
--- a/testsuite/bad-input/run.sh
+++ b/testsuite/bad-input/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# Bad input of every kind is refused with a sentence that says what to do.
+# Checks that invalid input of every kind is rejected with a helpful message.
 set -u
 . "$(dirname "$0")/../lib.sh"
 
--- a/testsuite/contract/run.sh
+++ b/testsuite/contract/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# The contract tests of the ports, against the real adapters and stand-ins.
+# Runs the contract tests of the ports against the real adapters and stand-ins.
 set -u
 . "$(dirname "$0")/../lib.sh"
 
--- a/testsuite/cut/run.sh
+++ b/testsuite/cut/run.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# Two data centres; one is cut off from the platform, then from the platform
+# Two data centres; one is partitioned from the platform, then from the platform
 # and the other data centre.
 set -u
 . "$(dirname "$0")/../lib.sh"
 DC_OF[kerameikos-1]=kerameikos
 DC_OF[kerameikos-2]=kerameikos
 
-# start_link NAME TARGET: a way that can be cut, between NAME and TARGET.
+# start_link NAME TARGET: starts a relay to TARGET that can be cut.
 start_link() {
   PORT[$1]=$(free_port)
   start_standin "$1.way" link --control "127.0.0.1:${PORT[$1]}" --target "127.0.0.1:$2"
@@ -18,8 +18,8 @@
 add_worker w1 plaka r1 --cpu-millis 8000 --memory-mib 16384
 add_entry plaka-1 plaka
 add_backend b1 plaka w1 listening-stream 4
-# Kerameikos reaches the platform and Plaka by ways that can be cut, and is
-# reached from Plaka by one.
+# Kerameikos reaches the platform and Plaka through relays that can be cut, and
+# Plaka reaches Kerameikos through another.
 start_link way-kv "${PORT[kv]}"
 start_link way-list "${PORT[instances]}"
 add_worker w2 kerameikos r2 --cpu-millis 8000 --memory-mib 16384
@@ -29,13 +29,13 @@
 for entry in kerameikos-1 kerameikos-2; do
   sed -i "s/^kv: .*/kv: 127.0.0.1:${PORT[way-kv.way]}/; s/^directory: .*/directory: 127.0.0.1:${PORT[way-list.way]}/" "$WORK/$entry.yaml"
 done
-# Every address of another data centre in the list is a way, so that cutting
-# it cuts both directions.
+# Every address of another data centre in the list is that of a relay, so that
+# cutting the relays cuts both directions.
 for entry in plaka-1 kerameikos-1 kerameikos-2; do
   start_link "way-$entry" "${PORT[$entry.peer]}"
 done
 start_list
-# Inside Kerameikos the peers use their own addresses through their own list.
+# Within Kerameikos the peers use their direct addresses from a separate list.
 sed "s/:${PORT[plaka-1.peer]}\"/:${PORT[way-plaka-1.way]}\"/" "$WORK/instances.json" >"$WORK/kerameikos.json"
 sed -i "s/:${PORT[kerameikos-1.peer]}\"/:${PORT[way-kerameikos-1.way]}\"/; s/:${PORT[kerameikos-2.peer]}\"/:${PORT[way-kerameikos-2.way]}\"/" "$WORK/instances.json"
 kill -TERM "${PID[instances]}"
--- a/testsuite/freeze/run.sh
+++ b/testsuite/freeze/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# Each instance is paused past every lease and then goes on.
+# Each instance is paused for longer than every lease and then resumes.
 set -u
 . "$(dirname "$0")/../lib.sh"
 
--- a/testsuite/lib.sh
+++ b/testsuite/lib.sh
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: Apache-2.0
 # shellcheck shell=bash
-# Functions for sessions of separate processes: the stand-ins and the entry
+# Functions for tests with separate processes: the stand-ins and the entry
 # instances. Sourced by the demo, the benchmarks and testsuite/*/run.sh.
-# Everything runs on 127.0.0.1, and ends with the script that started it.
+# All processes run on 127.0.0.1 and end with the script that started them.
 
 BIN="${BIN:?set BIN to the folder with the programs}"
 WORK="$(mktemp -d)"
@@ -12,7 +12,7 @@
 OPERATOR_TOKEN=operator-token-of-this-session
 PEER_TOKEN=peer-token-of-this-session
 export DOORWOOD_TOKEN=$OPERATOR_TOKEN
-# Added to the settings of every entry instance.
+# Appended to the settings of every entry instance.
 EXTRA_SETTINGS="${EXTRA_SETTINGS:-}"
 
 cleanup() {
@@ -50,8 +50,8 @@
   exit 1
 }
 
-# A port that nothing listens on, below the range that the system hands out.
-# Sessions that run side by side have ranges of their own (PORT_BASE).
+# Prints a port that nothing listens on, below the ephemeral port range.
+# Tests that run concurrently have separate ranges (PORT_BASE).
 free_port() {
   local port
   while :; do
@@ -64,8 +64,8 @@
   done
 }
 
-# start_standin NAME ROLE [ARG ...]: starts one, on a port of its own, and
-# waits until it listens.
+# start_standin NAME ROLE [ARG ...]: starts a stand-in on a free port and waits
+# until it listens.
 start_standin() {
   local name=$1 role=$2 tries
   shift 2
@@ -118,13 +118,13 @@
 EOF
 }
 
-# begin: the key-value service and the port of the instance list.
+# begin: starts the key-value store and reserves the port of the instance list.
 begin() {
   start_standin kv kv --record "$WORK/kv.record"
   PORT[instances]=$(free_port)
 }
 
-# start_list: starts the list with everything added so far.
+# start_list: starts the instance list with everything added so far.
 start_list() {
   local IFS=,
   echo "[${INSTANCE_LINES[*]}]" >"$WORK/instances.json"
@@ -138,8 +138,8 @@
   STARTED+=("$name")
 }
 
-# start_plaka WORKERS: starts the list and the entry instances plaka-1 and
-# plaka-2, and waits until all workers are held and all shards owned.
+# start_plaka WORKERS: starts the instance list and the entry instances plaka-1
+# and plaka-2, and waits until they hold all workers and own all shards.
 start_plaka() {
   add_entry plaka-1 plaka
   add_entry plaka-2 plaka
@@ -150,7 +150,8 @@
   within 30 shards_owned plaka-1 8 || fail "shards not owned"
 }
 
-# within SECONDS COMMAND...: repeats until it succeeds.
+# within SECONDS COMMAND...: repeats the command until it succeeds; fails after
+# SECONDS.
 within() {
   local end=$((SECONDS + $1))
   shift
@@ -170,8 +171,8 @@
   curl -fs -m 2 "http://127.0.0.1:${PORT[$1]}/readyz"
 }
 
-# workers_held NAME COUNT: true if the data centre's instances, asked through
-# NAME, hold COUNT workers.
+# workers_held NAME COUNT: succeeds if the instances of the data centre of NAME
+# hold COUNT workers, as NAME reports.
 workers_held() {
   local held
   held=$(cli "$1" --output json worker list 2>/dev/null |
@@ -179,7 +180,7 @@
   [ "$held" = "$2" ]
 }
 
-# shards_owned NAME COUNT: the same for job shards of NAME's data centre.
+# shards_owned NAME COUNT: the same for the job shards of that data centre.
 shards_owned() {
   local owned
   owned=$(cli "$1" --output json status 2>/dev/null |
@@ -189,7 +190,7 @@
 }
 declare -gA DC_OF
 
-# fault NAME JSON: switches a stand-in's faults.
+# fault NAME JSON: sets the faults of a stand-in.
 fault() {
   curl -fs -m 5 -X POST -d "$2" "http://127.0.0.1:${PORT[$1]}/fault" >/dev/null
 }
@@ -198,10 +199,10 @@
   curl -fs -m 5 -X POST -d "$1" "http://127.0.0.1:${PORT[instances]}/instances/change" >/dev/null
 }
 
-# --- What really happened, from the stand-ins' records ------------------------
+# --- Checks of what happened, from the stand-ins' records ---------------------
 
-# Tasks that ran in two places at once; nothing if all is well. An attempt
-# without an end in the record died with its worker's process and is left out.
+# Prints the tasks that ran twice at the same time. An attempt without an end
+# in the record ended with the process of its worker and is not considered.
 double_runs() {
   jq -s -r '
     [.[] | select(.event == "start" or .event == "end")]
@@ -224,7 +225,7 @@
   jq -s '[.[] | select(.event == "start" and .overcommitted)] | length' "$WORK/workers.record"
 }
 
-# How often a task ended well on a worker.
+# Prints how often a task succeeded.
 successes() {
   jq -s --arg task "$1" '[.[] | select(.event == "end" and .task == $task and .how == "succeeded")] | length' "$WORK/workers.record"
 }
@@ -235,8 +236,8 @@
 
 # --- Requests -------------------------------------------------------------------
 
-# start_load NAME TARGETS ARG...: load in the background; its figures are in
-# $WORK/NAME.json and its requests in $WORK/NAME.requests.
+# start_load NAME TARGETS ARG...: generates load in the background; the results
+# are written to $WORK/NAME.json, the requests to $WORK/NAME.requests.
 start_load() {
   local name=$1 targets=$2
   shift 2
@@ -246,21 +247,21 @@
   STARTED+=("$name")
 }
 
-# Requests of a load that were told "not run" and did run; 0 if all is well.
+# Prints how many requests of a load were answered "not run" although they ran.
 false_not_run() {
   jq -r 'select(.outcome == "not_run") | .request' "$WORK/$1.requests" | sort >"$WORK/told"
   jq -r 'select(.event == "run") | .request' "$WORK/backends.record" | sort >"$WORK/ran"
   comm -12 "$WORK/told" "$WORK/ran" | wc -l
 }
 
-# Requests of a load that ran more than once.
+# Prints how many requests of a load ran more than once.
 duplicates_of() {
   jq -r .request "$WORK/$1.requests" | sort -u >"$WORK/asked"
   jq -r 'select(.event == "run") | .request' "$WORK/backends.record" | sort | uniq -d >"$WORK/twice"
   comm -12 "$WORK/asked" "$WORK/twice" | wc -l
 }
 
-# Highest number of requests that ran on one backend server at a time.
+# Prints the highest number of concurrent requests on one backend server.
 most_at_once() {
   jq -s 'group_by(.backend) | map(reduce .[] as $e ({now: 0, most: 0};
       if $e.event == "run" then .now += 1 | .most = ([.most, .now] | max)
@@ -271,13 +272,14 @@
   jq ".$2" "$WORK/$1.json"
 }
 
-# figure NAME VALUE ...: one line for docs/PROOFS.md when FIGURES names a file.
+# figure NAME VALUE ...: appends a line for docs/PROOFS.md if FIGURES names a
+# file.
 figure() {
   [ -n "${FIGURES:-}" ] && echo "$*" >>"$FIGURES"
   return 0
 }
 
-# Seconds since the epoch with a fraction, for recovery times.
+# Prints seconds since the Unix epoch with a fraction, for recovery times.
 now() {
   date +%s.%N
 }
@@ -286,7 +288,7 @@
   awk -v a="$1" -v b="$(now)" 'BEGIN {printf "%.1f", b - a}'
 }
 
-# A running data centre: apply_config NAME puts services and members in force.
+# apply_config NAME: applies a configuration of services and members.
 apply_config() {
   cat >"$WORK/config.yaml" <<'EOF'
 services:
@@ -312,8 +314,8 @@
 EOF
 }
 
-# submit ENTRY NAME: submits $WORK/NAME.yaml, asking again with the same id as
-# long as the answer is "not done" or "unknown".
+# submit ENTRY NAME: submits $WORK/NAME.yaml and repeats with the same id while
+# the answer is "not done" or "unknown".
 submit() {
   local token="$2-$RANDOM" end=$((SECONDS + 40)) id
   while [ "$SECONDS" -lt "$end" ]; do
@@ -326,7 +328,7 @@
   return 1
 }
 
-# Tasks of a job that were started more than once.
+# Prints how many tasks of a job were started more than once.
 started_twice() {
   jq -r --arg job "$1/" 'select(.event == "start" and (.task | startswith($job))) | .task' \
     "$WORK/workers.record" | sort | uniq -d | wc -l
--- a/testsuite/path/run.sh
+++ b/testsuite/path/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# The whole path: a configuration, a job, requests, with separate processes.
+# End-to-end test with separate processes: a configuration, a job, requests.
 set -u
 . "$(dirname "$0")/../lib.sh"
 
@@ -31,7 +31,7 @@
   {"name": "render", "count": 3, "size": {"cpu_millis": 1000, "memory_mib": 512}, "payload": "run-ms=300"}]}
 EOF
 cli plaka-2 submit -f "$WORK/job.json" --id-token first --wait --for 60 | sed 's/plaka\.[0-9]*\./plaka.N./'
-# The same id again is the same job.
+# A repeated submission with the same id yields the same job.
 job=$(cli plaka-1 submit -f "$WORK/job.json" --id-token first)
 cli plaka-1 job show "$job" | tail -3 | awk '{print $1, $2, $3}'
 cli plaka-1 job list | awk 'NR > 1 {print $2, $3, $4}'
@@ -45,21 +45,22 @@
   echo
 done
 curl -s -m 5 -o /dev/null -w '%{http_code}\n' "http://127.0.0.1:${PORT[plaka-1]}/svc/nothing/next"
-# An answer that breaks off is never handed on: what may be repeated is asked
-# again, what may not is told as unknown.
+# A truncated answer is never forwarded: a repeatable request is retried, another
+# is answered as unknown.
 fault b1 '{"cut": 1}'
 curl -s -m 5 -X POST -H 'X-Request-Id: cut-1' -D - -d x "http://127.0.0.1:${PORT[plaka-1]}/svc/listening-stream/next" | tr -d '\r' | grep -E '^(HTTP|X-Doorwood-Outcome)'
 fault b1 '{"cut": 1}'
 curl -s -m 5 -H 'X-Request-Id: cut-2' "http://127.0.0.1:${PORT[plaka-1]}/svc/listening-stream/next"
 echo
-# A key runs once, also through the other instance.
+# Requests with the same idempotency key run once, also through the other
+# instance.
 for entry in plaka-1 plaka-2; do
   curl -s -m 5 -o /dev/null -w '%{http_code}\n' -X POST -H 'Idempotency-Key: tour-7' -d build "http://127.0.0.1:${PORT[$entry]}/svc/listening-stream/build"
 done
 cli plaka-1 report burn | awk 'NR == 1 || $2 == 5 {print $1, $2, $3, $4}'
 curl -fs -m 5 "http://127.0.0.1:${PORT[plaka-1]}/metrics" | grep -c '^doorwood_' | awk '{print ($1 > 20) ? "metrics are shown" : "metrics are missing"}'
 
-# A planned stop: exit code 0 after a request in progress is answered.
+# A planned shutdown answers the requests in progress and exits with code 0.
 curl -s -m 10 "http://127.0.0.1:${PORT[plaka-1]}/svc/listening-stream/slow?ms=2500" -H 'X-Request-Id: slow' >"$WORK/slow.out" &
 slow=$!
 sleep 0.5
--- a/testsuite/platform-bad-input/run.sh
+++ b/testsuite/platform-bad-input/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# What is malformed is refused with a sentence, and nothing of it is kept.
+# Malformed input is rejected with a message, and none of it is stored.
 set -u
 here=$(dirname "$0")
 . "$here/../lib.sh"
@@ -28,7 +28,8 @@
 printf 'nonsense\r\n\r\n' | timeout 5 bash -c "exec 3<>/dev/tcp/127.0.0.1/${PORT[a1-front]}; cat >&3; head -1 <&3" | tr -d '\r'
 is_ready a1 && echo "still ready"
 
-# What another writer leaves in the store ends nothing and names no worker.
+# Invalid entries of other writers in the store stop no process and are not used
+# as workers.
 put() {
   local value
   value=$(printf '%s' "$2" | base64 -w0)
--- a/testsuite/platform-job/run.sh
+++ b/testsuite/platform-job/run.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
 # Jobs through platform/ with separate processes: one that completes, one that
-# fails, one that is cancelled, and one that goes on after its leader's death.
+# fails, one that is cancelled, and one that continues after its leader is
+# killed.
 set -u
 here=$(dirname "$0")
 . "$here/../lib.sh"
--- a/testsuite/platform-lib.sh
+++ b/testsuite/platform-lib.sh
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
 # shellcheck shell=bash
-# Functions for sessions of entry instances on the platform's stand-in.
-# Sourced after lib.sh, which ends what is started here.
+# Functions for tests of entry instances on the platform's stand-in. Sourced
+# after lib.sh, which stops the processes that are started here.
 
-# start_platform WORKERS CONFIG: the store and so many workers.
+# start_platform WORKERS CONFIG: starts the store and WORKERS workers.
 start_platform() {
   local args=() n
   PORT[store]=$(free_port)
@@ -18,7 +18,7 @@
   until_true grep -q '^listening' "$WORK/standin.out"
 }
 
-# until_true COMMAND...: at most 20 s.
+# until_true COMMAND...: repeats the command until it succeeds, for up to 20 s.
 until_true() {
   local tries
   for ((tries = 0; tries < 200; tries++)); do
@@ -46,7 +46,7 @@
   run_entry "$name"
 }
 
-# run_entry NAME: also to start it again.
+# run_entry NAME: starts or restarts the process of an entry instance.
 run_entry() {
   "$BIN/doorwood-celld" --settings "$WORK/$1.yaml" >>"$WORK/$1.log" 2>&1 &
   PID[$1]=$!
@@ -57,7 +57,7 @@
   [ "$(curl -s -o /dev/null -w '%{http_code}' "http://127.0.0.1:${PORT[$1-ready]}/ready")" = 200 ]
 }
 
-# call NAME METHOD PATH [BODY]: status and body of a requester's call.
+# call NAME METHOD PATH [BODY]: prints status and body of a request.
 call() {
   curl -s -X "$2" -H 'Host: queue.example' ${4:+--data-binary "$4"} \
     -w ' %{http_code}\n' "http://127.0.0.1:${PORT[$1-front]}$3"
--- a/testsuite/restarts/run.sh
+++ b/testsuite/restarts/run.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# Kills and planned restarts of every instance and a worker, under load.
+# Kills and planned restarts of every instance, and the kill of a worker, under
+# load.
 set -u
 . "$(dirname "$0")/../lib.sh"
 
@@ -37,7 +38,7 @@
 done
 wait "${PID[again]}" "${PID[keyed]}"
 
-# Planned restarts, one after another, as an operator's tool does it.
+# Planned restarts one after another, as an operator's tool performs them.
 start_load planned "$targets" --prefix /svc/listening-stream --connections 4 --requests 100000 --seconds 14 --pause-ms 5 --run-ms 30 --once
 sleep 1
 for leaver in plaka-1 plaka-2; do
@@ -52,7 +53,7 @@
 done
 wait "${PID[planned]}"
 
-# A worker dies with what runs there.
+# A worker is killed together with the tasks that it runs.
 job_file short 6 run-ms=3000
 short=$(submit plaka-1 short) || fail "submit"
 sleep 1
--- a/testsuite/soak/run.sh
+++ b/testsuite/soak/run.sh
@@ -1,17 +1,17 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# Entry instances as real processes: a leader's data centre that regains the
-# store before its workers, twice, a few seconds of random faults, planned stops
-# one after the other, workers replaced one by one while the leader is killed, and
-# jobs whose tasks take their workers down.
-# All are played side by side, on addresses of their own.
+# Runs entry instances as real processes under faults: twice, a leader's data
+# centre that is partitioned and reaches the store again before its workers;
+# random faults for a few seconds; successive planned stops; workers replaced one
+# by one while the leader is killed; and jobs whose tasks crash their workers.
+# All run concurrently on separate addresses.
 set -u
 here=$(dirname "$0")
 . "$here/../lib.sh"
-# Third numbers of addresses, from this session's range of ports.
+# Third octets of the addresses, derived from the port range of this test.
 block=$((${PORT_BASE:-20000} / 1000 % 40 * 6 + 1))
 
-# play NAME BLOCK ARG...
+# play NAME BLOCK ARG...: starts a soak in the background.
 play() {
   local name=$1 block=$2
   shift 2
--- a/testsuite/stop-while-starting/run.sh
+++ b/testsuite/stop-while-starting/run.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# A signal that comes before the process is ready for it is heeded, not fatal.
+# A signal that arrives during start-up is handled once the process is ready; it
+# does not kill the process.
 set -u
 here=$(dirname "$0")
 . "$here/../lib.sh"
@@ -10,7 +11,7 @@
 start_entry a1 plaka
 until_true is_ready a1
 
-# Settings that come through a pipe hold the start up for as long as is wanted.
+# Settings that are read from a named pipe delay the start-up as long as needed.
 for part in front ready peer metrics; do
   sed -i "s#^$part:.*#$part: 127.0.0.1:$(free_port)#" "$WORK/a1.yaml"
 done
@@ -28,7 +29,8 @@
   grep -q doorwood-celld "/proc/${PID[a2]}/comm"
 }
 
-# stop_early SIGNAL...: how a process ends that gets them before its settings.
+# stop_early SIGNAL...: prints the exit code of a process that receives the
+# signals before its settings.
 stop_early() {
   local signal
   rm -f "$WORK/a2.yaml"
--- a/testsuite/store-outage/run.sh
+++ b/testsuite/store-outage/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# The key-value service is down for longer than every lease, slow, and loses
+# The key-value store is down for longer than every lease, is slow, and loses
 # answers after the effect; operators race.
 set -u
 . "$(dirname "$0")/../lib.sh"
@@ -26,7 +26,8 @@
 echo "submit: exit $?"
 cli plaka-2 apply -f "$WORK/config.yaml" >/dev/null 2>&1
 echo "apply: exit $?"
-# An instance that starts while the store is down takes its peers' revision.
+# An instance that starts while the store is down adopts the configuration
+# revision of its peers.
 kill -KILL "${PID[plaka-2]}"
 wait "${PID[plaka-2]}" 2>/dev/null
 start_entry plaka-2
@@ -58,7 +59,8 @@
 cli plaka-1 apply -f "$WORK/next.yaml" --operation lost-1 >/dev/null 2>&1
 code=$?
 if [ "$code" -ne 0 ]; then
-  # Another write lost its answer instead, or the outcome was told as unknown.
+  # The answer of another write was lost instead, or the outcome was reported as
+  # unknown.
   cli plaka-1 apply -f "$WORK/next.yaml" --operation lost-1 >/dev/null 2>&1
 fi
 cli plaka-1 --output json config history | jq -r '[.[] | select(.operation == "lost-1")] | "revisions made by the change: \(length)"'
