--- a/src/celld/entry_daemon.cpp
+++ b/src/celld/entry_daemon.cpp
@@ -218,7 +218,7 @@
   stopping_since_ = executor_.Now();
   front_server_.Drain();
   live_.AnnounceLeaving();
-  cell_.Leave([this] { lead_released_ = true; });
+  cell_.ShutDown([this] { lead_released_ = true; });
   FinishWhenIdle();
 }
 
@@ -246,7 +246,7 @@
   if (!cell_.leading()) {
     return 0;
   }
-  const auto ago = executor_.Now() - cell_.proof().stood_at();
+  const auto ago = executor_.Now() - cell_.proof().confirmed_at();
   return std::chrono::duration_cast<Millis>(ago).count();
 }
 
--- a/src/fakes/cell_world_ports.cpp
+++ b/src/fakes/cell_world_ports.cpp
@@ -302,7 +302,7 @@
         found != world_.instances().end() && found->second->alive &&
         !found->second->executor->frozen() && Reaches(*found->second);
     const auto age =
-        there ? found->second->cell->StoreHeardAgo(world_.time().now())
+        there ? found->second->cell->TimeSinceStoreAnswer(world_.time().now())
               : std::nullopt;
     const std::error_code error =
         age ? std::error_code() : make_error_code(PeerErrc::kNotSent);
@@ -331,7 +331,7 @@
     }
     WorldInstance* other = found->second;
     other->executor->Deliver(
-        kWorkerDelay, [other, epoch] { other->cell->OnHandedOver(epoch); });
+        kWorkerDelay, [other, epoch] { other->cell->OnLeadHandedOver(epoch); });
   }
 
  private:
--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -101,21 +101,21 @@
   void Start();
   /// Planned shutdown: records pending changes, releases the lead, then runs
   /// `done`.
-  void Leave(std::function<void()> done);
+  void ShutDown(std::function<void()> done);
 
   void OnQueueTable(std::shared_ptr<const QueueTable> table);
   /// Called when instances, leads or the lease of this instance have changed.
   void OnLiveChange();
   /// Called when the leader of that epoch has stepped down but cannot remove
   /// its key from the store. Removes the key in its place.
-  void OnHandedOver(int64_t epoch);
+  void OnLeadHandedOver(int64_t epoch);
 
   bool leading() const { return stage_ == Stage::kLeading; }
   /// Time since the store last answered this instance. A leader that cannot
   /// reach the store asks for this, since it may continue only while no other
   /// instance can take over. Empty if this instance cannot reach the store but
   /// leads or campaigns, so that it is not counted as unable to lead.
-  std::optional<Millis> StoreHeardAgo(Instant now) const;
+  std::optional<Millis> TimeSinceStoreAnswer(Instant now) const;
   /// Agrees that a leader which cannot reach the store starts long-running
   /// tasks without recording their placement. Returns false if this instance
   /// can reach the store, leads or campaigns.
@@ -171,66 +171,67 @@
   Occupancy EmptyWorker(const std::string& worker) override;
 
  private:
-  enum class Stage { kStandby, kCampaigning, kReading, kLeading, kLeft };
-  /// Value of `Member::noted_version` that matches no version of a session.
-  static constexpr uint64_t kNeverNoted = std::numeric_limits<uint64_t>::max();
+  enum class Stage { kStandby, kCampaigning, kReading, kLeading, kShutDown };
+  /// Value of `Member::submitted_version` that matches no version of a session.
+  static constexpr uint64_t kNeverSubmitted =
+      std::numeric_limits<uint64_t>::max();
 
   /// The leader's state for one worker of the cell.
-  struct Member {
+  struct CellWorker {
     std::shared_ptr<WorkerSession> session;
     /// The worker's record as last passed to the journal for the workers' key.
     /// An empty address: not passed yet.
-    KnownWorker noted;
+    KnownWorker submitted_record;
     /// The worker's address under the workers' key in the store. Empty: the key
     /// does not name the worker.
-    std::optional<std::string> recorded_at;
+    std::optional<std::string> recorded_address;
     /// Whether the directory lists the worker, and since when it does not.
     bool listed = false;
     Instant unlisted_since{};
     /// The directory entry is unreadable or contradicts this incarnation, so
     /// another process wrote it. The worker gets no new work; its runs
     /// continue.
-    bool doubted = false;
+    bool entry_rejected = false;
     /// Closed to new work until then, because its machine is being emptied for
     /// upkeep. Extended while that continues.
-    Instant emptied_until{};
+    Instant evacuated_until{};
     /// Known from the record of an earlier leader. Its runs have to be
     /// accounted for before any task is started that may still run there.
     bool from_takeover = false;
     /// Time that earlier leaders already waited for the worker without contact.
-    Millis unheard_before{0};
+    Millis predecessors_waited{0};
     /// Tasks that may run there according to an earlier leader's record. Empty
     /// optional: any task may.
-    std::optional<std::vector<std::string>> tasks_before;
+    std::optional<std::vector<std::string>> inherited_tasks;
     /// The record in the store may state that the worker is not in contact. No
     /// lease is extended there until a newer record states otherwise, because a
     /// successor relies on it.
-    bool told_unheard = false;
-    /// Whether the worker got no new work when `noted` was passed to the
-    /// journal, and the session's version of its task list at that time.
-    bool noted_closed = false;
-    uint64_t noted_version = kNeverNoted;
+    bool renewals_blocked = false;
+    /// Whether the worker got no new work when `submitted_record` was passed to
+    /// the journal, and the session's version of its task list at that time.
+    bool submitted_as_closed = false;
+    uint64_t submitted_version = kNeverSubmitted;
     /// The record in the store may list all tasks that may run there. Nothing
     /// is started there until a newer record has no such list, because a
     /// successor relies on it.
-    bool told_tasks = false;
+    bool starts_blocked = false;
     /// The incarnation is proven to have ended, and the unconfirmed crash notes
     /// for it have been confirmed.
-    bool death_noted = false;
+    bool death_processed = false;
     /// The worker is in contact again, and a record that says so is pending.
-    bool heard_recorded = false;
+    bool contact_record_pending = false;
     /// Gets no new work until then, after it refused a start.
-    Instant rests_until{};
+    Instant backoff_until{};
     /// Free capacity as last computed for placement, the session's version it
     /// was computed from, and when.
-    WorkerRoom room;
-    uint64_t room_version = 0;
-    Instant room_at{};
+    WorkerRoom candidate;
+    uint64_t candidate_version = 0;
+    Instant candidate_at{};
   };
   /// Name of a task, and the note of a crash under it.
-  using CrashOfRun = std::pair<std::string, CrashNote>;
+  using TaskCrashNote = std::pair<std::string, CrashNote>;
   /// A caller that waits for a cancellation to be recorded.
-  struct CancelWait {
+  struct PendingCancel {
     CancelCallback done;
     Instant until{};
   };
@@ -249,10 +250,10 @@
   void ScheduleCampaign();
   void Campaign();
   /// Earliest time at which this instance may campaign for a vacant lead.
-  Instant CampaignTurn() const;
+  Instant EarliestCampaignTime() const;
   bool MayCampaign() const;
-  bool IsOfCell(std::string_view data_centre) const;
-  void OnWon(int64_t epoch);
+  bool BelongsToCell(std::string_view data_centre) const;
+  void OnCampaignWon(int64_t epoch);
   void ReadRecords();
   void Restore(const StoreItems& items);
   /// Returns the number of open jobs.
@@ -268,74 +269,76 @@
   /// In the last phase of a planned shutdown: no task is started and no call is
   /// taken.
   bool IsHandingOver() const;
-  void GiveUpKey();
-  void Resign(const LiveInstance& successor);
+  void ReleaseLeadKey();
+  void HandOverLead(const LiveInstance& successor);
   void ReadWorkers();
-  void ReadClosed();
-  void OnClosed(std::set<std::string> closed);
-  bool IsClosed(const Member& member) const;
+  void ReadClosedDataCentres();
+  void OnClosedDataCentres(std::set<std::string> closed);
+  bool IsInClosedDataCentre(const CellWorker& cell_worker) const;
   /// Whether the queue's service has workers, all of them in closed data
   /// centres.
-  bool IsClosedEverywhere(const std::string& queue) const;
+  bool AreAllWorkersClosed(const std::string& queue) const;
   void OnWorkers(std::vector<WorkerLife> lives);
   /// Applies a directory entry to a known worker, unless the entry is
   /// unreadable or contradicts what is known of this incarnation.
-  void TakeEntry(const WorkerLife& life, Member* member);
+  void ApplyDirectoryEntry(const WorkerLife& life, CellWorker* cell_worker);
   /// Whether a worker that is not known yet may be added to the cell.
-  bool MayJoin(const WorkerLife& life);
-  bool IsNamedService(const std::string& service) const;
-  /// Removes from `over_` what is no longer listed.
-  void ForgetOver(const std::vector<WorkerLife>& lives);
-  void NoteUnlisted();
-  void AddMember(const WorkerLife& life, bool from_takeover);
-  void DropMembers();
+  bool MayAddWorker(const WorkerLife& life);
+  bool IsServiceOfAnyQueue(const std::string& service) const;
+  /// Removes from `listed_dead_workers_` what is no longer listed.
+  void ForgetUnlistedDeadWorkers(const std::vector<WorkerLife>& lives);
+  void MarkUnlistedWorkers();
+  void AddWorker(const WorkerLife& life, bool from_takeover);
+  void RemoveGoneWorkers();
   // cell_member_records.cpp: records of workers for a successor.
   /// Whether the workers' key in the store has the worker with its current
   /// address. Required before the worker gets any work.
-  static bool IsRecorded(const Member& member);
+  static bool IsAddressRecorded(const CellWorker& cell_worker);
   /// Not yet contacted: during a takeover, a worker of an earlier leader that
   /// has not answered this one. This leader has extended no lease there.
-  bool IsUnheard(const Member& member) const;
+  bool IsUncontacted(const CellWorker& cell_worker) const;
   /// Unresponsive, after it was in contact, for most of its runs' lease.
-  bool IsLongSilent(const Member& member) const;
+  bool IsLongUnresponsive(const CellWorker& cell_worker) const;
   /// How long no leader has extended a lease there; zero: in contact.
-  Millis UnheardFor(const Member& member) const;
-  Millis LedFor() const;
-  void RecordUnheard();
-  std::vector<KnownWorker> DescribeMembers() const;
-  void RecordMembers();
+  Millis TimeWithoutRenewal(const CellWorker& cell_worker) const;
+  Millis TimeLeading() const;
+  void RecordUnreachableWorkers();
+  std::vector<KnownWorker> BuildWorkerRecords() const;
+  void RecordWorkers();
   /// Tasks that may run there, or whose end there is not recorded. Empty
   /// optional: any task may run there or be started there.
   std::optional<std::vector<std::string>> TasksToRecord(
-      const Member& member) const;
+      const CellWorker& cell_worker) const;
   /// Whether the worker gets no new work: it is leaving, has left, was never in
   /// contact or is unresponsive for long. One that has left stays closed until
   /// it is listed again. Not meant for workers that are not yet contacted after
   /// a takeover.
-  bool GetsNothingNew(const Member& member) const;
-  bool HasNewsToRecord(const Member& member) const;
+  bool GetsNoNewWork(const CellWorker& cell_worker) const;
+  bool HasUnrecordedTaskChanges(const CellWorker& cell_worker) const;
   /// Records changed task lists of workers that get no new work.
-  void RecordTasks();
+  void RecordTasksOfClosedWorkers();
   /// Time until which orders may be sent and leases extended.
-  Instant OrdersUntil() const;
-  /// Extends `orders_until_` by what is known of the lead key, or by the other
-  /// instances' answers that none of them can lead. Those answers count only
-  /// before the current deadline. Once it has passed, another instance may have
-  /// led, and only the lead key proves the lead.
-  void RenewOrders();
-  bool MayOrder() const;
-  /// Whether the lead key was confirmed within `CellOptions::sure_for`.
-  bool IsSure() const;
+  Instant OrderDeadline() const;
+  /// Extends `order_deadline_` by what is known of the lead key, or by the
+  /// other instances' answers that none of them can lead. Those answers count
+  /// only before the current deadline. Once it has passed, another instance may
+  /// have led, and only the lead key proves the lead.
+  void ExtendOrderDeadline();
+  bool MaySendOrders() const;
+  /// Whether the lead key was confirmed within
+  /// `CellOptions::lead_confirmed_for`.
+  bool IsLeadConfirmed() const;
   /// Sets until when the worker's session may extend leases, and until when
   /// this instance provably led.
-  void TellSession(const Member& member, Instant orders_until) const;
-  Millis WatchingWait() const;
+  void UpdateSessionLimits(const CellWorker& cell_worker,
+                           Instant orders_until) const;
+  Millis InterferencePollWait() const;
   void Tick();
   void ForgetOldJobs();
-  void AnswerCancels();
-  bool HasRoomToLast(const JobPlan& plan);
+  void ExpireCancels();
+  bool HasLongRunningCapacity(const JobPlan& plan);
   CellSummary Summarize() const;
-  LastingRoom& LastingRoomOf(const std::string& service);
+  LastingRoom& LongRunningAdmissionOf(const std::string& service);
   /// Updates the model of each service's capacity for long-running tasks with
   /// the current load of other work.
   void ObserveLoads();
@@ -346,32 +349,32 @@
   /// for.
   void ReleaseTasks();
   /// Longest time that a run may continue after an earlier leader's last order.
-  Millis LongestPromise() const;
+  Millis MaxRunTimeAfterLastOrder() const;
   /// Whether a worker of an earlier leader has answered, but has not yet listed
   /// the ends of all its runs.
-  bool HasMoreToTell(const Member& member) const;
+  bool HasUnlistedEnds(const CellWorker& cell_worker) const;
   /// How much longer a worker may run what an earlier leader ordered; zero: it
   /// is accounted for.
-  Millis WaitLeft(const Member& member) const;
+  Millis RemainingWait(const CellWorker& cell_worker) const;
   /// Workers that are still waited for, and the tasks that may run there.
-  struct UnheardWorkers {
+  struct UncontactedWorkers {
     std::set<std::string_view> workers;
     /// Any task may run on some of them.
     bool any_task = false;
     std::set<std::string> tasks;
   };
-  UnheardWorkers FindUnheard() const;
-  static void AddUnheard(std::string_view worker,
-                         const Member& member,
-                         UnheardWorkers* unheard);
+  UncontactedWorkers FindUncontacted() const;
+  static void AddUncontacted(std::string_view worker,
+                             const CellWorker& cell_worker,
+                             UncontactedWorkers* unheard);
   /// Whether one of these workers may run the task, or may have ended it
   /// without having reported this.
-  bool MayBeThere(const Task& task, const UnheardWorkers& unheard) const;
+  bool MayRunOn(const Task& task, const UncontactedWorkers& unheard) const;
   /// Whether a worker that is still waited for may run the task, or may have
   /// ended it without having reported this.
-  bool MayRunUnheard(const Task& task) const;
+  bool MayRunOnUncontacted(const Task& task) const;
   /// Logs which workers are waited for.
-  void TellWait();
+  void LogWait();
 
   // cell_ends.cpp: processing the ends of runs.
   void CountEnd(Task* task,
@@ -383,16 +386,16 @@
   /// lost.
   void CountLateEnd(RunEnd end);
   /// Logs what is known of a run whose end the worker did not report.
-  void TellLost(const WorkerSession& session, const Run& run) const;
-  void LearnRunTime(Task* task, const Run& run);
+  void LogLostRun(const WorkerSession& session, const Run& run) const;
+  void RecordRunTime(Task* task, const Run& run);
   /// Expected run time of a task, for each step of the job.
-  std::vector<Millis> ExpectRunTimes(const Job& job, int time) const;
-  void OnJobOver(Job* job);
-  void StopRunsOf(const Job& job);
+  std::vector<Millis> ExpectedRunTimes(const Job& job, int time) const;
+  void OnJobEnded(Job* job);
+  void StopRunsOfJob(const Job& job);
   void StopRunsOfTask(const std::string& task);
   /// Stops the remaining runs of a task that is done; for a gang, of all its
   /// done tasks.
-  void StopRunsOfDone(const Task& task);
+  void StopRunsOfCompletedTask(const Task& task);
   int MaxAttempts(const Job& job) const;
   /// Number of the task's run that a worker is known to have.
   std::optional<uint32_t> NumberOfPlacedRun(const std::string& task) const;
@@ -404,48 +407,49 @@
   static std::string MachineOf(const WorkerLife& life);
   /// Evidence that the worker crashed. Empty: it did not, or its machine was to
   /// be taken down.
-  std::optional<CrashEvidence> EvidenceOfCrash(
-      const WorkerSession& session) const;
+  std::optional<CrashEvidence> DetectCrash(const WorkerSession& session) const;
   /// Runs of open jobs that had started on the worker.
   std::vector<const Run*> RunsAtCrash(const WorkerSession& session);
-  std::vector<CrashOfRun> BlameRuns(const WorkerSession& session,
-                                    CrashEvidence evidence);
+  std::vector<TaskCrashNote> AttributeCrash(const WorkerSession& session,
+                                            CrashEvidence evidence);
   /// Withdraws the unconfirmed crash notes of the runs there.
-  void DropUntold(const WorkerSession& session);
-  void NoteDeaths();
-  void ConfirmUntold(const std::string& worker);
+  void DropUnreportedCrashes(const WorkerSession& session);
+  void HandleDeadWorkers();
+  void ConfirmUnreportedCrashes(const std::string& worker);
   /// Notes a crash for the tasks that may have been on a worker that went down
   /// before this leader was in contact with it.
-  void NoteUnheardDeath(const std::string& worker, const Member& member);
+  void NoteCrashOfUncontactedWorker(const std::string& worker,
+                                    const CellWorker& cell_worker);
   /// Tasks that may have been on a worker that this leader never contacted.
-  std::vector<Task*> FindTasksUnheardOn(const std::string& worker,
-                                        const Member& member);
+  std::vector<Task*> FindTasksOnUncontactedWorker(
+      const std::string& worker,
+      const CellWorker& cell_worker);
   /// Counts the crash. Returns whether it is one of many at about the same
   /// time; the notes of the earlier ones are then marked as well.
-  bool JoinWave(const std::vector<CrashOfRun>& notes);
-  void MarkOneOfMany(const std::string& name, uint32_t run);
-  void TellCrash(const WorkerSession& session,
-                 const std::vector<CrashOfRun>& notes,
-                 bool many) const;
+  bool AddToCrashWave(const std::vector<TaskCrashNote>& notes);
+  void MarkCrashInWave(const std::string& name, uint32_t run);
+  void LogCrash(const WorkerSession& session,
+                const std::vector<TaskCrashNote>& notes,
+                bool many) const;
   void NoteCrash(Task* task, const CrashNote& crash);
-  void GiveUp(Task* task);
+  void FailJobOfCrashingTask(Task* task);
   /// Random number from 0 to 1.
   double Jitter();
   // cell_suspects.cpp: trial runs of tasks that may crash their workers.
   static bool IsSuspect(const Task& task);
   /// Whether the worker has runs that were not yet seen at work.
   bool HasNewRuns(const WorkerSession& session) const;
-  static int LossOn(const WorkerSession& session);
-  int CountWorkersOf(std::string_view service) const;
-  int ChooseForTrial(const Task& task,
-                     const StepPlaces& places,
-                     const std::vector<WorkerRoom*>& rooms) const;
+  static int CrashCost(const WorkerSession& session);
+  int CountWorkersOfService(std::string_view service) const;
+  int ChooseTrialWorker(const Task& task,
+                        const StepPlaces& places,
+                        const std::vector<WorkerRoom*>& rooms) const;
   /// Whether an earlier leader may have started the task after the last crash
   /// that it recorded.
-  static bool MayHaveCrashedUntold(const Task& task);
+  static bool MayHaveUnreportedCrash(const Task& task);
   /// Notes a possible unreported start by an earlier leader. Returns false if
   /// there is none to note.
-  bool NoteUntold(Task* task);
+  bool NoteUnreportedCrash(Task* task);
   /// Records that the task's next trial run is on this worker. Returns false if
   /// the start has to wait for the record.
   bool RecordTrial(Task* task, const WorkerLife& life);
@@ -458,101 +462,105 @@
                                   StepPlaces* places);
   /// Closes workers with new runs to a gang that has a suspect task. Returns
   /// false if the gang has to wait.
-  bool KeepNewRunsApart(std::vector<Task>* gang,
-                        std::vector<WorkerRoom>* rooms);
+  bool CloseWorkersWithNewRuns(std::vector<Task>* gang,
+                               std::vector<WorkerRoom>* rooms);
   void BeginTrial(const Task& task,
                   const std::shared_ptr<WorkerSession>& session);
   /// Polls the worker once its newest runs should have been at work for
   /// `at_work`.
-  void LookLater(const std::shared_ptr<WorkerSession>& session, Millis at_work);
-  void FollowTrials();
+  void ScheduleTrialPoll(const std::shared_ptr<WorkerSession>& session,
+                         Millis at_work);
+  void UpdateTrials();
   void ClearCrashes(Task* task);
   void OnCrashesRecorded(Job* job);
 
   // cell_lasting_places.cpp: recorded placements of long-running tasks.
   /// Records the placement. Returns false if the start has to wait for the
   /// record.
-  bool ClaimPlace(Task* task, const std::string& worker);
+  bool RequestPlacementRecord(Task* task, const std::string& worker);
   /// Records the placement of a run that is already active.
-  void NotePlace(Task* task, const std::string& worker);
+  void RecordAdoptedPlacement(Task* task, const std::string& worker);
   /// Whether starts need not be recorded: no instance can reach the store, and
   /// all of them agreed.
   bool MayStartUnrecorded() const;
-  void ReleaseStarts();
+  void ReleaseHeldStarts();
   /// Whether the held start may still be ordered on the worker: nothing has
   /// closed the worker since it was chosen.
-  bool MayReleaseTo(const Member& member) const;
+  bool MayReleaseStartOn(const CellWorker& cell_worker) const;
   /// Whether, as far as can be known, the store has the placement of every
   /// long-running task.
-  bool KnowsPlaces() const;
+  bool ArePlacementsRecorded() const;
   /// Lets instances that registered recently rely on the recorded placements.
-  void TellPlacesHold();
+  void PublishRecordedPlacements();
 
   // cell_overdue.cpp: runs that take far longer than expected.
-  void TellOverdue();
-  void TellOverdueAt(WorkerSession& session, int* lines);
+  void LogOverdueRuns();
+  void LogOverdueRunsOf(WorkerSession& session, int* lines);
   bool IsOverdue(const Run& run, Millis* expected) const;
 
   // cell_scheduling.cpp: starting and moving tasks; cell_places.cpp: free
   // capacity of workers and evaluation of placements; cell_pacing.cpp:
   // throttling of best-effort work.
-  void WakeScheduler();
-  void Schedule();
-  std::vector<ReadyStep> CollectReady();
-  void RankReady(std::vector<ReadyStep>* ready) const;
+  void RequestSchedulingPass();
+  void RunSchedulingPass();
+  std::vector<ReadyStep> CollectReadySteps();
+  void SortReadySteps(std::vector<ReadyStep>* ready) const;
   /// Sets when tasks that are ready for the first time became ready.
-  void NoteReadySince(const std::vector<ReadyStep>& ready);
+  void RecordReadySince(const std::vector<ReadyStep>& ready);
   /// Each worker as placement sees it, brought up to date.
-  std::vector<WorkerRoom*> CollectRooms();
+  std::vector<WorkerRoom*> CollectCandidates();
   /// Whether work that was placed on the worker may be ordered there.
-  bool IsServing(const Member& member) const;
+  bool MayReceiveOrders(const CellWorker& cell_worker) const;
   /// Whether the worker may get new work, apart from being reserved for a trial
   /// run.
-  bool IsOpen(const std::string& id, const Member& member) const;
-  void RefreshRoom(const std::string& id, Member* member);
+  bool MayReceiveNewWork(const std::string& id,
+                         const CellWorker& cell_worker) const;
+  void RefreshCandidate(const std::string& id, CellWorker* cell_worker);
   bool IsReady(const Task& task) const;
   bool MayBeAtLastAttempt(const Task& task) const;
   void PlaceStep(const ReadyStep& ready, const std::vector<WorkerRoom*>& rooms);
   void PlaceGang(const ReadyStep& ready, const std::vector<WorkerRoom*>& rooms);
   /// Evaluates a worker for a step, with `planned` tasks of the step assigned
   /// to it but not ordered yet.
-  void JudgePlace(const ReadyStep& ready,
-                  const TaskNeed& need,
-                  const WorkerRoom& room,
-                  size_t place,
-                  int planned,
-                  StepPlaces* places) const;
+  void EvaluatePlace(const ReadyStep& ready,
+                     const TaskNeed& need,
+                     const WorkerRoom& room,
+                     size_t place,
+                     int planned,
+                     StepPlaces* places) const;
   /// Evaluates all workers that have changed after that pass.
-  void JudgeChanged(const ReadyStep& ready,
-                    const TaskNeed& need,
-                    const std::vector<WorkerRoom*>& rooms,
-                    uint64_t pass,
-                    StepPlaces* places) const;
+  void EvaluateChangedPlaces(const ReadyStep& ready,
+                             const TaskNeed& need,
+                             const std::vector<WorkerRoom*>& rooms,
+                             uint64_t pass,
+                             StepPlaces* places) const;
   /// Counts a step that found no placement. Returns whether to log it now.
-  bool IsTimeToTell(const ReadyStep& ready);
-  void TellWaiting(const Task& task,
-                   const StepRank& rank,
-                   const ProblemCounts& problems);
+  bool ShouldLogWaitingStep(const ReadyStep& ready);
+  void LogWaitingStep(const Task& task,
+                      const StepRank& rank,
+                      const ProblemCounts& problems);
   void StartTask(Task* task,
                  uint32_t run,
                  WorkerRoom* room,
                  const std::string& ticket);
   /// Returns a copy of `rooms` in which workers without a ticket for the step
   /// are closed, and requests the missing tickets.
-  std::vector<WorkerRoom> PermittedRooms(const ReadyStep& ready,
-                                         const std::vector<WorkerRoom*>& rooms);
-  void PaceWorker(WorkerSession& session);
-  void MoveStuckFills(WorkerSession& session);
-  std::vector<ServingStrain> CollectStrains(const WorkerSession& session) const;
+  std::vector<WorkerRoom> CandidatesWithTickets(
+      const ReadyStep& ready,
+      const std::vector<WorkerRoom*>& rooms);
+  void UpdatePaces(WorkerSession& session);
+  void MoveStuckBestEffortRuns(WorkerSession& session);
+  std::vector<ServingStrain> CollectUtilizations(
+      const WorkerSession& session) const;
   // cell_evacuation.cpp: moving work off workers that leave or are emptied.
-  void EvacuateLeaving();
-  void EvacuateDraining(const std::string& id, const Member& member);
-  void EvacuateUnlisted(const std::string& id, const Member& member);
-  void StopToLeave(const std::string& id,
-                   const std::shared_ptr<WorkerSession>& session,
-                   const std::vector<std::string>& tasks,
-                   std::string_view cause);
-  bool MayTakeAway(const Task& task) const;
+  void EvacuateLeavingWorkers();
+  void EvacuateDraining(const std::string& id, const CellWorker& cell_worker);
+  void EvacuateUnlisted(const std::string& id, const CellWorker& cell_worker);
+  void StopRunsToMove(const std::string& id,
+                      const std::shared_ptr<WorkerSession>& session,
+                      const std::vector<std::string>& tasks,
+                      std::string_view cause);
+  bool MayStopForMaintenance(const Task& task) const;
   std::string RackOfStep(const Job& job, int time, int step) const;
 
   Executor& executor_;
@@ -574,18 +582,18 @@
   const uint64_t nonce_;
   Instant led_since_{};
   /// When the workers that are waited for were last logged.
-  Instant wait_told_{};
+  Instant wait_logged_{};
   /// When it was last recorded how long workers have been out of contact.
-  Instant unheard_recorded_{};
+  Instant unreachable_recorded_{};
   /// Earliest time of the next record of the task lists of workers that get no
   /// new work.
   Instant next_tasks_record_{};
   Instant last_tick_{};
-  /// See `OrdersUntil`, which also takes pauses of this process into account.
-  Instant orders_until_{};
+  /// See `OrderDeadline`, which also takes pauses of this process into account.
+  Instant order_deadline_{};
   /// This process was paused: its lead must be confirmed before it sends
   /// orders.
-  bool unsure_after_pause_ = false;
+  bool unconfirmed_after_pause_ = false;
   /// Since when this instance may campaign for a vacant lead; zero: it may not,
   /// or the lead is not vacant.
   Instant vacant_since_{};
@@ -596,22 +604,22 @@
   /// When the closed data centres were last read in this term as leader; zero:
   /// not yet, and nothing is started.
   Instant closed_read_{};
-  std::set<std::string> closed_;
+  std::set<std::string> closed_data_centres_;
   /// Reported to other instances; updated periodically.
   CellSummary summary_;
   Instant summarized_{};
   /// When old jobs were last searched for and removed.
-  Instant forgot_{};
+  Instant old_jobs_removed_{};
   /// When overdue runs were last searched for.
-  Instant overdue_looked_{};
+  Instant overdue_searched_{};
   Executor::TimerId tick_timer_ = 0;
   bool schedule_posted_ = false;
   /// Earliest time of the next scheduling pass: passes may use only part of the
   /// processor.
   Instant next_pass_{};
-  std::function<void()> on_left_;
+  std::function<void()> on_shut_down_;
   /// Since when a planned shutdown is under way; zero: it is not.
-  Instant leaving_since_{};
+  Instant shutdown_since_{};
 
   std::shared_ptr<const QueueTable> table_;
   /// Every queue that was ever configured, so that jobs of a removed queue
@@ -624,37 +632,37 @@
   /// Whether this instance could rely on the recorded placements of
   /// long-running tasks when it took the lead; and the store revision up to
   /// which registered instances can rely on them now.
-  bool places_held_ = false;
-  int64_t places_hold_to_ = 0;
+  bool placements_valid_at_takeover_ = false;
+  int64_t placements_valid_to_ = 0;
   /// Long-running tasks that run where the store has no record of it, and those
   /// whose start waits for the record.
-  std::set<std::string> unrecorded_places_;
-  std::set<std::string> held_starts_;
+  std::set<std::string> unrecorded_placements_;
+  std::set<std::string> starts_awaiting_record_;
   CrashTrials trials_;
   CrashWave wave_;
   InterferenceModel interference_;
   RunTimeModel run_times_;
   HopelessFits hopeless_;
-  std::map<std::string, LastingRoom> lasting_rooms_;
+  std::map<std::string, LastingRoom> long_running_admission_;
   /// Number of scheduling passes so far.
   uint64_t pass_ = 0;
   /// Steps of this pass that found no placement; more urgent steps are counted
   /// first.
   int waiting_steps_ = 0;
-  Instant waiting_told_{};
+  Instant waiting_logged_{};
   TicketBook tickets_;
   WaveKeeper waves_;
-  std::map<std::string, Member> members_;
+  std::map<std::string, CellWorker> cell_workers_;
   /// Incarnations that are proven to have ended but are still listed, with
   /// their addresses.
-  std::map<std::string, std::string> over_;
+  std::map<std::string, std::string> listed_dead_workers_;
   RefusedEntries refused_{log_, "cell"};
-  std::multimap<std::string, CancelWait> cancels_;
+  std::multimap<std::string, PendingCancel> cancels_;
   /// All runs from before the takeover are accounted for.
-  bool accounted_ = true;
-  /// Since the takeover, all tasks except `held_` were released.
-  bool released_ = false;
-  std::set<std::string> held_;
+  bool all_runs_accounted_ = true;
+  /// Since the takeover, all tasks except `tasks_held_back_` were released.
+  bool tasks_released_ = false;
+  std::set<std::string> tasks_held_back_;
   CellCounters counters_;
 };
 
--- a/src/include/doorwood/cell_options.h
+++ b/src/include/doorwood/cell_options.h
@@ -36,48 +36,48 @@
   Millis closed_interval{700};
   Millis tick{100};
   /// How long the state of a finished job is kept.
-  Millis keep_finished{150'000};
+  Millis finished_job_retention{150'000};
   /// Delay of a candidate's campaign for each candidate that ranks before it.
-  Millis campaign_step{120};
+  Millis campaign_delay_per_rank{120};
   /// Delay of a campaign after the instance has registered, so that it sees the
   /// keys of instances that registered at the same time. Machines start within
   /// 0.3 s of each other. A leader with 0.12 processors instead of one with 0.5
   /// halved the callers' results on 540 workers for as long as it led.
-  Millis campaign_settle{300};
+  Millis campaign_registration_delay{300};
   /// Delay before a candidate, or a new leader that reads the records, tries
   /// again.
   Millis retry_pause{150};
   /// How long after its key was last confirmed a leader may give orders that
   /// are not protected by a fencing token.
-  Millis sure_for{2000};
+  Millis lead_confirmed_for{2000};
   /// How long after its key was last confirmed a leader continues to send
   /// orders, where other instances may reach the store and take the lead. A
   /// successor waits for this time and a run's lease before it starts a task
   /// again that may still run on a worker not yet contacted.
-  Millis unsure_patience{3000};
+  Millis order_grace{3000};
   /// Interval between records of workers that are not yet contacted after a
   /// takeover or are unresponsive; and delay of the first such record after a
   /// takeover. The delay is short so that the wait counts even if this leader
   /// is lost soon.
-  Millis unheard_interval{1000};
-  Millis first_unheard{250};
+  Millis unreachable_record_interval{1000};
+  Millis first_unreachable_record{250};
   /// An unresponsive worker whose leases were not extended for so long is
   /// recorded as not in contact. Most of its runs' lease has expired by then.
   /// Until the record states otherwise, no lease is extended there, even if the
   /// worker answers again while the store does not.
-  Millis silence_recorded{4000};
+  Millis unresponsive_record_delay{4000};
   /// Maximum total size of the task names under the workers' key, in bytes: a
   /// third of the largest value that the store accepts. Beyond it the workers
   /// with the most names are recorded without a list, so that any task may run
   /// there.
-  size_t most_name_bytes = 320'000;
+  size_t max_name_bytes = 320'000;
   /// Maximum rate of worker polls for observing interference, per second: in a
   /// large cell each worker is polled less often. A poll costs a leader about
   /// 60 us.
-  int watching_looks = 700;
+  int max_interference_polls = 700;
   /// A worker that was not listed for so long is treated as leaving. Entries
   /// that were lost in an outage of the store are back within 2 s.
-  Millis unlisted_patience{2200};
+  Millis unlisted_grace{2200};
 };
 
 /// Counters for the metrics page.
--- a/src/include/doorwood/entry_settings.h
+++ b/src/include/doorwood/entry_settings.h
@@ -52,7 +52,7 @@
   /// Longest lease that a worker grants to a run.
   Millis max_run_lease{10000};
   /// How long a finished job can still be queried.
-  Millis keep_finished{120'000};
+  Millis finished_job_retention{120'000};
   /// Minimum time before another leader may take over the handling of a
   /// machine, so that two leaders do not alternate on it.
   Millis machine_holder_lease{3000};
--- a/src/include/doorwood/lead_proof.h
+++ b/src/include/doorwood/lead_proof.h
@@ -33,7 +33,7 @@
  public:
   virtual ~LeadProofListener() = default;
 
-  /// Called when `stood_at` has increased.
+  /// Called when `confirmed_at` has increased.
   virtual void OnLeadProved() = 0;
   /// Called when the key of this epoch no longer exists.
   virtual void OnLeadDisproved(std::string_view reason) = 0;
@@ -53,16 +53,16 @@
   void Close();
 
   /// Notes that a call sent at that time has found the key in place.
-  void NoteShown(Instant sent);
+  void NoteConfirmed(Instant sent);
   /// Reads the key as soon as possible, because a conclusion waits for the
   /// proof. A read already under way was sent too early, so another one follows
   /// it.
-  void Demand();
+  void RequestRead();
   /// To be called several times a second.
   void Tick();
 
   /// Latest time at which the key is known to have existed; zero: none.
-  Instant stood_at() const { return stood_at_; }
+  Instant confirmed_at() const { return confirmed_at_; }
 
  private:
   void Read();
@@ -79,9 +79,9 @@
   uint64_t generation_ = 0;
   bool open_ = false;
   int64_t epoch_ = 0;
-  Instant stood_at_{};
+  Instant confirmed_at_{};
   bool reading_ = false;
-  bool demanded_ = false;
+  bool read_requested_ = false;
 };
 
 }  // namespace doorwood
--- a/src/libdoorwood/cell/cell_calls.cpp
+++ b/src/libdoorwood/cell/cell_calls.cpp
@@ -36,14 +36,14 @@
   }
   // A job that may have been accepted already is never refused.
   if (!journal_.IsRecording(plan.id) &&
-      (IsClosedEverywhere(plan.queue) || !HasRoomToLast(plan))) {
+      (AreAllWorkersClosed(plan.queue) || !HasLongRunningCapacity(plan))) {
     done(CoreErrc::kNoRoom, {});
     return;
   }
   journal_.Accept(std::move(plan), std::move(done));
 }
 
-bool CellLeader::HasRoomToLast(const JobPlan& plan) {
+bool CellLeader::HasLongRunningCapacity(const JobPlan& plan) {
   const int64_t requested = LastingCpu(plan);
   const auto queue = known_queues_.find(plan.queue);
   if (requested == 0 || queue == known_queues_.end() ||
@@ -52,10 +52,10 @@
   }
   const std::string& service = queue->second.service;
   int64_t capacity = 0;
-  for (const auto& [id, member] : members_) {
-    const WorkerLife& life = member.session->life();
-    const bool is_available =
-        member.listed && !life.draining && !IsClosed(member);
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    const WorkerLife& life = cell_worker.session->life();
+    const bool is_available = cell_worker.listed && !life.draining &&
+                              !IsInClosedDataCentre(cell_worker);
     capacity +=
         is_available && life.service == service ? life.capacity.cpu_millis : 0;
   }
@@ -65,7 +65,7 @@
     const bool is_same_service = other != nullptr && other->service == service;
     reserved += is_same_service ? LastingCpu(job->plan) : 0;
   }
-  const LastingRoom& room = LastingRoomOf(service);
+  const LastingRoom& room = LongRunningAdmissionOf(service);
   const Instant now = executor_.Now();
   if (room.Allows(requested, reserved, capacity, now)) {
     return true;
@@ -80,16 +80,17 @@
   return false;
 }
 
-LastingRoom& CellLeader::LastingRoomOf(const std::string& service) {
-  return lasting_rooms_.try_emplace(service, options_.policy.lasting_room)
+LastingRoom& CellLeader::LongRunningAdmissionOf(const std::string& service) {
+  return long_running_admission_
+      .try_emplace(service, options_.policy.lasting_room)
       .first->second;
 }
 
 void CellLeader::ObserveLoads() {
   std::map<std::string, ServiceLoad> loads;
-  for (const auto& [id, member] : members_) {
-    const WorkerSession& session = *member.session;
-    if (!member.listed) {
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    const WorkerSession& session = *cell_worker.session;
+    if (!cell_worker.listed) {
       continue;
     }
     ServiceLoad& load = loads[session.life().service];
@@ -108,7 +109,7 @@
     }
   }
   for (const auto& [service, load] : loads) {
-    LastingRoomOf(service).Observe(load, executor_.Now());
+    LongRunningAdmissionOf(service).Observe(load, executor_.Now());
   }
 }
 
@@ -123,7 +124,7 @@
               {"queue", plan.queue},
               {"steps", plan.steps.size()},
               {"epoch", epoch_}});
-  WakeScheduler();
+  RequestSchedulingPass();
 }
 
 std::optional<JobPhase> CellLeader::Find(const std::string& id) const {
@@ -160,13 +161,14 @@
   }
   if (jobs_.Finish(job, JobOutcome::kCancelled)) {
     log_.Write("info", "cell", "job cancelled", {{"job", id}});
-    OnJobOver(job);
+    OnJobEnded(job);
   }
-  cancels_.emplace(id, CancelWait{std::move(done),
-                                  executor_.Now() + options_.journal.patience});
+  cancels_.emplace(id,
+                   PendingCancel{std::move(done),
+                                 executor_.Now() + options_.journal.patience});
 }
 
-void CellLeader::AnswerCancels() {
+void CellLeader::ExpireCancels() {
   const Instant now = executor_.Now();
   for (auto it = cancels_.begin(); it != cancels_.end();) {
     if (it->second.until <= now) {
@@ -201,10 +203,11 @@
                               1e3;
     }
   }
-  for (const auto& [id, member] : members_) {
-    if (member.listed) {
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    if (cell_worker.listed) {
       summary.cores +=
-          static_cast<double>(member.session->life().capacity.cpu_millis) / 1e3;
+          static_cast<double>(cell_worker.session->life().capacity.cpu_millis) /
+          1e3;
     }
   }
   return summary;
--- a/src/libdoorwood/cell/cell_campaign.cpp
+++ b/src/libdoorwood/cell/cell_campaign.cpp
@@ -20,15 +20,15 @@
 bool CellLeader::MayCampaign() const {
   return stage_ == Stage::kStandby && table_ && live_.known() &&
          live_.IsLeaseSure() && live_.registered_since() &&
-         !live_.self().leaving && IsOfCell(live_.self().data_centre) &&
+         !live_.self().leaving && BelongsToCell(live_.self().data_centre) &&
          !live_.leads().contains(options_.cell);
 }
 
-bool CellLeader::IsOfCell(std::string_view data_centre) const {
+bool CellLeader::BelongsToCell(std::string_view data_centre) const {
   return options_.data_centre.empty() || options_.data_centre == data_centre;
 }
 
-Instant CellLeader::CampaignTurn() const {
+Instant CellLeader::EarliestCampaignTime() const {
   // Instances on stronger machines come first; among equal ones, those that may
   // rely on recorded placements; then by name.
   int rank = 0;
@@ -37,7 +37,8 @@
   const bool agrees_since =
       live_.agreeing_since() == 0 || live_.agreeing_since() > last_epoch;
   for (const auto& [name, other] : live_.instances()) {
-    if (!IsOfCell(other.data_centre) || other.leaving || name == self.name) {
+    if (!BelongsToCell(other.data_centre) || other.leaving ||
+        name == self.name) {
       continue;
     }
     const bool stronger = other.cpu_share > self.cpu_share;
@@ -49,8 +50,9 @@
   }
   // If all instances register at once, on the first start or after a store
   // outage that removed their keys, the first one does not know the others yet.
-  return std::max(vacant_since_ + options_.campaign_step * rank,
-                  *live_.registered_since() + options_.campaign_settle);
+  return std::max(
+      vacant_since_ + options_.campaign_delay_per_rank * rank,
+      *live_.registered_since() + options_.campaign_registration_delay);
 }
 
 void CellLeader::OnLiveChange() {
@@ -69,11 +71,11 @@
                        lead != live_.leads().end() &&
                        lead->second.nonce == nonce_;
   if (own_key && lead->second.epoch > epoch_) {
-    OnWon(lead->second.epoch);  // the answer to the write was lost
+    OnCampaignWon(lead->second.epoch);  // the answer to the write was lost
     return;
   }
   if (own_key) {
-    GiveUpKey();  // left from a lead that has ended
+    ReleaseLeadKey();  // left from a lead that has ended
     return;
   }
   ScheduleCampaign();
@@ -96,7 +98,7 @@
   if (first) {
     vacant_since_ = now;
   }
-  const Millis left = std::chrono::ceil<Millis>(CampaignTurn() - now);
+  const Millis left = std::chrono::ceil<Millis>(EarliestCampaignTime() - now);
   if (first) {
     log_.Write("info", "cell",
                "no leader; campaigning after the delay for this rank",
@@ -130,7 +132,7 @@
       return;
     }
     if (!error) {
-      OnWon(commit.revision);
+      OnCampaignWon(commit.revision);
       return;
     }
     // If the write was not answered, the key may be this instance's. The
@@ -141,7 +143,7 @@
   });
 }
 
-void CellLeader::OnWon(int64_t epoch) {
+void CellLeader::OnCampaignWon(int64_t epoch) {
   stage_ = Stage::kReading;
   epoch_ = epoch;
   ++counters_.takeovers;
@@ -207,7 +209,7 @@
       task->last_run += kRunNumberGap;
       task->unaccounted = !task->done;
       task->recorded_run = task->counted_run;
-      task->crash_untold = MayHaveCrashedUntold(*task);
+      task->crash_untold = MayHaveUnreportedCrash(*task);
       task->ready_since = executor_.Now();
     });
   }
@@ -259,9 +261,11 @@
   const StoreItem* newest = nullptr;
   const std::map<size_t, ChainLink> chains = ReadChains(items, &newest);
   std::vector<KnownWorker> known = ReadKnownWorkers(items);
-  places_hold_to_ = newest == nullptr ? 0 : DecodePlacesHoldTo(newest->value);
-  places_held_ =
-      live_.agreeing_since() != 0 && live_.agreeing_since() <= places_hold_to_;
+  placements_valid_to_ =
+      newest == nullptr ? 0 : DecodePlacesHoldTo(newest->value);
+  placements_valid_at_takeover_ =
+      live_.agreeing_since() != 0 &&
+      live_.agreeing_since() <= placements_valid_to_;
   if (newest == nullptr || !KeepsToNames(newest->value)) {
     // A leader of an older version may have started tasks that these lists
     // exclude.
@@ -271,24 +275,24 @@
   }
   const int open = RestoreJobs(items);
   stage_ = Stage::kLeading;
-  accounted_ = false;
-  released_ = false;
-  held_.clear();
+  all_runs_accounted_ = false;
+  tasks_released_ = false;
+  tasks_held_back_.clear();
   led_since_ = executor_.Now();
   last_tick_ = led_since_;
-  unheard_recorded_ =
-      led_since_ + options_.first_unheard - options_.unheard_interval;
+  unreachable_recorded_ = led_since_ + options_.first_unreachable_record -
+                          options_.unreachable_record_interval;
   next_tasks_record_ = Instant{};
-  wait_told_ = Instant{};
-  unsure_after_pause_ = false;
-  orders_until_ = Instant{};
+  wait_logged_ = Instant{};
+  unconfirmed_after_pause_ = false;
+  order_deadline_ = Instant{};
   workers_read_ = Instant{};
   closed_read_ = Instant{};
-  lasting_rooms_.clear();
+  long_running_admission_.clear();
   trials_.Clear();
   wave_.Clear();
-  unrecorded_places_.clear();
-  held_starts_.clear();
+  unrecorded_placements_.clear();
+  starts_awaiting_record_.clear();
   reading_closed_ = false;
   summarized_ = Instant{};
   ++generation_;
@@ -299,7 +303,7 @@
               {"open", open},
               {"chains", chains.size()},
               {"workers", known.size()},
-              {"places_hold_to", places_hold_to_},
+              {"places_hold_to", placements_valid_to_},
               {"agreeing_since", live_.agreeing_since()}});
   journal_.Open(epoch_, chains);
   for (const KnownWorker& worker : known) {
@@ -308,17 +312,17 @@
     life.address = worker.address;
     // Not yet confirmed by the directory, so it gets no new work.
     life.draining = true;
-    AddMember(life, /*from_takeover=*/true);
-    Member& member = members_.at(worker.id);
-    member.unheard_before = worker.unheard;
-    member.told_unheard = worker.unheard > Millis(0);
-    member.tasks_before = worker.tasks;
-    member.told_tasks = worker.tasks.has_value();
-    member.noted = worker;
-    member.noted_closed = worker.tasks.has_value();
+    AddWorker(life, /*from_takeover=*/true);
+    CellWorker& cell_worker = cell_workers_.at(worker.id);
+    cell_worker.predecessors_waited = worker.unheard;
+    cell_worker.renewals_blocked = worker.unheard > Millis(0);
+    cell_worker.inherited_tasks = worker.tasks;
+    cell_worker.starts_blocked = worker.tasks.has_value();
+    cell_worker.submitted_record = worker;
+    cell_worker.submitted_as_closed = worker.tasks.has_value();
   }
   waves_.Open(live_.self().name, epoch_);
-  RenewOrders();
+  ExtendOrderDeadline();
   Tick();
 }
 
--- a/src/libdoorwood/cell/cell_crashes.cpp
+++ b/src/libdoorwood/cell/cell_crashes.cpp
@@ -26,16 +26,16 @@
   return life.machine.empty() ? life.id : life.machine;
 }
 
-std::optional<CrashEvidence> CellLeader::EvidenceOfCrash(
+std::optional<CrashEvidence> CellLeader::DetectCrash(
     const WorkerSession& session) const {
-  const auto found = members_.find(session.life().id);
-  if (found == members_.end()) {
+  const auto found = cell_workers_.find(session.life().id);
+  if (found == cell_workers_.end()) {
     return std::nullopt;
   }
-  const Member& member = found->second;
+  const CellWorker& cell_worker = found->second;
   const Instant now = executor_.Now();
-  const bool emptied = member.emptied_until != Instant{} &&
-                       now - member.emptied_until < kUpkeepStartWindow;
+  const bool emptied = cell_worker.evacuated_until != Instant{} &&
+                       now - cell_worker.evacuated_until < kUpkeepStartWindow;
   if (emptied) {
     return std::nullopt;
   }
@@ -43,8 +43,9 @@
   if (session.dead()) {
     return leaving ? CrashEvidence::kVanished : CrashEvidence::kOtherLife;
   }
-  const bool vanished = !leaving && !member.listed && !member.doubted &&
-                        member.unlisted_since != Instant{} &&
+  const bool vanished = !leaving && !cell_worker.listed &&
+                        !cell_worker.entry_rejected &&
+                        cell_worker.unlisted_since != Instant{} &&
                         now - workers_read_ < kMaxListAge;
   return vanished ? std::optional(CrashEvidence::kVanished) : std::nullopt;
 }
@@ -64,7 +65,7 @@
   return runs;
 }
 
-std::vector<CellLeader::CrashOfRun> CellLeader::BlameRuns(
+std::vector<CellLeader::TaskCrashNote> CellLeader::AttributeCrash(
     const WorkerSession& session,
     CrashEvidence evidence) {
   const WorkerLife& life = session.life();
@@ -77,7 +78,7 @@
   }
   const std::vector<Blame> blames =
       BlameCrash(at_crash, options_.policy.crashes);
-  std::vector<CrashOfRun> notes;
+  std::vector<TaskCrashNote> notes;
   for (size_t i = 0; i < runs.size(); ++i) {
     if (blames[i] == Blame::kNone) {
       continue;
@@ -96,20 +97,20 @@
 }
 
 void CellLeader::OnWorkerLost(WorkerSession& session) {
-  const auto evidence = EvidenceOfCrash(session);
-  DropUntold(session);
+  const auto evidence = DetectCrash(session);
+  DropUnreportedCrashes(session);
   if (!evidence) {
     return;
   }
   ++counters_.worker_crashes;
-  std::vector<CrashOfRun> notes = BlameRuns(session, *evidence);
+  std::vector<TaskCrashNote> notes = AttributeCrash(session, *evidence);
   const bool in_trial =
       std::any_of(notes.begin(), notes.end(),
-                  [](const CrashOfRun& note) { return note.second.alone; });
+                  [](const TaskCrashNote& note) { return note.second.alone; });
   // Crashes in trial runs are expected, so they don't indicate a common cause
   // with other crashes.
-  const bool is_in_wave = !in_trial && JoinWave(notes);
-  TellCrash(session, notes, is_in_wave);
+  const bool is_in_wave = !in_trial && AddToCrashWave(notes);
+  LogCrash(session, notes, is_in_wave);
   for (auto& [name, note] : notes) {
     trials_.End(name);
     note.one_of_many = is_in_wave;
@@ -126,7 +127,7 @@
   if (session.life().draining) {
     return;
   }
-  for (auto& [name, note] : BlameRuns(session, CrashEvidence::kUntold)) {
+  for (auto& [name, note] : AttributeCrash(session, CrashEvidence::kUntold)) {
     Task* task = jobs_.FindTask(name);
     const bool is_trial = task->FindTrial(note.run) != nullptr;
     if (note.suspect && !is_trial &&
@@ -137,10 +138,10 @@
 }
 
 void CellLeader::OnAnswersAgain(WorkerSession& session) {
-  DropUntold(session);
+  DropUnreportedCrashes(session);
 }
 
-void CellLeader::DropUntold(const WorkerSession& session) {
+void CellLeader::DropUnreportedCrashes(const WorkerSession& session) {
   for (const auto& [name, run] : session.runs()) {
     Task* task = jobs_.FindTask(name);
     if (task != nullptr && JobTable::DropUntold(task, run.number)) {
@@ -150,32 +151,33 @@
 }
 
 // Must be called before any task that may have run there is started again.
-void CellLeader::NoteDeaths() {
+void CellLeader::HandleDeadWorkers() {
   std::vector<std::string> dead;
-  for (auto& [id, member] : members_) {
-    if (!member.death_noted && member.session->proved_dead()) {
-      member.death_noted = true;
+  for (auto& [id, cell_worker] : cell_workers_) {
+    if (!cell_worker.death_processed && cell_worker.session->proved_dead()) {
+      cell_worker.death_processed = true;
       dead.push_back(id);
     }
   }
   for (const std::string& worker : dead) {
-    ConfirmUntold(worker);
-    NoteUnheardDeath(worker, members_.at(worker));
+    ConfirmUnreportedCrashes(worker);
+    NoteCrashOfUncontactedWorker(worker, cell_workers_.at(worker));
   }
 }
 
-std::vector<Task*> CellLeader::FindTasksUnheardOn(const std::string& worker,
-                                                  const Member& member) {
+std::vector<Task*> CellLeader::FindTasksOnUncontactedWorker(
+    const std::string& worker,
+    const CellWorker& cell_worker) {
   std::vector<Task*> tasks;
   const int64_t now = unix_millis_();
-  UnheardWorkers unheard;
-  AddUnheard(worker, member, &unheard);
+  UncontactedWorkers unheard;
+  AddUncontacted(worker, cell_worker, &unheard);
   for (Job* job : std::vector<Job*>(jobs_.OpenJobs())) {
     ForEachTask(job, [&](Task* task) {
       const bool may_run = task->unaccounted && !task->placed && !task->done &&
                            IsDue(*job, task->time, now) &&
                            JobTable::IsUnblocked(*job, task->time, task->step);
-      if (may_run && MayBeThere(*task, unheard)) {
+      if (may_run && MayRunOn(*task, unheard)) {
         tasks.push_back(task);
       }
     });
@@ -187,13 +189,13 @@
 // known what ran on the worker. Every task that may have run there is noted as
 // a bystander; two such notes make it a suspect. A task is noted once for each
 // takeover, because each note refers to the task's newest run.
-void CellLeader::NoteUnheardDeath(const std::string& worker,
-                                  const Member& member) {
-  if (!member.from_takeover || member.session->fenced()) {
+void CellLeader::NoteCrashOfUncontactedWorker(const std::string& worker,
+                                              const CellWorker& cell_worker) {
+  if (!cell_worker.from_takeover || cell_worker.session->fenced()) {
     return;
   }
-  std::vector<CrashOfRun> notes;
-  for (const Task* task : FindTasksUnheardOn(worker, member)) {
+  std::vector<TaskCrashNote> notes;
+  for (const Task* task : FindTasksOnUncontactedWorker(worker, cell_worker)) {
     const bool known = std::any_of(
         task->crashes.begin(), task->crashes.end(),
         [&](const CrashNote& crash) { return crash.worker == worker; });
@@ -209,7 +211,7 @@
       "warn", "cell", "a worker crashed before this leader had contacted it",
       {{"worker", worker}, {"may_have_run", notes.size()}, {"epoch", epoch_}});
   // Notes no more tasks than could soon get a trial run as suspects.
-  if (notes.size() > members_.size()) {
+  if (notes.size() > cell_workers_.size()) {
     return;
   }
   for (const auto& [name, note] : notes) {
@@ -221,7 +223,7 @@
 
 // Confirms the crashes that an earlier leader noted as unreported, now that the
 // worker is known to have ended.
-void CellLeader::ConfirmUntold(const std::string& worker) {
+void CellLeader::ConfirmUnreportedCrashes(const std::string& worker) {
   for (Job* job : std::vector<Job*>(jobs_.OpenJobs())) {
     ForEachTask(job, [&](Task* task) {
       for (const CrashNote& note : std::vector<CrashNote>(task->crashes)) {
@@ -235,7 +237,7 @@
   }
 }
 
-bool CellLeader::JoinWave(const std::vector<CrashOfRun>& notes) {
+bool CellLeader::AddToCrashWave(const std::vector<TaskCrashNote>& notes) {
   CrashWave::Crash crash;
   crash.at = executor_.Now();
   for (const auto& [name, note] : notes) {
@@ -247,13 +249,13 @@
   }
   for (const CrashWave::Crash& earlier : wave_.crashes()) {
     for (const auto& [name, run] : earlier.blamed) {
-      MarkOneOfMany(name, run);
+      MarkCrashInWave(name, run);
     }
   }
   return true;
 }
 
-void CellLeader::MarkOneOfMany(const std::string& name, uint32_t run) {
+void CellLeader::MarkCrashInWave(const std::string& name, uint32_t run) {
   Task* task = jobs_.FindTask(name);
   if (task == nullptr) {
     return;
@@ -271,9 +273,9 @@
   MarkDirty(task->job, /*urgent=*/false);
 }
 
-void CellLeader::TellCrash(const WorkerSession& session,
-                           const std::vector<CrashOfRun>& notes,
-                           bool many) const {
+void CellLeader::LogCrash(const WorkerSession& session,
+                          const std::vector<TaskCrashNote>& notes,
+                          bool many) const {
   Json suspects = Json::array();
   for (const auto& [name, note] : notes) {
     if (note.suspect && suspects.size() < kMaxSuspectsLogged) {
@@ -325,13 +327,13 @@
               {"pause_ms", pause.count()},
               {"epoch", epoch_}});
   if (verdict == CrashVerdict::kGivenUp) {
-    GiveUp(task);
+    FailJobOfCrashingTask(task);
   } else {
     MarkDirty(job, /*urgent=*/task->crash_unrecorded);
   }
 }
 
-void CellLeader::GiveUp(Task* task) {
+void CellLeader::FailJobOfCrashingTask(Task* task) {
   Job* job = task->job;
   if (!jobs_.Finish(job, JobOutcome::kFailed)) {
     return;
@@ -343,7 +345,7 @@
               {"reason", job->reason},
               {"crashes", task->crashes.size()},
               {"epoch", epoch_}});
-  OnJobOver(job);
+  OnJobEnded(job);
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/cell/cell_doubt_test.cpp
+++ b/src/libdoorwood/cell/cell_doubt_test.cpp
@@ -152,7 +152,7 @@
     const auto end_leader = [&](fakes::WorldInstance* leader) {
       if (row.planned_shutdown && !leader->store_faults.silent) {
         leader->live->AnnounceLeaving();
-        leader->cell->Leave([] {});
+        leader->cell->ShutDown([] {});
         world.Run(Millis(300));
       } else if (world.instances().contains(leader->name)) {
         world.Kill(leader->name);
--- a/src/libdoorwood/cell/cell_ends.cpp
+++ b/src/libdoorwood/cell/cell_ends.cpp
@@ -81,7 +81,7 @@
   task->ready_since = executor_.Now();
   const bool job_ended = was_open && job->outcome != JobOutcome::kOpen;
   if (job_ended) {
-    OnJobOver(job);
+    OnJobEnded(job);
   } else {
     MarkDirty(job, /*urgent=*/false);
   }
@@ -97,8 +97,8 @@
   }
   JobTable::SetPlaced(task, false);
   JobTable::DropTrial(task);
-  held_starts_.erase(run.task);
-  unrecorded_places_.erase(run.task);
+  starts_awaiting_record_.erase(run.task);
+  unrecorded_placements_.erase(run.task);
   if (!run.checkpoint.empty() && !task->done) {
     task->checkpoint = run.checkpoint;
   }
@@ -106,31 +106,33 @@
     task->last_run = std::max(task->last_run, run.number + kRunNumberIncrease);
   }
   if (!told_by_worker) {
-    TellLost(session, run);
+    LogLostRun(session, run);
   }
   if (end == RunEnd::kDone && !run.odd_time) {
-    LearnRunTime(task, run);
+    RecordRunTime(task, run);
   }
   CountEnd(task, session, run.number, end, run.checkpoint);
-  WakeScheduler();
+  RequestSchedulingPass();
 }
 
-void CellLeader::TellLost(const WorkerSession& session, const Run& run) const {
-  const auto member = members_.find(session.life().id);
+void CellLeader::LogLostRun(const WorkerSession& session,
+                            const Run& run) const {
+  const auto cell_worker = cell_workers_.find(session.life().id);
   log_.Write("warn", "cell", "run ended without a report from the worker",
              {{"task", run.task},
               {"run", run.number},
               {"worker", session.life().id},
               {"machine", session.life().machine},
               {"worker_dead", session.dead()},
-              {"listed", member != members_.end() && member->second.listed},
+              {"listed", cell_worker != cell_workers_.end() &&
+                             cell_worker->second.listed},
               {"leaving", session.life().draining},
               {"runs_left", session.runs().size()},
               {"confirmed", run.confirmed != Instant{}},
               {"seen_at_work_ms", session.SeenAtWork(run).count()}});
 }
 
-void CellLeader::LearnRunTime(Task* task, const Run& run) {
+void CellLeader::RecordRunTime(Task* task, const Run& run) {
   const auto taken =
       std::chrono::duration_cast<Millis>(executor_.Now() - run.ordered);
   const StepPlan& plan = task->plan();
@@ -140,7 +142,8 @@
   run_times_.Observe(task->job->plan.queue, plan.count, plan.estimate, taken);
 }
 
-std::vector<Millis> CellLeader::ExpectRunTimes(const Job& job, int time) const {
+std::vector<Millis> CellLeader::ExpectedRunTimes(const Job& job,
+                                                 int time) const {
   std::vector<Millis> expected;
   for (size_t step = 0; step < job.plan.steps.size(); ++step) {
     const StepState& state = job.times[time].steps[step];
@@ -166,14 +169,16 @@
   JobTable::DropUntold(task, end.run);
   CountEnd(task, session, number, end.end, end.checkpoint);
   auto& reported_runs = task->told_runs;
-  if (!accounted_ && std::find(reported_runs.begin(), reported_runs.end(),
-                               end.run) == reported_runs.end()) {
+  if (!all_runs_accounted_ &&
+      std::find(reported_runs.begin(), reported_runs.end(), end.run) ==
+          reported_runs.end()) {
     reported_runs.push_back(end.run);
   }
   if (task->done) {
-    StopRunsOfDone(*task);  // An earlier run has already completed the task.
+    StopRunsOfCompletedTask(
+        *task);  // An earlier run has already completed the task.
   }
-  WakeScheduler();
+  RequestSchedulingPass();
 }
 
 void CellLeader::CountLateEnd(RunEnd end) {
@@ -191,8 +196,8 @@
 
 std::optional<uint32_t> CellLeader::NumberOfPlacedRun(
     const std::string& task) const {
-  for (const auto& [id, member] : members_) {
-    const Run* run = member.session->FindRun(task);
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    const Run* run = cell_worker.session->FindRun(task);
     if (run != nullptr) {
       return run->number;
     }
@@ -218,10 +223,10 @@
   }
   JobTable::SetPlaced(task, true);
   if (task->plan().lasting) {
-    NotePlace(task, session.life().id);
+    RecordAdoptedPlacement(task, session.life().id);
   }
   task->unaccounted = false;
-  task->adopted_run = accounted_ ? 0 : active_run.run;
+  task->adopted_run = all_runs_accounted_ ? 0 : active_run.run;
   task->crash_untold = false;
   JobTable::DropUntold(task, active_run.run);
   task->last_run = std::max(task->last_run, active_run.run);
@@ -231,7 +236,7 @@
     task->job->dirty = true;
   }
   if (IsSuspect(*task)) {
-    BeginTrial(*task, members_.at(session.life().id).session);
+    BeginTrial(*task, cell_workers_.at(session.life().id).session);
   }
   Run run = MakeRun(*task, active_run.run);
   run.image = interference_.Intern(task->plan().image);
@@ -254,10 +259,10 @@
               {"run", run.number},
               {"worker", session.life().id},
               {"error", error.message()}});
-  const auto member = members_.find(session.life().id);
-  if (member != members_.end()) {
+  const auto cell_worker = cell_workers_.find(session.life().id);
+  if (cell_worker != cell_workers_.end()) {
     const bool busy = error == make_error_code(RunErrc::kBusy);
-    member->second.rests_until =
+    cell_worker->second.backoff_until =
         executor_.Now() + (busy ? kBusyPause : kRefusalPause);
   }
   Task* task = jobs_.FindTask(run.task);
@@ -265,21 +270,23 @@
     return;
   }
   JobTable::SetPlaced(task, false);
-  unrecorded_places_.erase(run.task);
+  unrecorded_placements_.erase(run.task);
   task->failed_on = session.life().id;
-  WakeScheduler();
+  RequestSchedulingPass();
 }
 
 void CellLeader::OnReport(WorkerSession& session) {
-  PaceWorker(session);
-  const auto member = members_.find(session.life().id);
-  if (member != members_.end() && member->second.told_unheard &&
-      !member->second.heard_recorded) {
-    member->second.heard_recorded = true;
-    RecordMembers();
-  } else if (member != members_.end() && member->second.told_tasks &&
-             HasNewsToRecord(member->second)) {
-    RecordTasks();
+  UpdatePaces(session);
+  const auto cell_worker = cell_workers_.find(session.life().id);
+  if (cell_worker != cell_workers_.end() &&
+      cell_worker->second.renewals_blocked &&
+      !cell_worker->second.contact_record_pending) {
+    cell_worker->second.contact_record_pending = true;
+    RecordWorkers();
+  } else if (cell_worker != cell_workers_.end() &&
+             cell_worker->second.starts_blocked &&
+             HasUnrecordedTaskChanges(cell_worker->second)) {
+    RecordTasksOfClosedWorkers();
   }
   // With no write pending, ends that changed no state need no record.
   if (journal_.idle()) {
@@ -289,16 +296,16 @@
 
 // --- Jobs that have ended ---
 
-void CellLeader::OnJobOver(Job* job) {
+void CellLeader::OnJobEnded(Job* job) {
   job->finished_at = unix_millis_();
-  StopRunsOf(*job);
+  StopRunsOfJob(*job);
   MarkDirty(job, /*urgent=*/true);
 }
 
-void CellLeader::StopRunsOf(const Job& job) {
+void CellLeader::StopRunsOfJob(const Job& job) {
   const std::string prefix = job.plan.id + ".";
-  for (const auto& [id, member] : members_) {
-    const auto session = member.session;
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    const auto session = cell_worker.session;
     std::vector<std::string> tasks;
     for (const auto& [task, run] : session->runs()) {
       if (task.starts_with(prefix)) {
@@ -314,7 +321,7 @@
 
 // --- Records ---
 
-void CellLeader::StopRunsOfDone(const Task& task) {
+void CellLeader::StopRunsOfCompletedTask(const Task& task) {
   // The completion of one task of a gang completes all of its tasks.
   std::vector<std::string> placed;
   for (const Task& member : task.job->times[task.time].steps[task.step].tasks) {
@@ -329,8 +336,8 @@
 }
 
 void CellLeader::StopRunsOfTask(const std::string& task) {
-  for (const auto& [id, member] : members_) {
-    const auto session = member.session;
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    const auto session = cell_worker.session;
     if (session->FindRun(task) != nullptr) {
       ++counters_.stops;
       session->Stop(task);
@@ -354,9 +361,9 @@
 
 std::map<std::string, uint64_t> CellLeader::ListedEnds() {
   std::map<std::string, uint64_t> ends;
-  for (const auto& [id, member] : members_) {
-    if (member.session->has_unrecorded_ends()) {
-      ends[id] = member.session->last_end();
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    if (cell_worker.session->has_unrecorded_ends()) {
+      ends[id] = cell_worker.session->last_end();
     }
   }
   return ends;
@@ -364,8 +371,8 @@
 
 void CellLeader::OnEndsRecorded(const std::map<std::string, uint64_t>& ends) {
   for (const auto& [id, number] : ends) {
-    const auto found = members_.find(id);
-    if (found != members_.end()) {
+    const auto found = cell_workers_.find(id);
+    if (found != cell_workers_.end()) {
       found->second.session->MarkRecorded(number);
     }
   }
--- a/src/libdoorwood/cell/cell_evacuation.cpp
+++ b/src/libdoorwood/cell/cell_evacuation.cpp
@@ -19,18 +19,19 @@
 
 }  // namespace
 
-void CellLeader::EvacuateLeaving() {
-  for (const auto& [id, member] : members_) {
-    if (member.listed && member.session->life().draining) {
-      EvacuateDraining(id, member);
-    } else if (!member.listed && !member.session->dead()) {
-      EvacuateUnlisted(id, member);
+void CellLeader::EvacuateLeavingWorkers() {
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    if (cell_worker.listed && cell_worker.session->life().draining) {
+      EvacuateDraining(id, cell_worker);
+    } else if (!cell_worker.listed && !cell_worker.session->dead()) {
+      EvacuateUnlisted(id, cell_worker);
     }
   }
 }
 
-void CellLeader::EvacuateDraining(const std::string& id, const Member& member) {
-  const auto& session = member.session;
+void CellLeader::EvacuateDraining(const std::string& id,
+                                  const CellWorker& cell_worker) {
+  const auto& session = cell_worker.session;
   const Millis remaining = session->life().remaining;
   std::vector<std::string> to_move;
   for (const auto& [task, run] : session->runs()) {
@@ -44,7 +45,7 @@
       to_move.push_back(task);
     }
   }
-  StopToLeave(id, session, to_move, "it drains");
+  StopRunsToMove(id, session, to_move, "it drains");
 }
 
 // Some workers leave without announcing it: their entry is removed, and they
@@ -52,29 +53,30 @@
 // therefore moved as soon as the entry counts as gone. A worker that was
 // partitioned from the leader is listed again only some time after it answers
 // again, so the time in which it did not answer does not count.
-void CellLeader::EvacuateUnlisted(const std::string& id, const Member& member) {
-  const Instant since =
-      std::max(member.unlisted_since, member.session->answers_since());
-  const bool gone = member.unlisted_since != Instant{} &&
-                    executor_.Now() - since >= options_.unlisted_patience;
-  if (!gone || !member.session->responsive()) {
+void CellLeader::EvacuateUnlisted(const std::string& id,
+                                  const CellWorker& cell_worker) {
+  const Instant since = std::max(cell_worker.unlisted_since,
+                                 cell_worker.session->answers_since());
+  const bool gone = cell_worker.unlisted_since != Instant{} &&
+                    executor_.Now() - since >= options_.unlisted_grace;
+  if (!gone || !cell_worker.session->responsive()) {
     return;
   }
   std::vector<std::string> to_move;
-  for (const auto& [task, run] : member.session->runs()) {
+  for (const auto& [task, run] : cell_worker.session->runs()) {
     const Task* known_task = jobs_.FindTask(task);
     if (known_task != nullptr && run.phase == RunPhase::kRunning &&
         (run.lasting || known_task->plan().checkpoints)) {
       to_move.push_back(task);
     }
   }
-  StopToLeave(id, member.session, to_move, "it is no longer listed");
+  StopRunsToMove(id, cell_worker.session, to_move, "it is no longer listed");
 }
 
-void CellLeader::StopToLeave(const std::string& id,
-                             const std::shared_ptr<WorkerSession>& session,
-                             const std::vector<std::string>& tasks,
-                             std::string_view cause) {
+void CellLeader::StopRunsToMove(const std::string& id,
+                                const std::shared_ptr<WorkerSession>& session,
+                                const std::vector<std::string>& tasks,
+                                std::string_view cause) {
   for (const std::string& task : tasks) {
     log_.Write("info", "cell", "run is stopped to be moved off its worker",
                {{"task", task},
@@ -86,15 +88,15 @@
   }
 }
 
-bool CellLeader::MayTakeAway(const Task& task) const {
+bool CellLeader::MayStopForMaintenance(const Task& task) const {
   const StepPlan& plan = task.plan();
   if (!plan.may_miss) {
     return true;
   }
   const std::string step = StepName(*task.job, task.time, task.step);
   int working = 0;
-  for (const auto& [id, member] : members_) {
-    for (const auto& [name, run] : member.session->runs()) {
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    for (const auto& [name, run] : cell_worker.session->runs()) {
       const bool is_working =
           run.phase == RunPhase::kRunning && run.progress >= kWorkingProgress;
       working += run.step == step && name != task.name() && is_working ? 1 : 0;
@@ -105,13 +107,13 @@
 }
 
 Occupancy CellLeader::EmptyWorker(const std::string& worker) {
-  const auto found = members_.find(worker);
-  if (found == members_.end()) {
+  const auto found = cell_workers_.find(worker);
+  if (found == cell_workers_.end()) {
     return Occupancy::kEmpty;
   }
-  Member& member = found->second;
-  member.emptied_until = executor_.Now() + kEmptyRequestLifetime;
-  const auto session = member.session;
+  CellWorker& cell_worker = found->second;
+  cell_worker.evacuated_until = executor_.Now() + kEmptyRequestLifetime;
+  const auto session = cell_worker.session;
   Occupancy occupancy = Occupancy::kEmpty;
   std::vector<std::string> long_running;
   std::vector<std::string> with_checkpoints;
@@ -129,13 +131,14 @@
                                 ? Occupancy::kNeeded
                                 : Occupancy::kExpendable);
   }
-  StopToLeave(worker, session, with_checkpoints,
-              "its machine is wanted for upkeep");
+  StopRunsToMove(worker, session, with_checkpoints,
+                 "its machine is wanted for upkeep");
   // Checked one at a time: each task that is stopped adds to the number of
   // tasks of its step that are not running.
   for (const std::string& task : long_running) {
-    if (MayTakeAway(*jobs_.FindTask(task))) {
-      StopToLeave(worker, session, {task}, "its machine is wanted for upkeep");
+    if (MayStopForMaintenance(*jobs_.FindTask(task))) {
+      StopRunsToMove(worker, session, {task},
+                     "its machine is wanted for upkeep");
     }
   }
   return occupancy;
--- a/src/libdoorwood/cell/cell_known_workers_test.cpp
+++ b/src/libdoorwood/cell/cell_known_workers_test.cpp
@@ -172,7 +172,7 @@
 struct LargeCell {
   explicit LargeCell(const std::vector<int>& tasks) : world(5) {
     world.SetTable({fakes::MakeQueue("queue", 4)});
-    world.options().most_name_bytes = kNameBytesLimit;
+    world.options().max_name_bytes = kNameBytesLimit;
     world.AddInstance("a1", "plaka");
     world.WaitForLeader();
     world.Run(Millis(1000));
--- a/src/libdoorwood/cell/cell_large_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_large_takeover_test.cpp
@@ -48,7 +48,8 @@
   }
   world.Run(Millis(3000));
   BOOST_REQUIRE(world.Submit(fakes::MakePlan(kJob, 1, 1, "ms=1")));
-  const char* release_message = "tasks that unheard workers can't run are free";
+  const char* release_message =
+      "released tasks that cannot run on workers not yet contacted";
   const int before = world.logged(release_message);
   world.Kill(world.Leader()->name);
   for (const auto& [id, worker] : world.workers()) {
--- a/src/libdoorwood/cell/cell_lasting_places.cpp
+++ b/src/libdoorwood/cell/cell_lasting_places.cpp
@@ -10,23 +10,23 @@
 
 namespace doorwood {
 
-bool CellLeader::ClaimPlace(Task* task, const std::string& worker) {
+bool CellLeader::RequestPlacementRecord(Task* task, const std::string& worker) {
   const std::string name = task->name();
   if (!JobTable::SetPlace(task, worker)) {
     return true;
   }
   MarkDirty(task->job, /*urgent=*/true);
   if (MayStartUnrecorded()) {
-    unrecorded_places_.insert(name);
+    unrecorded_placements_.insert(name);
     return true;
   }
-  held_starts_.insert(name);
+  starts_awaiting_record_.insert(name);
   return false;
 }
 
-void CellLeader::NotePlace(Task* task, const std::string& worker) {
+void CellLeader::RecordAdoptedPlacement(Task* task, const std::string& worker) {
   if (JobTable::SetPlace(task, worker)) {
-    unrecorded_places_.insert(task->name());
+    unrecorded_placements_.insert(task->name());
     MarkDirty(task->job, /*urgent=*/true);
   }
 }
@@ -35,38 +35,40 @@
   return executor_.Now() < live_.AgreedUntil();
 }
 
-bool CellLeader::MayReleaseTo(const Member& member) const {
-  return MayOrder() && IsServing(member);
+bool CellLeader::MayReleaseStartOn(const CellWorker& cell_worker) const {
+  return MaySendOrders() && MayReceiveOrders(cell_worker);
 }
 
-void CellLeader::ReleaseStarts() {
+void CellLeader::ReleaseHeldStarts() {
   const bool unrecorded = MayStartUnrecorded();
-  for (const std::string& name : std::set<std::string>(held_starts_)) {
+  for (const std::string& name :
+       std::set<std::string>(starts_awaiting_record_)) {
     Task* task = jobs_.FindTask(name);
-    const auto member =
-        task == nullptr ? members_.end() : members_.find(task->place);
-    if (member == members_.end()) {
-      held_starts_.erase(name);
+    const auto cell_worker =
+        task == nullptr ? cell_workers_.end() : cell_workers_.find(task->place);
+    if (cell_worker == cell_workers_.end()) {
+      starts_awaiting_record_.erase(name);
       continue;
     }
-    const auto session = member->second.session;
+    const auto session = cell_worker->second.session;
     const bool recorded = task->place_record == PlaceRecord::kRecorded;
-    if (!MayReleaseTo(member->second)) {
-      held_starts_.erase(name);
+    if (!MayReleaseStartOn(cell_worker->second)) {
+      starts_awaiting_record_.erase(name);
       session->Stop(name);
     } else if (recorded || unrecorded) {
-      held_starts_.erase(name);
+      starts_awaiting_record_.erase(name);
       if (!recorded) {
-        unrecorded_places_.insert(name);
+        unrecorded_placements_.insert(name);
       }
       session->Release(name);
     }
   }
-  live_.SetNeedsAgreement(!held_starts_.empty());
+  live_.SetNeedsAgreement(!starts_awaiting_record_.empty());
 }
 
-bool CellLeader::KnowsPlaces() const {
-  return (places_held_ || accounted_) && unrecorded_places_.empty();
+bool CellLeader::ArePlacementsRecorded() const {
+  return (placements_valid_at_takeover_ || all_runs_accounted_) &&
+         unrecorded_placements_.empty();
 }
 
 // Once an instance may rely on the recorded placements, it may continue to do
@@ -74,15 +76,15 @@
 // instance to agree to unrecorded starts, after which the instance no longer
 // relies on them.
 int64_t CellLeader::PlacesHoldTo() {
-  if (KnowsPlaces()) {
-    places_hold_to_ = live_.at();
+  if (ArePlacementsRecorded()) {
+    placements_valid_to_ = live_.at();
   }
-  return places_hold_to_;
+  return placements_valid_to_;
 }
 
-void CellLeader::TellPlacesHold() {
-  if (KnowsPlaces() && live_.NewestAgreeingSince() > places_hold_to_ &&
-      IsSure()) {
+void CellLeader::PublishRecordedPlacements() {
+  if (ArePlacementsRecorded() &&
+      live_.NewestAgreeingSince() > placements_valid_to_ && IsLeadConfirmed()) {
     journal_.Touch();
   }
 }
@@ -96,17 +98,17 @@
   ForEachTask(job, [&](Task* task) {
     if (task->place_record == PlaceRecord::kWritten) {
       task->place_record = PlaceRecord::kRecorded;
-      unrecorded_places_.erase(task->name());
+      unrecorded_placements_.erase(task->name());
       newly_recorded = true;
     }
   });
   if (newly_recorded) {
-    ReleaseStarts();
+    ReleaseHeldStarts();
   }
 }
 
 bool CellLeader::AgreeToUnrecordedStarts() {
-  const bool may_lead = stage_ != Stage::kStandby && stage_ != Stage::kLeft;
+  const bool may_lead = stage_ != Stage::kStandby && stage_ != Stage::kShutDown;
   return !may_lead && live_.Agree();
 }
 
--- a/src/libdoorwood/cell/cell_leader.cpp
+++ b/src/libdoorwood/cell/cell_leader.cpp
@@ -56,7 +56,7 @@
                adviser,
                log,
                TicketOptions{},
-               [this] { WakeScheduler(); }),
+               [this] { RequestSchedulingPass(); }),
       waves_(executor,
              store,
              machines,
@@ -77,7 +77,7 @@
     known_queues_[queue.name] = queue;
   }
   if (leading()) {
-    WakeScheduler();
+    RequestSchedulingPass();
   } else {
     OnLiveChange();
   }
@@ -97,25 +97,25 @@
   log_.Write("warn", "cell",
              "a worker has seen the fencing token of a newer leader",
              {{"worker", session.life().id}, {"epoch", epoch_}});
-  StepDown("a worker rejected this leader's fencing token");
+  StepDown("fenced off by a worker");
 }
 
 void CellLeader::StepDown(std::string_view reason) {
-  if (stage_ == Stage::kStandby || stage_ == Stage::kLeft) {
+  if (stage_ == Stage::kStandby || stage_ == Stage::kShutDown) {
     return;
   }
   log_.Write("warn", "cell", "stepping down as leader",
              {{"cell", options_.cell}, {"epoch", epoch_}, {"reason", reason}});
   ++counters_.step_downs;
-  GiveUpKey();
+  ReleaseLeadKey();
   ++generation_;
   stage_ = Stage::kStandby;
-  for (auto& [id, member] : members_) {
-    member.session->Close();
+  for (auto& [id, cell_worker] : cell_workers_) {
+    cell_worker.session->Close();
   }
   // Sessions may be on the call stack, so they are destroyed later.
-  executor_.Post([members = std::move(members_)] {});
-  members_.clear();
+  executor_.Post([members = std::move(cell_workers_)] {});
+  cell_workers_.clear();
   if (tick_timer_ != 0) {
     executor_.Cancel(tick_timer_);
     tick_timer_ = 0;
@@ -141,16 +141,16 @@
 
 // The store answers other instances, but not this leader. Instead of waiting
 // until its lease expires, it asks one of them to remove the key.
-void CellLeader::Resign(const LiveInstance& successor) {
+void CellLeader::HandOverLead(const LiveInstance& successor) {
   const LiveInstance target = successor;
   const int64_t epoch = epoch_;
   log_.Write("warn", "cell", "handing the lead over to another instance",
              {{"cell", options_.cell}, {"epoch", epoch}, {"to", target.name}});
-  StepDown("this instance cannot reach the store, another one can");
+  StepDown("the store turns this instance away");
   live_.HandOver(target, options_.cell, epoch);
 }
 
-void CellLeader::OnHandedOver(int64_t epoch) {
+void CellLeader::OnLeadHandedOver(int64_t epoch) {
   if (stage_ != Stage::kStandby) {
     return;
   }
@@ -178,7 +178,7 @@
   });
 }
 
-void CellLeader::GiveUpKey() {
+void CellLeader::ReleaseLeadKey() {
   // A key that still exists would keep other instances from the lead for as
   // long as this process lives.
   StoreTransaction transaction;
@@ -188,28 +188,28 @@
     if (!error) {
       live_.Refresh();
     }
-    if (on_left_) {
-      const auto done = std::move(on_left_);
-      on_left_ = nullptr;
+    if (on_shut_down_) {
+      const auto done = std::move(on_shut_down_);
+      on_shut_down_ = nullptr;
       done();
     }
   });
 }
 
 bool CellLeader::IsHandingOver() const {
-  return leaving_since_ != Instant{} &&
-         executor_.Now() - leaving_since_ >= kFullRecordTimeout;
+  return shutdown_since_ != Instant{} &&
+         executor_.Now() - shutdown_since_ >= kFullRecordTimeout;
 }
 
-void CellLeader::Leave(std::function<void()> done) {
+void CellLeader::ShutDown(std::function<void()> done) {
   if (stage_ != Stage::kLeading) {
     ++generation_;
-    stage_ = Stage::kLeft;
+    stage_ = Stage::kShutDown;
     done();
     return;
   }
-  if (leaving_since_ == Instant{}) {
-    leaving_since_ = executor_.Now();
+  if (shutdown_since_ == Instant{}) {
+    shutdown_since_ = executor_.Now();
   }
   // A busy leader never has everything recorded, since runs keep ending.
   // Without a limit it would lead until its grace period is over, and exit with
@@ -218,81 +218,83 @@
     journal_.Seal();
   }
   if (journal_.idle() || (IsHandingOver() && journal_.settled())) {
-    on_left_ = std::move(done);
+    on_shut_down_ = std::move(done);
     StepDown("leaving");
-    stage_ = Stage::kLeft;
+    stage_ = Stage::kShutDown;
     return;
   }
   executor_.Schedule(
       kShutdownCheckInterval,
-      [this, done = std::move(done)]() mutable { Leave(std::move(done)); });
+      [this, done = std::move(done)]() mutable { ShutDown(std::move(done)); });
 }
 
 // --- Time ---
 
-Instant CellLeader::OrdersUntil() const {
-  if (!leading() || unsure_after_pause_) {
+Instant CellLeader::OrderDeadline() const {
+  if (!leading() || unconfirmed_after_pause_) {
     return Instant{};
   }
-  return orders_until_;
+  return order_deadline_;
 }
 
-void CellLeader::RenewOrders() {
-  if (executor_.Now() < orders_until_) {
-    orders_until_ = std::max(orders_until_, live_.OutageUntil());
+void CellLeader::ExtendOrderDeadline() {
+  if (executor_.Now() < order_deadline_) {
+    order_deadline_ = std::max(order_deadline_, live_.OutageUntil());
   }
-  orders_until_ =
-      std::max(orders_until_, proof_.stood_at() + options_.unsure_patience);
+  order_deadline_ =
+      std::max(order_deadline_, proof_.confirmed_at() + options_.order_grace);
 }
 
-bool CellLeader::MayOrder() const {
-  return executor_.Now() < OrdersUntil();
+bool CellLeader::MaySendOrders() const {
+  return executor_.Now() < OrderDeadline();
 }
 
-std::optional<Millis> CellLeader::StoreHeardAgo(Instant now) const {
-  const bool may_lead = stage_ != Stage::kStandby && stage_ != Stage::kLeft;
+std::optional<Millis> CellLeader::TimeSinceStoreAnswer(Instant now) const {
+  const bool may_lead = stage_ != Stage::kStandby && stage_ != Stage::kShutDown;
   if (may_lead && live_.IsDeaf(now)) {
     return std::nullopt;
   }
   return std::chrono::duration_cast<Millis>(now - live_.store_heard_at());
 }
 
-bool CellLeader::IsSure() const {
-  return executor_.Now() < proof_.stood_at() + options_.sure_for;
+bool CellLeader::IsLeadConfirmed() const {
+  return executor_.Now() < proof_.confirmed_at() + options_.lead_confirmed_for;
 }
 
-void CellLeader::TellSession(const Member& member, Instant orders_until) const {
-  member.session->SetExtendUntil(member.told_unheard ? Instant{}
-                                                     : orders_until);
-  member.session->SetLedUntil(proof_.stood_at());
+void CellLeader::UpdateSessionLimits(const CellWorker& cell_worker,
+                                     Instant order_deadline) const {
+  cell_worker.session->SetExtendUntil(
+      cell_worker.renewals_blocked ? Instant{} : order_deadline);
+  cell_worker.session->SetLedUntil(proof_.confirmed_at());
 }
 
 void CellLeader::OnLeadShown(Instant sent) {
-  proof_.NoteShown(sent);
+  proof_.NoteConfirmed(sent);
 }
 
 void CellLeader::OnLeadProved() {
   if (!leading()) {
     return;
   }
-  RenewOrders();
-  const Instant orders_until = OrdersUntil();
+  ExtendOrderDeadline();
+  const Instant order_deadline = OrderDeadline();
   std::vector<std::shared_ptr<WorkerSession>> waiting;
-  for (const auto& [id, member] : members_) {
-    if (member.session->awaits_proof()) {
-      waiting.push_back(member.session);
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    if (cell_worker.session->awaits_proof()) {
+      waiting.push_back(cell_worker.session);
     }
-    TellSession(member, orders_until);
+    UpdateSessionLimits(cell_worker, order_deadline);
   }
   for (const auto& session : waiting) {
     session->Conclude();
   }
 }
 
-Millis CellLeader::WatchingWait() const {
+Millis CellLeader::InterferencePollWait() const {
   constexpr int64_t kMillisPerSecond = 1000;
-  const auto workers = static_cast<int64_t>(members_.size());
-  const Millis interval(workers * kMillisPerSecond / options_.watching_looks);
+  const auto workers = static_cast<int64_t>(cell_workers_.size());
+  const Millis interval(workers * kMillisPerSecond /
+                        options_.max_interference_polls);
   return std::clamp(interval, options_.sessions.short_wait,
                     options_.sessions.long_wait);
 }
@@ -302,42 +304,43 @@
     return;
   }
   const Instant now = executor_.Now();
-  if (now - last_tick_ > options_.tick + kPauseThreshold && !IsSure()) {
-    unsure_after_pause_ = true;
+  if (now - last_tick_ > options_.tick + kPauseThreshold &&
+      !IsLeadConfirmed()) {
+    unconfirmed_after_pause_ = true;
     log_.Write("warn", "cell",
                "this process was paused; sending no orders until the "
                "lead is confirmed",
                {{"cell", options_.cell}});
   }
-  if (IsSure()) {
-    unsure_after_pause_ = false;
+  if (IsLeadConfirmed()) {
+    unconfirmed_after_pause_ = false;
   }
   last_tick_ = now;
   if (const LiveInstance* other = live_.FindInstanceThatHears()) {
-    Resign(*other);
+    HandOverLead(*other);
     return;
   }
   if (now - workers_read_ >= options_.list_interval) {
     ReadWorkers();
   }
   if (now - closed_read_ >= options_.closed_interval) {
-    ReadClosed();
+    ReadClosedDataCentres();
   }
-  RecordUnheard();
-  RecordTasks();
-  const Millis watching_wait = WatchingWait();
+  RecordUnreachableWorkers();
+  RecordTasksOfClosedWorkers();
+  const Millis watching_wait = InterferencePollWait();
   std::vector<std::shared_ptr<WorkerSession>> sessions;
-  RenewOrders();
-  const Instant orders_until = OrdersUntil();
+  ExtendOrderDeadline();
+  const Instant order_deadline = OrderDeadline();
   bool awaits_proof = false;
-  for (const auto& [id, member] : members_) {
-    TellSession(member, orders_until);
-    member.session->SetShortWait(watching_wait);
-    awaits_proof = awaits_proof || member.session->awaits_proof();
-    sessions.push_back(member.session);
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    UpdateSessionLimits(cell_worker, order_deadline);
+    cell_worker.session->SetShortWait(watching_wait);
+    awaits_proof = awaits_proof || cell_worker.session->awaits_proof();
+    sessions.push_back(cell_worker.session);
   }
   if (awaits_proof) {
-    proof_.Demand();
+    proof_.RequestRead();
   }
   proof_.Tick();
   for (const auto& session : sessions) {
@@ -350,26 +353,26 @@
     return;
   }
   interference_.Relax(options_.tick);
-  NoteDeaths();
+  HandleDeadWorkers();
   CheckTakeover();
-  FollowTrials();
-  ReleaseStarts();
-  TellPlacesHold();
-  if (accounted_ && IsSure()) {
+  UpdateTrials();
+  ReleaseHeldStarts();
+  PublishRecordedPlacements();
+  if (all_runs_accounted_ && IsLeadConfirmed()) {
     waves_.Tick();
   }
-  AnswerCancels();
-  if (now - forgot_ >= kForgetInterval) {
-    forgot_ = now;
+  ExpireCancels();
+  if (now - old_jobs_removed_ >= kForgetInterval) {
+    old_jobs_removed_ = now;
     ForgetOldJobs();
   }
-  TellOverdue();
+  LogOverdueRuns();
   if (now - summarized_ >= kSummaryInterval) {
     summarized_ = now;
     summary_ = Summarize();
     ObserveLoads();
   }
-  WakeScheduler();
+  RequestSchedulingPass();
   tick_timer_ = executor_.Schedule(options_.tick, [this] {
     tick_timer_ = 0;
     Tick();
@@ -381,7 +384,7 @@
   std::vector<std::string> old;
   for (const auto& [id, job] : jobs_.jobs()) {
     if (job->outcome_recorded && job->finished_at > 0 &&
-        now - job->finished_at > options_.keep_finished.count()) {
+        now - job->finished_at > options_.finished_job_retention.count()) {
       old.push_back(id);
     }
   }
--- a/src/libdoorwood/cell/cell_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_leader_test.cpp
@@ -121,7 +121,7 @@
   world.Submit(fakes::MakePlan(kJob, 1, 2, "ms=3000"));
   fakes::WorldInstance* old = world.Leader();
   old->live->AnnounceLeaving();
-  old->cell->Leave([] {});
+  old->cell->ShutDown([] {});
   world.Run(Millis(600));
   BOOST_REQUIRE(world.Leader() != nullptr);
   BOOST_TEST(world.Leader()->name != old->name);
@@ -193,7 +193,7 @@
   world.Run(Millis(1000));
   fakes::WorldInstance& leader = *world.Leader();
   leader.store_faults.down = true;
-  weak.cell->OnHandedOver(leader.cell->epoch());
+  weak.cell->OnLeadHandedOver(leader.cell->epoch());
   world.Run(Millis(1500));
   BOOST_TEST(leader.name == "b1");
   BOOST_TEST(!weak.cell->leading());
--- a/src/libdoorwood/cell/cell_leaving_test.cpp
+++ b/src/libdoorwood/cell/cell_leaving_test.cpp
@@ -92,7 +92,7 @@
     BOOST_REQUIRE(old_leader != nullptr);
     bool left = false;
     old_leader->live->AnnounceLeaving();
-    old_leader->cell->Leave([&left] { left = true; });
+    old_leader->cell->ShutDown([&left] { left = true; });
     Millis taken{0};
     for (; taken < Millis(5000) && !left; taken += kStep) {
       fixture.Run(kStep);
--- a/src/libdoorwood/cell/cell_member_records.cpp
+++ b/src/libdoorwood/cell/cell_member_records.cpp
@@ -52,38 +52,41 @@
 
 }  // namespace
 
-std::vector<KnownWorker> CellLeader::DescribeMembers() const {
+std::vector<KnownWorker> CellLeader::BuildWorkerRecords() const {
   std::vector<KnownWorker> known;
-  known.reserve(members_.size());
-  for (const auto& [id, member] : members_) {
+  known.reserve(cell_workers_.size());
+  for (const auto& [id, cell_worker] : cell_workers_) {
     KnownWorker worker;
     worker.id = id;
-    worker.address = member.session->life().address;
-    worker.unheard = UnheardFor(member);
-    worker.tasks = TasksToRecord(member);
+    worker.address = cell_worker.session->life().address;
+    worker.unheard = TimeWithoutRenewal(cell_worker);
+    worker.tasks = TasksToRecord(cell_worker);
     known.push_back(std::move(worker));
   }
-  LimitNameBytes(options_.most_name_bytes, &known);
+  LimitNameBytes(options_.max_name_bytes, &known);
   return known;
 }
 
-void CellLeader::RecordMembers() {
-  std::vector<KnownWorker> known = DescribeMembers();
+void CellLeader::RecordWorkers() {
+  std::vector<KnownWorker> known = BuildWorkerRecords();
   size_t entries = known.size();
   for (const KnownWorker& worker : known) {
-    Member& member = members_.at(worker.id);
+    CellWorker& cell_worker = cell_workers_.at(worker.id);
     entries += CountTasks(worker);
     if (worker.unheard > Millis(0)) {
-      member.told_unheard = true;
-      member.heard_recorded = false;
-      member.session->SetExtendUntil(Instant{});
+      cell_worker.renewals_blocked = true;
+      cell_worker.contact_record_pending = false;
+      cell_worker.session->SetExtendUntil(Instant{});
     }
-    member.told_tasks = member.told_tasks || worker.tasks.has_value();
-    member.noted = worker;
-    member.noted_closed =
-        IsUnheard(member) ? worker.tasks.has_value() : GetsNothingNew(member);
-    member.noted_version =
-        IsUnheard(member) ? kNeverNoted : member.session->tasks_version();
+    cell_worker.starts_blocked =
+        cell_worker.starts_blocked || worker.tasks.has_value();
+    cell_worker.submitted_record = worker;
+    cell_worker.submitted_as_closed = IsUncontacted(cell_worker)
+                                          ? worker.tasks.has_value()
+                                          : GetsNoNewWork(cell_worker);
+    cell_worker.submitted_version = IsUncontacted(cell_worker)
+                                        ? kNeverSubmitted
+                                        : cell_worker.session->tasks_version();
   }
   next_tasks_record_ = executor_.Now() + entries * kWriteDelayPerEntry;
   journal_.SetWorkers(std::move(known));
@@ -93,87 +96,90 @@
 // there. For a worker that gets no new work, those tasks are known and can only
 // become fewer: a task whose end there is recorded need not be held back.
 std::optional<std::vector<std::string>> CellLeader::TasksToRecord(
-    const Member& member) const {
-  if (IsUnheard(member) || HasMoreToTell(member)) {
-    return member.tasks_before;
+    const CellWorker& cell_worker) const {
+  if (IsUncontacted(cell_worker) || HasUnlistedEnds(cell_worker)) {
+    return cell_worker.inherited_tasks;
   }
-  if (!GetsNothingNew(member)) {
+  if (!GetsNoNewWork(cell_worker)) {
     return std::nullopt;
   }
-  return member.session->TasksToReckonWith();
+  return cell_worker.session->TasksToReckonWith();
 }
 
-bool CellLeader::GetsNothingNew(const Member& member) const {
-  const WorkerSession& session = *member.session;
+bool CellLeader::GetsNoNewWork(const CellWorker& cell_worker) const {
+  const WorkerSession& session = *cell_worker.session;
   const Instant now = executor_.Now();
   // Nothing was started on a worker that this leader has not contacted, and
   // what earlier leaders may have left there is accounted for.
-  if (session.dead() || IsLongSilent(member) || !session.fenced()) {
+  if (session.dead() || IsLongUnresponsive(cell_worker) || !session.fenced()) {
     return true;
   }
-  if (member.listed) {
+  if (cell_worker.listed) {
     return session.life().draining;
   }
-  const bool gone = member.unlisted_since != Instant{} &&
-                    now - member.unlisted_since >= options_.unlisted_patience;
-  return gone || member.told_tasks;
+  const bool gone = cell_worker.unlisted_since != Instant{} &&
+                    now - cell_worker.unlisted_since >= options_.unlisted_grace;
+  return gone || cell_worker.starts_blocked;
 }
 
-bool CellLeader::HasNewsToRecord(const Member& member) const {
-  if (IsUnheard(member)) {
+bool CellLeader::HasUnrecordedTaskChanges(const CellWorker& cell_worker) const {
+  if (IsUncontacted(cell_worker)) {
     return false;
   }
-  const bool closed = GetsNothingNew(member);
-  const bool changed = member.session->tasks_version() != member.noted_version;
-  return closed != member.noted_closed || (closed && changed);
+  const bool closed = GetsNoNewWork(cell_worker);
+  const bool changed =
+      cell_worker.session->tasks_version() != cell_worker.submitted_version;
+  return closed != cell_worker.submitted_as_closed || (closed && changed);
 }
 
-void CellLeader::RecordTasks() {
-  if (!IsSure() || executor_.Now() < next_tasks_record_) {
+void CellLeader::RecordTasksOfClosedWorkers() {
+  if (!IsLeadConfirmed() || executor_.Now() < next_tasks_record_) {
     return;
   }
   const bool needs_record = std::any_of(
-      members_.begin(), members_.end(),
-      [this](const auto& entry) { return HasNewsToRecord(entry.second); });
+      cell_workers_.begin(), cell_workers_.end(), [this](const auto& entry) {
+        return HasUnrecordedTaskChanges(entry.second);
+      });
   if (needs_record) {
-    RecordMembers();
+    RecordWorkers();
   }
 }
 
 // If another incarnation answers at the recorded address, a successor takes the
 // worker to be dead. That address therefore has to be one at which this
 // incarnation has answered.
-bool CellLeader::IsRecorded(const Member& member) {
-  return member.recorded_at == member.session->life().address;
+bool CellLeader::IsAddressRecorded(const CellWorker& cell_worker) {
+  return cell_worker.recorded_address == cell_worker.session->life().address;
 }
 
-bool CellLeader::IsUnheard(const Member& member) const {
-  return member.from_takeover && !accounted_ && !member.session->fenced() &&
-         !member.session->proved_dead();
+bool CellLeader::IsUncontacted(const CellWorker& cell_worker) const {
+  return cell_worker.from_takeover && !all_runs_accounted_ &&
+         !cell_worker.session->fenced() && !cell_worker.session->proved_dead();
 }
 
-bool CellLeader::IsLongSilent(const Member& member) const {
-  const WorkerSession& session = *member.session;
+bool CellLeader::IsLongUnresponsive(const CellWorker& cell_worker) const {
+  const WorkerSession& session = *cell_worker.session;
   return session.fenced() && session.look_failed() &&
-         executor_.Now() - session.promised_at() >= options_.silence_recorded;
+         executor_.Now() - session.promised_at() >=
+             options_.unresponsive_record_delay;
 }
 
-Millis CellLeader::UnheardFor(const Member& member) const {
-  if (IsUnheard(member)) {
-    return member.unheard_before + LedFor();
+Millis CellLeader::TimeWithoutRenewal(const CellWorker& cell_worker) const {
+  if (IsUncontacted(cell_worker)) {
+    return cell_worker.predecessors_waited + TimeLeading();
   }
-  if (!IsLongSilent(member)) {
+  if (!IsLongUnresponsive(cell_worker)) {
     return Millis(0);
   }
   // A successor counts from when it leads, as if orders had been sent until
-  // then and for `unsure_patience` after that. This leader sends no more orders
+  // then and for `order_grace` after that. This leader sends no more orders
   // there.
-  return std::chrono::duration_cast<Millis>(executor_.Now() -
-                                            member.session->promised_at()) +
-         options_.unsure_patience;
+  return std::chrono::duration_cast<Millis>(
+             executor_.Now() - cell_worker.session->promised_at()) +
+         options_.order_grace;
 }
 
-Millis CellLeader::LedFor() const {
+Millis CellLeader::TimeLeading() const {
   return std::chrono::duration_cast<Millis>(executor_.Now() - led_since_);
 }
 
@@ -181,59 +187,62 @@
 // with three workers permanently lost, two takeovers in ten seconds held all
 // stopped long-running tasks back for 18 s; with workers lost 6 s before their
 // leader, a single takeover held them back for 20 s.
-void CellLeader::RecordUnheard() {
+void CellLeader::RecordUnreachableWorkers() {
   const Instant now = executor_.Now();
-  if (!IsSure() || now - unheard_recorded_ < options_.unheard_interval) {
+  if (!IsLeadConfirmed() ||
+      now - unreachable_recorded_ < options_.unreachable_record_interval) {
     return;
   }
-  unheard_recorded_ = now;
+  unreachable_recorded_ = now;
   // If nothing runs there, the time makes no difference to a successor.
-  const bool any =
-      std::any_of(members_.begin(), members_.end(), [this](const auto& entry) {
-        const Member& member = entry.second;
-        return IsUnheard(member) ||
-               (IsLongSilent(member) && !member.session->runs().empty());
-      });
+  const bool any = std::any_of(cell_workers_.begin(), cell_workers_.end(),
+                               [this](const auto& entry) {
+                                 const CellWorker& cell_worker = entry.second;
+                                 return IsUncontacted(cell_worker) ||
+                                        (IsLongUnresponsive(cell_worker) &&
+                                         !cell_worker.session->runs().empty());
+                               });
   if (any) {
-    RecordMembers();
+    RecordWorkers();
   }
 }
 
 void CellLeader::OnWorkersRecorded(const std::vector<KnownWorker>& workers) {
   bool changed = false;
   for (const KnownWorker& worker : workers) {
-    const auto found = members_.find(worker.id);
-    if (found == members_.end()) {
+    const auto found = cell_workers_.find(worker.id);
+    if (found == cell_workers_.end()) {
       continue;
     }
-    Member& member = found->second;
+    CellWorker& cell_worker = found->second;
     // A record in the store also applies to a worker that was added after the
     // record was sent.
-    member.told_tasks = member.told_tasks || worker.tasks.has_value();
-    if (worker.unheard > Millis(0) && !member.told_unheard) {
-      member.told_unheard = true;
-      TellSession(member, OrdersUntil());
+    cell_worker.starts_blocked =
+        cell_worker.starts_blocked || worker.tasks.has_value();
+    if (worker.unheard > Millis(0) && !cell_worker.renewals_blocked) {
+      cell_worker.renewals_blocked = true;
+      UpdateSessionLimits(cell_worker, OrderDeadline());
     }
     // A newer record that states otherwise may be under way.
-    const KnownWorker& newest = member.noted;
-    if (!worker.tasks && !newest.tasks && member.told_tasks) {
-      member.told_tasks = false;
+    const KnownWorker& newest = cell_worker.submitted_record;
+    if (!worker.tasks && !newest.tasks && cell_worker.starts_blocked) {
+      cell_worker.starts_blocked = false;
       changed = true;
     }
     if (worker.unheard == Millis(0) && newest.unheard == Millis(0) &&
-        member.told_unheard) {
-      member.told_unheard = false;
-      TellSession(member, OrdersUntil());
-      member.session->LookNow();
+        cell_worker.renewals_blocked) {
+      cell_worker.renewals_blocked = false;
+      UpdateSessionLimits(cell_worker, OrderDeadline());
+      cell_worker.session->LookNow();
       changed = true;
     }
-    if (member.recorded_at != worker.address) {
-      member.recorded_at = worker.address;
+    if (cell_worker.recorded_address != worker.address) {
+      cell_worker.recorded_address = worker.address;
       changed = true;
     }
   }
   if (changed) {
-    WakeScheduler();
+    RequestSchedulingPass();
   }
 }
 
--- a/src/libdoorwood/cell/cell_members.cpp
+++ b/src/libdoorwood/cell/cell_members.cpp
@@ -52,7 +52,7 @@
       });
 }
 
-void CellLeader::ReadClosed() {
+void CellLeader::ReadClosedDataCentres() {
   if (reading_closed_) {
     return;
   }
@@ -66,34 +66,36 @@
         reading_closed_ = false;
         if (!error) {
           closed_read_ = executor_.Now();
-          OnClosed(std::move(closed));
+          OnClosedDataCentres(std::move(closed));
         }
       });
 }
 
-void CellLeader::OnClosed(std::set<std::string> closed) {
-  if (closed != closed_) {
+void CellLeader::OnClosedDataCentres(std::set<std::string> closed) {
+  if (closed != closed_data_centres_) {
     log_.Write("info", "cell", "data centres closed to new work",
-               {{"cell", options_.cell}, {"before", closed_}, {"now", closed}});
-    closed_ = std::move(closed);
+               {{"cell", options_.cell},
+                {"before", closed_data_centres_},
+                {"now", closed}});
+    closed_data_centres_ = std::move(closed);
   }
-  WakeScheduler();
+  RequestSchedulingPass();
 }
 
-bool CellLeader::IsClosed(const Member& member) const {
-  return closed_.contains(member.session->life().data_centre);
+bool CellLeader::IsInClosedDataCentre(const CellWorker& cell_worker) const {
+  return closed_data_centres_.contains(cell_worker.session->life().data_centre);
 }
 
-bool CellLeader::IsClosedEverywhere(const std::string& queue) const {
+bool CellLeader::AreAllWorkersClosed(const std::string& queue) const {
   const auto known = known_queues_.find(queue);
-  if (closed_.empty() || known == known_queues_.end()) {
+  if (closed_data_centres_.empty() || known == known_queues_.end()) {
     return false;
   }
   bool any = false;
-  for (const auto& [id, member] : members_) {
-    if (member.session->life().service == known->second.service) {
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    if (cell_worker.session->life().service == known->second.service) {
       any = true;
-      if (!IsClosed(member)) {
+      if (!IsInClosedDataCentre(cell_worker)) {
         return false;
       }
     }
@@ -102,51 +104,52 @@
 }
 
 void CellLeader::OnWorkers(std::vector<WorkerLife> lives) {
-  for (auto& [id, member] : members_) {
-    member.listed = false;
-    member.doubted = false;
+  for (auto& [id, cell_worker] : cell_workers_) {
+    cell_worker.listed = false;
+    cell_worker.entry_rejected = false;
   }
   bool to_record = false;
   for (const WorkerLife& life : lives) {
-    const auto found = members_.find(life.id);
-    if (found != members_.end()) {
-      TakeEntry(life, &found->second);
-      to_record |=
-          found->second.noted.address != found->second.session->life().address;
-    } else if (MayJoin(life)) {
-      AddMember(life, /*from_takeover=*/false);
+    const auto found = cell_workers_.find(life.id);
+    if (found != cell_workers_.end()) {
+      ApplyDirectoryEntry(life, &found->second);
+      to_record |= found->second.submitted_record.address !=
+                   found->second.session->life().address;
+    } else if (MayAddWorker(life)) {
+      AddWorker(life, /*from_takeover=*/false);
       to_record = true;
     }
   }
-  ForgetOver(lives);
-  NoteUnlisted();
-  DropMembers();
+  ForgetUnlistedDeadWorkers(lives);
+  MarkUnlistedWorkers();
+  RemoveGoneWorkers();
   if (to_record) {
-    RecordMembers();
+    RecordWorkers();
   }
-  EvacuateLeaving();
-  WakeScheduler();
+  EvacuateLeavingWorkers();
+  RequestSchedulingPass();
 }
 
 // Only the worker itself proves that it is gone, by an expired lease or by
 // another incarnation's answer. An entry that the worker did not write proves
 // nothing. Its runs therefore continue, at the known address, and it gets no
 // new work.
-void CellLeader::TakeEntry(const WorkerLife& life, Member* member) {
-  const WorkerLife& known = member->session->life();
+void CellLeader::ApplyDirectoryEntry(const WorkerLife& life,
+                                     CellWorker* cell_worker) {
+  const WorkerLife& known = cell_worker->session->life();
   if (life.readable) {
     // A session that was never answered uses the address at once; any other
     // session uses it once this incarnation has answered there.
     WorkerLife readdressed = known;
     readdressed.address = life.address;
-    member->session->Update(readdressed);
+    cell_worker->session->Update(readdressed);
   }
-  const bool usable = life.readable && IsOfCell(life.data_centre);
+  const bool usable = life.readable && BelongsToCell(life.data_centre);
   const std::string_view doubt =
       usable ? FindContradiction(known, life) : "unreadable";
-  member->unlisted_since = Instant{};
-  member->doubted = !doubt.empty();
-  if (member->doubted) {
+  cell_worker->unlisted_since = Instant{};
+  cell_worker->entry_rejected = !doubt.empty();
+  if (cell_worker->entry_rejected) {
     refused_.Note(life.id, doubt);
     return;
   }
@@ -154,99 +157,101 @@
     log_.Write("info", "cell", "a worker is leaving",
                {{"worker", life.id}, {"remaining_ms", life.remaining.count()}});
   }
-  member->session->Update(life);
-  member->listed = true;
+  cell_worker->session->Update(life);
+  cell_worker->listed = true;
 }
 
-bool CellLeader::MayJoin(const WorkerLife& life) {
-  if (!life.readable || !IsOfCell(life.data_centre)) {
+bool CellLeader::MayAddWorker(const WorkerLife& life) {
+  if (!life.readable || !BelongsToCell(life.data_centre)) {
     return false;
   }
-  if (!IsNamedService(life.service)) {
+  if (!IsServiceOfAnyQueue(life.service)) {
     refused_.Note(life.id, "no queue names its service");
     return false;
   }
-  const auto over = over_.find(life.id);
-  return over == over_.end() || over->second != life.address;
+  const auto over = listed_dead_workers_.find(life.id);
+  return over == listed_dead_workers_.end() || over->second != life.address;
 }
 
-bool CellLeader::IsNamedService(const std::string& service) const {
+bool CellLeader::IsServiceOfAnyQueue(const std::string& service) const {
   return std::any_of(known_queues_.begin(), known_queues_.end(),
                      [&service](const auto& entry) {
                        return entry.second.service == service;
                      });
 }
 
-void CellLeader::ForgetOver(const std::vector<WorkerLife>& lives) {
-  if (over_.empty()) {
+void CellLeader::ForgetUnlistedDeadWorkers(
+    const std::vector<WorkerLife>& lives) {
+  if (listed_dead_workers_.empty()) {
     return;
   }
   std::set<std::string_view> listed;
   for (const WorkerLife& life : lives) {
     listed.insert(life.id);
   }
-  std::erase_if(over_, [&listed](const auto& entry) {
+  std::erase_if(listed_dead_workers_, [&listed](const auto& entry) {
     return !listed.contains(entry.first);
   });
 }
 
-void CellLeader::NoteUnlisted() {
-  for (auto& [id, member] : members_) {
-    if (!member.listed && !member.doubted &&
-        member.unlisted_since == Instant{}) {
-      member.unlisted_since = executor_.Now();
-      log_.Write("info", "cell", "a worker is no longer listed",
-                 {{"worker", id}, {"runs", member.session->runs().size()}});
+void CellLeader::MarkUnlistedWorkers() {
+  for (auto& [id, cell_worker] : cell_workers_) {
+    if (!cell_worker.listed && !cell_worker.entry_rejected &&
+        cell_worker.unlisted_since == Instant{}) {
+      cell_worker.unlisted_since = executor_.Now();
+      log_.Write(
+          "info", "cell", "a worker is no longer listed",
+          {{"worker", id}, {"runs", cell_worker.session->runs().size()}});
     }
   }
 }
 
-void CellLeader::AddMember(const WorkerLife& life, bool from_takeover) {
-  Member member;
-  member.session = std::make_shared<WorkerSession>(
+void CellLeader::AddWorker(const WorkerLife& life, bool from_takeover) {
+  CellWorker cell_worker;
+  cell_worker.session = std::make_shared<WorkerSession>(
       executor_, workers_, log_, *this, options_.sessions, life,
       static_cast<uint64_t>(epoch_));
-  member.listed = !from_takeover;
+  cell_worker.listed = !from_takeover;
   // A worker that only the directory names may still run what an earlier leader
   // ordered, but not a leader of this cell: those record a worker under the
   // workers' key before they send it orders.
-  member.from_takeover = from_takeover;
-  TellSession(member, OrdersUntil());
+  cell_worker.from_takeover = from_takeover;
+  UpdateSessionLimits(cell_worker, OrderDeadline());
   if (from_takeover) {
-    member.noted.address = life.address;
-    member.recorded_at = life.address;
-    member.session->TrustAddress();
+    cell_worker.submitted_record.address = life.address;
+    cell_worker.recorded_address = life.address;
+    cell_worker.session->TrustAddress();
   }
-  const auto session = member.session;
-  members_.emplace(life.id, std::move(member));
+  const auto session = cell_worker.session;
+  cell_workers_.emplace(life.id, std::move(cell_worker));
   session->Open();
 }
 
-void CellLeader::DropMembers() {
+void CellLeader::RemoveGoneWorkers() {
   bool dropped = false;
-  for (auto it = members_.begin(); it != members_.end();) {
+  for (auto it = cell_workers_.begin(); it != cell_workers_.end();) {
     const WorkerSession& session = *it->second.session;
     const bool over = session.dead() || !it->second.listed;
     // A successor still has to learn of an end that is not recorded.
     const bool still_counts = !session.runs().empty() ||
                               session.has_unrecorded_ends() ||
-                              IsUnheard(it->second);
+                              IsUncontacted(it->second);
     if (over && !still_counts) {
       log_.Write("info", "cell", "a worker is gone",
                  {{"worker", it->first}, {"dead", session.dead()}});
       if (session.dead()) {
-        over_[it->first] = session.life().address;
+        listed_dead_workers_[it->first] = session.life().address;
       }
       it->second.session->Close();
       trust_.Forget(it->first);
-      it = members_.erase(it);
+      it = cell_workers_.erase(it);
       dropped = true;
     } else {
       ++it;
     }
   }
   if (dropped) {
-    RecordMembers();
+    RecordWorkers();
   }
 }
 
--- a/src/libdoorwood/cell/cell_overdue.cpp
+++ b/src/libdoorwood/cell/cell_overdue.cpp
@@ -52,11 +52,11 @@
   if (job == jobs_.jobs().end()) {
     return false;
   }
-  *expected = ExpectRunTimes(*job->second, name->time)[name->step];
+  *expected = ExpectedRunTimes(*job->second, name->time)[name->step];
   return now - run.ordered > *expected * kOverdueFactor;
 }
 
-void CellLeader::TellOverdueAt(WorkerSession& session, int* lines) {
+void CellLeader::LogOverdueRunsOf(WorkerSession& session, int* lines) {
   const Instant now = executor_.Now();
   for (const auto& [task, known] : session.runs()) {
     Millis expected{0};
@@ -86,15 +86,15 @@
   }
 }
 
-void CellLeader::TellOverdue() {
+void CellLeader::LogOverdueRuns() {
   const Instant now = executor_.Now();
-  if (now - overdue_looked_ < kSearchInterval) {
+  if (now - overdue_searched_ < kSearchInterval) {
     return;
   }
-  overdue_looked_ = now;
+  overdue_searched_ = now;
   int lines = kMaxLogLines;
-  for (const auto& [id, member] : members_) {
-    TellOverdueAt(*member.session, &lines);
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    LogOverdueRunsOf(*cell_worker.session, &lines);
   }
 }
 
--- a/src/libdoorwood/cell/cell_pacing.cpp
+++ b/src/libdoorwood/cell/cell_pacing.cpp
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-std::vector<ServingStrain> CellLeader::CollectStrains(
+std::vector<ServingStrain> CellLeader::CollectUtilizations(
     const WorkerSession& session) const {
   std::vector<ServingStrain> strains;
   const Instant now = executor_.Now();
@@ -81,7 +81,7 @@
   return strains;
 }
 
-void CellLeader::PaceWorker(WorkerSession& session) {
+void CellLeader::UpdatePaces(WorkerSession& session) {
   std::vector<PacedServing> serving;
   std::vector<PacedFill> best_effort_runs;
   std::vector<FillLoad> best_effort_loads;
@@ -118,10 +118,10 @@
     ++counters_.paces;
     session.SetPace(decision.task, decision.pace);
   }
-  MoveStuckFills(session);
+  MoveStuckBestEffortRuns(session);
 }
 
-void CellLeader::MoveStuckFills(WorkerSession& session) {
+void CellLeader::MoveStuckBestEffortRuns(WorkerSession& session) {
   const Instant now = executor_.Now();
   std::vector<std::string> stuck;
   for (const auto& [task, run] : session.runs()) {
--- a/src/libdoorwood/cell/cell_pause_test.cpp
+++ b/src/libdoorwood/cell/cell_pause_test.cpp
@@ -24,7 +24,7 @@
 constexpr Millis kOffsetStep{60};
 constexpr Millis kSettlingTime{13'000};
 // How long a leader continues after its last confirmation
-// (`CellOptions::unsure_patience`).
+// (`CellOptions::order_grace`).
 constexpr Millis kUnsureTime{3000};
 
 std::string Describe(
@@ -110,7 +110,7 @@
         trial.PartWorkers(partitioned);
         trial.CutOldLeader();
         const Instant orders_end =
-            trial.old->cell->proof().stood_at() + kUnsureTime;
+            trial.old->cell->proof().confirmed_at() + kUnsureTime;
         const auto left = std::chrono::duration_cast<Millis>(
             orders_end - trial.world.time().now());
         trial.world.Run(left - Millis(1300));
--- a/src/libdoorwood/cell/cell_places.cpp
+++ b/src/libdoorwood/cell/cell_places.cpp
@@ -26,15 +26,16 @@
 
 }  // namespace
 
-void CellLeader::RefreshRoom(const std::string& id, Member* member) {
-  const WorkerSession& session = *member->session;
+void CellLeader::RefreshCandidate(const std::string& id,
+                                  CellWorker* cell_worker) {
+  const WorkerSession& session = *cell_worker->session;
   const Instant now = executor_.Now();
-  if (member->room_version == session.version() &&
-      now - member->room_at < kMaxRoomAge) {
+  if (cell_worker->candidate_version == session.version() &&
+      now - cell_worker->candidate_at < kMaxRoomAge) {
     return;
   }
   const WorkerLife& life = session.life();
-  WorkerRoom& room = member->room;
+  WorkerRoom& room = cell_worker->candidate;
   room.id = id;
   room.service = life.service;
   room.rack = RackOf(life);
@@ -44,100 +45,104 @@
   room.fill_cpu = session.fill_cpu();
   room.serving = session.serving();
   room.serving_cpu = session.serving_cpu();
-  room.strains = CollectStrains(session);
+  room.strains = CollectUtilizations(session);
   room.changed_in = pass_;
-  member->room_version = session.version();
-  member->room_at = now;
+  cell_worker->candidate_version = session.version();
+  cell_worker->candidate_at = now;
 }
 
-bool CellLeader::IsServing(const Member& member) const {
-  const WorkerSession& session = *member.session;
-  return IsRecorded(member) && !member.told_unheard && !member.told_tasks &&
-         member.listed && session.responsive() && !session.life().draining &&
-         executor_.Now() >= member.emptied_until && !IsClosed(member);
+bool CellLeader::MayReceiveOrders(const CellWorker& cell_worker) const {
+  const WorkerSession& session = *cell_worker.session;
+  return IsAddressRecorded(cell_worker) && !cell_worker.renewals_blocked &&
+         !cell_worker.starts_blocked && cell_worker.listed &&
+         session.responsive() && !session.life().draining &&
+         executor_.Now() >= cell_worker.evacuated_until &&
+         !IsInClosedDataCentre(cell_worker);
 }
 
-bool CellLeader::IsOpen(const std::string& id, const Member& member) const {
+bool CellLeader::MayReceiveNewWork(const std::string& id,
+                                   const CellWorker& cell_worker) const {
   const Instant now = executor_.Now();
-  return IsServing(member) && !member.session->has_unwanted() &&
-         now >= member.rests_until && trust_.Allows(id, now);
+  return MayReceiveOrders(cell_worker) &&
+         !cell_worker.session->has_unwanted() &&
+         now >= cell_worker.backoff_until && trust_.Allows(id, now);
 }
 
-std::vector<WorkerRoom*> CellLeader::CollectRooms() {
+std::vector<WorkerRoom*> CellLeader::CollectCandidates() {
   std::vector<WorkerRoom*> rooms;
-  rooms.reserve(members_.size());
-  for (auto& [id, member] : members_) {
-    RefreshRoom(id, &member);
-    const bool open = IsOpen(id, member) && !trials_.Keeps(id);
-    if (open != member.room.open) {
-      member.room.open = open;
-      member.room.changed_in = pass_;
+  rooms.reserve(cell_workers_.size());
+  for (auto& [id, cell_worker] : cell_workers_) {
+    RefreshCandidate(id, &cell_worker);
+    const bool open = MayReceiveNewWork(id, cell_worker) && !trials_.Keeps(id);
+    if (open != cell_worker.candidate.open) {
+      cell_worker.candidate.open = open;
+      cell_worker.candidate.changed_in = pass_;
     }
-    rooms.push_back(&member.room);
+    rooms.push_back(&cell_worker.candidate);
   }
   return rooms;
 }
 
 std::string CellLeader::RackOfStep(const Job& job, int time, int step) const {
   const std::string name = StepName(job, time, step);
-  for (const auto& [id, member] : members_) {
-    if (member.session->CountOfStep(name) > 0) {
-      return std::string(RackOf(member.session->life()));
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    if (cell_worker.session->CountOfStep(name) > 0) {
+      return std::string(RackOf(cell_worker.session->life()));
     }
   }
   return "";
 }
 
-void CellLeader::JudgePlace(const ReadyStep& ready,
-                            const TaskNeed& need,
-                            const WorkerRoom& room,
-                            size_t place,
-                            int planned,
-                            StepPlaces* places) const {
+void CellLeader::EvaluatePlace(const ReadyStep& ready,
+                               const TaskNeed& need,
+                               const WorkerRoom& room,
+                               size_t place,
+                               int planned,
+                               StepPlaces* places) const {
   places->Judge(place, need, planned);
   const StepPlan& plan = ready.job->plan.steps[ready.step];
   if (plan.most_per_worker == 0 || !places->IsGood(place)) {
     return;
   }
-  const auto member = members_.find(std::string(room.id));
+  const auto cell_worker = cell_workers_.find(std::string(room.id));
   const std::string step = StepName(*ready.job, ready.time, ready.step);
-  const int on_worker = member->second.session->CountOfStep(step);
+  const int on_worker = cell_worker->second.session->CountOfStep(step);
   if (on_worker > 0) {
     places->Judge(place, need, on_worker + planned);
   }
 }
 
-void CellLeader::JudgeChanged(const ReadyStep& ready,
-                              const TaskNeed& need,
-                              const std::vector<WorkerRoom*>& rooms,
-                              uint64_t pass,
-                              StepPlaces* places) const {
+void CellLeader::EvaluateChangedPlaces(const ReadyStep& ready,
+                                       const TaskNeed& need,
+                                       const std::vector<WorkerRoom*>& rooms,
+                                       uint64_t pass,
+                                       StepPlaces* places) const {
   for (size_t place = 0; place < rooms.size(); ++place) {
     if (rooms[place]->changed_in > pass) {
-      JudgePlace(ready, need, *rooms[place], place, /*planned=*/0, places);
+      EvaluatePlace(ready, need, *rooms[place], place, /*planned=*/0, places);
     }
   }
 }
 
-bool CellLeader::IsTimeToTell(const ReadyStep& ready) {
+bool CellLeader::ShouldLogWaitingStep(const ReadyStep& ready) {
   ++waiting_steps_;
   const Instant now = executor_.Now();
   StepState& step = ready.job->times[ready.time].steps[ready.step];
   if (now - step.waiting_told < kWaitLogInterval ||
-      now - waiting_told_ < kMinPauseBetweenWaitLogs) {
+      now - waiting_logged_ < kMinPauseBetweenWaitLogs) {
     return false;
   }
   const bool first = step.waiting_told == Instant{};
   step.waiting_told = now;
   if (!first) {
-    waiting_told_ = now;
+    waiting_logged_ = now;
   }
   return !first;  // The first time, the step has only just begun to wait.
 }
 
-void CellLeader::TellWaiting(const Task& task,
-                             const StepRank& rank,
-                             const ProblemCounts& problems) {
+void CellLeader::LogWaitingStep(const Task& task,
+                                const StepRank& rank,
+                                const ProblemCounts& problems) {
   const StepPlan& plan = task.plan();
   Json counts = Json::object();
   for (const auto& [problem, count] : problems) {
--- a/src/libdoorwood/cell/cell_replaced_workers_test.cpp
+++ b/src/libdoorwood/cell/cell_replaced_workers_test.cpp
@@ -167,7 +167,7 @@
     return;
   }
   leader->live->AnnounceLeaving();
-  leader->cell->Leave([] {});
+  leader->cell->ShutDown([] {});
   world.Run(Millis(600));
   ReplaceInstance(world, leader);
 }
--- a/src/libdoorwood/cell/cell_replacing_walk_test.cpp
+++ b/src/libdoorwood/cell/cell_replacing_walk_test.cpp
@@ -250,7 +250,7 @@
       return;
     }
     leader->live->AnnounceLeaving();
-    leader->cell->Leave([] {});
+    leader->cell->ShutDown([] {});
     world_.Run(Between(50, 1200));
     ReplaceInstance(leader);
   }
--- a/src/libdoorwood/cell/cell_restarted_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_restarted_leader_test.cpp
@@ -107,8 +107,9 @@
       const size_t expected_runs = within_a_minute ? 0U : 2U;
       BOOST_TEST(world.workers().at("old_only")->model.running() ==
                  expected_runs);
-      BOOST_TEST(world.logged("an instance is gone for good") ==
-                 (within_a_minute ? 0 : 1));
+      BOOST_TEST(
+          world.logged("removed the record of a permanently gone instance") ==
+          (within_a_minute ? 0 : 1));
     }
   }
 }
--- a/src/libdoorwood/cell/cell_scheduling.cpp
+++ b/src/libdoorwood/cell/cell_scheduling.cpp
@@ -19,7 +19,7 @@
 constexpr int kPauseToPassRatio = 4;
 constexpr Millis kLongestPause{80};
 
-std::vector<WorkerRoom> CopyRooms(const std::vector<WorkerRoom*>& rooms) {
+std::vector<WorkerRoom> CopyCandidates(const std::vector<WorkerRoom*>& rooms) {
   std::vector<WorkerRoom> copies;
   copies.reserve(rooms.size());
   for (const WorkerRoom* room : rooms) {
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-void CellLeader::WakeScheduler() {
+void CellLeader::RequestSchedulingPass() {
   if (schedule_posted_ || !leading()) {
     return;
   }
@@ -47,11 +47,11 @@
   const auto pause = std::chrono::ceil<Millis>(next_pass_ - executor_.Now());
   executor_.Schedule(std::max(kScheduleDelay, pause), [this] {
     schedule_posted_ = false;
-    if (!MayOrder() || closed_read_ == Instant{} || IsHandingOver()) {
+    if (!MaySendOrders() || closed_read_ == Instant{} || IsHandingOver()) {
       return;
     }
     const Instant begin = executor_.Now();
-    Schedule();
+    RunSchedulingPass();
     const Instant end = executor_.Now();
     next_pass_ = end + std::min<Instant::duration>(
                            (end - begin) * kPauseToPassRatio, kLongestPause);
@@ -69,7 +69,8 @@
 // as a failure until the successor has contacted the worker, the worker's
 // leases have expired, or the worker's record does not name the task.
 bool CellLeader::MayBeAtLastAttempt(const Task& task) const {
-  const uint32_t unreported_ends = MayRunUnheard(task) ? task.UnheardEnds() : 0;
+  const uint32_t unreported_ends =
+      MayRunOnUncontacted(task) ? task.UnheardEnds() : 0;
   if (unreported_ends == 0 || task.plan().lasting) {
     return false;
   }
@@ -81,7 +82,7 @@
          static_cast<size_t>(MaxAttempts(*task.job));
 }
 
-std::vector<CellLeader::ReadyStep> CellLeader::CollectReady() {
+std::vector<CellLeader::ReadyStep> CellLeader::CollectReadySteps() {
   std::vector<ReadyStep> ready;
   const int64_t now = unix_millis_();
   for (Job* job : jobs_.OpenJobs()) {
@@ -106,12 +107,12 @@
   return ready;
 }
 
-void CellLeader::RankReady(std::vector<ReadyStep>* ready) const {
+void CellLeader::SortReadySteps(std::vector<ReadyStep>* ready) const {
   const int64_t now = unix_millis_();
   for (ReadyStep& step : *ready) {
     const Queue* queue = QueueOf(*step.job);
     if (queue != nullptr) {
-      const auto run_times = ExpectRunTimes(*step.job, step.time);
+      const auto run_times = ExpectedRunTimes(*step.job, step.time);
       step.rank = RankStep(step.job->plan, *queue, step.step,
                            DueAt(*step.job, step.time), run_times,
                            WorkLeft(*step.job, step.time, run_times), now,
@@ -127,7 +128,7 @@
             });
 }
 
-void CellLeader::NoteReadySince(const std::vector<ReadyStep>& ready) {
+void CellLeader::RecordReadySince(const std::vector<ReadyStep>& ready) {
   const Instant now = executor_.Now();
   for (const ReadyStep& step : ready) {
     for (Task& task : step.job->times[step.time].steps[step.step].tasks) {
@@ -138,16 +139,16 @@
   }
 }
 
-void CellLeader::Schedule() {
-  std::vector<ReadyStep> ready = CollectReady();
+void CellLeader::RunSchedulingPass() {
+  std::vector<ReadyStep> ready = CollectReadySteps();
   if (ready.empty()) {
     return;
   }
   ++pass_;
-  NoteReadySince(ready);
-  RankReady(&ready);
+  RecordReadySince(ready);
+  SortReadySteps(&ready);
   waiting_steps_ = 0;
-  const std::vector<WorkerRoom*> rooms = CollectRooms();
+  const std::vector<WorkerRoom*> rooms = CollectCandidates();
   for (const ReadyStep& step : ready) {
     if (step.job->plan.steps[step.step].gang) {
       PlaceGang(step, rooms);
@@ -157,11 +158,11 @@
   }
 }
 
-std::vector<WorkerRoom> CellLeader::PermittedRooms(
+std::vector<WorkerRoom> CellLeader::CandidatesWithTickets(
     const ReadyStep& ready,
     const std::vector<WorkerRoom*>& rooms) {
   const std::string step = StepName(*ready.job, ready.time, ready.step);
-  std::vector<WorkerRoom> permitted = CopyRooms(rooms);
+  std::vector<WorkerRoom> permitted = CopyCandidates(rooms);
   std::vector<std::string> without_ticket;
   for (WorkerRoom& room : permitted) {
     const std::string worker(room.id);
@@ -187,7 +188,7 @@
       advised ? 0 : hopeless_.TriedIn(plan, queue->service);
   std::vector<WorkerRoom> permitted;
   if (advised) {
-    permitted = PermittedRooms(ready, rooms);
+    permitted = CandidatesWithTickets(ready, rooms);
   }
   const std::vector<WorkerRoom*> permitted_rooms = PointersTo(&permitted);
   const std::vector<WorkerRoom*>& usable_rooms =
@@ -196,7 +197,7 @@
       plan.same_rack ? RackOfStep(*ready.job, ready.time, ready.step) : "";
   TaskNeed need{queue->service, interference_.Intern(plan.image), rack};
   StepPlaces places(plan, usable_rooms, interference_, options_.policy);
-  JudgeChanged(ready, need, usable_rooms, last_failed_pass, &places);
+  EvaluateChangedPlaces(ready, need, usable_rooms, last_failed_pass, &places);
   const std::string step = StepName(*ready.job, ready.time, ready.step);
   for (Task& task : tasks) {
     if (!IsReady(task)) {
@@ -214,11 +215,11 @@
       if (!advised) {
         hopeless_.Add(plan, queue->service, pass_);
       }
-      if (IsTimeToTell(ready)) {
+      if (ShouldLogWaitingStep(ready)) {
         // Unchanged workers have not been evaluated in this pass, but the log
         // line counts the problems of all workers.
-        JudgeChanged(ready, need, usable_rooms, /*pass=*/0, &places);
-        TellWaiting(task, ready.rank, places.CountProblems());
+        EvaluateChangedPlaces(ready, need, usable_rooms, /*pass=*/0, &places);
+        LogWaitingStep(task, ready.rank, places.CountProblems());
       }
       return;  // The step's other tasks have the same size.
     }
@@ -232,7 +233,7 @@
     }
     StartTask(&task, task.last_run + 1, room, ticket);
     if (suspect) {
-      BeginTrial(task, members_.at(std::string(room->id)).session);
+      BeginTrial(task, cell_workers_.at(std::string(room->id)).session);
       room->open = false;
     }
     if (advised) {
@@ -241,9 +242,9 @@
     if (plan.same_rack && rack.empty()) {
       rack = room->rack;
       need.rack = rack;
-      JudgeChanged(ready, need, usable_rooms, /*pass=*/0, &places);
+      EvaluateChangedPlaces(ready, need, usable_rooms, /*pass=*/0, &places);
     }
-    JudgePlace(ready, need, *room, place, /*planned=*/0, &places);
+    EvaluatePlace(ready, need, *room, place, /*planned=*/0, &places);
   }
 }
 
@@ -262,7 +263,7 @@
   // on a copy. All of them share one run number and one checkpoint.
   const bool advised = queue->advice.has_value();
   std::vector<WorkerRoom> planned_rooms =
-      advised ? PermittedRooms(ready, rooms) : CopyRooms(rooms);
+      advised ? CandidatesWithTickets(ready, rooms) : CopyCandidates(rooms);
   const std::vector<WorkerRoom*> room_pointers = PointersTo(&planned_rooms);
   const std::string rack =
       plan.same_rack ? RackOfStep(*ready.job, ready.time, ready.step) : "";
@@ -270,14 +271,14 @@
   StepPlaces places(plan, room_pointers, interference_, options_.policy);
   std::vector<int> planned_counts(planned_rooms.size(), 0);
   const auto judge = [&](size_t place) {
-    JudgePlace(ready, need, planned_rooms[place], place, planned_counts[place],
-               &places);
+    EvaluatePlace(ready, need, planned_rooms[place], place,
+                  planned_counts[place], &places);
   };
   for (size_t place = 0; place < planned_rooms.size(); ++place) {
     judge(place);
   }
   const bool suspect = std::any_of(tasks.begin(), tasks.end(), IsSuspect);
-  if (suspect && !KeepNewRunsApart(&tasks, &planned_rooms)) {
+  if (suspect && !CloseWorkersWithNewRuns(&tasks, &planned_rooms)) {
     return;
   }
   for (size_t place = 0; suspect && place < planned_rooms.size(); ++place) {
@@ -289,8 +290,8 @@
   for (Task& task : tasks) {
     const int place = places.Best(task.failed_on);
     if (place == kNoWorker) {
-      if (IsTimeToTell(ready)) {
-        TellWaiting(task, ready.rank, places.CountProblems());
+      if (ShouldLogWaitingStep(ready)) {
+        LogWaitingStep(task, ready.rank, places.CountProblems());
       }
       return;
     }
@@ -310,16 +311,16 @@
     StartTask(&tasks[i], run + 1, room,
               advised ? tickets_.Find(step, std::string(room->id)) : "");
     if (suspect) {
-      BeginTrial(tasks[i], members_.at(std::string(room->id)).session);
+      BeginTrial(tasks[i], cell_workers_.at(std::string(room->id)).session);
       room->open = false;
     }
   }
 }
 
-bool CellLeader::KeepNewRunsApart(std::vector<Task>* gang,
-                                  std::vector<WorkerRoom>* rooms) {
+bool CellLeader::CloseWorkersWithNewRuns(std::vector<Task>* gang,
+                                         std::vector<WorkerRoom>* rooms) {
   for (Task& task : *gang) {
-    if (NoteUntold(&task)) {
+    if (NoteUnreportedCrash(&task)) {
       return false;
     }
   }
@@ -327,12 +328,12 @@
   const bool likely = std::any_of(
       gang->begin(), gang->end(),
       [](const Task& task) { return IsLikelyCulprit(task.crashes); });
-  if (!trials_.HasPlace(service, CountWorkersOf(service), likely)) {
+  if (!trials_.HasPlace(service, CountWorkersOfService(service), likely)) {
     return false;
   }
   for (WorkerRoom& room : *rooms) {
-    const auto member = members_.find(std::string(room.id));
-    room.open = room.open && !HasNewRuns(*member->second.session);
+    const auto cell_worker = cell_workers_.find(std::string(room.id));
+    room.open = room.open && !HasNewRuns(*cell_worker->second.session);
   }
   return true;
 }
@@ -341,13 +342,13 @@
                            uint32_t number,
                            WorkerRoom* room,
                            const std::string& ticket) {
-  const auto member = members_.find(std::string(room->id));
-  const auto session = member->second.session;
+  const auto cell_worker = cell_workers_.find(std::string(room->id));
+  const auto session = cell_worker->second.session;
   Run run = MakeRun(*task, number);
   run.image = interference_.Intern(task->plan().image);
   run.checkpoint = task->checkpoint;
   run.odd_time = !task->checkpoint.empty();
-  run.held = run.lasting && !ClaimPlace(task, member->first);
+  run.held = run.lasting && !RequestPlacementRecord(task, cell_worker->first);
   task->last_run = number;
   JobTable::SetPlaced(task, true);
   task->job->begun = true;
@@ -371,7 +372,7 @@
   room->fill_cpu = session->fill_cpu();
   room->serving = session->serving();
   room->serving_cpu = session->serving_cpu();
-  room->strains = CollectStrains(*session);
+  room->strains = CollectUtilizations(*session);
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/cell/cell_silent_worker_test.cpp
+++ b/src/libdoorwood/cell/cell_silent_worker_test.cpp
@@ -6,8 +6,8 @@
 // run nothing are not polled. If that clears the unresponsive state, the same
 // tasks are ordered there again at once, and are given up only 6.5 s later,
 // although other workers have free capacity. Seen as "start ordered" for a
-// worker after "the lease of a silent worker is surely over" and before "a
-// worker answers again": 116 to 814 such starts in each of six test runs with
+// worker after "the run lease of an unresponsive worker has expired" and before
+// "worker responds again": 116 to 814 such starts in each of six test runs with
 // partitioned workers.
 
 #include <boost/test/unit_test.hpp>
@@ -66,8 +66,9 @@
 BOOST_AUTO_TEST_CASE(UnresponsiveWorker_LeaseExpired_GetsNothingNew) {
   UnresponsiveWorkerFixture fixture;
   fixture.world.Run(kLeaseExpiry);
-  BOOST_REQUIRE(
-      fixture.world.logged("the lease of a silent worker is surely over") == 1);
+  BOOST_REQUIRE(fixture.world.logged(
+                    "the run lease of an unresponsive worker has expired") ==
+                1);
   fixture.world.Run(Millis(10'000));
   BOOST_TEST(fixture.world.logged("start ordered") == kTasks);
 }
--- a/src/libdoorwood/cell/cell_suspects.cpp
+++ b/src/libdoorwood/cell/cell_suspects.cpp
@@ -39,7 +39,7 @@
 }
 
 // The cost of a crash of the worker, in runs that would be lost.
-int CellLeader::LossOn(const WorkerSession& session) {
+int CellLeader::CrashCost(const WorkerSession& session) {
   int loss = 0;
   for (const auto& [name, run] : session.runs()) {
     loss += run.lasting ? kLongRunningWeight : 1;
@@ -47,9 +47,9 @@
   return loss;
 }
 
-int CellLeader::CountWorkersOf(std::string_view service) const {
-  return static_cast<int>(
-      std::count_if(members_.begin(), members_.end(), [&](const auto& entry) {
+int CellLeader::CountWorkersOfService(std::string_view service) const {
+  return static_cast<int>(std::count_if(
+      cell_workers_.begin(), cell_workers_.end(), [&](const auto& entry) {
         return entry.second.listed &&
                entry.second.session->life().service == service;
       }));
@@ -58,24 +58,25 @@
 // Returns the suitable worker with the lowest cost of a crash. Workers with new
 // runs, and even more so machines on which the task has crashed before, are
 // chosen only if there is no other.
-int CellLeader::ChooseForTrial(const Task& task,
-                               const StepPlaces& places,
-                               const std::vector<WorkerRoom*>& rooms) const {
+int CellLeader::ChooseTrialWorker(const Task& task,
+                                  const StepPlaces& places,
+                                  const std::vector<WorkerRoom*>& rooms) const {
   int best = kNoWorker;
   int lowest_loss = std::numeric_limits<int>::max();
   for (size_t place = 0; place < rooms.size(); ++place) {
     if (!places.IsGood(place)) {
       continue;
     }
-    const auto member = members_.find(std::string(rooms[place]->id));
-    const WorkerSession& session = *member->second.session;
+    const auto cell_worker = cell_workers_.find(std::string(rooms[place]->id));
+    const WorkerSession& session = *cell_worker->second.session;
     constexpr int kCrashedThereCost = 100'000;
     constexpr int kNewRunsCost = 1000;
     const std::string machine = MachineOf(session.life());
     const bool crashed_there = std::any_of(
         task.crashes.begin(), task.crashes.end(),
         [&](const CrashNote& crash) { return crash.machine == machine; });
-    const int loss = LossOn(session) + (crashed_there ? kCrashedThereCost : 0) +
+    const int loss = CrashCost(session) +
+                     (crashed_there ? kCrashedThereCost : 0) +
                      (HasNewRuns(session) ? kNewRunsCost : 0);
     if (loss < lowest_loss) {
       best = static_cast<int>(place);
@@ -85,7 +86,7 @@
   return best;
 }
 
-bool CellLeader::MayHaveCrashedUntold(const Task& task) {
+bool CellLeader::MayHaveUnreportedCrash(const Task& task) {
   return !task.done && IsSuspect(task) &&
          task.crashes.back().evidence != CrashEvidence::kUntold;
 }
@@ -93,7 +94,7 @@
 // An earlier leader may have ordered a start after the last crash that it
 // recorded, and the result of that start is unknown. It is noted as an
 // unreported crash, and recorded, before the next start.
-bool CellLeader::NoteUntold(Task* task) {
+bool CellLeader::NoteUnreportedCrash(Task* task) {
   if (!std::exchange(task->crash_untold, false)) {
     return false;
   }
@@ -113,17 +114,17 @@
     const TaskNeed& need,
     const std::vector<WorkerRoom*>& rooms,
     StepPlaces* places) {
-  if (NoteUntold(task)) {
+  if (NoteUnreportedCrash(task)) {
     return std::nullopt;
   }
   const std::string name = task->name();
   const std::string service(need.service);
   if (trials_.Find(name) == nullptr) {
     const bool likely = IsLikelyCulprit(task->crashes);
-    if (!trials_.HasPlace(service, CountWorkersOf(service), likely)) {
+    if (!trials_.HasPlace(service, CountWorkersOfService(service), likely)) {
       return std::nullopt;
     }
-    const int chosen = ChooseForTrial(*task, *places, rooms);
+    const int chosen = ChooseTrialWorker(*task, *places, rooms);
     if (chosen == kNoWorker) {
       return std::nullopt;
     }
@@ -133,26 +134,28 @@
     rooms[chosen]->open = false;
     rooms[chosen]->changed_in = pass_;
     // The worker is closed to the step's other tasks as well.
-    JudgePlace(ready, need, *rooms[chosen], chosen, /*planned=*/0, places);
-    LookLater(members_.at(id).session, options_.policy.crashes.at_work);
+    EvaluatePlace(ready, need, *rooms[chosen], chosen, /*planned=*/0, places);
+    ScheduleTrialPoll(cell_workers_.at(id).session,
+                      options_.policy.crashes.at_work);
   }
   const std::string worker = trials_.Find(name)->worker;
-  const auto member = members_.find(worker);
-  if (member == members_.end() || !IsOpen(worker, member->second)) {
+  const auto cell_worker = cell_workers_.find(worker);
+  if (cell_worker == cell_workers_.end() ||
+      !MayReceiveNewWork(worker, cell_worker->second)) {
     trials_.End(name);
     return std::nullopt;
   }
-  WorkerRoom reserved_room = member->second.room;
+  WorkerRoom reserved_room = cell_worker->second.candidate;
   reserved_room.open = true;
   const StepPlan& plan = task->plan();
-  const int tasks_on_worker = member->second.session->CountOfStep(
+  const int tasks_on_worker = cell_worker->second.session->CountOfStep(
       StepName(*ready.job, ready.time, ready.step));
   const bool fits =
       FindPlaceProblem(plan, need, reserved_room,
                        plan.most_per_worker > 0 ? tasks_on_worker : 0,
                        interference_, options_.policy) == PlaceProblem::kNone;
-  if (!fits || HasNewRuns(*member->second.session) ||
-      !RecordTrial(task, member->second.session->life())) {
+  if (!fits || HasNewRuns(*cell_worker->second.session) ||
+      !RecordTrial(task, cell_worker->second.session->life())) {
     return std::nullopt;
   }
   const auto place =
@@ -194,24 +197,25 @@
               {"worker", life.id},
               {"crashes", task.crashes.size()},
               {"runs_beside", session->runs().size()}});
-  LookLater(session, length);
+  ScheduleTrialPoll(session, length);
 }
 
 // The worker may hold its answer to a regular look for much longer than its
 // newest runs take to count as seen at work.
-void CellLeader::LookLater(const std::shared_ptr<WorkerSession>& session,
-                           Millis at_work) {
+void CellLeader::ScheduleTrialPoll(
+    const std::shared_ptr<WorkerSession>& session,
+    Millis at_work) {
   executor_.Schedule(at_work + kTrialCheckDelay,
                      [session] { session->LookNow(); });
 }
 
-void CellLeader::FollowTrials() {
+void CellLeader::UpdateTrials() {
   trials_.Expire(executor_.Now());
   std::vector<std::string> ended;
   for (const auto& [name, trial] : trials_.trials()) {
     Task* task = jobs_.FindTask(name);
-    const auto member = members_.find(trial.worker);
-    const bool gone = task == nullptr || member == members_.end() ||
+    const auto cell_worker = cell_workers_.find(trial.worker);
+    const bool gone = task == nullptr || cell_worker == cell_workers_.end() ||
                       task->job->outcome != JobOutcome::kOpen || task->done;
     if (gone) {
       ended.push_back(name);
@@ -220,12 +224,12 @@
     if (!trial.started) {
       continue;
     }
-    const Run* run = member->second.session->FindRun(name);
+    const Run* run = cell_worker->second.session->FindRun(name);
     if (run == nullptr) {
       ended.push_back(name);
       continue;
     }
-    const Millis at_work = member->second.session->SeenAtWork(*run);
+    const Millis at_work = cell_worker->second.session->SeenAtWork(*run);
     if (at_work >= options_.policy.crashes.cleared) {
       ClearCrashes(task);
       ended.push_back(name);
@@ -253,7 +257,7 @@
     return;
   }
   ForEachTask(job, [](Task* task) { task->crash_unrecorded = false; });
-  WakeScheduler();
+  RequestSchedulingPass();
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/cell/cell_takeover.cpp
+++ b/src/libdoorwood/cell/cell_takeover.cpp
@@ -23,149 +23,153 @@
 
 }  // namespace
 
-Millis CellLeader::LongestPromise() const {
-  return LongestOnOurClock(options_.sessions.run_lease) +
-         options_.unsure_patience + kLastOrderMargin;
+Millis CellLeader::MaxRunTimeAfterLastOrder() const {
+  return LongestOnOurClock(options_.sessions.run_lease) + options_.order_grace +
+         kLastOrderMargin;
 }
 
 // A report lists a limited number of ends: any task may be among the others.
-bool CellLeader::HasMoreToTell(const Member& member) const {
-  const WorkerSession& session = *member.session;
-  return member.from_takeover && !accounted_ && session.fenced() &&
-         !session.told_all() && !session.dead();
+bool CellLeader::HasUnlistedEnds(const CellWorker& cell_worker) const {
+  const WorkerSession& session = *cell_worker.session;
+  return cell_worker.from_takeover && !all_runs_accounted_ &&
+         session.fenced() && !session.told_all() && !session.dead();
 }
 
 // After the last proof of the lead, another leader may have adopted the runs
 // that are waited for, so only the time up to the proof counts.
-Millis CellLeader::WaitLeft(const Member& member) const {
-  if (HasMoreToTell(member)) {
+Millis CellLeader::RemainingWait(const CellWorker& cell_worker) const {
+  if (HasUnlistedEnds(cell_worker)) {
     const auto silent = std::chrono::duration_cast<Millis>(
-        executor_.Now() - member.session->heard_at());
-    return std::max(LongestPromise() - silent, Millis(0));
+        executor_.Now() - cell_worker.session->heard_at());
+    return std::max(MaxRunTimeAfterLastOrder() - silent, Millis(0));
   }
   // Nothing runs on a worker that left after all its ends were recorded.
-  const bool is_empty = member.tasks_before && member.tasks_before->empty();
-  if (!IsUnheard(member) || is_empty) {
+  const bool is_empty =
+      cell_worker.inherited_tasks && cell_worker.inherited_tasks->empty();
+  if (!IsUncontacted(cell_worker) || is_empty) {
     return Millis(0);
   }
   const auto proved =
-      std::chrono::duration_cast<Millis>(proof_.stood_at() - led_since_);
-  const Millis waited = member.unheard_before + proved;
-  return std::max(LongestPromise() + Millis(1) - waited, Millis(0));
+      std::chrono::duration_cast<Millis>(proof_.confirmed_at() - led_since_);
+  const Millis waited = cell_worker.predecessors_waited + proved;
+  return std::max(MaxRunTimeAfterLastOrder() + Millis(1) - waited, Millis(0));
 }
 
 // A task is held back as long as any worker that is still waited for may run
 // it. For a worker that was leaving or gone, the tasks that may run there are
 // recorded; on any other, every task may run.
 void CellLeader::ReleaseTasks() {
-  UnheardWorkers unheard = FindUnheard();
+  UncontactedWorkers unheard = FindUncontacted();
   size_t freed = 0;
   size_t held = 0;
   for (Job* job : jobs_.OpenJobs()) {
     ForEachTask(job, [&](Task* task) {
       if (task->unaccounted) {
-        task->unaccounted = MayBeThere(*task, unheard);
+        task->unaccounted = MayRunOn(*task, unheard);
         ++(task->unaccounted ? held : freed);
       }
     });
   }
-  const bool first = !released_ && !unheard.any_task;
+  const bool first = !tasks_released_ && !unheard.any_task;
   if (freed > 0 || first) {
-    log_.Write("info", "cell", "tasks that unheard workers can't run are free",
+    log_.Write("info", "cell",
+               "released tasks that cannot run on workers not yet contacted",
                {{"cell", options_.cell},
                 {"epoch", epoch_},
-                {"after_ms", LedFor().count()},
+                {"after_ms", TimeLeading().count()},
                 {"freed", freed},
                 {"held", held}});
-    WakeScheduler();
+    RequestSchedulingPass();
   }
   if (!unheard.any_task) {
-    released_ = true;
-    held_ = std::move(unheard.tasks);
+    tasks_released_ = true;
+    tasks_held_back_ = std::move(unheard.tasks);
   }
 }
 
-CellLeader::UnheardWorkers CellLeader::FindUnheard() const {
-  UnheardWorkers unheard;
-  for (const auto& [id, member] : members_) {
-    if (WaitLeft(member) == Millis(0)) {
+CellLeader::UncontactedWorkers CellLeader::FindUncontacted() const {
+  UncontactedWorkers unheard;
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    if (RemainingWait(cell_worker) == Millis(0)) {
       continue;
     }
-    AddUnheard(id, member, &unheard);
+    AddUncontacted(id, cell_worker, &unheard);
   }
   return unheard;
 }
 
-void CellLeader::AddUnheard(std::string_view worker,
-                            const Member& member,
-                            UnheardWorkers* unheard) {
+void CellLeader::AddUncontacted(std::string_view worker,
+                                const CellWorker& cell_worker,
+                                UncontactedWorkers* unheard) {
   unheard->workers.insert(worker);
-  if (member.tasks_before) {
-    unheard->tasks.insert(member.tasks_before->begin(),
-                          member.tasks_before->end());
+  if (cell_worker.inherited_tasks) {
+    unheard->tasks.insert(cell_worker.inherited_tasks->begin(),
+                          cell_worker.inherited_tasks->end());
   } else {
     unheard->any_task = true;
   }
 }
 
-bool CellLeader::MayBeThere(const Task& task,
-                            const UnheardWorkers& unheard) const {
+bool CellLeader::MayRunOn(const Task& task,
+                          const UncontactedWorkers& unheard) const {
   const bool may_be = unheard.any_task || unheard.tasks.contains(task.name());
-  const bool has_place = places_held_ && task.plan().lasting;
+  const bool has_place = placements_valid_at_takeover_ && task.plan().lasting;
   return may_be && (!has_place || unheard.workers.contains(task.place));
 }
 
-bool CellLeader::MayRunUnheard(const Task& task) const {
-  if (accounted_) {
+bool CellLeader::MayRunOnUncontacted(const Task& task) const {
+  if (all_runs_accounted_) {
     return false;
   }
-  return !released_ || held_.contains(task.name());
+  return !tasks_released_ || tasks_held_back_.contains(task.name());
 }
 
 void CellLeader::CheckTakeover() {
-  if (accounted_ || workers_read_ == Instant{}) {
+  if (all_runs_accounted_ || workers_read_ == Instant{}) {
     return;
   }
   ReleaseTasks();
   const bool accounted = std::all_of(
-      members_.begin(), members_.end(),
-      [&](const auto& entry) { return WaitLeft(entry.second) == Millis(0); });
+      cell_workers_.begin(), cell_workers_.end(), [&](const auto& entry) {
+        return RemainingWait(entry.second) == Millis(0);
+      });
   if (!accounted) {
-    TellWait();
+    LogWait();
     return;
   }
   const bool all_heard = std::none_of(
-      members_.begin(), members_.end(),
-      [this](const auto& entry) { return IsUnheard(entry.second); });
-  accounted_ = true;
-  held_.clear();
+      cell_workers_.begin(), cell_workers_.end(),
+      [this](const auto& entry) { return IsUncontacted(entry.second); });
+  all_runs_accounted_ = true;
+  tasks_held_back_.clear();
   log_.Write("info", "cell", "all runs of earlier leaders are accounted for",
              {{"cell", options_.cell},
               {"epoch", epoch_},
               {"all_heard", all_heard},
-              {"after_ms", LedFor().count()}});
+              {"after_ms", TimeLeading().count()}});
 }
 
-void CellLeader::TellWait() {
+void CellLeader::LogWait() {
   const Instant now = executor_.Now();
-  if (now - wait_told_ < kWaitLogInterval) {
+  if (now - wait_logged_ < kWaitLogInterval) {
     return;
   }
-  wait_told_ = now;
+  wait_logged_ = now;
   Json workers = Json::array();
   size_t count = 0;
-  for (const auto& [id, member] : members_) {
-    const Millis left = WaitLeft(member);
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    const Millis left = RemainingWait(cell_worker);
     if (left == Millis(0)) {
       continue;
     }
     if (++count <= kMaxWorkersLogged) {
       workers.push_back(
           {{"worker", id},
-           {"listed", member.listed},
-           {"unheard_before_ms", member.unheard_before.count()},
-           {"may_run", member.tasks_before ? Json(member.tasks_before->size())
-                                           : Json("anything")},
+           {"listed", cell_worker.listed},
+           {"unheard_before_ms", cell_worker.predecessors_waited.count()},
+           {"may_run", cell_worker.inherited_tasks
+                           ? Json(cell_worker.inherited_tasks->size())
+                           : Json("anything")},
            {"left_ms", left.count()}});
     }
   }
@@ -183,7 +187,7 @@
   log_.Write("info", "cell", "waiting for workers that are not yet contacted",
              {{"cell", options_.cell},
               {"epoch", epoch_},
-              {"led_ms", LedFor().count()},
+              {"led_ms", TimeLeading().count()},
               {"unheard", count},
               {"held_tasks", held},
               {"workers", std::move(workers)}});
--- a/src/libdoorwood/cell/lead_proof.cpp
+++ b/src/libdoorwood/cell/lead_proof.cpp
@@ -21,41 +21,42 @@
   ++generation_;
   open_ = true;
   epoch_ = epoch;
-  stood_at_ = Instant{};
+  confirmed_at_ = Instant{};
   reading_ = false;
-  demanded_ = false;
+  read_requested_ = false;
   Read();
 }
 
 void LeadProof::Close() {
   ++generation_;
   open_ = false;
-  stood_at_ = Instant{};
+  confirmed_at_ = Instant{};
 }
 
-void LeadProof::NoteShown(Instant sent) {
-  if (open_ && sent > stood_at_) {
-    stood_at_ = sent;
+void LeadProof::NoteConfirmed(Instant sent) {
+  if (open_ && sent > confirmed_at_) {
+    confirmed_at_ = sent;
     listener_.OnLeadProved();
   }
 }
 
-void LeadProof::Demand() {
-  demanded_ = true;
+void LeadProof::RequestRead() {
+  read_requested_ = true;
   if (open_ && !reading_) {
     Read();
   }
 }
 
 void LeadProof::Tick() {
-  if (open_ && !reading_ && executor_.Now() - stood_at_ >= options_.interval) {
+  if (open_ && !reading_ &&
+      executor_.Now() - confirmed_at_ >= options_.interval) {
     Read();
   }
 }
 
 void LeadProof::Read() {
   reading_ = true;
-  demanded_ = false;
+  read_requested_ = false;
   const Instant sent = executor_.Now();
   store_.Get(key_, [this, sent, generation = generation_](
                        std::error_code error, const StoreItem& item) {
@@ -80,8 +81,8 @@
   // After a failed read the next tick reads again.
   if (!error) {
     const uint64_t generation = generation_;
-    NoteShown(sent);
-    if (generation == generation_ && demanded_ && !reading_) {
+    NoteConfirmed(sent);
+    if (generation == generation_ && read_requested_ && !reading_) {
       Read();
     }
   }
--- a/src/libdoorwood/cell/worker_session.cpp
+++ b/src/libdoorwood/cell/worker_session.cpp
@@ -446,7 +446,7 @@
   log_.Write(
       "warn", "worker",
       dead_ ? "all runs of a replaced worker incarnation have ended"
-            : "the lease of a silent worker is surely over",
+            : "the run lease of an unresponsive worker has expired",
       {{"worker", life_.id},
        {"runs", runs_.size()},
        {"heard_ms_ago", MillisBetween(last_response_at_, executor_.Now())},
--- a/src/libdoorwood/config/entry_settings.cpp
+++ b/src/libdoorwood/config/entry_settings.cpp
@@ -55,7 +55,8 @@
   reader.Read("cpu_share", kSmallestShare, kLargestShare, &settings.cpu_share);
   reader.Read("grace_ms", kGraceMillis, &settings.grace);
   reader.Read("longest_run_lease_ms", kLeaseMillis, &settings.max_run_lease);
-  reader.Read("keep_finished_ms", kRetentionMillis, &settings.keep_finished);
+  reader.Read("keep_finished_ms", kRetentionMillis,
+              &settings.finished_job_retention);
   reader.Read("machine_holder_lease_ms", kLeaseMillis,
               &settings.machine_holder_lease);
   reader.Finish();
@@ -76,7 +77,8 @@
   options.sessions.run_lease = std::min(kRunLease, settings.max_run_lease);
   options.waves.holder_lease =
       settings.machine_holder_lease + kHolderLeaseSlack;
-  options.keep_finished = settings.keep_finished + kRetentionSlack;
+  options.finished_job_retention =
+      settings.finished_job_retention + kRetentionSlack;
   return options;
 }
 
--- a/src/libdoorwood/membership/live_outage.cpp
+++ b/src/libdoorwood/membership/live_outage.cpp
@@ -119,7 +119,8 @@
   store_.Commit(transaction, [this, name = old->first](std::error_code error,
                                                        const StoreCommit&) {
     seen_removal_pending_ = false;
-    log_.Write("info", "live", "an instance is gone for good",
+    log_.Write("info", "live",
+               "removed the record of a permanently gone instance",
                {{"instance", name}, {"forgotten", !error}});
     if (!error) {
       seen_.erase(name);
--- a/src/loop.adapter/http_peers.cpp
+++ b/src/loop.adapter/http_peers.cpp
@@ -257,7 +257,7 @@
   }
   for (CellLeader* leader : cells_) {
     if (leader->cell() == rest.substr(0, slash)) {
-      leader->OnHandedOver(epoch);
+      leader->OnLeadHandedOver(epoch);
     }
   }
   return true;
@@ -266,7 +266,7 @@
 std::optional<Millis> PeerService::TimeSinceStoreContact() const {
   std::optional<Millis> age = kMaxAge;
   for (const CellLeader* leader : cells_) {
-    const auto leader_age = leader->StoreHeardAgo(executor_.Now());
+    const auto leader_age = leader->TimeSinceStoreAnswer(executor_.Now());
     age = leader_age && age ? std::optional(std::min(*leader_age, *age))
                             : std::nullopt;
   }
