--- a/src/bench/cell.cpp
+++ b/src/bench/cell.cpp
@@ -49,8 +49,8 @@
   world.SetTable({fakes::MakeQueue("queue", 3)});
   for (int n = 0; n < options.workers; ++n) {
     auto& worker = world.AddWorker("w" + std::to_string(n), kWorkerCores);
-    worker.life.capacity.memory_mib = 125 * 1024;
-    worker.life.labels = {"a", "r" + std::to_string(n / 8)};
+    worker.incarnation.capacity.memory_mib = 125 * 1024;
+    worker.incarnation.labels = {"a", "r" + std::to_string(n / 8)};
   }
   world.AddInstance("one", "plaka");
   world.WaitForLeader();
--- a/src/celld/entry_daemon.cpp
+++ b/src/celld/entry_daemon.cpp
@@ -271,7 +271,7 @@
       {"doorwood_step_downs_total", counters.step_downs},
       {"doorwood_commits_total", cell_.journal().commits()},
       {"doorwood_records_waiting", cell_.journal().waiting()},
-      {"doorwood_batches_under_way", cell_.journal().flow().under_way()},
+      {"doorwood_batches_under_way", cell_.journal().flow().in_flight()},
       {"doorwood_store_answer_ms",
        static_cast<uint64_t>(cell_.journal().flow().answer_time().count())},
       {"doorwood_store_calls_total", store_.calls()},
--- a/src/fakes/cell_world.cpp
+++ b/src/fakes/cell_world.cpp
@@ -77,12 +77,12 @@
 
 WorldWorker& CellWorld::AddWorker(const std::string& id, int64_t cpu_millis) {
   auto worker = std::make_unique<WorldWorker>();
-  worker->life.id = id;
-  worker->life.address = id;
-  worker->life.data_centre = "plaka";
-  worker->life.service = "pool";
-  worker->life.capacity = {cpu_millis, 1'000'000, 0};
-  worker->life.labels = {"a", "r1"};
+  worker->incarnation.id = id;
+  worker->incarnation.address = id;
+  worker->incarnation.data_centre = "plaka";
+  worker->incarnation.service = "pool";
+  worker->incarnation.capacity = {cpu_millis, 1'000'000, 0};
+  worker->incarnation.labels = {"a", "r1"};
   worker->model.Advance(time_.millis());
   worker->completions = std::make_unique<CompletionRecorder>(
       worker->model, &acknowledged_completions_);
@@ -125,14 +125,15 @@
   time_.At(time_.now() + kEntryRemovalDelay,
            [this, id] { workers_.at(id)->listed = false; });
   time_.At(time_.now() + kRestartDelay, [this, id] {
-    const WorkerLife life = workers_.at(id)->life;
+    const WorkerIncarnation incarnation = workers_.at(id)->incarnation;
     if (addresses_reused_) {
       CrashWorker(id);
     }
-    WorldWorker& restarted = AddWorker(id + "+", life.capacity.cpu_millis);
-    restarted.life.machine = life.machine;
-    restarted.life.data_centre = life.data_centre;
-    restarted.life.labels = life.labels;
+    WorldWorker& restarted =
+        AddWorker(id + "+", incarnation.capacity.cpu_millis);
+    restarted.incarnation.machine = incarnation.machine;
+    restarted.incarnation.data_centre = incarnation.data_centre;
+    restarted.incarnation.labels = incarnation.labels;
   });
 }
 
@@ -171,16 +172,17 @@
   }
   ++machine.upkeeps[wave];
   machine.state = MachineState::kUpkeep;
-  const WorkerLife life = workers_.at(machine.worker)->life;
+  const WorkerIncarnation incarnation =
+      workers_.at(machine.worker)->incarnation;
   runs_lost_to_upkeep_ +=
       static_cast<int>(workers_.at(machine.worker)->model.running());
   CrashWorker(machine.worker);
-  time_.At(time_.now() + kUpkeep, [this, name, life] {
+  time_.At(time_.now() + kUpkeep, [this, name, incarnation] {
     WorldMachine& restarted = machines_.at(name);
     restarted.state = MachineState::kUp;
     restarted.worker += "+";
-    AddWorker(restarted.worker, life.capacity.cpu_millis).life.labels =
-        life.labels;
+    AddWorker(restarted.worker, incarnation.capacity.cpu_millis)
+        .incarnation.labels = incarnation.labels;
   });
 }
 
@@ -283,7 +285,7 @@
     CheckNotCompleted(order.task);
   }
   std::optional<Millis> after = standin::CrashesAfter(order);
-  if (crashing_machines_.contains(workers_.at(worker)->life.machine)) {
+  if (crashing_machines_.contains(workers_.at(worker)->incarnation.machine)) {
     after = Millis(10);
   }
   if (after) {
--- a/src/fakes/cell_world.h
+++ b/src/fakes/cell_world.h
@@ -93,7 +93,7 @@
 };
 
 struct WorldWorker {
-  WorkerLife life;
+  WorkerIncarnation incarnation;
   standin::RunWorkerModel model;
   std::unique_ptr<CompletionRecorder> completions;
   bool up = true;
@@ -171,7 +171,7 @@
   /// Data centres that operators have closed to new work.
   std::set<std::string>& closed() { return closed_data_centres_; }
   /// Directory entries that were written by other programs.
-  std::vector<WorkerLife>& foreign() { return foreign_entries_; }
+  std::vector<WorkerIncarnation>& foreign() { return foreign_entries_; }
   std::mt19937_64& random() { return random_; }
   /// Descriptions of violated invariants.
   const std::vector<std::string>& broken() const { return violations_; }
@@ -227,7 +227,7 @@
   std::map<std::string, WorldMachine> machines_;
   std::vector<UpkeepWave> waves_;
   std::set<std::string> closed_data_centres_;
-  std::vector<WorkerLife> foreign_entries_;
+  std::vector<WorkerIncarnation> foreign_entries_;
   int runs_lost_to_upkeep_ = 0;
   int misdirected_calls_ = 0;
   std::map<std::string, int> log_counts_;
--- a/src/fakes/cell_world_ports.cpp
+++ b/src/fakes/cell_world_ports.cpp
@@ -66,12 +66,12 @@
       return std::error_code();
     });
   }
-  void KeepLease(int64_t lease, Callback<int64_t> done) override {
+  void RenewLease(int64_t lease, Callback<int64_t> done) override {
     Call<int64_t>(false, std::move(done), [this, lease](int64_t*) {
       return world_.store().Keep(lease);
     });
   }
-  void EndLease(int64_t lease, Callback<int64_t> done) override {
+  void RevokeLease(int64_t lease, Callback<int64_t> done) override {
     Call<int64_t>(false, std::move(done), [this, lease](int64_t*) {
       return world_.store().End(lease);
     });
@@ -129,8 +129,8 @@
   WorldWorkers(CellWorld& world, WorldInstance& self)
       : world_(world), self_(self) {}
 
-  void Hold(const WorkerLife& worker,
-            const HoldOrder& order,
+  void Poll(const WorkerIncarnation& worker,
+            const PollOrder& order,
             Callback<WorkerReport> done) override {
     WorldWorker* target = Reach(worker);
     if (target == nullptr) {
@@ -139,14 +139,14 @@
     }
     target->model.Advance(world_.time().millis());
     WorkerReport report;
-    const auto error = target->model.Hold(order, &report);
-    if (!error && report.ended.empty() && order.wait > Millis(0)) {
-      HoldOrder rest = order;
-      rest.wait = std::max(Millis(0), order.wait - kPollInterval);
+    const auto error = target->model.Poll(order, &report);
+    if (!error && report.ended.empty() && order.max_wait > Millis(0)) {
+      PollOrder rest = order;
+      rest.max_wait = std::max(Millis(0), order.max_wait - kPollInterval);
       // The wait takes place in the worker, also while this process is frozen.
       world_.time().At(world_.time().now() + kPollInterval,
                        [this, worker, rest, done = std::move(done)]() mutable {
-                         Hold(worker, rest, std::move(done));
+                         Poll(worker, rest, std::move(done));
                        });
       return;
     }
@@ -154,7 +154,7 @@
         kWorkerDelay,
         [error, report, done = std::move(done)] { done(error, report); });
   }
-  void Start(const WorkerLife& worker,
+  void Start(const WorkerIncarnation& worker,
              const StartOrder& order,
              Callback<int64_t> done) override {
     Order(worker, std::move(done),
@@ -168,14 +168,14 @@
             return error;
           });
   }
-  void Stop(const WorkerLife& worker,
+  void Stop(const WorkerIncarnation& worker,
             const StopOrder& order,
             Callback<int64_t> done) override {
     Order(worker, std::move(done), [order](WorldWorker& target, bool) {
       return target.model.Stop(order);
     });
   }
-  void Pace(const WorkerLife& worker,
+  void Pace(const WorkerIncarnation& worker,
             const PaceOrder& order,
             Callback<int64_t> done) override {
     Order(worker, std::move(done), [order](WorldWorker& target, bool) {
@@ -184,7 +184,7 @@
   }
 
  private:
-  WorldWorker* Reach(const WorkerLife& worker) {
+  WorldWorker* Reach(const WorkerIncarnation& worker) {
     if (IsMisdirected(worker)) {
       world_.CountMisdirectedCall();
       return nullptr;
@@ -199,24 +199,27 @@
 
   // A crashed worker's address is answered by its next incarnation, and an
   // address that the worker never had by another process.
-  bool IsMisdirected(const WorkerLife& worker) const {
+  bool IsMisdirected(const WorkerIncarnation& worker) const {
     return !world_.workers().contains(worker.id) || worker.address != worker.id;
   }
 
   template <typename T>
-  void Fail(const WorkerLife& worker, Callback<T> done) {
+  void Fail(const WorkerIncarnation& worker, Callback<T> done) {
     const bool misdirected = IsMisdirected(worker);
     const bool at_once =
         misdirected || (world_.workers().at(worker.id)->refuses_calls &&
                         !self_.cut_from.contains(worker.id));
-    const auto error = misdirected ? RunErrc::kOtherLife : RunErrc::kNoAnswer;
+    const auto error =
+        misdirected ? RunErrc::kOtherIncarnation : RunErrc::kNoAnswer;
     self_.executor->Deliver(
         at_once ? kWorkerDelay : kNoAnswer,
         [error, done = std::move(done)] { done(error, T{}); });
   }
 
   template <typename Effect>
-  void Order(const WorkerLife& worker, Callback<int64_t> done, Effect effect) {
+  void Order(const WorkerIncarnation& worker,
+             Callback<int64_t> done,
+             Effect effect) {
     WorldWorker* target = Reach(worker);
     if (target == nullptr) {
       Fail<int64_t>(worker, std::move(done));
@@ -262,20 +265,21 @@
     if (self_.store_faults.down || self_.store_faults.silent) {
       error = KvErrc::kUnavailable;
     }
-    std::vector<WorkerLife> lives = world_.foreign();
+    std::vector<WorkerIncarnation> incarnations = world_.foreign();
     for (const auto& [id, worker] : world_.workers()) {
       if (worker->listed) {
-        lives.push_back(worker->life);
+        incarnations.push_back(worker->incarnation);
         if (!worker->listed_address.empty()) {
-          lives.back().address = worker->listed_address;
+          incarnations.back().address = worker->listed_address;
         }
       }
     }
-    self_.executor->Deliver(
-        kStoreDelay,
-        [error, lives, done = std::move(done)] { done(error, lives); });
+    self_.executor->Deliver(kStoreDelay,
+                            [error, incarnations, done = std::move(done)] {
+                              done(error, incarnations);
+                            });
   }
-  void ListClosed(ClosedCallback done) override {
+  void ListClosedDataCentres(ClosedDataCentresCallback done) override {
     std::error_code error;
     if (self_.store_faults.down || self_.store_faults.silent) {
       error = KvErrc::kUnavailable;
@@ -350,11 +354,11 @@
  public:
   explicit WorldAdviser(WorldInstance& self) : self_(self) {}
 
-  void Ask(const std::string& step,
-           const std::vector<std::string>& workers,
-           Callback done) override {
-    Advice advice;
-    advice.valid = Millis(2000);
+  void RequestTickets(const std::string& step,
+                      const std::vector<std::string>& workers,
+                      Callback done) override {
+    TicketGrant advice;
+    advice.valid_for = Millis(2000);
     for (const std::string& worker : workers) {
       if (!worker.ends_with("x")) {
         advice.tickets.push_back({worker, step + "@" + worker});
--- a/src/fakes/commit_only_store.h
+++ b/src/fakes/commit_only_store.h
@@ -27,8 +27,8 @@
              Millis,
              Callback<StoreItems>) override {}
   void GrantLease(Millis, Callback<int64_t>) override {}
-  void KeepLease(int64_t, Callback<int64_t>) override {}
-  void EndLease(int64_t, Callback<int64_t>) override {}
+  void RenewLease(int64_t, Callback<int64_t>) override {}
+  void RevokeLease(int64_t, Callback<int64_t>) override {}
 
   /// Writes the cell's leader key; returns its revision.
   int64_t TakeLead(const std::string& cell, const std::string& instance) {
--- a/src/fakes/contract_test.cpp
+++ b/src/fakes/contract_test.cpp
@@ -299,7 +299,8 @@
   const auto first = it.Acquire(true);
   BOOST_REQUIRE(!first.error);
   BOOST_TEST((first.value.capacity == kCapacity));
-  BOOST_TEST(it.Acquire(false).error == make_error_code(WorkerErrc::kHeld));
+  BOOST_TEST(it.Acquire(false).error ==
+             make_error_code(WorkerErrc::kHeldByOther));
   BOOST_TEST(!it.Release(true, first.value.epoch).error);
   const auto second = it.Acquire(false);
   BOOST_REQUIRE(!second.error);
--- a/src/include/doorwood/cell_journal.h
+++ b/src/include/doorwood/cell_journal.h
@@ -60,7 +60,7 @@
   /// recorded the worker as unresponsive itself: the time since its last order
   /// that extended a lease there, plus what a successor would wait for its
   /// orders after that.
-  Millis unheard{0};
+  Millis not_contacted_for{0};
   /// All tasks that may run there or whose end there is not recorded. No leader
   /// starts anything else there until a newer record says otherwise. Empty: any
   /// task may run there.
@@ -74,16 +74,16 @@
 };
 
 /// The value of a chain key: the number of its lane's newest batch, and
-/// JournalOwner::PlacesHoldTo.
-std::string EncodeSequence(uint64_t sequence, int64_t places_hold_to);
+/// JournalOwner::PlacementsValidTo.
+std::string EncodeSequence(uint64_t sequence, int64_t placements_valid_to);
 /// Returns 0 if the text is not of that form.
 uint64_t DecodeSequence(std::string_view text);
 /// The writer of this chain key starts nothing that `KnownWorker::tasks`
 /// excludes. Versions that did not know these task lists did not write the
 /// field.
-bool KeepsToNames(std::string_view text);
-/// JournalOwner::PlacesHoldTo of the writer of this chain key; 0: unknown.
-int64_t DecodePlacesHoldTo(std::string_view text);
+bool KeepsToTaskLists(std::string_view text);
+/// JournalOwner::PlacementsValidTo of the writer of this chain key; 0: unknown.
+int64_t DecodePlacementsValidTo(std::string_view text);
 
 /// The value of the workers' key. It is separate from the chain because it is
 /// long and changes seldom.
@@ -95,7 +95,7 @@
   Millis delay{80};
   Millis retry_pause{120};
   /// Longest time that a caller waits for its job to be recorded.
-  Millis patience{2000};
+  Millis caller_timeout{2000};
   CommitFlowOptions flow;
 };
 
@@ -107,10 +107,10 @@
   virtual std::string EncodeState(const std::string& job) = 0;
   /// Recorded placements of long-running tasks are reliable for instances that
   /// registered in the store up to this revision; 0: for none.
-  virtual int64_t PlacesHoldTo() = 0;
+  virtual int64_t PlacementsValidTo() = 0;
   /// For each worker with ends that are not recorded yet, the highest end it
   /// has listed. All jobs changed by those ends are marked dirty.
-  virtual std::map<std::string, uint64_t> ListedEnds() = 0;
+  virtual std::map<std::string, uint64_t> HighestUnrecordedEnds() = 0;
 
   virtual void OnAccepted(const JobPlan& plan) = 0;
   /// The state is stored as it was last encoded; a newer one may be pending.
@@ -120,12 +120,12 @@
   virtual void OnEndsRecorded(const std::map<std::string, uint64_t>& ends) = 0;
   virtual void OnWorkersRecorded(const std::vector<KnownWorker>& workers) = 0;
   /// A batch sent at that time found the lead key at the expected revision.
-  virtual void OnLeadShown(Instant sent) = 0;
+  virtual void OnLeadConfirmed(Instant sent) = 0;
   /// Another instance leads, or none does.
   virtual void OnLeadLost(std::string_view reason) = 0;
 };
 
-enum class AcceptOutcome { kAccepted, kKnownAlready };
+enum class AcceptOutcome { kAccepted, kAlreadyKnown };
 
 class CellJournal {
  public:
@@ -157,11 +157,11 @@
   /// not recorded stay listed by their workers.
   void Seal();
   /// After `Seal`: all that had to be recorded is, and no batch is in flight.
-  bool settled() const;
+  bool is_drained() const;
   /// Sends a batch soon, even if there is nothing to record.
-  void Touch();
+  void RequestCommit();
   /// Removes all keys of a job that ended long ago.
-  void Forget(const std::string& job);
+  void RemoveJob(const std::string& job);
 
   /// The job is being recorded and may already be stored.
   bool IsRecording(std::string_view job) const;
--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -138,10 +138,10 @@
   void OnRunEnded(WorkerSession& session,
                   const Run& run,
                   RunEnd end,
-                  bool told_by_worker) override;
+                  bool reported_by_worker) override;
   void OnWorkerLost(WorkerSession& session) override;
-  void OnLookFailed(WorkerSession& session) override;
-  void OnAnswersAgain(WorkerSession& session) override;
+  void OnPollFailed(WorkerSession& session) override;
+  void OnPollRecovered(WorkerSession& session) override;
   void OnUnknownEnd(WorkerSession& session, const EndedRun& end) override;
   std::optional<Run> OnUnknownRun(WorkerSession& session,
                                   const ActiveRun& run) override;
@@ -153,14 +153,14 @@
 
   // JournalOwner
   std::string EncodeState(const std::string& job) override;
-  int64_t PlacesHoldTo() override;
-  std::map<std::string, uint64_t> ListedEnds() override;
+  int64_t PlacementsValidTo() override;
+  std::map<std::string, uint64_t> HighestUnrecordedEnds() override;
   void OnAccepted(const JobPlan& plan) override;
   void OnStateWritten(const std::string& job) override;
   void OnStateRecorded(const std::string& job) override;
   void OnEndsRecorded(const std::map<std::string, uint64_t>& ends) override;
   void OnWorkersRecorded(const std::vector<KnownWorker>& workers) override;
-  void OnLeadShown(Instant sent) override;
+  void OnLeadConfirmed(Instant sent) override;
   void OnLeadLost(std::string_view reason) override;
 
   // LeadProofListener
@@ -278,17 +278,19 @@
   /// Whether the queue's service has workers, all of them in closed data
   /// centres.
   bool AreAllWorkersClosed(const std::string& queue) const;
-  void OnWorkers(std::vector<WorkerLife> lives);
+  void OnWorkers(std::vector<WorkerIncarnation> incarnations);
   /// Applies a directory entry to a known worker, unless the entry is
   /// unreadable or contradicts what is known of this incarnation.
-  void ApplyDirectoryEntry(const WorkerLife& life, CellWorker* cell_worker);
+  void ApplyDirectoryEntry(const WorkerIncarnation& incarnation,
+                           CellWorker* cell_worker);
   /// Whether a worker that is not known yet may be added to the cell.
-  bool MayAddWorker(const WorkerLife& life);
+  bool MayAddWorker(const WorkerIncarnation& incarnation);
   bool IsServiceOfAnyQueue(const std::string& service) const;
   /// Removes from `listed_dead_workers_` what is no longer listed.
-  void ForgetUnlistedDeadWorkers(const std::vector<WorkerLife>& lives);
+  void ForgetUnlistedDeadWorkers(
+      const std::vector<WorkerIncarnation>& incarnations);
   void MarkUnlistedWorkers();
-  void AddWorker(const WorkerLife& life, bool from_takeover);
+  void AddWorker(const WorkerIncarnation& incarnation, bool from_takeover);
   void RemoveGoneWorkers();
   // cell_member_records.cpp: records of workers for a successor.
   /// Whether the workers' key in the store has the worker with its current
@@ -404,7 +406,7 @@
   void MarkDirty(Job* job, bool urgent);
 
   // cell_crashes.cpp: worker crashes, and the crash notes of tasks.
-  static std::string MachineOf(const WorkerLife& life);
+  static std::string MachineOf(const WorkerIncarnation& incarnation);
   /// Evidence that the worker crashed. Empty: it did not, or its machine was to
   /// be taken down.
   std::optional<CrashEvidence> DetectCrash(const WorkerSession& session) const;
@@ -452,7 +454,7 @@
   bool NoteUnreportedCrash(Task* task);
   /// Records that the task's next trial run is on this worker. Returns false if
   /// the start has to wait for the record.
-  bool RecordTrial(Task* task, const WorkerLife& life);
+  bool RecordTrial(Task* task, const WorkerIncarnation& incarnation);
   /// Index of the worker where the suspect may be started now; empty: it has to
   /// wait. `rooms` are the workers that `places` evaluates.
   std::optional<int> PlaceSuspect(const ReadyStep& ready,
--- a/src/include/doorwood/cell_policy.h
+++ b/src/include/doorwood/cell_policy.h
@@ -130,7 +130,7 @@
   /// Reserved by all work, except for the processors of best-effort work.
   Resources reserved;
   /// Processors that the best-effort work there requests, in thousandths.
-  int64_t fill_cpu = 0;
+  int64_t best_effort_cpu = 0;
   int serving = 0;
   /// Processors that serving tasks reserve, in thousandths.
   int64_t serving_cpu = 0;
--- a/src/include/doorwood/commit_flow.h
+++ b/src/include/doorwood/commit_flow.h
@@ -60,7 +60,7 @@
   void OnResent(size_t lane, Instant now);
   void Clear();
 
-  size_t under_way() const { return sent_.size(); }
+  size_t in_flight() const { return sent_.size(); }
   /// Time that an answer is expected to take.
   Millis answer_time() const { return answer_time_; }
   /// `MaySend`: one more commit may be sent now. `SendDelay`: time until the
--- a/src/include/doorwood/error.h
+++ b/src/include/doorwood/error.h
@@ -37,7 +37,7 @@
   /// one.
   kStaleEpoch,
   /// The lease is held by another instance.
-  kHeld,
+  kHeldByOther,
 };
 
 /// Errors of orders to a worker that runs tasks under leases, and of calls to
@@ -49,15 +49,15 @@
   kFenced,
   /// This run, or a run of the task with a higher number, has already ended or
   /// was stopped on the worker.
-  kOldRun,
+  kStaleRun,
   /// The lease in the order has already expired.
-  kLate,
+  kLeaseExpired,
   /// The free capacity of the worker is too small for the task.
-  kNoRoom,
+  kNoCapacity,
   /// The ticket is missing, expired, or issued for another worker.
-  kTicket,
+  kInvalidTicket,
   /// Another incarnation of the worker answers at this address.
-  kOtherLife,
+  kOtherIncarnation,
   /// The receiver cannot process the order now and has done nothing.
   kBusy,
   /// The receiver rejected the order as invalid.
@@ -87,7 +87,7 @@
   kNotFound,
   kInvalid,
   /// There is no capacity for more work of this kind; nothing was accepted.
-  kNoRoom,
+  kNoCapacity,
 };
 
 /// Converts the error of a failed call to the key-value service for callers of
--- a/src/include/doorwood/record_store.h
+++ b/src/include/doorwood/record_store.h
@@ -28,7 +28,7 @@
   /// The key is removed with this lease; 0: it has none.
   int64_t lease = 0;
   /// Set only in events of a watch: the key was removed.
-  bool gone = false;
+  bool deleted = false;
 };
 
 /// Condition of a transaction: `key` is at `revision`; 0: `key` does not exist.
@@ -68,7 +68,7 @@
 struct StoreItems {
   std::vector<StoreItem> items;
   /// The store's revision at the time of the answer.
-  int64_t at = 0;
+  int64_t revision = 0;
 };
 
 /// Calls complete on the control thread, exactly once, with a KvErrc on
@@ -95,8 +95,8 @@
                       Callback<StoreCommit> done) = 0;
   /// Returns the id of the new lease.
   virtual void GrantLease(Millis lifetime, Callback<int64_t> done) = 0;
-  virtual void KeepLease(int64_t lease, Callback<int64_t> done) = 0;
-  virtual void EndLease(int64_t lease, Callback<int64_t> done) = 0;
+  virtual void RenewLease(int64_t lease, Callback<int64_t> done) = 0;
+  virtual void RevokeLease(int64_t lease, Callback<int64_t> done) = 0;
 };
 
 }  // namespace doorwood
--- a/src/include/doorwood/run_worker.h
+++ b/src/include/doorwood/run_worker.h
@@ -20,7 +20,7 @@
 namespace doorwood {
 
 /// One incarnation of a worker as listed in the platform's directory.
-struct WorkerLife {
+struct WorkerIncarnation {
   /// Unique to this incarnation; a restarted worker has a new one.
   std::string id;
   std::string address;
@@ -34,18 +34,18 @@
   /// The worker is about to leave and takes no new work.
   bool draining = false;
   /// Minimum time until the worker leaves, once draining.
-  Millis remaining{0};
+  Millis min_time_to_leave{0};
   /// False: the entry does not have the form of a worker's entry, and only `id`
   /// is set.
-  bool readable = true;
+  bool is_valid = true;
 };
 
 /// Port to the directory of workers.
 class WorkerDirectory {
  public:
   using Callback =
-      std::function<void(std::error_code, std::vector<WorkerLife>)>;
-  using ClosedCallback =
+      std::function<void(std::error_code, std::vector<WorkerIncarnation>)>;
+  using ClosedDataCentresCallback =
       std::function<void(std::error_code, std::set<std::string>)>;
 
   virtual ~WorkerDirectory() = default;
@@ -55,7 +55,7 @@
   virtual void ListWorkers(Callback done) = 0;
   /// Data centres that the operators have closed to new work, linearizable.
   /// Fails with a KvErrc.
-  virtual void ListClosed(ClosedCallback done) = 0;
+  virtual void ListClosedDataCentres(ClosedDataCentresCallback done) = 0;
 };
 
 /// How a run ended, as reported by the worker.
@@ -64,11 +64,11 @@
   kFailed,
   kStopped,
   /// The run's lease on the worker expired.
-  kLapsed,
+  kLeaseExpired,
   /// Another member of the gang ended.
-  kBroken,
+  kGangMemberEnded,
   /// The other members of the gang did not start in time.
-  kAlone,
+  kGangIncomplete,
 };
 
 std::string_view ToString(RunEnd end);
@@ -84,7 +84,7 @@
   /// Delayed and approximate. For a serving task the tail latency of its
   /// answers in milliseconds, otherwise the processor use in thousandths; -1:
   /// not reported.
-  int64_t figure = -1;
+  int64_t measurement = -1;
 };
 
 /// A run of a task that ended on a worker.
@@ -97,7 +97,7 @@
   std::string checkpoint;
 };
 
-/// Answer to `Hold`.
+/// Answer to `Poll`.
 struct WorkerReport {
   /// The worker's steady clock, in milliseconds.
   int64_t clock = 0;
@@ -105,18 +105,18 @@
   std::vector<EndedRun> ended;
   /// The worker has more ends than the report could list; a run that the report
   /// does not name may be among them.
-  bool more_ended = false;
+  bool has_more_ends = false;
 };
 
-struct HoldOrder {
+struct PollOrder {
   uint64_t token = 0;
   /// The worker forgets its ends up to this number.
-  uint64_t last_seen = 0;
+  uint64_t forget_up_to = 0;
   /// Extends the leases of all runs there to this time on the worker's clock;
   /// 0: does not extend them.
-  int64_t until = 0;
+  int64_t lease_end = 0;
   /// The worker may delay its answer for this long to wait for an end.
-  Millis wait{0};
+  Millis max_wait{0};
 };
 
 struct StartOrder {
@@ -125,8 +125,8 @@
   uint32_t run = 0;
   std::string payload;
   std::string checkpoint;
-  /// Lease end, as in `HoldOrder`.
-  int64_t until = 0;
+  /// Lease end, as in `PollOrder`.
+  int64_t lease_end = 0;
   /// Permission of an adviser if the queue needs one; otherwise empty.
   std::string ticket;
 };
@@ -155,16 +155,16 @@
 
   virtual ~RunWorkers() = default;
 
-  virtual void Hold(const WorkerLife& worker,
-                    const HoldOrder& order,
+  virtual void Poll(const WorkerIncarnation& worker,
+                    const PollOrder& order,
                     Callback<WorkerReport> done) = 0;
-  virtual void Start(const WorkerLife& worker,
+  virtual void Start(const WorkerIncarnation& worker,
                      const StartOrder& order,
                      Callback<int64_t> done) = 0;
-  virtual void Stop(const WorkerLife& worker,
+  virtual void Stop(const WorkerIncarnation& worker,
                     const StopOrder& order,
                     Callback<int64_t> done) = 0;
-  virtual void Pace(const WorkerLife& worker,
+  virtual void Pace(const WorkerIncarnation& worker,
                     const PaceOrder& order,
                     Callback<int64_t> done) = 0;
 };
--- a/src/include/doorwood/ticket_book.h
+++ b/src/include/doorwood/ticket_book.h
@@ -23,26 +23,26 @@
 /// Permission to run a step on one incarnation of a worker.
 struct Ticket {
   std::string worker;
-  std::string text;
+  std::string token;
 };
 
-struct Advice {
+struct TicketGrant {
   std::vector<Ticket> tickets;
   /// How long the tickets are valid.
-  Millis valid{0};
+  Millis valid_for{0};
 };
 
 /// Port to the adviser. Fails with PeerErrc, or with CoreErrc::kNoOwner if the
 /// adviser is too busy.
 class Adviser {
  public:
-  using Callback = std::function<void(std::error_code, Advice)>;
+  using Callback = std::function<void(std::error_code, TicketGrant)>;
 
   virtual ~Adviser() = default;
 
-  virtual void Ask(const std::string& step,
-                   const std::vector<std::string>& workers,
-                   Callback done) = 0;
+  virtual void RequestTickets(const std::string& step,
+                              const std::vector<std::string>& workers,
+                              Callback done) = 0;
 };
 
 struct TicketOptions {
@@ -70,7 +70,8 @@
   std::string Find(const std::string& step, const std::string& worker) const;
   /// Requests tickets for those workers that have no answer, or one that
   /// expires soon.
-  void Want(const std::string& step, const std::vector<std::string>& workers);
+  void RequestTickets(const std::string& step,
+                      const std::vector<std::string>& workers);
   void Clear();
 
  private:
@@ -89,7 +90,7 @@
                 const std::vector<std::string>& asked,
                 Instant sent,
                 std::error_code error,
-                const Advice& advice);
+                const TicketGrant& advice);
 
   Executor& executor_;
   Adviser* const adviser_;
--- a/src/include/doorwood/worker_session.h
+++ b/src/include/doorwood/worker_session.h
@@ -42,7 +42,7 @@
   RunPhase phase = RunPhase::kStarting;
   /// The start order is withheld until `WorkerSession::Release`; the run's
   /// resources are already reserved.
-  bool held = false;
+  bool start_deferred = false;
   /// Times at which the start was ordered and the worker confirmed the run.
   Instant ordered{};
   Instant confirmed{};
@@ -53,28 +53,28 @@
   Instant stop_sent{};
   /// The worker refused the start because the run number is too old. If the
   /// order was delivered twice, this run itself may already have ended there.
-  bool called_old = false;
+  bool refused_as_old = false;
 
   /// Copied from the step, since a run may outlive its job.
   Resources size;
-  bool fills = false;
-  bool lasting = false;
+  bool best_effort = false;
+  bool long_running = false;
   Millis latency_target{0};
   Millis estimate{0};
   /// Index in the leader's interference model; set by the leader.
-  ImageId image = 0;
+  ImageId image_id = 0;
   /// "JOB.TIME.STEP"; used to limit the tasks of a step on one worker.
   std::string step;
 
   int progress = 0;
-  int64_t figure = -1;
+  int64_t measurement = -1;
   /// For a serving task: its own load without best-effort work on the same
   /// worker; negative: not known yet.
   double load = -1;
   /// Mean of the most recent figures; negative: none yet.
-  double mean_figure = -1;
+  double mean_measurement = -1;
   /// Time since which the mean exceeds the target; zero: it does not.
-  Instant over_since{};
+  Instant above_target_since{};
   std::string checkpoint;
   /// Share of its full speed, in percent, that the run may use: as wanted, and
   /// as confirmed by the worker.
@@ -83,12 +83,12 @@
   bool pace_in_flight = false;
   /// Time since which the run is throttled below its full speed; zero: it is
   /// not.
-  Instant paced_since{};
+  Instant throttled_since{};
   /// Last time that the run was logged as far beyond its expected duration.
-  Instant overdue_told{};
+  Instant overdue_logged_at{};
   /// The run began from a checkpoint, was throttled, or was ordered by another
   /// leader, so its duration says little about the task.
-  bool odd_time = false;
+  bool atypical_duration = false;
   /// An earlier leader ordered the run, so its duration so far is not known.
   bool adopted = false;
 };
@@ -99,7 +99,7 @@
 /// The longest time on this process's clock that `on_worker`, measured on a
 /// worker's clock, can take. The platform allows a worker's clock to run 2%
 /// slow.
-Millis LongestOnOurClock(Millis on_worker);
+Millis MaxOnLocalClock(Millis on_worker);
 
 struct WorkerSessionOptions {
   /// How long runs continue without contact with a leader. Bounded by the
@@ -108,9 +108,9 @@
   /// Longest wait of a poll that watches interference between tasks, in a small
   /// cell. Trials on quiet-1 without charge for processors, 5 and 3 seeds:
   /// 0.677 and 0.658 (two deployments) at 500 ms, 0.712 and 0.666 at 250 ms.
-  Millis short_wait{250};
+  Millis short_poll_wait{250};
   /// Longest wait of any other poll.
-  Millis long_wait{1200};
+  Millis long_poll_wait{1200};
   /// Delay between polls while ends are waiting to be recorded.
   Millis unrecorded_pause{150};
   /// Delay after a poll that was not answered.
@@ -133,8 +133,8 @@
   virtual ~WorkerSessionListener() = default;
 
   /// The run has ended and is removed from the session. `end` is what the
-  /// worker reported, or kLapsed where only the expired lease or the worker's
-  /// death proves the end.
+  /// worker reported, or kLeaseExpired where only the expired lease or the
+  /// worker's death proves the end.
   virtual void OnRunEnded(WorkerSession& session,
                           const Run& run,
                           RunEnd end,
@@ -144,9 +144,9 @@
   /// them.
   virtual void OnWorkerLost(WorkerSession& session) = 0;
   /// A poll failed, and the one before succeeded or there was none.
-  virtual void OnLookFailed(WorkerSession& session) = 0;
+  virtual void OnPollFailed(WorkerSession& session) = 0;
   /// A poll was answered after one that failed.
-  virtual void OnAnswersAgain(WorkerSession& session) = 0;
+  virtual void OnPollRecovered(WorkerSession& session) = 0;
   /// The worker lists the end of a run that this session does not know.
   virtual void OnUnknownEnd(WorkerSession& session, const EndedRun& end) = 0;
   /// The worker runs something that this session does not know. Returns the run
@@ -172,7 +172,7 @@
                 EventLog& log,
                 WorkerSessionListener& listener,
                 const WorkerSessionOptions& options,
-                WorkerLife life,
+                WorkerIncarnation incarnation,
                 uint64_t token);
 
   /// Sends the first poll, which fences off all lower tokens.
@@ -187,45 +187,47 @@
   void SetPace(const std::string& task, int percent);
 
   /// Sets the longest wait of a poll that watches interference between tasks.
-  void SetShortWait(Millis wait) { short_wait_ = wait; }
+  void SetShortPollWait(Millis wait) { short_wait_ = wait; }
   /// From `until` on, no lease is extended, and no order carries a later lease
   /// end than one sent at `until`; a successor relies on it. A time rather than
   /// a flag, so that it also holds after the process was paused and before
   /// anything else runs.
-  void SetExtendUntil(Instant until) { extend_until_ = until; }
+  void SetLeaseExtensionEnd(Instant until) { lease_extension_end_ = until; }
   /// Polls at once, in addition to a poll in flight that may have been sent
   /// before lease extension was allowed.
-  void LookNow();
+  void PollNow();
   /// No other leader can have extended a lease there before `until`. A lease
   /// that expired earlier, or another incarnation that answered earlier,
   /// therefore proves that runs have ended. Later events prove nothing yet: a
   /// successor may have adopted the runs, kept them, or started them again.
-  void SetLedUntil(Instant until) { lead_confirmed_until_ = until; }
+  void SetLeadConfirmedUntil(Instant until) { lead_confirmed_until_ = until; }
   /// This incarnation or all its runs have ended if nobody else led before, but
   /// leadership is not yet confirmed up to that time.
-  bool awaits_proof() const { return EndedSince() >= lead_confirmed_until_; }
+  bool awaits_lead_confirmation() const {
+    return EndedSince() >= lead_confirmed_until_;
+  }
   /// This incarnation is gone, and nobody else led before that was noticed.
-  bool proved_dead() const {
+  bool confirmed_dead() const {
     return dead_ && dead_since_ < lead_confirmed_until_;
   }
   /// Ends the runs whose end is certain up to the time to which leadership is
   /// confirmed.
-  void Conclude();
+  void EndProvedRuns();
   /// All ends up to `end_number` are recorded; the worker may forget only
   /// these.
   void MarkRecorded(uint64_t end_number);
-  /// Takes a newer directory entry; `life.id` stays the same. If this
+  /// Takes a newer directory entry; `incarnation.id` stays the same. If this
   /// incarnation has already answered somewhere, a different address is used
   /// only after it has answered there as well.
-  void Update(const WorkerLife& life);
+  void UpdateFromDirectory(const WorkerIncarnation& incarnation);
   /// An earlier leader recorded that this incarnation answered at the current
   /// address.
-  void TrustAddress();
+  void MarkAddressVerified();
   /// To be called a few times a second: ends runs whose end is proved and sends
   /// orders again.
   void Tick();
 
-  const WorkerLife& life() const { return life_; }
+  const WorkerIncarnation& incarnation() const { return incarnation_; }
   const std::map<std::string, Run>& runs() const { return runs_; }
   Run* FindRun(const std::string& task);
   /// Increases with each report and with each change of the runs there.
@@ -235,42 +237,42 @@
   /// Tasks that may run there and tasks whose ends there are not recorded. Once
   /// this leader has contacted the worker and starts nothing more there, a
   /// successor has to account for these tasks only. Sorted, without duplicates.
-  std::vector<std::string> TasksToReckonWith() const;
+  std::vector<std::string> OutstandingTasks() const;
   /// Something runs there that this leader is stopping and has not reserved
   /// resources for; how much of the worker it uses is not known.
-  bool has_unwanted() const { return !unwanted_tasks_.empty(); }
-  /// Increases with each change of `TasksToReckonWith`.
+  bool has_unwanted_runs() const { return !unwanted_tasks_.empty(); }
+  /// Increases with each change of `OutstandingTasks`.
   uint64_t tasks_version() const { return tasks_version_; }
   /// The worker has answered this leader at least once.
   bool fenced() const { return fenced_; }
   /// The worker has listed all its ends to this leader; one report lists only a
   /// limited number.
-  bool told_all() const { return all_ends_listed_; }
+  bool all_ends_listed() const { return all_ends_listed_; }
   /// This incarnation is gone: another one answers at its address.
   bool dead() const { return dead_; }
   /// The worker responded recently, or is idle and was not polled since its
   /// last answer.
   bool responsive() const;
-  Instant heard_at() const { return last_response_at_; }
+  Instant last_response_at() const { return last_response_at_; }
   /// The newest poll failed, so no lease is extended there.
-  bool look_failed() const { return last_poll_failed_; }
+  bool last_poll_failed() const { return last_poll_failed_; }
   /// When the latest order was sent that may have extended a lease there; zero:
   /// none was.
-  Instant promised_at() const { return last_lease_order_at_; }
+  Instant last_lease_order_at() const { return last_lease_order_at_; }
   /// When the worker began to respond again after being unresponsive; zero: it
   /// never was.
-  Instant answers_since() const { return responsive_since_; }
+  Instant responsive_since() const { return responsive_since_; }
   /// Reserved processors, memory and accelerators. Best-effort work reserves no
   /// processors.
   const Resources& reserved() const { return reserved_; }
-  int64_t fill_cpu() const { return fill_cpu_; }
-  int serving() const { return serving_; }
+  int64_t best_effort_cpu() const { return best_effort_cpu_; }
+  int serving_runs() const { return serving_runs_; }
   /// Processors reserved by serving tasks.
   int64_t serving_cpu() const { return serving_cpu_; }
-  int fills() const { return fills_; }
+  int best_effort_runs() const { return best_effort_runs_; }
   int CountOfStep(const std::string& step) const;
   /// Time between the worker's confirmation of the run and its last response.
-  Millis SeenAtWork(const Run& run) const;
+  Millis ObservedRunTime(const Run& run) const;
 
  private:
   /// An address named by the directory at which this incarnation has not
@@ -334,10 +336,10 @@
   EventLog& log_;
   WorkerSessionListener& listener_;
   const WorkerSessionOptions options_;
-  WorkerLife life_;
+  WorkerIncarnation incarnation_;
   const uint64_t token_;
   /// Address at which this incarnation has answered. If empty, it has answered
-  /// nowhere yet, and `life_` has the address to call.
+  /// nowhere yet, and `incarnation_` has the address to call.
   std::optional<std::string> answered_at_;
   std::optional<NextAddress> next_address_;
   /// Another incarnation answers at the address of this one, which has never
@@ -345,7 +347,7 @@
   bool other_incarnation_answers_ = false;
 
   Millis short_wait_;
-  Instant extend_until_{};
+  Instant lease_extension_end_{};
   Instant lead_confirmed_until_{};
   bool closed_ = false;
   bool dead_ = false;
@@ -359,10 +361,10 @@
   /// Start orders of the runs that are held.
   std::map<std::string, StartArguments> deferred_starts_;
   Resources reserved_;
-  int64_t fill_cpu_ = 0;
-  int serving_ = 0;
+  int64_t best_effort_cpu_ = 0;
+  int serving_runs_ = 0;
   int64_t serving_cpu_ = 0;
-  int fills_ = 0;
+  int best_effort_runs_ = 0;
 
   uint64_t version_ = 0;
   uint64_t tasks_version_ = 0;
--- a/src/libdoorwood/cell/cell_calls.cpp
+++ b/src/libdoorwood/cell/cell_calls.cpp
@@ -31,13 +31,13 @@
     return;
   }
   if (jobs_.Find(plan.id) != nullptr) {
-    done({}, AcceptOutcome::kKnownAlready);
+    done({}, AcceptOutcome::kAlreadyKnown);
     return;
   }
   // A job that may have been accepted already is never refused.
   if (!journal_.IsRecording(plan.id) &&
       (AreAllWorkersClosed(plan.queue) || !HasLongRunningCapacity(plan))) {
-    done(CoreErrc::kNoRoom, {});
+    done(CoreErrc::kNoCapacity, {});
     return;
   }
   journal_.Accept(std::move(plan), std::move(done));
@@ -53,11 +53,12 @@
   const std::string& service = queue->second.service;
   int64_t capacity = 0;
   for (const auto& [id, cell_worker] : cell_workers_) {
-    const WorkerLife& life = cell_worker.session->life();
-    const bool is_available = cell_worker.listed && !life.draining &&
+    const WorkerIncarnation& incarnation = cell_worker.session->incarnation();
+    const bool is_available = cell_worker.listed && !incarnation.draining &&
                               !IsInClosedDataCentre(cell_worker);
-    capacity +=
-        is_available && life.service == service ? life.capacity.cpu_millis : 0;
+    capacity += is_available && incarnation.service == service
+                    ? incarnation.capacity.cpu_millis
+                    : 0;
   }
   int64_t reserved = 0;
   for (const Job* job : jobs_.OpenJobs()) {
@@ -93,12 +94,13 @@
     if (!cell_worker.listed) {
       continue;
     }
-    ServiceLoad& load = loads[session.life().service];
+    ServiceLoad& load = loads[session.incarnation().service];
     const auto serving = static_cast<double>(session.serving_cpu());
-    load.left += static_cast<double>(session.life().capacity.cpu_millis) -
-                 options_.policy.serving_use * serving;
+    load.left +=
+        static_cast<double>(session.incarnation().capacity.cpu_millis) -
+        options_.policy.serving_use * serving;
     load.asked += static_cast<double>(session.reserved().cpu_millis +
-                                      session.fill_cpu()) -
+                                      session.best_effort_cpu()) -
                   serving;
   }
   const int64_t now = unix_millis_();
@@ -163,9 +165,9 @@
     log_.Write("info", "cell", "job cancelled", {{"job", id}});
     OnJobEnded(job);
   }
-  cancels_.emplace(id,
-                   PendingCancel{std::move(done),
-                                 executor_.Now() + options_.journal.patience});
+  cancels_.emplace(
+      id, PendingCancel{std::move(done),
+                        executor_.Now() + options_.journal.caller_timeout});
 }
 
 void CellLeader::ExpireCancels() {
@@ -206,7 +208,8 @@
   for (const auto& [id, cell_worker] : cell_workers_) {
     if (cell_worker.listed) {
       summary.cores +=
-          static_cast<double>(cell_worker.session->life().capacity.cpu_millis) /
+          static_cast<double>(
+              cell_worker.session->incarnation().capacity.cpu_millis) /
           1e3;
     }
   }
--- a/src/libdoorwood/cell/cell_campaign.cpp
+++ b/src/libdoorwood/cell/cell_campaign.cpp
@@ -243,7 +243,8 @@
       // worker that it states as not in contact.
       const Millis age = AgeOfRecord(item.revision);
       for (KnownWorker& worker : known) {
-        worker.unheard += worker.unheard > Millis(0) ? age : Millis(0);
+        worker.not_contacted_for +=
+            worker.not_contacted_for > Millis(0) ? age : Millis(0);
       }
       return known;
     }
@@ -262,11 +263,11 @@
   const std::map<size_t, ChainLink> chains = ReadChains(items, &newest);
   std::vector<KnownWorker> known = ReadKnownWorkers(items);
   placements_valid_to_ =
-      newest == nullptr ? 0 : DecodePlacesHoldTo(newest->value);
+      newest == nullptr ? 0 : DecodePlacementsValidTo(newest->value);
   placements_valid_at_takeover_ =
       live_.agreeing_since() != 0 &&
       live_.agreeing_since() <= placements_valid_to_;
-  if (newest == nullptr || !KeepsToNames(newest->value)) {
+  if (newest == nullptr || !KeepsToTaskLists(newest->value)) {
     // A leader of an older version may have started tasks that these lists
     // exclude.
     for (KnownWorker& worker : known) {
@@ -307,15 +308,15 @@
               {"agreeing_since", live_.agreeing_since()}});
   journal_.Open(epoch_, chains);
   for (const KnownWorker& worker : known) {
-    WorkerLife life;
-    life.id = worker.id;
-    life.address = worker.address;
+    WorkerIncarnation incarnation;
+    incarnation.id = worker.id;
+    incarnation.address = worker.address;
     // Not yet confirmed by the directory, so it gets no new work.
-    life.draining = true;
-    AddWorker(life, /*from_takeover=*/true);
+    incarnation.draining = true;
+    AddWorker(incarnation, /*from_takeover=*/true);
     CellWorker& cell_worker = cell_workers_.at(worker.id);
-    cell_worker.predecessors_waited = worker.unheard;
-    cell_worker.renewals_blocked = worker.unheard > Millis(0);
+    cell_worker.predecessors_waited = worker.not_contacted_for;
+    cell_worker.renewals_blocked = worker.not_contacted_for > Millis(0);
     cell_worker.inherited_tasks = worker.tasks;
     cell_worker.starts_blocked = worker.tasks.has_value();
     cell_worker.submitted_record = worker;
--- a/src/libdoorwood/cell/cell_closed_test.cpp
+++ b/src/libdoorwood/cell/cell_closed_test.cpp
@@ -19,8 +19,8 @@
     world.SetTable({fakes::MakeQueue("queue", 3)});
     for (const char* centre : {"plaka", "kerameikos", "pireas"}) {
       for (const char* worker : {"1", "2"}) {
-        world.AddWorker(std::string(centre) + worker, 8000).life.data_centre =
-            centre;
+        world.AddWorker(std::string(centre) + worker, 8000)
+            .incarnation.data_centre = centre;
       }
       world.AddInstance(std::string("i-") + centre, centre);
     }
@@ -45,8 +45,9 @@
   size_t RunningIn(const std::string& centre) const {
     size_t running = 0;
     for (const auto& [id, worker] : world.workers()) {
-      running +=
-          worker->life.data_centre == centre ? worker->model.running() : 0;
+      running += worker->incarnation.data_centre == centre
+                     ? worker->model.running()
+                     : 0;
     }
     return running;
   }
@@ -92,7 +93,7 @@
   world.Run(kClosingTime);
   world.CrashWorker(centre + "1");
   world.CrashWorker(centre + "2");
-  world.AddWorker(centre + "3", 8000).life.data_centre = centre;
+  world.AddWorker(centre + "3", 8000).incarnation.data_centre = centre;
   world.Run(Millis(4000));
   BOOST_TEST(RunningIn(centre) == 0U);
   size_t running = 0;
@@ -135,7 +136,7 @@
   for (const char* worker : {"pireas1", "pireas2"}) {
     world.CrashWorker(worker);
   }
-  world.AddWorker("pireas3", 8000).life.data_centre = "pireas";
+  world.AddWorker("pireas3", 8000).incarnation.data_centre = "pireas";
   BOOST_REQUIRE(world.WaitForLeader() != nullptr);
   for (int i = 0; i < 100; ++i) {
     world.Run(Millis(100));
@@ -147,7 +148,7 @@
                         ClosedFixture) {
   world.closed() = {"plaka", "kerameikos", "pireas"};
   world.Run(kClosingTime);
-  BOOST_TEST(Refusal(1) == make_error_code(CoreErrc::kNoRoom));
+  BOOST_TEST(Refusal(1) == make_error_code(CoreErrc::kNoCapacity));
   world.closed() = {"plaka", "kerameikos"};
   world.Run(kClosingTime);
   BOOST_TEST(Refusal(2) == std::error_code());
--- a/src/libdoorwood/cell/cell_crashes.cpp
+++ b/src/libdoorwood/cell/cell_crashes.cpp
@@ -22,13 +22,13 @@
 
 }  // namespace
 
-std::string CellLeader::MachineOf(const WorkerLife& life) {
-  return life.machine.empty() ? life.id : life.machine;
+std::string CellLeader::MachineOf(const WorkerIncarnation& incarnation) {
+  return incarnation.machine.empty() ? incarnation.id : incarnation.machine;
 }
 
 std::optional<CrashEvidence> CellLeader::DetectCrash(
     const WorkerSession& session) const {
-  const auto found = cell_workers_.find(session.life().id);
+  const auto found = cell_workers_.find(session.incarnation().id);
   if (found == cell_workers_.end()) {
     return std::nullopt;
   }
@@ -39,7 +39,7 @@
   if (emptied) {
     return std::nullopt;
   }
-  const bool leaving = session.life().draining;
+  const bool leaving = session.incarnation().draining;
   if (session.dead()) {
     return leaving ? CrashEvidence::kVanished : CrashEvidence::kOtherLife;
   }
@@ -57,7 +57,7 @@
     // A worker that vanished may have become unreachable before it began the
     // run.
     const bool began =
-        !run.held && (session.dead() || run.confirmed != Instant{});
+        !run.start_deferred && (session.dead() || run.confirmed != Instant{});
     if (task != nullptr && began && task->job->outcome == JobOutcome::kOpen) {
       runs.push_back(&run);
     }
@@ -68,13 +68,14 @@
 std::vector<CellLeader::TaskCrashNote> CellLeader::AttributeCrash(
     const WorkerSession& session,
     CrashEvidence evidence) {
-  const WorkerLife& life = session.life();
+  const WorkerIncarnation& incarnation = session.incarnation();
   const std::vector<const Run*> runs = RunsAtCrash(session);
   std::vector<RunAtCrash> at_crash;
   for (const Run* run : runs) {
     const bool tried_alone = run->confirmed != Instant{} && !run->adopted &&
-                             trials_.IsTrying(run->task, life.id);
-    at_crash.push_back({session.SeenAtWork(*run), tried_alone, run->adopted});
+                             trials_.IsTrying(run->task, incarnation.id);
+    at_crash.push_back(
+        {session.ObservedRunTime(*run), tried_alone, run->adopted});
   }
   const std::vector<Blame> blames =
       BlameCrash(at_crash, options_.policy.crashes);
@@ -85,8 +86,8 @@
     }
     CrashNote note;
     note.run = runs[i]->number;
-    note.machine = MachineOf(life);
-    note.worker = life.id;
+    note.machine = MachineOf(incarnation);
+    note.worker = incarnation.id;
     note.evidence = evidence;
     note.suspect = blames[i] == Blame::kSuspect;
     note.alone = at_crash[i].tried;
@@ -123,8 +124,8 @@
 // A crash is proved only once another incarnation of the worker answers. The
 // leader may fail before that, so it records which runs were new on the worker
 // for its successor.
-void CellLeader::OnLookFailed(WorkerSession& session) {
-  if (session.life().draining) {
+void CellLeader::OnPollFailed(WorkerSession& session) {
+  if (session.incarnation().draining) {
     return;
   }
   for (auto& [name, note] : AttributeCrash(session, CrashEvidence::kUntold)) {
@@ -137,7 +138,7 @@
   }
 }
 
-void CellLeader::OnAnswersAgain(WorkerSession& session) {
+void CellLeader::OnPollRecovered(WorkerSession& session) {
   DropUnreportedCrashes(session);
 }
 
@@ -154,7 +155,7 @@
 void CellLeader::HandleDeadWorkers() {
   std::vector<std::string> dead;
   for (auto& [id, cell_worker] : cell_workers_) {
-    if (!cell_worker.death_processed && cell_worker.session->proved_dead()) {
+    if (!cell_worker.death_processed && cell_worker.session->confirmed_dead()) {
       cell_worker.death_processed = true;
       dead.push_back(id);
     }
@@ -283,8 +284,8 @@
     }
   }
   log_.Write("warn", "cell", "a worker crashed",
-             {{"worker", session.life().id},
-              {"machine", session.life().machine},
+             {{"worker", session.incarnation().id},
+              {"machine", session.incarnation().machine},
               {"other_life", session.dead()},
               {"one_of_many", many},
               {"runs", session.runs().size()},
--- a/src/libdoorwood/cell/cell_crashing_task_test.cpp
+++ b/src/libdoorwood/cell/cell_crashing_task_test.cpp
@@ -26,7 +26,7 @@
     world.SetTable({fakes::MakeQueue("queue", 3)});
     for (int i = 0; i < workers; ++i) {
       const std::string id = "w" + std::to_string(10 + i);
-      world.AddWorker(id, 8000).life.machine = id;
+      world.AddWorker(id, 8000).incarnation.machine = id;
     }
     for (const char* name : {"a1", "b1", "c1"}) {
       world.AddInstance(name, std::string(1, name[0]));
@@ -164,7 +164,7 @@
     {"entries name no machine", "ms=300 crashes=", 1, nullptr,
      [](CellWorld* world) {
        for (const auto& [id, worker] : world->workers()) {
-         worker->life.machine.clear();
+         worker->incarnation.machine.clear();
        }
      }},
 };
--- a/src/libdoorwood/cell/cell_ends.cpp
+++ b/src/libdoorwood/cell/cell_ends.cpp
@@ -56,7 +56,7 @@
                 {"last_run", task->last_run},
                 {"placed", task->placed},
                 {"task_done", task->done},
-                {"worker", session.life().id},
+                {"worker", session.incarnation().id},
                 {"end", ToString(end)},
                 {"epoch", epoch_}});
     return;
@@ -64,17 +64,17 @@
   log_.Write("info", "cell", "run ended",
              {{"task", task->name()},
               {"run", run},
-              {"worker", session.life().id},
+              {"worker", session.incarnation().id},
               {"end", ToString(end)},
               {"failures", task->failed_runs.size()},
               {"epoch", epoch_}});
   if (end == RunEnd::kDone) {
     ++counters_.ends_done;
-    trust_.OnSuccess(session.life().id);
+    trust_.OnSuccess(session.incarnation().id);
   } else if (end == RunEnd::kFailed) {
     ++counters_.ends_failed;
-    trust_.OnFailure(session.life().id, job->plan.id, executor_.Now());
-    task->failed_on = session.life().id;
+    trust_.OnFailure(session.incarnation().id, job->plan.id, executor_.Now());
+    task->failed_on = session.incarnation().id;
   } else {
     ++counters_.ends_lost;
   }
@@ -90,7 +90,7 @@
 void CellLeader::OnRunEnded(WorkerSession& session,
                             const Run& run,
                             RunEnd end,
-                            bool told_by_worker) {
+                            bool reported_by_worker) {
   Task* task = jobs_.FindTask(run.task);
   if (task == nullptr) {
     return;
@@ -102,13 +102,13 @@
   if (!run.checkpoint.empty() && !task->done) {
     task->checkpoint = run.checkpoint;
   }
-  if (run.called_old) {
+  if (run.refused_as_old) {
     task->last_run = std::max(task->last_run, run.number + kRunNumberIncrease);
   }
-  if (!told_by_worker) {
+  if (!reported_by_worker) {
     LogLostRun(session, run);
   }
-  if (end == RunEnd::kDone && !run.odd_time) {
+  if (end == RunEnd::kDone && !run.atypical_duration) {
     RecordRunTime(task, run);
   }
   CountEnd(task, session, run.number, end, run.checkpoint);
@@ -117,19 +117,19 @@
 
 void CellLeader::LogLostRun(const WorkerSession& session,
                             const Run& run) const {
-  const auto cell_worker = cell_workers_.find(session.life().id);
+  const auto cell_worker = cell_workers_.find(session.incarnation().id);
   log_.Write("warn", "cell", "run ended without a report from the worker",
              {{"task", run.task},
               {"run", run.number},
-              {"worker", session.life().id},
-              {"machine", session.life().machine},
+              {"worker", session.incarnation().id},
+              {"machine", session.incarnation().machine},
               {"worker_dead", session.dead()},
               {"listed", cell_worker != cell_workers_.end() &&
                              cell_worker->second.listed},
-              {"leaving", session.life().draining},
+              {"leaving", session.incarnation().draining},
               {"runs_left", session.runs().size()},
               {"confirmed", run.confirmed != Instant{}},
-              {"seen_at_work_ms", session.SeenAtWork(run).count()}});
+              {"seen_at_work_ms", session.ObservedRunTime(run).count()}});
 }
 
 void CellLeader::RecordRunTime(Task* task, const Run& run) {
@@ -215,7 +215,7 @@
   log_.Write("info", "cell", wanted ? "run adopted" : "unwanted run stopped",
              {{"task", active_run.task},
               {"run", active_run.run},
-              {"worker", session.life().id},
+              {"worker", session.incarnation().id},
               {"epoch", epoch_}});
   if (!wanted) {
     ++counters_.stops;
@@ -223,7 +223,7 @@
   }
   JobTable::SetPlaced(task, true);
   if (task->plan().lasting) {
-    RecordAdoptedPlacement(task, session.life().id);
+    RecordAdoptedPlacement(task, session.incarnation().id);
   }
   task->unaccounted = false;
   task->adopted_run = all_runs_accounted_ ? 0 : active_run.run;
@@ -236,13 +236,13 @@
     task->job->dirty = true;
   }
   if (IsSuspect(*task)) {
-    BeginTrial(*task, cell_workers_.at(session.life().id).session);
+    BeginTrial(*task, cell_workers_.at(session.incarnation().id).session);
   }
   Run run = MakeRun(*task, active_run.run);
-  run.image = interference_.Intern(task->plan().image);
+  run.image_id = interference_.Intern(task->plan().image);
   run.phase = RunPhase::kRunning;
   run.ordered = executor_.Now();
-  run.odd_time = true;
+  run.atypical_duration = true;
   run.adopted = true;
   run.checkpoint = active_run.checkpoint;
   // An earlier leader may have slowed it down, so the pace is sent again.
@@ -257,9 +257,9 @@
   log_.Write("warn", "cell", "start refused",
              {{"task", run.task},
               {"run", run.number},
-              {"worker", session.life().id},
+              {"worker", session.incarnation().id},
               {"error", error.message()}});
-  const auto cell_worker = cell_workers_.find(session.life().id);
+  const auto cell_worker = cell_workers_.find(session.incarnation().id);
   if (cell_worker != cell_workers_.end()) {
     const bool busy = error == make_error_code(RunErrc::kBusy);
     cell_worker->second.backoff_until =
@@ -271,13 +271,13 @@
   }
   JobTable::SetPlaced(task, false);
   unrecorded_placements_.erase(run.task);
-  task->failed_on = session.life().id;
+  task->failed_on = session.incarnation().id;
   RequestSchedulingPass();
 }
 
 void CellLeader::OnReport(WorkerSession& session) {
   UpdatePaces(session);
-  const auto cell_worker = cell_workers_.find(session.life().id);
+  const auto cell_worker = cell_workers_.find(session.incarnation().id);
   if (cell_worker != cell_workers_.end() &&
       cell_worker->second.renewals_blocked &&
       !cell_worker->second.contact_record_pending) {
@@ -290,7 +290,7 @@
   }
   // With no write pending, ends that changed no state need no record.
   if (journal_.idle()) {
-    OnEndsRecorded(ListedEnds());
+    OnEndsRecorded(HighestUnrecordedEnds());
   }
 }
 
@@ -359,7 +359,7 @@
   return EncodeJobState(*job);
 }
 
-std::map<std::string, uint64_t> CellLeader::ListedEnds() {
+std::map<std::string, uint64_t> CellLeader::HighestUnrecordedEnds() {
   std::map<std::string, uint64_t> ends;
   for (const auto& [id, cell_worker] : cell_workers_) {
     if (cell_worker.session->has_unrecorded_ends()) {
--- a/src/libdoorwood/cell/cell_evacuation.cpp
+++ b/src/libdoorwood/cell/cell_evacuation.cpp
@@ -21,7 +21,7 @@
 
 void CellLeader::EvacuateLeavingWorkers() {
   for (const auto& [id, cell_worker] : cell_workers_) {
-    if (cell_worker.listed && cell_worker.session->life().draining) {
+    if (cell_worker.listed && cell_worker.session->incarnation().draining) {
       EvacuateDraining(id, cell_worker);
     } else if (!cell_worker.listed && !cell_worker.session->dead()) {
       EvacuateUnlisted(id, cell_worker);
@@ -32,7 +32,7 @@
 void CellLeader::EvacuateDraining(const std::string& id,
                                   const CellWorker& cell_worker) {
   const auto& session = cell_worker.session;
-  const Millis remaining = session->life().remaining;
+  const Millis remaining = session->incarnation().min_time_to_leave;
   std::vector<std::string> to_move;
   for (const auto& [task, run] : session->runs()) {
     const Task* known_task = jobs_.FindTask(task);
@@ -41,7 +41,7 @@
     }
     const auto time_left = run.estimate * (100 - run.progress) / 100;
     const bool has_checkpoints = known_task->plan().checkpoints;
-    if (run.lasting || (has_checkpoints && time_left > remaining)) {
+    if (run.long_running || (has_checkpoints && time_left > remaining)) {
       to_move.push_back(task);
     }
   }
@@ -56,7 +56,7 @@
 void CellLeader::EvacuateUnlisted(const std::string& id,
                                   const CellWorker& cell_worker) {
   const Instant since = std::max(cell_worker.unlisted_since,
-                                 cell_worker.session->answers_since());
+                                 cell_worker.session->responsive_since());
   const bool gone = cell_worker.unlisted_since != Instant{} &&
                     executor_.Now() - since >= options_.unlisted_grace;
   if (!gone || !cell_worker.session->responsive()) {
@@ -66,7 +66,7 @@
   for (const auto& [task, run] : cell_worker.session->runs()) {
     const Task* known_task = jobs_.FindTask(task);
     if (known_task != nullptr && run.phase == RunPhase::kRunning &&
-        (run.lasting || known_task->plan().checkpoints)) {
+        (run.long_running || known_task->plan().checkpoints)) {
       to_move.push_back(task);
     }
   }
@@ -78,11 +78,12 @@
                                 const std::vector<std::string>& tasks,
                                 std::string_view cause) {
   for (const std::string& task : tasks) {
-    log_.Write("info", "cell", "run is stopped to be moved off its worker",
-               {{"task", task},
-                {"worker", id},
-                {"cause", cause},
-                {"remaining_ms", session->life().remaining.count()}});
+    log_.Write(
+        "info", "cell", "run is stopped to be moved off its worker",
+        {{"task", task},
+         {"worker", id},
+         {"cause", cause},
+         {"remaining_ms", session->incarnation().min_time_to_leave.count()}});
     ++counters_.stops;
     session->Stop(task);
   }
@@ -121,13 +122,13 @@
     const Task* known_task = jobs_.FindTask(task);
     const bool is_running =
         known_task != nullptr && run.phase == RunPhase::kRunning;
-    if (is_running && run.lasting) {
+    if (is_running && run.long_running) {
       long_running.push_back(task);
     } else if (is_running && known_task->plan().checkpoints) {
       with_checkpoints.push_back(task);
     }
     occupancy =
-        std::max(occupancy, run.lasting && run.phase != RunPhase::kStopping
+        std::max(occupancy, run.long_running && run.phase != RunPhase::kStopping
                                 ? Occupancy::kNeeded
                                 : Occupancy::kExpendable);
   }
--- a/src/libdoorwood/cell/cell_foreign_test.cpp
+++ b/src/libdoorwood/cell/cell_foreign_test.cpp
@@ -56,20 +56,27 @@
 
 struct EntryChange {
   const char* name;
-  std::function<void(WorkerLife*)> change;
+  std::function<void(WorkerIncarnation*)> change;
 };
 
 const EntryChange entry_changes[] = {
-    {"another address", [](WorkerLife* life) { life->address = "10.0.0.9:1"; }},
-    {"another service", [](WorkerLife* life) { life->service = "other"; }},
+    {"another address",
+     [](WorkerIncarnation* incarnation) {
+       incarnation->address = "10.0.0.9:1";
+     }},
+    {"another service",
+     [](WorkerIncarnation* incarnation) { incarnation->service = "other"; }},
     {"another data centre",
-     [](WorkerLife* life) { life->data_centre = "elsewhere"; }},
-    {"another machine", [](WorkerLife* life) { life->machine = "m-9"; }},
-    {"unreadable", [](WorkerLife* life) {
-       WorkerLife unreadable;
-       unreadable.id = life->id;
-       unreadable.readable = false;
-       *life = unreadable;
+     [](WorkerIncarnation* incarnation) {
+       incarnation->data_centre = "elsewhere";
+     }},
+    {"another machine",
+     [](WorkerIncarnation* incarnation) { incarnation->machine = "m-9"; }},
+    {"unreadable", [](WorkerIncarnation* incarnation) {
+       WorkerIncarnation unreadable;
+       unreadable.id = incarnation->id;
+       unreadable.is_valid = false;
+       *incarnation = unreadable;
      }}};
 
 BOOST_AUTO_TEST_CASE(Worker_EntryOverwritten_RunContinuesAndNothingNewStarts) {
@@ -77,10 +84,10 @@
     BOOST_TEST_INFO_SCOPE(row.name);
     ForeignEntriesFixture fixture;
     fakes::WorldWorker& worker = fixture.StartLongRunningTask();
-    worker.life.machine = "m-1";
+    worker.incarnation.machine = "m-1";
     fixture.world.Run(Millis(3000));
-    const WorkerLife original_entry = worker.life;
-    row.change(&worker.life);
+    const WorkerIncarnation original_entry = worker.incarnation;
+    row.change(&worker.incarnation);
     fixture.world.Run(Millis(3000));
     fixture.ExpectRunNotMoved();
     fixture.SubmitLargeTasks();
@@ -89,7 +96,7 @@
     fixture.ExpectRunNotMoved();
     BOOST_TEST(worker.started == before, row.name);
     // The worker rewrites its entry.
-    worker.life = original_entry;
+    worker.incarnation = original_entry;
     fixture.world.Run(Millis(3000));
     JobPlan wide = fakes::MakePlan("00112233aabbccdf", 1, 20, "ms=500");
     BOOST_TEST(fixture.world.Submit(wide));
@@ -104,7 +111,7 @@
     BOOST_TEST_INFO_SCOPE(row.name);
     ForeignEntriesFixture fixture;
     fakes::WorldWorker& worker = fixture.StartLongRunningTask();
-    row.change(&worker.life);
+    row.change(&worker.incarnation);
     fixture.world.Kill(fixture.world.Leader()->name);
     BOOST_REQUIRE(fixture.world.WaitForLeader() != nullptr);
     fixture.world.Run(Millis(8000));
@@ -116,7 +123,7 @@
 BOOST_FIXTURE_TEST_CASE(Worker_EntryOverwrittenAndItCrashes_RunMoves,
                         ForeignEntriesFixture) {
   fakes::WorldWorker& worker = StartLongRunningTask();
-  world.foreign().push_back(worker.life);
+  world.foreign().push_back(worker.incarnation);
   world.foreign().back().address = "10.0.0.9:1";
   worker.listed = false;
   world.Run(Millis(2000));
@@ -129,7 +136,7 @@
 BOOST_FIXTURE_TEST_CASE(Worker_ServiceThatNoQueueNames_IsNotCalled,
                         ForeignEntriesFixture) {
   fakes::WorldWorker& other = world.AddWorker("w9", 8000);
-  other.life.service = "unnamed";
+  other.incarnation.service = "unnamed";
   world.Run(Millis(3000));
   BOOST_TEST(other.calls == 0);
   // Once a queue names its service, it is used like the other workers.
@@ -146,7 +153,7 @@
                         ForeignEntriesFixture) {
   constexpr int kCopies = 20;
   for (int n = 0; n < kCopies; ++n) {
-    WorkerLife copy = world.workers().at("w1")->life;
+    WorkerIncarnation copy = world.workers().at("w1")->incarnation;
     copy.id = "copy-" + std::to_string(n);
     world.foreign().push_back(copy);
   }
@@ -162,13 +169,13 @@
                         ForeignEntriesFixture) {
   constexpr int kEntries = 1000;
   for (int n = 0; n < kEntries; ++n) {
-    WorkerLife life;
-    life.id = "x" + std::to_string(n);
-    life.readable = n % 2 != 0;
-    life.address = "10.0.0.9:1";
-    life.data_centre = "plaka";
-    life.service = "unnamed";
-    world.foreign().push_back(life);
+    WorkerIncarnation incarnation;
+    incarnation.id = "x" + std::to_string(n);
+    incarnation.is_valid = n % 2 != 0;
+    incarnation.address = "10.0.0.9:1";
+    incarnation.data_centre = "plaka";
+    incarnation.service = "unnamed";
+    world.foreign().push_back(incarnation);
   }
   StartLongRunningTask();
   SubmitLargeTasks();
@@ -268,7 +275,7 @@
   BOOST_TEST(known[0].id == "w1");
   BOOST_TEST(known[1].id == "w8");
   BOOST_TEST(known[2].id == "w9");
-  BOOST_TEST(known[2].unheard.count() == 700);
+  BOOST_TEST(known[2].not_contacted_for.count() == 700);
   for (const char* text : {"", "{}", "7", "\xff", R"({"a":[["w","x"]]})"}) {
     BOOST_TEST(DecodeWorkers(text).empty(), text);
   }
--- a/src/libdoorwood/cell/cell_journal.cpp
+++ b/src/libdoorwood/cell/cell_journal.cpp
@@ -37,7 +37,7 @@
     // Earlier versions wrote no third field.
     const int64_t unheard =
         row.size() > 2 ? ToWhole(row.at(2), "unheard", {0, kMostMillis}) : 0;
-    worker.unheard = Millis(unheard);
+    worker.not_contacted_for = Millis(unheard);
     if (row.size() > 3) {
       worker.tasks = DecodeTasks(row.at(3));
     }
@@ -91,10 +91,10 @@
   return std::string(kJobKeyPrefix) + std::string(job);
 }
 
-std::string EncodeSequence(uint64_t sequence, int64_t places_hold_to) {
+std::string EncodeSequence(uint64_t sequence, int64_t placements_valid_to) {
   return Json{{"sequence", sequence},
               {kKeepsToTaskListsField, true},
-              {kPlacementsValidField, places_hold_to}}
+              {kPlacementsValidField, placements_valid_to}}
       .dump();
 }
 
@@ -105,14 +105,14 @@
   return static_cast<uint64_t>(sequence.value_or(0));
 }
 
-bool KeepsToNames(std::string_view text) {
+bool KeepsToTaskLists(std::string_view text) {
   const auto json = ParseJson(text);
   const bool is_object = json && json->is_object();
   return is_object && json->contains(kKeepsToTaskListsField) &&
          json->at(kKeepsToTaskListsField) == true;
 }
 
-int64_t DecodePlacesHoldTo(std::string_view text) {
+int64_t DecodePlacementsValidTo(std::string_view text) {
   const auto revision = DecodeObject(text, [](const Json& json) {
     return ReadWholeOr(json, kPlacementsValidField, 0);
   });
@@ -122,7 +122,7 @@
 std::string EncodeWorkers(const std::vector<KnownWorker>& workers) {
   Json rows = Json::array();
   for (const KnownWorker& worker : workers) {
-    Json row = {worker.id, worker.address, worker.unheard.count()};
+    Json row = {worker.id, worker.address, worker.not_contacted_for.count()};
     if (worker.tasks) {
       row.push_back(*worker.tasks);
     }
@@ -229,7 +229,7 @@
 }
 
 bool CellJournal::idle() const {
-  return flow_.under_way() == 0 && accepts_.empty() && dirty_.empty() &&
+  return flow_.in_flight() == 0 && accepts_.empty() && dirty_.empty() &&
          !workers_changed_;
 }
 
@@ -246,8 +246,8 @@
              [this](const std::string& job) { return urgent_.contains(job); });
 }
 
-bool CellJournal::settled() const {
-  return flow_.under_way() == 0 && accepts_.empty() && !HasSealedUrgent();
+bool CellJournal::is_drained() const {
+  return flow_.in_flight() == 0 && accepts_.empty() && !HasSealedUrgent();
 }
 
 void CellJournal::Answer(PendingAccept* accept,
@@ -274,7 +274,7 @@
     return;
   }
   accepts_.push_back(
-      {std::move(plan), std::move(done), now + options_.patience});
+      {std::move(plan), std::move(done), now + options_.caller_timeout});
   ScheduleSend(Millis(0));
 }
 
@@ -299,14 +299,14 @@
   }
 }
 
-void CellJournal::Touch() {
+void CellJournal::RequestCommit() {
   if (open_) {
     force_commit_ = true;
     ScheduleSend(Millis(0));
   }
 }
 
-void CellJournal::Forget(const std::string& job) {
+void CellJournal::RemoveJob(const std::string& job) {
   if (open_) {
     to_remove_.insert(job);
     ScheduleSend(options_.delay);
@@ -333,7 +333,7 @@
 std::optional<size_t> CellJournal::FindLaneToSend() const {
   // While the store does not accept batches, one batch at a time checks whether
   // it still does not.
-  const bool may_send = store_unavailable_ ? flow_.under_way() == 0
+  const bool may_send = store_unavailable_ ? flow_.in_flight() == 0
                                            : flow_.MaySend(executor_.Now());
   if (!may_send) {
     return std::nullopt;
--- a/src/libdoorwood/cell/cell_journal_answers.cpp
+++ b/src/libdoorwood/cell/cell_journal_answers.cpp
@@ -19,7 +19,7 @@
 }
 
 int64_t RevisionOf(const StoreItem* item) {
-  return item == nullptr || item->gone ? 0 : item->revision;
+  return item == nullptr || item->deleted ? 0 : item->revision;
 }
 
 }  // namespace
@@ -30,7 +30,7 @@
   if (!error) {
     const Instant sent = lanes_[lane].batch->sent;
     OnCommitted(lane, commit.revision);
-    owner_.OnLeadShown(sent);
+    owner_.OnLeadConfirmed(sent);
     return;
   }
   if (error == make_error_code(KvErrc::kConflict)) {
@@ -141,7 +141,7 @@
   std::vector<PendingAccept> new_accepts;
   for (PendingAccept& accept : batch.accepts) {
     if (RevisionOf(FindItem(commit, JobIdKey(accept.plan.id))) != 0) {
-      Answer(&accept, {}, AcceptOutcome::kKnownAlready);
+      Answer(&accept, {}, AcceptOutcome::kAlreadyKnown);
     } else {
       new_accepts.push_back(std::move(accept));
     }
--- a/src/libdoorwood/cell/cell_journal_build.cpp
+++ b/src/libdoorwood/cell/cell_journal_build.cpp
@@ -30,7 +30,8 @@
   transaction.expected.push_back({LeadKey(cell_), lead_revision_});
   transaction.expected.push_back({ChainKey(cell_, lane), chain.revision});
   transaction.puts.push_back(
-      {ChainKey(cell_, lane), EncodeSequence(sequence, owner_.PlacesHoldTo())});
+      {ChainKey(cell_, lane),
+       EncodeSequence(sequence, owner_.PlacementsValidTo())});
   const size_t base_entries = transaction.entries();
   CaptureEnds();
   AddWorkers(&batch);
@@ -52,7 +53,7 @@
   if (ends_) {
     return;
   }
-  ends_ = EndsToRecord{owner_.ListedEnds(), {}};
+  ends_ = EndsToRecord{owner_.HighestUnrecordedEnds(), {}};
   for (const std::string& job : in_flight_jobs_) {
     ends_->jobs[job] = 0;
   }
@@ -72,7 +73,7 @@
       {WorkersKey(cell_), EncodeWorkers(workers_)});
   const bool any_not_contacted = std::any_of(
       workers_.begin(), workers_.end(),
-      [](const auto& worker) { return worker.unheard > Millis(0); });
+      [](const auto& worker) { return worker.not_contacted_for > Millis(0); });
   if (any_not_contacted) {
     batch->transaction.puts.push_back(
         {UnheardKey(cell_), std::to_string(batch->number)});
--- a/src/libdoorwood/cell/cell_journal_load_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_load_test.cpp
@@ -81,11 +81,11 @@
     encoded[job] = changed[job];
     return std::to_string(changed[job]);
   }
-  std::map<std::string, uint64_t> ListedEnds() override {
+  std::map<std::string, uint64_t> HighestUnrecordedEnds() override {
     return {{"w", listed_end}};
   }
   void OnAccepted(const JobPlan& plan) override { accepted.insert(plan.id); }
-  int64_t PlacesHoldTo() override { return 0; }
+  int64_t PlacementsValidTo() override { return 0; }
   void OnStateWritten(const std::string&) override {}
   void OnStateRecorded(const std::string& job) override {
     const auto asked = cancelled.find(job);
@@ -98,7 +98,7 @@
     recorded_end = ends.at("w");
   }
   void OnWorkersRecorded(const std::vector<KnownWorker>&) override {}
-  void OnLeadShown(Instant) override {}
+  void OnLeadConfirmed(Instant) override {}
   void OnLeadLost(std::string_view) override { lost = true; }
 
   Millis Since(Instant instant) {
--- a/src/libdoorwood/cell/cell_journal_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_test.cpp
@@ -70,9 +70,11 @@
   }
 
   std::string EncodeState(const std::string&) override { return state; }
-  std::map<std::string, uint64_t> ListedEnds() override { return {{"w", 7}}; }
+  std::map<std::string, uint64_t> HighestUnrecordedEnds() override {
+    return {{"w", 7}};
+  }
   void OnAccepted(const JobPlan& plan) override { accepted.push_back(plan.id); }
-  int64_t PlacesHoldTo() override { return 0; }
+  int64_t PlacementsValidTo() override { return 0; }
   void OnStateWritten(const std::string&) override {}
   void OnStateRecorded(const std::string& job) override {
     recorded.push_back(job);
@@ -81,7 +83,7 @@
     ends_recorded = ends;
   }
   void OnWorkersRecorded(const std::vector<KnownWorker>&) override {}
-  void OnLeadShown(Instant) override {}
+  void OnLeadConfirmed(Instant) override {}
   void OnLeadLost(std::string_view) override {
     lost = true;
     journal.Close();
--- a/src/libdoorwood/cell/cell_known_workers_test.cpp
+++ b/src/libdoorwood/cell/cell_known_workers_test.cpp
@@ -30,7 +30,7 @@
   KnownWorker worker;
   worker.id = id;
   worker.address = "http://" + id + ":80";
-  worker.unheard = unheard;
+  worker.not_contacted_for = unheard;
   worker.tasks = std::move(task_names);
   return worker;
 }
@@ -50,8 +50,8 @@
   std::string text;
   for (const KnownWorker& worker : workers) {
     text += worker.id + " " + worker.address + " " +
-            std::to_string(worker.unheard.count()) + " " + Show(worker.tasks) +
-            "\n";
+            std::to_string(worker.not_contacted_for.count()) + " " +
+            Show(worker.tasks) + "\n";
   }
   return text;
 }
@@ -180,7 +180,7 @@
       const int count = tasks[i];
       auto& worker =
           world.AddWorker("w" + std::to_string(i), int64_t{1000} * count);
-      worker.life.capacity.memory_mib = int64_t{100} * count;
+      worker.incarnation.capacity.memory_mib = int64_t{100} * count;
       world.Run(Millis(1000));
       BOOST_REQUIRE(world.Submit(fakes::MakePlan(
           "00000000000000a" + std::to_string(i), 1, count, "")));
@@ -188,7 +188,7 @@
       BOOST_REQUIRE(worker.model.running() == static_cast<size_t>(count));
     }
     for (const auto& [id, worker] : world.workers()) {
-      worker->life.draining = true;
+      worker->incarnation.draining = true;
     }
     world.Run(Millis(4000));
   }
--- a/src/libdoorwood/cell/cell_large_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_large_takeover_test.cpp
@@ -44,7 +44,7 @@
   world.Run(Millis(3000));
   int count = 0;
   for (const auto& [id, worker] : world.workers()) {
-    worker->life.draining = ++count % 3 != 0;
+    worker->incarnation.draining = ++count % 3 != 0;
   }
   world.Run(Millis(3000));
   BOOST_REQUIRE(world.Submit(fakes::MakePlan(kJob, 1, 1, "ms=1")));
@@ -53,7 +53,7 @@
   const int before = world.logged(release_message);
   world.Kill(world.Leader()->name);
   for (const auto& [id, worker] : world.workers()) {
-    if (worker->life.draining) {
+    if (worker->incarnation.draining) {
       world.TakeAway(id);
     }
   }
--- a/src/libdoorwood/cell/cell_lasting_places.cpp
+++ b/src/libdoorwood/cell/cell_lasting_places.cpp
@@ -75,7 +75,7 @@
 // so: this leader records where it starts long-running tasks, or it asks the
 // instance to agree to unrecorded starts, after which the instance no longer
 // relies on them.
-int64_t CellLeader::PlacesHoldTo() {
+int64_t CellLeader::PlacementsValidTo() {
   if (ArePlacementsRecorded()) {
     placements_valid_to_ = live_.at();
   }
@@ -85,7 +85,7 @@
 void CellLeader::PublishRecordedPlacements() {
   if (ArePlacementsRecorded() &&
       live_.NewestAgreeingSince() > placements_valid_to_ && IsLeadConfirmed()) {
-    journal_.Touch();
+    journal_.RequestCommit();
   }
 }
 
--- a/src/libdoorwood/cell/cell_lasting_places_test.cpp
+++ b/src/libdoorwood/cell/cell_lasting_places_test.cpp
@@ -31,7 +31,7 @@
     world.SetTable({fakes::MakeQueue("queue", 3)});
     for (int i = 0; i < kWorkers; ++i) {
       const std::string id = "w" + std::to_string(10 + i);
-      world.AddWorker(id, 2000).life.machine = id;
+      world.AddWorker(id, 2000).incarnation.machine = id;
     }
     for (const char* name : {"a1", "b1", "c1"}) {
       world.AddInstance(name, std::string(1, name[0]));
--- a/src/libdoorwood/cell/cell_leader.cpp
+++ b/src/libdoorwood/cell/cell_leader.cpp
@@ -96,7 +96,7 @@
 void CellLeader::OnFenced(WorkerSession& session) {
   log_.Write("warn", "cell",
              "a worker has seen the fencing token of a newer leader",
-             {{"worker", session.life().id}, {"epoch", epoch_}});
+             {{"worker", session.incarnation().id}, {"epoch", epoch_}});
   StepDown("fenced off by a worker");
 }
 
@@ -180,7 +180,7 @@
 
 void CellLeader::ReleaseLeadKey() {
   // A key that still exists would keep other instances from the lead for as
-  // long as this process lives.
+  // long as this process incarnations.
   StoreTransaction transaction;
   transaction.expected.push_back({LeadKey(options_.cell), epoch_});
   transaction.removes.push_back(LeadKey(options_.cell));
@@ -217,7 +217,7 @@
   if (IsHandingOver()) {
     journal_.Seal();
   }
-  if (journal_.idle() || (IsHandingOver() && journal_.settled())) {
+  if (journal_.idle() || (IsHandingOver() && journal_.is_drained())) {
     on_shut_down_ = std::move(done);
     StepDown("leaving");
     stage_ = Stage::kShutDown;
@@ -263,12 +263,12 @@
 
 void CellLeader::UpdateSessionLimits(const CellWorker& cell_worker,
                                      Instant order_deadline) const {
-  cell_worker.session->SetExtendUntil(
+  cell_worker.session->SetLeaseExtensionEnd(
       cell_worker.renewals_blocked ? Instant{} : order_deadline);
-  cell_worker.session->SetLedUntil(proof_.confirmed_at());
+  cell_worker.session->SetLeadConfirmedUntil(proof_.confirmed_at());
 }
 
-void CellLeader::OnLeadShown(Instant sent) {
+void CellLeader::OnLeadConfirmed(Instant sent) {
   proof_.NoteConfirmed(sent);
 }
 
@@ -280,13 +280,13 @@
   const Instant order_deadline = OrderDeadline();
   std::vector<std::shared_ptr<WorkerSession>> waiting;
   for (const auto& [id, cell_worker] : cell_workers_) {
-    if (cell_worker.session->awaits_proof()) {
+    if (cell_worker.session->awaits_lead_confirmation()) {
       waiting.push_back(cell_worker.session);
     }
     UpdateSessionLimits(cell_worker, order_deadline);
   }
   for (const auto& session : waiting) {
-    session->Conclude();
+    session->EndProvedRuns();
   }
 }
 
@@ -295,8 +295,8 @@
   const auto workers = static_cast<int64_t>(cell_workers_.size());
   const Millis interval(workers * kMillisPerSecond /
                         options_.max_interference_polls);
-  return std::clamp(interval, options_.sessions.short_wait,
-                    options_.sessions.long_wait);
+  return std::clamp(interval, options_.sessions.short_poll_wait,
+                    options_.sessions.long_poll_wait);
 }
 
 void CellLeader::Tick() {
@@ -335,8 +335,9 @@
   bool awaits_proof = false;
   for (const auto& [id, cell_worker] : cell_workers_) {
     UpdateSessionLimits(cell_worker, order_deadline);
-    cell_worker.session->SetShortWait(watching_wait);
-    awaits_proof = awaits_proof || cell_worker.session->awaits_proof();
+    cell_worker.session->SetShortPollWait(watching_wait);
+    awaits_proof =
+        awaits_proof || cell_worker.session->awaits_lead_confirmation();
     sessions.push_back(cell_worker.session);
   }
   if (awaits_proof) {
@@ -389,7 +390,7 @@
     }
   }
   for (const std::string& id : old) {
-    journal_.Forget(id);
+    journal_.RemoveJob(id);
     jobs_.Remove(id);
   }
 }
--- a/src/libdoorwood/cell/cell_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_leader_test.cpp
@@ -270,7 +270,7 @@
   world.Leader()->cell->Submit(
       long_running("1111111111111111", 1),
       [&](std::error_code error, AcceptOutcome) { answer = error; });
-  BOOST_TEST(answer == make_error_code(CoreErrc::kNoRoom));
+  BOOST_TEST(answer == make_error_code(CoreErrc::kNoCapacity));
   // A repeated submission of the same job is known; a short job is accepted.
   BOOST_TEST(world.Submit(long_running(kJob, 14)));
   BOOST_TEST(world.Submit(fakes::MakePlan("2222222222222222", 1, 1, "ms=100")));
--- a/src/libdoorwood/cell/cell_member_records.cpp
+++ b/src/libdoorwood/cell/cell_member_records.cpp
@@ -58,8 +58,8 @@
   for (const auto& [id, cell_worker] : cell_workers_) {
     KnownWorker worker;
     worker.id = id;
-    worker.address = cell_worker.session->life().address;
-    worker.unheard = TimeWithoutRenewal(cell_worker);
+    worker.address = cell_worker.session->incarnation().address;
+    worker.not_contacted_for = TimeWithoutRenewal(cell_worker);
     worker.tasks = TasksToRecord(cell_worker);
     known.push_back(std::move(worker));
   }
@@ -73,10 +73,10 @@
   for (const KnownWorker& worker : known) {
     CellWorker& cell_worker = cell_workers_.at(worker.id);
     entries += CountTasks(worker);
-    if (worker.unheard > Millis(0)) {
+    if (worker.not_contacted_for > Millis(0)) {
       cell_worker.renewals_blocked = true;
       cell_worker.contact_record_pending = false;
-      cell_worker.session->SetExtendUntil(Instant{});
+      cell_worker.session->SetLeaseExtensionEnd(Instant{});
     }
     cell_worker.starts_blocked =
         cell_worker.starts_blocked || worker.tasks.has_value();
@@ -103,7 +103,7 @@
   if (!GetsNoNewWork(cell_worker)) {
     return std::nullopt;
   }
-  return cell_worker.session->TasksToReckonWith();
+  return cell_worker.session->OutstandingTasks();
 }
 
 bool CellLeader::GetsNoNewWork(const CellWorker& cell_worker) const {
@@ -115,7 +115,7 @@
     return true;
   }
   if (cell_worker.listed) {
-    return session.life().draining;
+    return session.incarnation().draining;
   }
   const bool gone = cell_worker.unlisted_since != Instant{} &&
                     now - cell_worker.unlisted_since >= options_.unlisted_grace;
@@ -149,18 +149,20 @@
 // worker to be dead. That address therefore has to be one at which this
 // incarnation has answered.
 bool CellLeader::IsAddressRecorded(const CellWorker& cell_worker) {
-  return cell_worker.recorded_address == cell_worker.session->life().address;
+  return cell_worker.recorded_address ==
+         cell_worker.session->incarnation().address;
 }
 
 bool CellLeader::IsUncontacted(const CellWorker& cell_worker) const {
   return cell_worker.from_takeover && !all_runs_accounted_ &&
-         !cell_worker.session->fenced() && !cell_worker.session->proved_dead();
+         !cell_worker.session->fenced() &&
+         !cell_worker.session->confirmed_dead();
 }
 
 bool CellLeader::IsLongUnresponsive(const CellWorker& cell_worker) const {
   const WorkerSession& session = *cell_worker.session;
-  return session.fenced() && session.look_failed() &&
-         executor_.Now() - session.promised_at() >=
+  return session.fenced() && session.last_poll_failed() &&
+         executor_.Now() - session.last_lease_order_at() >=
              options_.unresponsive_record_delay;
 }
 
@@ -175,7 +177,7 @@
   // then and for `order_grace` after that. This leader sends no more orders
   // there.
   return std::chrono::duration_cast<Millis>(
-             executor_.Now() - cell_worker.session->promised_at()) +
+             executor_.Now() - cell_worker.session->last_lease_order_at()) +
          options_.order_grace;
 }
 
@@ -219,7 +221,7 @@
     // record was sent.
     cell_worker.starts_blocked =
         cell_worker.starts_blocked || worker.tasks.has_value();
-    if (worker.unheard > Millis(0) && !cell_worker.renewals_blocked) {
+    if (worker.not_contacted_for > Millis(0) && !cell_worker.renewals_blocked) {
       cell_worker.renewals_blocked = true;
       UpdateSessionLimits(cell_worker, OrderDeadline());
     }
@@ -229,11 +231,11 @@
       cell_worker.starts_blocked = false;
       changed = true;
     }
-    if (worker.unheard == Millis(0) && newest.unheard == Millis(0) &&
-        cell_worker.renewals_blocked) {
+    if (worker.not_contacted_for == Millis(0) &&
+        newest.not_contacted_for == Millis(0) && cell_worker.renewals_blocked) {
       cell_worker.renewals_blocked = false;
       UpdateSessionLimits(cell_worker, OrderDeadline());
-      cell_worker.session->LookNow();
+      cell_worker.session->PollNow();
       changed = true;
     }
     if (cell_worker.recorded_address != worker.address) {
--- a/src/libdoorwood/cell/cell_members.cpp
+++ b/src/libdoorwood/cell/cell_members.cpp
@@ -19,8 +19,8 @@
 // empty: none. An id names one incarnation of a worker, and none of these
 // fields changes within an incarnation, so such an entry was written by another
 // process.
-std::string_view FindContradiction(const WorkerLife& known,
-                                   const WorkerLife& reported) {
+std::string_view FindContradiction(const WorkerIncarnation& known,
+                                   const WorkerIncarnation& reported) {
   if (Differs(known.address, reported.address)) {
     return "another address";
   }
@@ -41,14 +41,14 @@
   }
   reading_workers_ = true;
   directory_.ListWorkers(
-      [this, generation = generation_](std::error_code error,
-                                       std::vector<WorkerLife> lives) {
+      [this, generation = generation_](
+          std::error_code error, std::vector<WorkerIncarnation> incarnations) {
         reading_workers_ = false;
         if (generation != generation_ || !leading() || error) {
           return;
         }
         workers_read_ = executor_.Now();
-        OnWorkers(std::move(lives));
+        OnWorkers(std::move(incarnations));
       });
 }
 
@@ -57,7 +57,7 @@
     return;
   }
   reading_closed_ = true;
-  directory_.ListClosed(
+  directory_.ListClosedDataCentres(
       [this, generation = generation_](std::error_code error,
                                        std::set<std::string> closed) {
         if (generation != generation_ || !leading()) {
@@ -83,7 +83,8 @@
 }
 
 bool CellLeader::IsInClosedDataCentre(const CellWorker& cell_worker) const {
-  return closed_data_centres_.contains(cell_worker.session->life().data_centre);
+  return closed_data_centres_.contains(
+      cell_worker.session->incarnation().data_centre);
 }
 
 bool CellLeader::AreAllWorkersClosed(const std::string& queue) const {
@@ -93,7 +94,7 @@
   }
   bool any = false;
   for (const auto& [id, cell_worker] : cell_workers_) {
-    if (cell_worker.session->life().service == known->second.service) {
+    if (cell_worker.session->incarnation().service == known->second.service) {
       any = true;
       if (!IsInClosedDataCentre(cell_worker)) {
         return false;
@@ -103,24 +104,24 @@
   return any;
 }
 
-void CellLeader::OnWorkers(std::vector<WorkerLife> lives) {
+void CellLeader::OnWorkers(std::vector<WorkerIncarnation> incarnations) {
   for (auto& [id, cell_worker] : cell_workers_) {
     cell_worker.listed = false;
     cell_worker.entry_rejected = false;
   }
   bool to_record = false;
-  for (const WorkerLife& life : lives) {
-    const auto found = cell_workers_.find(life.id);
+  for (const WorkerIncarnation& incarnation : incarnations) {
+    const auto found = cell_workers_.find(incarnation.id);
     if (found != cell_workers_.end()) {
-      ApplyDirectoryEntry(life, &found->second);
+      ApplyDirectoryEntry(incarnation, &found->second);
       to_record |= found->second.submitted_record.address !=
-                   found->second.session->life().address;
-    } else if (MayAddWorker(life)) {
-      AddWorker(life, /*from_takeover=*/false);
+                   found->second.session->incarnation().address;
+    } else if (MayAddWorker(incarnation)) {
+      AddWorker(incarnation, /*from_takeover=*/false);
       to_record = true;
     }
   }
-  ForgetUnlistedDeadWorkers(lives);
+  ForgetUnlistedDeadWorkers(incarnations);
   MarkUnlistedWorkers();
   RemoveGoneWorkers();
   if (to_record) {
@@ -134,43 +135,46 @@
 // another incarnation's answer. An entry that the worker did not write proves
 // nothing. Its runs therefore continue, at the known address, and it gets no
 // new work.
-void CellLeader::ApplyDirectoryEntry(const WorkerLife& life,
+void CellLeader::ApplyDirectoryEntry(const WorkerIncarnation& incarnation,
                                      CellWorker* cell_worker) {
-  const WorkerLife& known = cell_worker->session->life();
-  if (life.readable) {
+  const WorkerIncarnation& known = cell_worker->session->incarnation();
+  if (incarnation.is_valid) {
     // A session that was never answered uses the address at once; any other
     // session uses it once this incarnation has answered there.
-    WorkerLife readdressed = known;
-    readdressed.address = life.address;
-    cell_worker->session->Update(readdressed);
+    WorkerIncarnation readdressed = known;
+    readdressed.address = incarnation.address;
+    cell_worker->session->UpdateFromDirectory(readdressed);
   }
-  const bool usable = life.readable && BelongsToCell(life.data_centre);
+  const bool usable =
+      incarnation.is_valid && BelongsToCell(incarnation.data_centre);
   const std::string_view doubt =
-      usable ? FindContradiction(known, life) : "unreadable";
+      usable ? FindContradiction(known, incarnation) : "unreadable";
   cell_worker->unlisted_since = Instant{};
   cell_worker->entry_rejected = !doubt.empty();
   if (cell_worker->entry_rejected) {
-    refused_.Note(life.id, doubt);
+    refused_.Note(incarnation.id, doubt);
     return;
   }
-  if (life.draining && !known.draining) {
+  if (incarnation.draining && !known.draining) {
     log_.Write("info", "cell", "a worker is leaving",
-               {{"worker", life.id}, {"remaining_ms", life.remaining.count()}});
+               {{"worker", incarnation.id},
+                {"remaining_ms", incarnation.min_time_to_leave.count()}});
   }
-  cell_worker->session->Update(life);
+  cell_worker->session->UpdateFromDirectory(incarnation);
   cell_worker->listed = true;
 }
 
-bool CellLeader::MayAddWorker(const WorkerLife& life) {
-  if (!life.readable || !BelongsToCell(life.data_centre)) {
+bool CellLeader::MayAddWorker(const WorkerIncarnation& incarnation) {
+  if (!incarnation.is_valid || !BelongsToCell(incarnation.data_centre)) {
     return false;
   }
-  if (!IsServiceOfAnyQueue(life.service)) {
-    refused_.Note(life.id, "no queue names its service");
+  if (!IsServiceOfAnyQueue(incarnation.service)) {
+    refused_.Note(incarnation.id, "no queue names its service");
     return false;
   }
-  const auto over = listed_dead_workers_.find(life.id);
-  return over == listed_dead_workers_.end() || over->second != life.address;
+  const auto over = listed_dead_workers_.find(incarnation.id);
+  return over == listed_dead_workers_.end() ||
+         over->second != incarnation.address;
 }
 
 bool CellLeader::IsServiceOfAnyQueue(const std::string& service) const {
@@ -181,13 +185,13 @@
 }
 
 void CellLeader::ForgetUnlistedDeadWorkers(
-    const std::vector<WorkerLife>& lives) {
+    const std::vector<WorkerIncarnation>& incarnations) {
   if (listed_dead_workers_.empty()) {
     return;
   }
   std::set<std::string_view> listed;
-  for (const WorkerLife& life : lives) {
-    listed.insert(life.id);
+  for (const WorkerIncarnation& incarnation : incarnations) {
+    listed.insert(incarnation.id);
   }
   std::erase_if(listed_dead_workers_, [&listed](const auto& entry) {
     return !listed.contains(entry.first);
@@ -206,10 +210,11 @@
   }
 }
 
-void CellLeader::AddWorker(const WorkerLife& life, bool from_takeover) {
+void CellLeader::AddWorker(const WorkerIncarnation& incarnation,
+                           bool from_takeover) {
   CellWorker cell_worker;
   cell_worker.session = std::make_shared<WorkerSession>(
-      executor_, workers_, log_, *this, options_.sessions, life,
+      executor_, workers_, log_, *this, options_.sessions, incarnation,
       static_cast<uint64_t>(epoch_));
   cell_worker.listed = !from_takeover;
   // A worker that only the directory names may still run what an earlier leader
@@ -218,12 +223,12 @@
   cell_worker.from_takeover = from_takeover;
   UpdateSessionLimits(cell_worker, OrderDeadline());
   if (from_takeover) {
-    cell_worker.submitted_record.address = life.address;
-    cell_worker.recorded_address = life.address;
-    cell_worker.session->TrustAddress();
+    cell_worker.submitted_record.address = incarnation.address;
+    cell_worker.recorded_address = incarnation.address;
+    cell_worker.session->MarkAddressVerified();
   }
   const auto session = cell_worker.session;
-  cell_workers_.emplace(life.id, std::move(cell_worker));
+  cell_workers_.emplace(incarnation.id, std::move(cell_worker));
   session->Open();
 }
 
@@ -240,7 +245,7 @@
       log_.Write("info", "cell", "a worker is gone",
                  {{"worker", it->first}, {"dead", session.dead()}});
       if (session.dead()) {
-        listed_dead_workers_[it->first] = session.life().address;
+        listed_dead_workers_[it->first] = session.incarnation().address;
       }
       it->second.session->Close();
       trust_.Forget(it->first);
--- a/src/libdoorwood/cell/cell_named_runs_test.cpp
+++ b/src/libdoorwood/cell/cell_named_runs_test.cpp
@@ -96,7 +96,9 @@
 
   void AddStays() const { world.AddWorker("stays", 8000); }
 
-  void SetDraining(bool drains) const { leaves().life.draining = drains; }
+  void SetDraining(bool drains) const {
+    leaves().incarnation.draining = drains;
+  }
 
   /// Advances time in small steps and records for how long the tasks ran
   /// nowhere.
@@ -271,7 +273,7 @@
       [&](LeaderLoss loss, bool reachable, int at) {
         NamedRunsScenario scenario(fakes::MakePlan(kJob, 1, 1, "ms=4000"));
         scenario.SetDraining(true);
-        scenario.leaves().life.remaining = Millis(9000);
+        scenario.leaves().incarnation.min_time_to_leave = Millis(9000);
         scenario.Run(Millis(1000 + at));
         scenario.old->store_faults.silent = true;
         scenario.Run(Millis(1500));
@@ -328,7 +330,7 @@
     run_with_load(Millis(1500));
     old->store_faults.answer_lost = 0.2;
     WorldWorker& leaves = *world.workers().at("leaves");
-    leaves.life.draining = seed % 3 != 0;
+    leaves.incarnation.draining = seed % 3 != 0;
     leaves.listed = seed % 3 == 1;
     run_with_load(Millis(500 + seed * 2));
     CutAllFrom(world, "leaves");
--- a/src/libdoorwood/cell/cell_overdue.cpp
+++ b/src/libdoorwood/cell/cell_overdue.cpp
@@ -43,8 +43,8 @@
 
 bool CellLeader::IsOverdue(const Run& run, Millis* expected) const {
   const Instant now = executor_.Now();
-  if (run.lasting || now - run.ordered < kMinOverdueAge ||
-      now - run.overdue_told < kLogInterval) {
+  if (run.long_running || now - run.ordered < kMinOverdueAge ||
+      now - run.overdue_logged_at < kLogInterval) {
     return false;
   }
   const auto name = ParseTaskName(run.task);
@@ -64,25 +64,26 @@
       continue;
     }
     Run& run = *session.FindRun(task);
-    run.overdue_told = now;
+    run.overdue_logged_at = now;
     ++counters_.overdue;
     --*lines;
-    const bool paced = run.paced_since != Instant{};
-    log_.Write("info", "cell", "a run takes far longer than expected",
-               {{"task", task},
-                {"run", run.number},
-                {"worker", session.life().id},
-                {"phase", ToString(run.phase)},
-                {"ordered_ms_ago", Elapsed(run.ordered, now).count()},
-                {"expected_ms", expected.count()},
-                {"progress", run.progress},
-                {"figure", run.figure},
-                {"fills", run.fills},
-                {"wanted_pace", run.wanted_pace},
-                {"pace", run.pace},
-                {"paced_ms", paced ? Elapsed(run.paced_since, now).count() : 0},
-                {"serving", session.serving()},
-                {"heard_ms_ago", Elapsed(session.heard_at(), now).count()}});
+    const bool paced = run.throttled_since != Instant{};
+    log_.Write(
+        "info", "cell", "a run takes far longer than expected",
+        {{"task", task},
+         {"run", run.number},
+         {"worker", session.incarnation().id},
+         {"phase", ToString(run.phase)},
+         {"ordered_ms_ago", Elapsed(run.ordered, now).count()},
+         {"expected_ms", expected.count()},
+         {"progress", run.progress},
+         {"figure", run.measurement},
+         {"fills", run.best_effort},
+         {"wanted_pace", run.wanted_pace},
+         {"pace", run.pace},
+         {"paced_ms", paced ? Elapsed(run.throttled_since, now).count() : 0},
+         {"serving", session.serving_runs()},
+         {"heard_ms_ago", Elapsed(session.last_response_at(), now).count()}});
   }
 }
 
--- a/src/libdoorwood/cell/cell_pacing.cpp
+++ b/src/libdoorwood/cell/cell_pacing.cpp
@@ -25,20 +25,21 @@
 // Adds the reported figure to the run's moving average. Returns for how long
 // the average has been at or above `tail_over` times the target.
 Millis UpdateTimeOverTarget(Run* run, Instant now, double tail_over) {
-  const auto figure = static_cast<double>(run->figure);
-  run->mean_figure = run->mean_figure < 0
-                         ? figure
-                         : kNewestFigureWeight * figure +
-                               (1.0 - kNewestFigureWeight) * run->mean_figure;
+  const auto figure = static_cast<double>(run->measurement);
+  run->mean_measurement =
+      run->mean_measurement < 0
+          ? figure
+          : kNewestFigureWeight * figure +
+                (1.0 - kNewestFigureWeight) * run->mean_measurement;
   const auto target = static_cast<double>(run->latency_target.count());
-  if (run->mean_figure < tail_over * target) {
-    run->over_since = Instant{};
+  if (run->mean_measurement < tail_over * target) {
+    run->above_target_since = Instant{};
     return Millis(0);
   }
-  if (run->over_since == Instant{}) {
-    run->over_since = now;
+  if (run->above_target_since == Instant{}) {
+    run->above_target_since = now;
   }
-  return std::chrono::duration_cast<Millis>(now - run->over_since);
+  return std::chrono::duration_cast<Millis>(now - run->above_target_since);
 }
 
 }  // namespace
@@ -52,13 +53,13 @@
       continue;
     }
     ServingStrain serving;
-    serving.image = run.image;
-    serving.wanted = interference_.StrainAt(run.image, run.latency_target,
+    serving.image = run.image_id;
+    serving.wanted = interference_.StrainAt(run.image_id, run.latency_target,
                                             options_.policy.tail_wanted);
-    serving.strain =
-        run.figure > 0
-            ? interference_.Strain(run.image, run.figure, run.latency_target)
-            : options_.policy.interference.first_load;
+    serving.strain = run.measurement > 0
+                         ? interference_.Strain(run.image_id, run.measurement,
+                                                run.latency_target)
+                         : options_.policy.interference.first_load;
     // The figures of a new task don't show its full load yet.
     if (now - run.ordered < kFigureDelay) {
       serving.strain =
@@ -67,7 +68,7 @@
     strains.push_back(serving);
   }
   for (const auto& [task, run] : session.runs()) {
-    if (!run.fills) {
+    if (!run.best_effort) {
       continue;
     }
     const double full_cores =
@@ -75,7 +76,8 @@
     const bool is_new = now - run.ordered < kFigureDelay;
     const double cores = CoresToCome(full_cores, is_new, run.wanted_pace);
     for (ServingStrain& serving : strains) {
-      serving.strain += interference_.Press(serving.image, run.image) * cores;
+      serving.strain +=
+          interference_.Press(serving.image, run.image_id) * cores;
     }
   }
   return strains;
@@ -87,28 +89,29 @@
   std::vector<FillLoad> best_effort_loads;
   std::vector<std::string> observed;
   for (const auto& [task, run] : session.runs()) {
-    if (run.latency_target > Millis(0) && run.figure > 0) {
+    if (run.latency_target > Millis(0) && run.measurement > 0) {
       observed.push_back(task);
     }
-    if (run.fills && run.phase == RunPhase::kRunning) {
+    if (run.best_effort && run.phase == RunPhase::kRunning) {
       const double full_cores =
           static_cast<double>(run.size.cpu_millis) / kMillisPerCore;
       const double used_cores =
-          run.figure >= 0 ? static_cast<double>(run.figure) / kMillisPerCore
-                          : full_cores;
+          run.measurement >= 0
+              ? static_cast<double>(run.measurement) / kMillisPerCore
+              : full_cores;
       best_effort_runs.push_back(
-          {task, run.image, full_cores, used_cores, run.wanted_pace});
-      best_effort_loads.push_back({run.image, used_cores});
+          {task, run.image_id, full_cores, used_cores, run.wanted_pace});
+      best_effort_loads.push_back({run.image_id, used_cores});
     }
   }
   for (const std::string& task : observed) {
     Run* run = session.FindRun(task);
-    serving.push_back({run->image, run->figure, run->latency_target,
+    serving.push_back({run->image_id, run->measurement, run->latency_target,
                        UpdateTimeOverTarget(run, executor_.Now(),
                                             options_.policy.tail_over)});
-    run->load =
-        interference_.Observe(run->image, run->figure, run->latency_target,
-                              best_effort_loads, run->load);
+    run->load = interference_.Observe(run->image_id, run->measurement,
+                                      run->latency_target, best_effort_loads,
+                                      run->load);
   }
   if (best_effort_runs.empty()) {
     return;
@@ -125,10 +128,11 @@
   const Instant now = executor_.Now();
   std::vector<std::string> stuck;
   for (const auto& [task, run] : session.runs()) {
-    const bool is_stuck =
-        run.fills && !run.lasting && run.phase == RunPhase::kRunning &&
-        run.wanted_pace <= kStuckPace && run.paced_since != Instant{} &&
-        now - run.paced_since > kStuckDuration;
+    const bool is_stuck = run.best_effort && !run.long_running &&
+                          run.phase == RunPhase::kRunning &&
+                          run.wanted_pace <= kStuckPace &&
+                          run.throttled_since != Instant{} &&
+                          now - run.throttled_since > kStuckDuration;
     const Task* known_task = is_stuck ? jobs_.FindTask(task) : nullptr;
     if (known_task != nullptr && known_task->plan().checkpoints) {
       stuck.push_back(task);
@@ -137,9 +141,9 @@
   for (const std::string& task : stuck) {
     log_.Write("info", "cell",
                "best-effort run is stopped to be moved to another worker",
-               {{"task", task}, {"worker", session.life().id}});
+               {{"task", task}, {"worker", session.incarnation().id}});
     ++counters_.stops;
-    jobs_.FindTask(task)->failed_on = session.life().id;
+    jobs_.FindTask(task)->failed_on = session.incarnation().id;
     session.Stop(task);
   }
 }
--- a/src/libdoorwood/cell/cell_places.cpp
+++ b/src/libdoorwood/cell/cell_places.cpp
@@ -20,8 +20,9 @@
 // once more, which must stay a small part of the cost of scheduling passes.
 constexpr Millis kMinPauseBetweenWaitLogs{50};
 
-std::string_view RackOf(const WorkerLife& life) {
-  return life.labels.empty() ? std::string_view() : life.labels.back();
+std::string_view RackOf(const WorkerIncarnation& incarnation) {
+  return incarnation.labels.empty() ? std::string_view()
+                                    : incarnation.labels.back();
 }
 
 }  // namespace
@@ -34,16 +35,16 @@
       now - cell_worker->candidate_at < kMaxRoomAge) {
     return;
   }
-  const WorkerLife& life = session.life();
+  const WorkerIncarnation& incarnation = session.incarnation();
   WorkerRoom& room = cell_worker->candidate;
   room.id = id;
-  room.service = life.service;
-  room.rack = RackOf(life);
-  room.labels = life.labels;
-  room.capacity = life.capacity;
+  room.service = incarnation.service;
+  room.rack = RackOf(incarnation);
+  room.labels = incarnation.labels;
+  room.capacity = incarnation.capacity;
   room.reserved = session.reserved();
-  room.fill_cpu = session.fill_cpu();
-  room.serving = session.serving();
+  room.best_effort_cpu = session.best_effort_cpu();
+  room.serving = session.serving_runs();
   room.serving_cpu = session.serving_cpu();
   room.strains = CollectUtilizations(session);
   room.changed_in = pass_;
@@ -55,7 +56,7 @@
   const WorkerSession& session = *cell_worker.session;
   return IsAddressRecorded(cell_worker) && !cell_worker.renewals_blocked &&
          !cell_worker.starts_blocked && cell_worker.listed &&
-         session.responsive() && !session.life().draining &&
+         session.responsive() && !session.incarnation().draining &&
          executor_.Now() >= cell_worker.evacuated_until &&
          !IsInClosedDataCentre(cell_worker);
 }
@@ -64,7 +65,7 @@
                                    const CellWorker& cell_worker) const {
   const Instant now = executor_.Now();
   return MayReceiveOrders(cell_worker) &&
-         !cell_worker.session->has_unwanted() &&
+         !cell_worker.session->has_unwanted_runs() &&
          now >= cell_worker.backoff_until && trust_.Allows(id, now);
 }
 
@@ -87,7 +88,7 @@
   const std::string name = StepName(job, time, step);
   for (const auto& [id, cell_worker] : cell_workers_) {
     if (cell_worker.session->CountOfStep(name) > 0) {
-      return std::string(RackOf(cell_worker.session->life()));
+      return std::string(RackOf(cell_worker.session->incarnation()));
     }
   }
   return "";
--- a/src/libdoorwood/cell/cell_record_claim_test.cpp
+++ b/src/libdoorwood/cell/cell_record_claim_test.cpp
@@ -133,7 +133,7 @@
       case 18:
       case 19:
       case 20:
-        worker.life.draining = !worker.life.draining;
+        worker.incarnation.draining = !worker.incarnation.draining;
         return;
       case 21:
       case 22:
@@ -146,7 +146,7 @@
       case 25:
       case 26:
         for (const auto& [id, other] : world_.workers()) {
-          other->life.draining = false;
+          other->incarnation.draining = false;
           other->listed = true;
         }
         return;
--- a/src/libdoorwood/cell/cell_replaced_workers_test.cpp
+++ b/src/libdoorwood/cell/cell_replaced_workers_test.cpp
@@ -116,7 +116,7 @@
     AddWorker();
     const std::string draining_worker =
         "w" + std::to_string(++workers_drained_);
-    world_.workers().at(draining_worker)->life.draining = true;
+    world_.workers().at(draining_worker)->incarnation.draining = true;
     ends_at_[draining_worker] = world_.time().now() + kDrainTime;
   }
 
--- a/src/libdoorwood/cell/cell_replacing_walk_test.cpp
+++ b/src/libdoorwood/cell/cell_replacing_walk_test.cpp
@@ -117,8 +117,8 @@
       // Unannounced: at most its entry is removed before it ends.
       worker.listed = Pick(2) == 0;
     } else {
-      worker.life.draining = true;
-      worker.life.remaining = Between(0, 6000);
+      worker.incarnation.draining = true;
+      worker.incarnation.min_time_to_leave = Between(0, 6000);
     }
     world_.time().At(ends_at, [this, leaving] {
       const auto found = world_.workers().find(leaving);
@@ -140,16 +140,16 @@
   void ChangeEntryTemporarily() {
     const std::string id = PickServingWorker();
     auto& worker = *world_.workers().at(id);
-    if (worker.life.draining || !worker.listed) {
+    if (worker.incarnation.draining || !worker.listed) {
       return;
     }
     const bool drains = Pick(2) == 0;
-    worker.life.draining = drains;
+    worker.incarnation.draining = drains;
     worker.listed = drains;
     world_.time().At(world_.time().now() + Between(300, 5000), [this, id] {
       const auto found = world_.workers().find(id);
       if (found != world_.workers().end() && found->second->up) {
-        found->second->life.draining = false;
+        found->second->incarnation.draining = false;
         found->second->listed = true;
       }
     });
@@ -161,11 +161,11 @@
   void CancelDrainAndKillLeader() {
     auto* leader = world_.Leader();
     const std::string id = PickServingWorker();
-    if (leader == nullptr || world_.workers().at(id)->life.draining) {
+    if (leader == nullptr || world_.workers().at(id)->incarnation.draining) {
       return;
     }
     PartitionOthersFrom(id, leader);
-    world_.workers().at(id)->life.draining = true;
+    world_.workers().at(id)->incarnation.draining = true;
     world_.Run(Between(100, 2500));
     if (Pick(2) == 0) {
       leader->store_faults.late = 1;
@@ -175,7 +175,7 @@
     world_.Run(Between(50, 1000));
     const auto found = world_.workers().find(id);
     if (found != world_.workers().end()) {
-      found->second->life.draining = false;
+      found->second->incarnation.draining = false;
     }
     SubmitLong();
     world_.Run(Between(200, 2500));
--- a/src/libdoorwood/cell/cell_room_test.cpp
+++ b/src/libdoorwood/cell/cell_room_test.cpp
@@ -75,13 +75,13 @@
       CapacityFixture fixture(seed);
       fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 200, "ms=500"));
       fixture.world.Run(Millis(2000));
-      fixture.worker->life.capacity.cpu_millis = 3 * kTaskCpu;
+      fixture.worker->incarnation.capacity.cpu_millis = 3 * kTaskCpu;
       fixture.world.Run(Millis(1000));
       BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(5000)) <= 3 * kTaskCpu);
-      fixture.worker->life.capacity.cpu_millis = 0;
+      fixture.worker->incarnation.capacity.cpu_millis = 0;
       fixture.world.Run(Millis(1000));
       BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(2000)) == 0);
-      fixture.worker->life.capacity.cpu_millis = 6 * kTaskCpu;
+      fixture.worker->incarnation.capacity.cpu_millis = 6 * kTaskCpu;
       fixture.world.Run(Millis(1000));
       BOOST_TEST(fixture.Used() == 6 * kTaskCpu);
     }
@@ -94,7 +94,7 @@
   CapacityFixture fixture;
   fixture.SubmitLongRunning(kOtherJob, 4);
   fixture.world.Run(Millis(1000));
-  fixture.worker->life.capacity.cpu_millis = kTaskCpu;
+  fixture.worker->incarnation.capacity.cpu_millis = kTaskCpu;
   fixture.world.Run(Millis(10'000));
   BOOST_TEST(fixture.Used() == 4 * kTaskCpu);
   BOOST_TEST(fixture.world.starts(std::string(kOtherJob) + ".0.0.0") == 1);
@@ -109,7 +109,7 @@
       fixture.SubmitLongRunning(kOtherJob, 3);
       fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 200, "ms=500"));
       fixture.world.Run(Millis(1000));
-      fixture.worker->life.capacity.cpu_millis = 4 * kTaskCpu;
+      fixture.worker->incarnation.capacity.cpu_millis = 4 * kTaskCpu;
       fixture.world.Kill(fixture.world.WaitForLeader()->name);
       fixture.world.Run(kCapacityUpdateDelay);
       BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(5000)) <= 4 * kTaskCpu);
@@ -146,13 +146,13 @@
 // Guards against using the capacity of a directory entry that can't be read.
 BOOST_AUTO_TEST_CASE(Capacity_EntryCantBeRead_NothingNewStartsThere) {
   CapacityFixture fixture;
-  fixture.worker->life.readable = false;
-  fixture.worker->life.capacity = {100 * kTaskCpu, 1'000'000, 0};
+  fixture.worker->incarnation.is_valid = false;
+  fixture.worker->incarnation.capacity = {100 * kTaskCpu, 1'000'000, 0};
   fixture.world.Run(Millis(1000));
   fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 20, "ms=500"));
   BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(2000)) == 0);
-  fixture.worker->life.readable = true;
-  fixture.worker->life.capacity.cpu_millis = 2 * kTaskCpu;
+  fixture.worker->incarnation.is_valid = true;
+  fixture.worker->incarnation.capacity.cpu_millis = 2 * kTaskCpu;
   BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(3000)) == 2 * kTaskCpu);
 }
 
--- a/src/libdoorwood/cell/cell_scheduling.cpp
+++ b/src/libdoorwood/cell/cell_scheduling.cpp
@@ -171,7 +171,7 @@
       without_ticket.push_back(worker);
     }
   }
-  tickets_.Want(step, without_ticket);
+  tickets_.RequestTickets(step, without_ticket);
   return permitted;
 }
 
@@ -345,10 +345,11 @@
   const auto cell_worker = cell_workers_.find(std::string(room->id));
   const auto session = cell_worker->second.session;
   Run run = MakeRun(*task, number);
-  run.image = interference_.Intern(task->plan().image);
+  run.image_id = interference_.Intern(task->plan().image);
   run.checkpoint = task->checkpoint;
-  run.odd_time = !task->checkpoint.empty();
-  run.held = run.lasting && !RequestPlacementRecord(task, cell_worker->first);
+  run.atypical_duration = !task->checkpoint.empty();
+  run.start_deferred =
+      run.long_running && !RequestPlacementRecord(task, cell_worker->first);
   task->last_run = number;
   JobTable::SetPlaced(task, true);
   task->job->begun = true;
@@ -357,20 +358,21 @@
   room->open = trust_.Allows(std::string(room->id), executor_.Now());
   const auto waited =
       std::chrono::duration_cast<Millis>(executor_.Now() - task->ready_since);
-  log_.Write("info", "cell", "start ordered",
-             {{"task", run.task},
-              {"run", number},
-              {"worker", room->id},
-              {"epoch", epoch_},
-              {"free_cpu", room->capacity.cpu_millis -
-                               room->reserved.cpu_millis - room->fill_cpu},
-              {"serving", room->serving},
-              {"held", run.held},
-              {"waited_ms", waited.count()}});
+  log_.Write(
+      "info", "cell", "start ordered",
+      {{"task", run.task},
+       {"run", number},
+       {"worker", room->id},
+       {"epoch", epoch_},
+       {"free_cpu", room->capacity.cpu_millis - room->reserved.cpu_millis -
+                        room->best_effort_cpu},
+       {"serving", room->serving},
+       {"held", run.start_deferred},
+       {"waited_ms", waited.count()}});
   session->Start(std::move(run), task->job->plan.payload, ticket);
   room->reserved = session->reserved();
-  room->fill_cpu = session->fill_cpu();
-  room->serving = session->serving();
+  room->best_effort_cpu = session->best_effort_cpu();
+  room->serving = session->serving_runs();
   room->serving_cpu = session->serving_cpu();
   room->strains = CollectUtilizations(*session);
 }
--- a/src/libdoorwood/cell/cell_suspects.cpp
+++ b/src/libdoorwood/cell/cell_suspects.cpp
@@ -33,7 +33,7 @@
 bool CellLeader::HasNewRuns(const WorkerSession& session) const {
   return std::any_of(session.runs().begin(), session.runs().end(),
                      [&](const auto& entry) {
-                       return session.SeenAtWork(entry.second) <
+                       return session.ObservedRunTime(entry.second) <
                               options_.policy.crashes.at_work;
                      });
 }
@@ -42,7 +42,7 @@
 int CellLeader::CrashCost(const WorkerSession& session) {
   int loss = 0;
   for (const auto& [name, run] : session.runs()) {
-    loss += run.lasting ? kLongRunningWeight : 1;
+    loss += run.long_running ? kLongRunningWeight : 1;
   }
   return loss;
 }
@@ -51,7 +51,7 @@
   return static_cast<int>(std::count_if(
       cell_workers_.begin(), cell_workers_.end(), [&](const auto& entry) {
         return entry.second.listed &&
-               entry.second.session->life().service == service;
+               entry.second.session->incarnation().service == service;
       }));
 }
 
@@ -71,7 +71,7 @@
     const WorkerSession& session = *cell_worker->second.session;
     constexpr int kCrashedThereCost = 100'000;
     constexpr int kNewRunsCost = 1000;
-    const std::string machine = MachineOf(session.life());
+    const std::string machine = MachineOf(session.incarnation());
     const bool crashed_there = std::any_of(
         task.crashes.begin(), task.crashes.end(),
         [&](const CrashNote& crash) { return crash.machine == machine; });
@@ -155,7 +155,7 @@
                        plan.most_per_worker > 0 ? tasks_on_worker : 0,
                        interference_, options_.policy) == PlaceProblem::kNone;
   if (!fits || HasNewRuns(*cell_worker->second.session) ||
-      !RecordTrial(task, cell_worker->second.session->life())) {
+      !RecordTrial(task, cell_worker->second.session->incarnation())) {
     return std::nullopt;
   }
   const auto place =
@@ -164,17 +164,18 @@
   return static_cast<int>(place - rooms.begin());
 }
 
-bool CellLeader::RecordTrial(Task* task, const WorkerLife& life) {
+bool CellLeader::RecordTrial(Task* task, const WorkerIncarnation& incarnation) {
   const uint32_t run = task->last_run + 1;
   const CrashNote* previous = task->FindTrial(run);
-  const bool is_recorded = previous != nullptr && previous->worker == life.id;
+  const bool is_recorded =
+      previous != nullptr && previous->worker == incarnation.id;
   if (is_recorded || task->crashes.size() < kMinCrashesToRecordTrial) {
     return true;
   }
   CrashNote trial;
   trial.run = run;
-  trial.machine = MachineOf(life);
-  trial.worker = life.id;
+  trial.machine = MachineOf(incarnation);
+  trial.worker = incarnation.id;
   trial.evidence = CrashEvidence::kTrial;
   trial.suspect = true;
   trial.alone = true;
@@ -187,14 +188,14 @@
 
 void CellLeader::BeginTrial(const Task& task,
                             const std::shared_ptr<WorkerSession>& session) {
-  const WorkerLife& life = session->life();
+  const WorkerIncarnation& incarnation = session->incarnation();
   const Millis length = TrialOf(task.crashes, options_.policy.crashes);
   trials_.Keep(task.name(),
-               {life.id, life.service, executor_.Now(),
+               {incarnation.id, incarnation.service, executor_.Now(),
                 IsLikelyCulprit(task.crashes), length, /*started=*/true});
   log_.Write("info", "cell", "trial run of a suspect begins",
              {{"task", task.name()},
-              {"worker", life.id},
+              {"worker", incarnation.id},
               {"crashes", task.crashes.size()},
               {"runs_beside", session->runs().size()}});
   ScheduleTrialPoll(session, length);
@@ -206,7 +207,7 @@
     const std::shared_ptr<WorkerSession>& session,
     Millis at_work) {
   executor_.Schedule(at_work + kTrialCheckDelay,
-                     [session] { session->LookNow(); });
+                     [session] { session->PollNow(); });
 }
 
 void CellLeader::UpdateTrials() {
@@ -229,7 +230,7 @@
       ended.push_back(name);
       continue;
     }
-    const Millis at_work = cell_worker->second.session->SeenAtWork(*run);
+    const Millis at_work = cell_worker->second.session->ObservedRunTime(*run);
     if (at_work >= options_.policy.crashes.cleared) {
       ClearCrashes(task);
       ended.push_back(name);
--- a/src/libdoorwood/cell/cell_takeover.cpp
+++ b/src/libdoorwood/cell/cell_takeover.cpp
@@ -24,7 +24,7 @@
 }  // namespace
 
 Millis CellLeader::MaxRunTimeAfterLastOrder() const {
-  return LongestOnOurClock(options_.sessions.run_lease) + options_.order_grace +
+  return MaxOnLocalClock(options_.sessions.run_lease) + options_.order_grace +
          kLastOrderMargin;
 }
 
@@ -32,7 +32,7 @@
 bool CellLeader::HasUnlistedEnds(const CellWorker& cell_worker) const {
   const WorkerSession& session = *cell_worker.session;
   return cell_worker.from_takeover && !all_runs_accounted_ &&
-         session.fenced() && !session.told_all() && !session.dead();
+         session.fenced() && !session.all_ends_listed() && !session.dead();
 }
 
 // After the last proof of the lead, another leader may have adopted the runs
@@ -40,7 +40,7 @@
 Millis CellLeader::RemainingWait(const CellWorker& cell_worker) const {
   if (HasUnlistedEnds(cell_worker)) {
     const auto silent = std::chrono::duration_cast<Millis>(
-        executor_.Now() - cell_worker.session->heard_at());
+        executor_.Now() - cell_worker.session->last_response_at());
     return std::max(MaxRunTimeAfterLastOrder() - silent, Millis(0));
   }
   // Nothing runs on a worker that left after all its ends were recorded.
--- a/src/libdoorwood/cell/cell_unheard_wait_test.cpp
+++ b/src/libdoorwood/cell/cell_unheard_wait_test.cpp
@@ -58,11 +58,11 @@
     std::snprintf(id, sizeof(id), "%016x", 100 + i);
     JobPlan plan = LongRunningPlan(id, 1000);
     // The job is accepted, and its leader is lost before the task is started.
-    world.workers().at("w1")->life.draining = true;
+    world.workers().at("w1")->incarnation.draining = true;
     world.Run(Millis(1000));
     BOOST_REQUIRE(world.Submit(plan));
     world.Run(Millis(300));
-    world.workers().at("w1")->life.draining = false;
+    world.workers().at("w1")->incarnation.draining = false;
     world.Kill(world.Leader()->name);
     waited = Millis(0);
     while (RunnerOf(world, std::string(id) + ".0.0.0").empty() &&
@@ -99,7 +99,7 @@
   BOOST_REQUIRE(
       world.Submit(fakes::MakePlan("00112233aabbccee", 1, 1, "ms=100000")));
   world.Run(Millis(500));
-  world.workers().at("leaves")->life.draining = true;
+  world.workers().at("leaves")->incarnation.draining = true;
   world.Run(Millis(1000));
   BOOST_REQUIRE(world.Submit(fakes::MakePlan(kJob, 1, 1, "ms=6000 fails=17")));
   world.Run(Millis(300));
--- a/src/libdoorwood/cell/cell_worker_loss_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_loss_test.cpp
@@ -49,7 +49,7 @@
   for (auto& [id, worker] : world.workers()) {
     if (worker->model.running() > 0) {
       host = id;
-      worker->life.draining = true;
+      worker->incarnation.draining = true;
     }
   }
   world.Run(Millis(2500));
--- a/src/libdoorwood/cell/lead_trial_fixture.h
+++ b/src/libdoorwood/cell/lead_trial_fixture.h
@@ -58,7 +58,7 @@
     world.SetTable({MakeQueue("queue", 4)});
     // Has memory for only two tasks, so that the others go elsewhere.
     constexpr int64_t kMemoryOfTwoMib = 250;
-    world.AddWorker("old_only", 5000).life.capacity.memory_mib =
+    world.AddWorker("old_only", 5000).incarnation.capacity.memory_mib =
         kMemoryOfTwoMib;
     world.AddInstance("a1", "plaka", 2.0);
     world.AddInstance("b1", "kerameikos");
--- a/src/libdoorwood/cell/quiet_listener.h
+++ b/src/libdoorwood/cell/quiet_listener.h
@@ -15,8 +15,8 @@
 struct QuietListener : public WorkerSessionListener {
   void OnRunEnded(WorkerSession&, const Run&, RunEnd, bool) override {}
   void OnWorkerLost(WorkerSession&) override {}
-  void OnLookFailed(WorkerSession&) override {}
-  void OnAnswersAgain(WorkerSession&) override {}
+  void OnPollFailed(WorkerSession&) override {}
+  void OnPollRecovered(WorkerSession&) override {}
   void OnUnknownEnd(WorkerSession&, const EndedRun&) override {}
   std::optional<Run> OnUnknownRun(WorkerSession&, const ActiveRun&) override {
     return std::nullopt;
--- a/src/libdoorwood/cell/ticket_book.cpp
+++ b/src/libdoorwood/cell/ticket_book.cpp
@@ -30,8 +30,8 @@
   return holds ? answer->second.text : "";
 }
 
-void TicketBook::Want(const std::string& step,
-                      const std::vector<std::string>& workers) {
+void TicketBook::RequestTickets(const std::string& step,
+                                const std::vector<std::string>& workers) {
   Step& known = steps_[step];
   const Instant now = executor_.Now();
   if (adviser_ == nullptr || known.request_pending || now < known.retry_at ||
@@ -53,21 +53,22 @@
   }
   known.request_pending = true;
   ++pending_requests_;
-  adviser_->Ask(step, asked,
-                [this, step, asked, now, generation = generation_](
-                    std::error_code error, const Advice& advice) {
-                  if (generation == generation_) {
-                    --pending_requests_;
-                    OnAdvice(step, asked, now, error, advice);
-                  }
-                });
+  adviser_->RequestTickets(
+      step, asked,
+      [this, step, asked, now, generation = generation_](
+          std::error_code error, const TicketGrant& advice) {
+        if (generation == generation_) {
+          --pending_requests_;
+          OnAdvice(step, asked, now, error, advice);
+        }
+      });
 }
 
 void TicketBook::OnAdvice(const std::string& step,
                           const std::vector<std::string>& asked,
                           Instant sent,
                           std::error_code error,
-                          const Advice& advice) {
+                          const TicketGrant& advice) {
   Step& known = steps_[step];
   known.request_pending = false;
   if (error) {
@@ -79,18 +80,18 @@
   // A ticket is valid from the adviser's answer on, so counting from the
   // request is on the safe side. A refusal is kept for as long, since the
   // workers that may run a step do not change.
-  const Instant expires_at = sent + advice.valid;
+  const Instant expires_at = sent + advice.valid_for;
   for (const std::string& worker : asked) {
     known.answers[worker] = {"", expires_at};
   }
   for (const Ticket& ticket : advice.tickets) {
-    known.answers[ticket.worker] = {ticket.text, expires_at};
+    known.answers[ticket.worker] = {ticket.token, expires_at};
   }
   log_.Write("info", "tickets", "tickets received from adviser",
              {{"step", step},
               {"asked", asked.size()},
               {"permitted", advice.tickets.size()},
-              {"valid_ms", advice.valid.count()}});
+              {"valid_ms", advice.valid_for.count()}});
   on_change_();
 }
 
--- a/src/libdoorwood/cell/ticket_book_test.cpp
+++ b/src/libdoorwood/cell/ticket_book_test.cpp
@@ -14,13 +14,13 @@
  public:
   explicit FakeAdviser(Executor& executor) : executor_(executor) {}
 
-  void Ask(const std::string& step,
-           const std::vector<std::string>& workers,
-           Callback done) override {
+  void RequestTickets(const std::string& step,
+                      const std::vector<std::string>& workers,
+                      Callback done) override {
     ++requests;
     asked = workers;
-    Advice advice;
-    advice.valid = Millis(3000);
+    TicketGrant advice;
+    advice.valid_for = Millis(3000);
     for (const std::string& worker : workers) {
       if (worker != "refused") {
         advice.tickets.push_back({worker, step + "-" + worker});
@@ -51,32 +51,32 @@
 };
 
 BOOST_FIXTURE_TEST_CASE(Want_Answered_TicketHoldsForItsTime, TicketFixture) {
-  book.Want("s", {"w1", "refused"});
-  book.Want("s", {"w1", "refused"});  // Already requested.
+  book.RequestTickets("s", {"w1", "refused"});
+  book.RequestTickets("s", {"w1", "refused"});  // Already requested.
   time.Run(Millis(100));
   BOOST_TEST(adviser.requests == 1);
   BOOST_TEST(changes == 1);
   BOOST_TEST(book.Find("s", "w1") == "s-w1");
   BOOST_TEST(book.Find("s", "refused").empty());
   BOOST_TEST(book.Find("other", "w1").empty());
-  book.Want("s", {"w1", "refused"});
+  book.RequestTickets("s", {"w1", "refused"});
   BOOST_TEST(adviser.requests == 1);
   time.Run(Millis(2800));
   BOOST_TEST(book.Find("s", "w1").empty());
-  book.Want("s", {"w1"});
+  book.RequestTickets("s", {"w1"});
   BOOST_TEST(adviser.requests == 2);
 }
 
 BOOST_FIXTURE_TEST_CASE(Want_AdviserBusy_RetriesAfterAPause, TicketFixture) {
   adviser.error = CoreErrc::kNoOwner;
-  book.Want("s", {"w1"});
+  book.RequestTickets("s", {"w1"});
   time.Run(Millis(100));
   BOOST_TEST(changes == 0);
-  book.Want("s", {"w1"});
+  book.RequestTickets("s", {"w1"});
   BOOST_TEST(adviser.requests == 1);
   time.Run(Millis(300));
   adviser.error = {};
-  book.Want("s", {"w1"});
+  book.RequestTickets("s", {"w1"});
   time.Run(Millis(100));
   BOOST_TEST(book.Find("s", "w1") == "s-w1");
 }
@@ -87,7 +87,7 @@
     workers.push_back("w" + std::to_string(i));
   }
   for (int i = 0; i < 3; ++i) {
-    book.Want("s", workers);
+    book.RequestTickets("s", workers);
     time.Run(Millis(100));
   }
   BOOST_TEST(adviser.requests == 3);
@@ -95,7 +95,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(Clear_AnswerComesLater_IsDropped, TicketFixture) {
-  book.Want("s", {"w1"});
+  book.RequestTickets("s", {"w1"});
   book.Clear();
   time.Run(Millis(100));
   BOOST_TEST(book.Find("s", "w1").empty());
--- a/src/libdoorwood/cell/worker_address.cpp
+++ b/src/libdoorwood/cell/worker_address.cpp
@@ -10,15 +10,15 @@
 
 namespace doorwood {
 
-void WorkerSession::TrustAddress() {
-  answered_at_ = life_.address;
+void WorkerSession::MarkAddressVerified() {
+  answered_at_ = incarnation_.address;
 }
 
-void WorkerSession::Update(const WorkerLife& life) {
-  const std::string here = life_.address;
-  life_ = life;
+void WorkerSession::UpdateFromDirectory(const WorkerIncarnation& incarnation) {
+  const std::string here = incarnation_.address;
+  incarnation_ = incarnation;
   ++version_;
-  if (life.address == here) {
+  if (incarnation.address == here) {
     next_address_.reset();
     return;
   }
@@ -30,12 +30,14 @@
   }
   // Leases are extended at the old address until this incarnation answers at
   // the new one.
-  life_.address = here;
-  if (!next_address_ || next_address_->address != life.address) {
-    next_address_ = NextAddress{life.address};
+  incarnation_.address = here;
+  if (!next_address_ || next_address_->address != incarnation.address) {
+    next_address_ = NextAddress{incarnation.address};
     log_.Write("warn", "worker",
                "directory entry names another address for the worker",
-               {{"worker", life_.id}, {"at", here}, {"named", life.address}});
+               {{"worker", incarnation_.id},
+                {"at", here},
+                {"named", incarnation.address}});
   }
   ProbeNextAddress();
 }
@@ -45,12 +47,12 @@
     return;
   }
   next_address_->probe_in_flight = true;
-  WorkerLife there = life_;
+  WorkerIncarnation there = incarnation_;
   there.address = next_address_->address;
-  HoldOrder order;
+  PollOrder order;
   order.token = token_;
-  order.last_seen = recorded_end_;
-  workers_.Hold(there, order,
+  order.forget_up_to = recorded_end_;
+  workers_.Poll(there, order,
                 [self = shared_from_this(), address = there.address](
                     std::error_code error, const WorkerReport&) {
                   self->OnNextAddressResponse(address, error);
@@ -68,34 +70,36 @@
       next_address_->failure_logged = true;
       log_.Write("warn", "worker",
                  "worker does not answer at the address in its directory entry",
-                 {{"worker", life_.id},
+                 {{"worker", incarnation_.id},
                   {"named", address},
                   {"error", error.message()}});
     }
     return;
   }
-  log_.Write(
-      "info", "worker", "worker answers at its new address",
-      {{"worker", life_.id}, {"before", life_.address}, {"at", address}});
-  life_.address = address;
+  log_.Write("info", "worker", "worker answers at its new address",
+             {{"worker", incarnation_.id},
+              {"before", incarnation_.address},
+              {"at", address}});
+  incarnation_.address = address;
   answered_at_ = address;
   next_address_.reset();
   ++version_;
 }
 
 void WorkerSession::NoteOtherIncarnation(const std::string& address) {
-  if (answered_at_ || other_incarnation_answers_ || life_.address != address) {
+  if (answered_at_ || other_incarnation_answers_ ||
+      incarnation_.address != address) {
     return;
   }
   other_incarnation_answers_ = true;
   log_.Write("warn", "worker",
              "another incarnation answers at the worker's listed address",
-             {{"worker", life_.id}, {"named", address}});
+             {{"worker", incarnation_.id}, {"named", address}});
 }
 
 std::error_code WorkerSession::ClassifyResponse(const std::string& address,
                                                 std::error_code error) {
-  if (error == make_error_code(RunErrc::kOtherLife) &&
+  if (error == make_error_code(RunErrc::kOtherIncarnation) &&
       answered_at_ != address) {
     NoteOtherIncarnation(address);
     return RunErrc::kNoAnswer;
@@ -103,9 +107,9 @@
   if (!error && !answered_at_) {
     answered_at_ = address;
     other_incarnation_answers_ = false;
-    if (life_.address != address) {
+    if (incarnation_.address != address) {
       // The entry changed while the first call was in flight.
-      next_address_ = NextAddress{std::exchange(life_.address, address)};
+      next_address_ = NextAddress{std::exchange(incarnation_.address, address)};
     }
   }
   return error;
--- a/src/libdoorwood/cell/worker_address_test.cpp
+++ b/src/libdoorwood/cell/worker_address_test.cpp
@@ -24,28 +24,28 @@
   AddressedWorker(fakes::VirtualTime& time, Executor& executor)
       : time_(time), executor_(executor) {}
 
-  void Hold(const WorkerLife& worker,
-            const HoldOrder& order,
+  void Poll(const WorkerIncarnation& worker,
+            const PollOrder& order,
             Callback<WorkerReport> done) override {
     WorkerReport report;
     const auto error =
-        Answer(worker, [&] { return model.Hold(order, &report); });
-    const Millis delay = std::max(kDelay, error ? kDelay : order.wait);
+        Answer(worker, [&] { return model.Poll(order, &report); });
+    const Millis delay = std::max(kDelay, error ? kDelay : order.max_wait);
     executor_.Schedule(delay, [error, report, done = std::move(done)] {
       done(error, report);
     });
   }
-  void Start(const WorkerLife& worker,
+  void Start(const WorkerIncarnation& worker,
              const StartOrder& order,
              Callback<int64_t> done) override {
     Order(Answer(worker, [&] { return model.Start(order); }), std::move(done));
   }
-  void Stop(const WorkerLife& worker,
+  void Stop(const WorkerIncarnation& worker,
             const StopOrder& order,
             Callback<int64_t> done) override {
     Order(Answer(worker, [&] { return model.Stop(order); }), std::move(done));
   }
-  void Pace(const WorkerLife& worker,
+  void Pace(const WorkerIncarnation& worker,
             const PaceOrder& order,
             Callback<int64_t> done) override {
     Order(Answer(worker, [&] { return model.Pace(order); }), std::move(done));
@@ -59,7 +59,7 @@
   static constexpr Millis kDelay{50};
 
   template <typename Effect>
-  std::error_code Answer(const WorkerLife& worker, Effect effect) {
+  std::error_code Answer(const WorkerIncarnation& worker, Effect effect) {
     model.Advance(time_.millis());
     ++calls[worker.address];
     const auto responder = responders.find(worker.address);
@@ -68,7 +68,7 @@
       return RunErrc::kNoAnswer;
     }
     if (responder->second == Responder::kOtherIncarnation) {
-      return RunErrc::kOtherLife;
+      return RunErrc::kOtherIncarnation;
     }
     return effect();
   }
@@ -86,19 +86,19 @@
   AddressFixture() : executor(time, 1), worker(time, executor) {
     session = std::make_shared<WorkerSession>(
         executor, worker, log, *this, WorkerSessionOptions{}, WorkerAt("a"), 5);
-    session->SetExtendUntil(Instant::max());
-    session->SetLedUntil(Instant::max());
+    session->SetLeaseExtensionEnd(Instant::max());
+    session->SetLeadConfirmedUntil(Instant::max());
   }
   ~AddressFixture() override { session->Close(); }
   AddressFixture(const AddressFixture&) = delete;
   AddressFixture& operator=(const AddressFixture&) = delete;
 
-  static WorkerLife WorkerAt(const std::string& address) {
-    WorkerLife life;
-    life.id = "w1";
-    life.address = address;
-    life.capacity = {32'000, 1000, 0};
-    return life;
+  static WorkerIncarnation WorkerAt(const std::string& address) {
+    WorkerIncarnation incarnation;
+    incarnation.id = "w1";
+    incarnation.address = address;
+    incarnation.capacity = {32'000, 1000, 0};
+    return incarnation;
   }
   void OnRunEnded(WorkerSession&, const Run&, RunEnd, bool) override {
     ++ended;
@@ -115,7 +115,7 @@
       time.Run(kStep);
       session->Tick();
       if (!listed.empty() && passed % Millis(1000) == Millis(0)) {
-        session->Update(WorkerAt(listed));
+        session->UpdateFromDirectory(WorkerAt(listed));
       }
     }
     worker.model.Advance(time.millis());
@@ -154,7 +154,7 @@
   BOOST_TEST(ended == 0);
   BOOST_TEST(!session->dead());
   BOOST_TEST(session->responsive());
-  BOOST_TEST(session->life().address == "a");
+  BOOST_TEST(session->incarnation().address == "a");
   BOOST_TEST(worker.model.Runs("t"));
 }
 
@@ -183,7 +183,7 @@
   Start();
   listed = "b";
   Pass(Millis(3000));
-  BOOST_TEST(session->life().address == "b");
+  BOOST_TEST(session->incarnation().address == "b");
   worker.responders["a"] = Responder::kOtherIncarnation;
   Pass(kLongerThanLease);
   BOOST_TEST(ended == 0);
@@ -247,7 +247,7 @@
   listed = "b";
   Pass(Millis(2000));
   BOOST_TEST(session->fenced());
-  BOOST_TEST(session->life().address == "b");
+  BOOST_TEST(session->incarnation().address == "b");
 }
 
 // A poll to the first address is in flight when the entry changes.
@@ -256,12 +256,12 @@
   worker.responders = {{"a", Responder::kThisIncarnation},
                        {"b", Responder::kOtherIncarnation}};
   session->Open();
-  session->Update(WorkerAt("b"));
+  session->UpdateFromDirectory(WorkerAt("b"));
   Pass(Millis(500));
   BOOST_TEST(session->fenced());
   Start();
   Pass(Millis(3000));
-  BOOST_TEST(session->life().address == "a");
+  BOOST_TEST(session->incarnation().address == "a");
   BOOST_TEST(worker.model.Runs("t"));
   BOOST_TEST(ended == 0);
 }
@@ -288,7 +288,7 @@
   for (const RecordedRow& row : rows) {
     AddressFixture fixture;
     fixture.worker.responders = {{"a", row.recorded}, {"b", row.listed}};
-    fixture.session->TrustAddress();
+    fixture.session->MarkAddressVerified();
     fixture.session->Open();
     fixture.listed = "b";
     fixture.Pass(Millis(4000));
--- a/src/libdoorwood/cell/worker_lease_clock_test.cpp
+++ b/src/libdoorwood/cell/worker_lease_clock_test.cpp
@@ -30,21 +30,21 @@
   // Runs 2% slow.
   int64_t Clock() const { return time_.millis() * 98 / 100; }
 
-  void Hold(const WorkerLife&,
-            const HoldOrder& order,
+  void Poll(const WorkerIncarnation&,
+            const PollOrder& order,
             Callback<WorkerReport> done) override {
-    RecordLease(order.until);
+    RecordLease(order.lease_end);
     model_.Advance(Clock());
     WorkerReport report;
-    const auto error = model_.Hold(order, &report);
+    const auto error = model_.Poll(order, &report);
     executor_.Schedule(Millis(1), [error, report, done = std::move(done)] {
       done(error, report);
     });
   }
-  void Start(const WorkerLife&,
+  void Start(const WorkerIncarnation&,
              const StartOrder& order,
              Callback<int64_t> done) override {
-    RecordLease(order.until);
+    RecordLease(order.lease_end);
     model_.Advance(Clock());
     const auto error = model_.Start(order);
     executor_.Schedule(Millis(1),
@@ -52,8 +52,12 @@
                          done(error, clock);
                        });
   }
-  void Stop(const WorkerLife&, const StopOrder&, Callback<int64_t>) override {}
-  void Pace(const WorkerLife&, const PaceOrder&, Callback<int64_t>) override {}
+  void Stop(const WorkerIncarnation&,
+            const StopOrder&,
+            Callback<int64_t>) override {}
+  void Pace(const WorkerIncarnation&,
+            const PaceOrder&,
+            Callback<int64_t>) override {}
 
   int64_t longest_lease() const { return longest_lease_; }
 
@@ -86,12 +90,12 @@
     fakes::QuietListener listener;
     NoLog log;
     const WorkerSessionOptions options;
-    WorkerLife life;
-    life.id = "w1";
+    WorkerIncarnation incarnation;
+    incarnation.id = "w1";
     const auto session = std::make_shared<WorkerSession>(
-        executor, workers, log, listener, options, life, 5);
-    session->SetExtendUntil(Instant::max());
-    session->SetLedUntil(Instant::max());
+        executor, workers, log, listener, options, incarnation, 5);
+    session->SetLeaseExtensionEnd(Instant::max());
+    session->SetLeadConfirmedUntil(Instant::max());
     session->Open();
     time.Run(Millis(idle_seconds * 1000));
     Run run;
--- a/src/libdoorwood/cell/worker_orders.cpp
+++ b/src/libdoorwood/cell/worker_orders.cpp
@@ -15,14 +15,14 @@
   ++tasks_version_;
   reserved_.memory_mib += sign * run.size.memory_mib;
   reserved_.accelerators += sign * run.size.accelerators;
-  if (run.fills) {
-    fill_cpu_ += sign * run.size.cpu_millis;
-    fills_ += sign;
+  if (run.best_effort) {
+    best_effort_cpu_ += sign * run.size.cpu_millis;
+    best_effort_runs_ += sign;
   } else {
     reserved_.cpu_millis += sign * run.size.cpu_millis;
   }
   if (run.latency_target > Millis(0)) {
-    serving_ += sign;
+    serving_runs_ += sign;
     serving_cpu_ += sign * run.size.cpu_millis;
   }
 }
@@ -61,12 +61,12 @@
   }
   run.ordered = now;
   const std::string task = run.task;
-  const bool held = run.held;
+  const bool held = run.start_deferred;
   Insert(std::move(run));
   StartArguments arguments{std::move(payload), std::move(ticket)};
   if (held) {
     // The lease counts from now on, as if the order had been sent.
-    LeaseEnd(std::min(now, extend_until_));
+    LeaseEnd(std::min(now, lease_extension_end_));
     deferred_starts_.emplace(task, std::move(arguments));
   } else {
     SendStart(FindRun(task), std::move(arguments));
@@ -82,7 +82,7 @@
   if (arguments.empty() || run == nullptr || closed_ || dead_) {
     return;
   }
-  run->held = false;
+  run->start_deferred = false;
   run->ordered = executor_.Now();
   SendStart(run, std::move(arguments.mapped()));
 }
@@ -94,12 +94,12 @@
   order.run = run->number;
   order.payload = std::move(arguments.payload);
   order.checkpoint = run->checkpoint;
-  order.until = LeaseEnd(std::min(executor_.Now(), extend_until_));
+  order.lease_end = LeaseEnd(std::min(executor_.Now(), lease_extension_end_));
   order.ticket = std::move(arguments.ticket);
   workers_.Start(
-      life_, order,
+      incarnation_, order,
       [self = shared_from_this(), task = order.task, number = order.run,
-       address = life_.address](std::error_code error, int64_t clock) {
+       address = incarnation_.address](std::error_code error, int64_t clock) {
         if (!self->closed_ && !self->dead_) {
           self->OnStartAnswer(task, number,
                               self->ClassifyResponse(address, error), clock);
@@ -111,7 +111,7 @@
                                   uint32_t number,
                                   std::error_code error,
                                   int64_t clock) {
-  if (error == make_error_code(RunErrc::kOtherLife)) {
+  if (error == make_error_code(RunErrc::kOtherIncarnation)) {
     MarkDead();
     return;
   }
@@ -132,16 +132,17 @@
   if (error == make_error_code(RunErrc::kNoAnswer)) {
     if (run->phase == RunPhase::kStarting) {
       run->phase = RunPhase::kUnresolved;
-      log_.Write("warn", "worker", "start order was not answered",
-                 {{"worker", life_.id}, {"task", task}, {"run", number}});
+      log_.Write(
+          "warn", "worker", "start order was not answered",
+          {{"worker", incarnation_.id}, {"task", task}, {"run", number}});
       Poll(Millis(0));
     }
     return;
   }
-  if (error == make_error_code(RunErrc::kOldRun)) {
+  if (error == make_error_code(RunErrc::kStaleRun)) {
     // The next report lists the run's end, or shows that it never began.
     run->phase = RunPhase::kUnresolved;
-    run->called_old = true;
+    run->refused_as_old = true;
     run->stop_confirmed = true;
     run->stop_confirmed_at = executor_.Now();
     Poll(Millis(0));
@@ -163,7 +164,7 @@
   if (run == nullptr || run->phase == RunPhase::kStopping) {
     return;
   }
-  if (run->held) {
+  if (run->start_deferred) {
     EndRun(task, RunEnd::kStopped, /*reported_by_worker=*/true);
     return;
   }
@@ -179,14 +180,14 @@
   }
   const StopOrder order{token_, task, number};
   workers_.Stop(
-      life_, order,
-      [self = shared_from_this(), task, number, address = life_.address](
+      incarnation_, order,
+      [self = shared_from_this(), task, number, address = incarnation_.address](
           std::error_code error, int64_t clock) {
         if (self->closed_ || self->dead_) {
           return;
         }
         error = self->ClassifyResponse(address, error);
-        if (error == make_error_code(RunErrc::kOtherLife)) {
+        if (error == make_error_code(RunErrc::kOtherIncarnation)) {
           self->MarkDead();
           return;
         }
@@ -217,11 +218,11 @@
   }
   constexpr int kFullPace = 100;
   if (percent >= kFullPace) {
-    run->paced_since = Instant{};
+    run->throttled_since = Instant{};
   } else {
-    run->odd_time = true;
-    if (run->paced_since == Instant{}) {
-      run->paced_since = executor_.Now();
+    run->atypical_duration = true;
+    if (run->throttled_since == Instant{}) {
+      run->throttled_since = executor_.Now();
     }
   }
   run->wanted_pace = percent;
@@ -236,7 +237,7 @@
   run->pace_in_flight = true;
   const PaceOrder order{token_, run->task, run->number, run->wanted_pace};
   workers_.Pace(
-      life_, order,
+      incarnation_, order,
       [self = shared_from_this(), order](std::error_code error, int64_t clock) {
         if (self->closed_ || self->dead_) {
           return;
--- a/src/libdoorwood/cell/worker_overtaking_test.cpp
+++ b/src/libdoorwood/cell/worker_overtaking_test.cpp
@@ -35,17 +35,17 @@
     bool answered = false;
   };
 
-  void Hold(const WorkerLife&,
-            const HoldOrder& order,
+  void Poll(const WorkerIncarnation&,
+            const PollOrder& order,
             Callback<WorkerReport> done) override {
     auto report = std::make_shared<WorkerReport>();
     Pending call;
-    call.carry_out = [this, order, report] { model.Hold(order, report.get()); };
+    call.carry_out = [this, order, report] { model.Poll(order, report.get()); };
     call.answer = [report, done] { done({}, *report); };
     call.lose = [done] { done(RunErrc::kNoAnswer, {}); };
     calls.push_back(std::move(call));
   }
-  void Start(const WorkerLife&,
+  void Start(const WorkerIncarnation&,
              const StartOrder& order,
              Callback<int64_t> done) override {
     Add(
@@ -58,12 +58,14 @@
     calls.back().is_start = true;
     start = order;
   }
-  void Stop(const WorkerLife&,
+  void Stop(const WorkerIncarnation&,
             const StopOrder& order,
             Callback<int64_t> done) override {
     Add([this, order] { return model.Stop(order); }, std::move(done));
   }
-  void Pace(const WorkerLife&, const PaceOrder&, Callback<int64_t>) override {}
+  void Pace(const WorkerIncarnation&,
+            const PaceOrder&,
+            Callback<int64_t>) override {}
 
   /// The run is active, or may still begin.
   bool MayRun() const {
@@ -98,12 +100,12 @@
 struct ExplorationFixture : public fakes::QuietListener {
   ExplorationFixture(Millis step, const std::string& payload)
       : step(step), executor(time, 1) {
-    WorkerLife life;
-    life.id = "w1";
-    session = std::make_shared<WorkerSession>(executor, workers, log, *this,
-                                              WorkerSessionOptions{}, life, 5);
-    session->SetExtendUntil(Instant::max());
-    session->SetLedUntil(Instant::max());
+    WorkerIncarnation incarnation;
+    incarnation.id = "w1";
+    session = std::make_shared<WorkerSession>(
+        executor, workers, log, *this, WorkerSessionOptions{}, incarnation, 5);
+    session->SetLeaseExtensionEnd(Instant::max());
+    session->SetLeadConfirmedUntil(Instant::max());
     time.Run(Millis(1000));
     workers.model.Advance(time.millis());
     session->Open();
--- a/src/libdoorwood/cell/worker_session.cpp
+++ b/src/libdoorwood/cell/worker_session.cpp
@@ -38,15 +38,15 @@
   run.task = task.name();
   run.number = number;
   run.size = plan.size;
-  run.fills = plan.fills;
-  run.lasting = plan.lasting;
+  run.best_effort = plan.fills;
+  run.long_running = plan.lasting;
   run.latency_target = plan.latency_target;
   run.estimate = plan.estimate;
   run.step = StepName(*task.job, task.time, task.step);
   return run;
 }
 
-Millis LongestOnOurClock(Millis on_worker) {
+Millis MaxOnLocalClock(Millis on_worker) {
   return Millis(static_cast<int64_t>(static_cast<double>(on_worker.count()) /
                                      kSlowestClockRate));
 }
@@ -56,16 +56,16 @@
                              EventLog& log,
                              WorkerSessionListener& listener,
                              const WorkerSessionOptions& options,
-                             WorkerLife life,
+                             WorkerIncarnation incarnation,
                              uint64_t token)
     : executor_(executor),
       workers_(workers),
       log_(log),
       listener_(listener),
       options_(options),
-      life_(std::move(life)),
+      incarnation_(std::move(incarnation)),
       token_(token),
-      short_wait_(options.short_wait) {}
+      short_wait_(options.short_poll_wait) {}
 
 void WorkerSession::Open() {
   last_response_at_ = executor_.Now();
@@ -91,7 +91,7 @@
       [&](const auto& entry) { return entry.second.step == step; }));
 }
 
-Millis WorkerSession::SeenAtWork(const Run& run) const {
+Millis WorkerSession::ObservedRunTime(const Run& run) const {
   if (run.confirmed == Instant{} || last_response_at_ <= run.confirmed) {
     return Millis(0);
   }
@@ -110,7 +110,7 @@
     return true;
   }
   return executor_.Now() - last_response_at_ <
-         options_.unresponsive_after + options_.long_wait;
+         options_.unresponsive_after + options_.long_poll_wait;
 }
 
 // --- Leases ---
@@ -121,7 +121,7 @@
     unresponsive_logged_ = false;
     responsive_since_ = last_response_at_;
     log_.Write("info", "worker", "worker responds again",
-               {{"worker", life_.id}});
+               {{"worker", incarnation_.id}});
   }
   if (clock > 0) {
     worker_clock_ = clock;
@@ -149,7 +149,7 @@
     return std::nullopt;
   }
   const Millis left(latest_lease_end_ - worker_clock_);
-  return worker_clock_at_ + LongestOnOurClock(left) + kExpiryMargin;
+  return worker_clock_at_ + MaxOnLocalClock(left) + kExpiryMargin;
 }
 
 // --- Polls ---
@@ -161,8 +161,9 @@
   if (has_unrecorded_ends() || last_poll_failed_) {
     return Millis(0);
   }
-  const bool shares_with_best_effort = serving_ > 0 && fills_ > 0;
-  return shares_with_best_effort ? short_wait_ : options_.long_wait;
+  const bool shares_with_best_effort =
+      serving_runs_ > 0 && best_effort_runs_ > 0;
+  return shares_with_best_effort ? short_wait_ : options_.long_poll_wait;
 }
 
 void WorkerSession::SchedulePoll(Millis delay) {
@@ -184,26 +185,26 @@
   poll_in_flight_ = true;
   const uint64_t sequence = ++poll_sequence_;
   const Instant sent = executor_.Now();
-  HoldOrder order;
+  PollOrder order;
   order.token = token_;
-  order.last_seen = recorded_end_;
+  order.forget_up_to = recorded_end_;
   // An unresponsive worker gets no extension, so that its leases are certain to
   // expire.
   const bool extend =
-      !runs_.empty() && sent < extend_until_ && !last_poll_failed_;
-  order.until = extend ? LeaseEnd(sent) : 0;
-  order.wait = wait;
-  workers_.Hold(
-      life_, order,
-      [self = shared_from_this(), sequence, sent, address = life_.address](
-          std::error_code error, WorkerReport report) {
-        self->OnPollResponse(sequence, sent,
-                             self->ClassifyResponse(address, error),
-                             std::move(report));
-      });
+      !runs_.empty() && sent < lease_extension_end_ && !last_poll_failed_;
+  order.lease_end = extend ? LeaseEnd(sent) : 0;
+  order.max_wait = wait;
+  workers_.Poll(incarnation_, order,
+                [self = shared_from_this(), sequence, sent,
+                 address = incarnation_.address](std::error_code error,
+                                                 WorkerReport report) {
+                  self->OnPollResponse(sequence, sent,
+                                       self->ClassifyResponse(address, error),
+                                       std::move(report));
+                });
 }
 
-void WorkerSession::LookNow() {
+void WorkerSession::PollNow() {
   if (!closed_ && !dead_ && !runs_.empty()) {
     Poll(Millis(0));
   }
@@ -222,7 +223,7 @@
   if (newest) {
     poll_in_flight_ = false;
   }
-  if (error == make_error_code(RunErrc::kOtherLife)) {
+  if (error == make_error_code(RunErrc::kOtherIncarnation)) {
     MarkDead();
     return;
   }
@@ -235,7 +236,7 @@
   }
   if (error) {
     if (!std::exchange(last_poll_failed_, true)) {
-      listener_.OnLookFailed(*this);
+      listener_.OnPollFailed(*this);
     }
     // Poll again even if a newer poll was answered meanwhile: only an answer
     // shows that the worker responds.
@@ -246,7 +247,7 @@
     return;
   }
   if (std::exchange(last_poll_failed_, false)) {
-    listener_.OnAnswersAgain(*this);
+    listener_.OnPollRecovered(*this);
   }
   const bool first = !fenced_;
   fenced_ = true;
@@ -264,7 +265,7 @@
   // The first poll extends no lease, so the next one follows at once.
   if (has_unrecorded_ends() && (!first || runs_.empty())) {
     SchedulePoll(options_.unrecorded_pause);
-  } else if (!runs_.empty() || has_unwanted()) {
+  } else if (!runs_.empty() || has_unwanted_runs()) {
     SchedulePoll(Millis(0));
   }
 }
@@ -284,7 +285,7 @@
   }
 }
 
-std::vector<std::string> WorkerSession::TasksToReckonWith() const {
+std::vector<std::string> WorkerSession::OutstandingTasks() const {
   std::set<std::string> tasks(unwanted_tasks_.begin(), unwanted_tasks_.end());
   for (const auto& [task, run] : runs_) {
     tasks.insert(task);
@@ -306,7 +307,7 @@
     report_sent_ = sent;
     ++version_;
     ApplyActiveRuns(report.active);
-    if (!report.more_ended) {
+    if (!report.has_more_ends) {
       all_ends_listed_ = true;
       ResolveUnlistedRuns(sent, report.active);
     }
@@ -372,7 +373,7 @@
     if (!row.checkpoint.empty()) {
       run->checkpoint = row.checkpoint;
     }
-    run->figure = row.figure;
+    run->measurement = row.measurement;
   }
   if (unwanted != unwanted_tasks_) {
     unwanted_tasks_ = std::move(unwanted);
@@ -408,7 +409,7 @@
     }
     // The worker no longer has the run and did not list its end: the run never
     // began, or its end was listed in a report that arrived earlier.
-    EndRun(task, RunEnd::kLapsed, /*reported_by_worker=*/false);
+    EndRun(task, RunEnd::kLeaseExpired, /*reported_by_worker=*/false);
   }
 }
 
@@ -421,7 +422,7 @@
   dead_ = true;
   dead_since_ = executor_.Now();
   log_.Write("warn", "worker", "another incarnation of the worker answers",
-             {{"worker", life_.id}, {"runs", runs_.size()}});
+             {{"worker", incarnation_.id}, {"runs", runs_.size()}});
 }
 
 std::optional<Instant> WorkerSession::EndedSince() const {
@@ -438,7 +439,7 @@
 
 // A successor that took over before the runs ended may have kept them. Only a
 // later read of the lead key shows that there was none.
-void WorkerSession::Conclude() {
+void WorkerSession::EndProvedRuns() {
   const std::optional<Instant> ended_since = EndedSince();
   if (runs_.empty() || !ended_since || *ended_since >= lead_confirmed_until_) {
     return;
@@ -447,7 +448,7 @@
       "warn", "worker",
       dead_ ? "all runs of a replaced worker incarnation have ended"
             : "the run lease of an unresponsive worker has expired",
-      {{"worker", life_.id},
+      {{"worker", incarnation_.id},
        {"runs", runs_.size()},
        {"heard_ms_ago", MillisBetween(last_response_at_, executor_.Now())},
        {"over_ms_before_proof",
@@ -459,7 +460,7 @@
   listener_.OnWorkerLost(*this);
   while (!runs_.empty() && !closed_) {
     const std::string task = runs_.begin()->first;
-    EndRun(task, RunEnd::kLapsed, /*reported_by_worker=*/false);
+    EndRun(task, RunEnd::kLeaseExpired, /*reported_by_worker=*/false);
   }
 }
 
@@ -467,7 +468,7 @@
   if (closed_) {
     return;
   }
-  Conclude();
+  EndProvedRuns();
   if (dead_ || closed_) {
     return;
   }
@@ -475,7 +476,7 @@
   if (!runs_.empty() && !responsive() && !unresponsive_logged_ && fenced_) {
     unresponsive_logged_ = true;
     log_.Write("warn", "worker", "worker does not respond",
-               {{"worker", life_.id}, {"runs", runs_.size()}});
+               {{"worker", incarnation_.id}, {"runs", runs_.size()}});
   }
   for (auto& [task, run] : runs_) {
     const bool stop_pending =
--- a/src/libdoorwood/cell/worker_session_test.cpp
+++ b/src/libdoorwood/cell/worker_session_test.cpp
@@ -26,18 +26,18 @@
   ScriptedWorkers(fakes::VirtualTime& time, Executor& executor)
       : time_(time), executor_(executor) {}
 
-  void Hold(const WorkerLife&,
-            const HoldOrder& order,
+  void Poll(const WorkerIncarnation&,
+            const PollOrder& order,
             Callback<WorkerReport> done) override {
     ++holds;
-    last_until = order.until;
+    last_until = order.lease_end;
     Advance();
     WorkerReport report;
     std::error_code error = RunErrc::kNoAnswer;
     if (hold_fault == Fault::kOtherIncarnation) {
-      error = RunErrc::kOtherLife;
+      error = RunErrc::kOtherIncarnation;
     } else if (hold_fault != Fault::kRequestLost) {
-      error = model.Hold(order, &report);
+      error = model.Poll(order, &report);
     }
     if (hold_fault == Fault::kReplyLost) {
       error = RunErrc::kNoAnswer;
@@ -47,20 +47,20 @@
       done(error, report);
     });
   }
-  void Start(const WorkerLife&,
+  void Start(const WorkerIncarnation&,
              const StartOrder& order,
              Callback<int64_t> done) override {
     Order(start_fault, std::move(done),
           [this, order] { return model.Start(order); });
   }
-  void Stop(const WorkerLife&,
+  void Stop(const WorkerIncarnation&,
             const StopOrder& order,
             Callback<int64_t> done) override {
     ++stops;
     Order(stop_fault, std::move(done),
           [this, order] { return model.Stop(order); });
   }
-  void Pace(const WorkerLife&,
+  void Pace(const WorkerIncarnation&,
             const PaceOrder& order,
             Callback<int64_t> done) override {
     Order(Fault::kNone, std::move(done),
@@ -107,13 +107,13 @@
 
 struct SessionFixture : public WorkerSessionListener {
   SessionFixture() : executor(time, 1), workers(time, executor) {
-    WorkerLife life;
-    life.id = "w1";
-    life.capacity = {32'000, 1000, 0};
-    session = std::make_shared<WorkerSession>(executor, workers, log, *this,
-                                              WorkerSessionOptions{}, life, 5);
-    session->SetExtendUntil(Instant::max());
-    session->SetLedUntil(Instant::max());
+    WorkerIncarnation incarnation;
+    incarnation.id = "w1";
+    incarnation.capacity = {32'000, 1000, 0};
+    session = std::make_shared<WorkerSession>(
+        executor, workers, log, *this, WorkerSessionOptions{}, incarnation, 5);
+    session->SetLeaseExtensionEnd(Instant::max());
+    session->SetLeadConfirmedUntil(Instant::max());
     session->Open();
     Pass(Millis(500));
   }
@@ -130,8 +130,8 @@
     ended_at = time.millis();
   }
   void OnWorkerLost(WorkerSession&) override {}
-  void OnLookFailed(WorkerSession&) override {}
-  void OnAnswersAgain(WorkerSession&) override {}
+  void OnPollFailed(WorkerSession&) override {}
+  void OnPollRecovered(WorkerSession&) override {}
   void OnUnknownEnd(WorkerSession&, const EndedRun&) override {}
   std::optional<Run> OnUnknownRun(WorkerSession&, const ActiveRun&) override {
     return std::nullopt;
@@ -201,7 +201,7 @@
       BOOST_TEST(fixture.session->reserved().cpu_millis == 0);
       if (row.start == Fault::kDelayed) {
         BOOST_TEST(fixture.workers.late_result ==
-                   make_error_code(RunErrc::kOldRun));
+                   make_error_code(RunErrc::kStaleRun));
       }
     }
   }
@@ -210,18 +210,22 @@
 // Calls that the test answers, in any order.
 class ManualWorkers : public RunWorkers {
  public:
-  void Hold(const WorkerLife&,
-            const HoldOrder&,
+  void Poll(const WorkerIncarnation&,
+            const PollOrder&,
             Callback<WorkerReport> done) override {
     holds.push_back(std::move(done));
   }
-  void Start(const WorkerLife&,
+  void Start(const WorkerIncarnation&,
              const StartOrder&,
              Callback<int64_t> done) override {
     starts.push_back(std::move(done));
   }
-  void Stop(const WorkerLife&, const StopOrder&, Callback<int64_t>) override {}
-  void Pace(const WorkerLife&, const PaceOrder&, Callback<int64_t>) override {}
+  void Stop(const WorkerIncarnation&,
+            const StopOrder&,
+            Callback<int64_t>) override {}
+  void Pace(const WorkerIncarnation&,
+            const PaceOrder&,
+            Callback<int64_t>) override {}
 
   std::vector<Callback<WorkerReport>> holds;
   std::vector<Callback<int64_t>> starts;
@@ -237,12 +241,12 @@
 struct ManualFixture : public SessionFixture {
   ManualFixture() {
     session->Close();
-    WorkerLife life;
-    life.id = "w1";
-    session = std::make_shared<WorkerSession>(executor, manual, log, *this,
-                                              WorkerSessionOptions{}, life, 5);
-    session->SetExtendUntil(Instant::max());
-    session->SetLedUntil(Instant::max());
+    WorkerIncarnation incarnation;
+    incarnation.id = "w1";
+    session = std::make_shared<WorkerSession>(
+        executor, manual, log, *this, WorkerSessionOptions{}, incarnation, 5);
+    session->SetLeaseExtensionEnd(Instant::max());
+    session->SetLeadConfirmedUntil(Instant::max());
     session->Open();
     time.Run(Millis(10));
     manual.holds.at(0)({}, ReportOf({}));
@@ -279,7 +283,7 @@
   manual.holds.at(1)({}, ReportOf({}));  // Sent before the run began.
   time.Run(Millis(10));
   WorkerReport report = ReportOf({});
-  report.more_ended = true;
+  report.has_more_ends = true;
   manual.holds.at(2)({}, report);
   time.Run(Millis(10));
   BOOST_TEST(ends.empty());
@@ -290,7 +294,7 @@
 // old.
 BOOST_FIXTURE_TEST_CASE(Start_RefusedAsOldAfterItRan_ReportedEndCounts,
                         ManualFixture) {
-  manual.starts.at(0)(RunErrc::kOldRun, 1000);
+  manual.starts.at(0)(RunErrc::kStaleRun, 1000);
   time.Run(Millis(10));
   BOOST_TEST(refused == 0);
   WorkerReport report = ReportOf({});
@@ -303,7 +307,7 @@
 
 BOOST_FIXTURE_TEST_CASE(Start_RefusedAsOldAndNeverRan_EndIsInferred,
                         ManualFixture) {
-  manual.starts.at(0)(RunErrc::kOldRun, 1000);
+  manual.starts.at(0)(RunErrc::kStaleRun, 1000);
   time.Run(Millis(10));
   manual.holds.back()({}, ReportOf({}));
   time.Run(Millis(10));
@@ -347,19 +351,19 @@
   Pass(Millis(3000));
   BOOST_TEST(ends.size() == 1U);
   WorkerReport report;
-  workers.model.Hold({5, 0, 0, Millis(0)}, &report);
+  workers.model.Poll({5, 0, 0, Millis(0)}, &report);
   BOOST_TEST(report.ended.size() == 1U);
   session->MarkRecorded(session->last_end());
   Pass(Millis(500));
   report = {};
-  workers.model.Hold({5, 0, 0, Millis(0)}, &report);
+  workers.model.Poll({5, 0, 0, Millis(0)}, &report);
   BOOST_TEST(report.ended.empty());
 }
 
 BOOST_FIXTURE_TEST_CASE(Poll_HigherTokenSeen_IsReportedOnce, SessionFixture) {
   Start("");
   WorkerReport ignored;
-  workers.model.Hold({6, 0, 0, Millis(0)}, &ignored);
+  workers.model.Poll({6, 0, 0, Millis(0)}, &ignored);
   Pass(Millis(3000));
   BOOST_TEST(fenced == 1);
 }
@@ -374,7 +378,7 @@
                         SessionFixture) {
   Start("");
   Pass(Millis(500));
-  session->SetExtendUntil(executor.Now());
+  session->SetLeaseExtensionEnd(executor.Now());
   Pass(Millis(1000));
   BOOST_TEST(workers.last_until == 0);
   Pass(Millis(9000));
@@ -390,13 +394,13 @@
     SessionFixture fixture;
     fixture.Start("");
     fixture.Pass(Millis(1000));
-    fixture.session->SetLedUntil(Instant{});
+    fixture.session->SetLeadConfirmedUntil(Instant{});
     fixture.workers.hold_fault = fault;
     fixture.workers.stop_fault = fault;
     fixture.Pass(Millis(12'000));
     BOOST_TEST(fixture.ends.empty());
     BOOST_TEST(fixture.session->runs().size() == 1U);
-    fixture.session->SetLedUntil(Instant::max());
+    fixture.session->SetLeadConfirmedUntil(Instant::max());
     fixture.Pass(Millis(200));
     BOOST_TEST(fixture.ends.size() == 1U);
   }
--- a/src/libdoorwood/ingress/ingress.cpp
+++ b/src/libdoorwood/ingress/ingress.cpp
@@ -165,7 +165,7 @@
           SubmitToNextCell(plan, std::move(cells), std::move(done));
           return;
         }
-        if (error == make_error_code(CoreErrc::kNoRoom) && !cells.empty()) {
+        if (error == make_error_code(CoreErrc::kNoCapacity) && !cells.empty()) {
           SubmitToNextCell(plan, std::move(cells), std::move(done));
           return;
         }
--- a/src/libdoorwood/job/job_table.cpp
+++ b/src/libdoorwood/job/job_table.cpp
@@ -86,11 +86,11 @@
       return "failed";
     case RunEnd::kStopped:
       return "stopped";
-    case RunEnd::kLapsed:
+    case RunEnd::kLeaseExpired:
       return "lapsed";
-    case RunEnd::kBroken:
+    case RunEnd::kGangMemberEnded:
       return "broken";
-    case RunEnd::kAlone:
+    case RunEnd::kGangIncomplete:
       return "alone";
   }
   return "unknown";
--- a/src/libdoorwood/job/job_table_test.cpp
+++ b/src/libdoorwood/job/job_table_test.cpp
@@ -48,7 +48,9 @@
        3,
        JobOutcome::kFailed},
       {"lost ends do not use up attempts",
-       {{1, RunEnd::kLapsed}, {2, RunEnd::kLapsed}, {3, RunEnd::kLapsed}},
+       {{1, RunEnd::kLeaseExpired},
+        {2, RunEnd::kLeaseExpired},
+        {3, RunEnd::kLeaseExpired}},
        false,
        0,
        JobOutcome::kOpen},
@@ -60,22 +62,24 @@
       // The worker's report arrives after the leader's own conclusion and is
       // more accurate.
       {"done, reported after its lease had expired",
-       {{1, RunEnd::kLapsed}, {1, RunEnd::kDone}},
+       {{1, RunEnd::kLeaseExpired}, {1, RunEnd::kDone}},
        true,
        0,
        JobOutcome::kCompleted},
       {"done, reported after a later run had lapsed as well",
-       {{1, RunEnd::kLapsed}, {2, RunEnd::kLapsed}, {1, RunEnd::kDone}},
+       {{1, RunEnd::kLeaseExpired},
+        {2, RunEnd::kLeaseExpired},
+        {1, RunEnd::kDone}},
        true,
        0,
        JobOutcome::kCompleted},
       {"done, reported after a later run had failed",
-       {{1, RunEnd::kLapsed}, {2, RunEnd::kFailed}, {1, RunEnd::kDone}},
+       {{1, RunEnd::kLeaseExpired}, {2, RunEnd::kFailed}, {1, RunEnd::kDone}},
        true,
        1,
        JobOutcome::kCompleted},
       {"done, reported after the attempts were used up",
-       {{1, RunEnd::kLapsed},
+       {{1, RunEnd::kLeaseExpired},
         {2, RunEnd::kFailed},
         {3, RunEnd::kFailed},
         {4, RunEnd::kFailed},
@@ -84,7 +88,7 @@
        3,
        JobOutcome::kFailed},
       {"stopped, reported after its lease had expired",
-       {{1, RunEnd::kLapsed}, {1, RunEnd::kStopped}},
+       {{1, RunEnd::kLeaseExpired}, {1, RunEnd::kStopped}},
        false,
        0,
        JobOutcome::kOpen},
@@ -126,10 +130,10 @@
     table.Add(fakes::MakePlan(kId, 1, 1, ""));
     Task* task = table.FindTask(std::string(kId) + ".0.0.0");
     for (const uint32_t run : row.lapsed) {
-      table.CountEnd(task, run, RunEnd::kLapsed, "earlier", kAttempts);
+      table.CountEnd(task, run, RunEnd::kLeaseExpired, "earlier", kAttempts);
     }
     JobTable::SetPlaced(task, row.placed);
-    table.CountEnd(task, 1, RunEnd::kLapsed, "later", kAttempts);
+    table.CountEnd(task, 1, RunEnd::kLeaseExpired, "later", kAttempts);
     BOOST_TEST_CONTEXT(row.name) {
       BOOST_TEST(task->checkpoint == row.checkpoint);
     }
--- a/src/libdoorwood/membership/live_directory.cpp
+++ b/src/libdoorwood/membership/live_directory.cpp
@@ -34,7 +34,7 @@
 
 std::optional<LiveInstance> DecodeInstance(const std::string& name,
                                            const StoreItem& item) {
-  if (item.gone || !IsPlainWord(name)) {
+  if (item.deleted || !IsPlainWord(name)) {
     return std::nullopt;
   }
   return DecodeObject(item.value, [&](const Json& json) {
@@ -56,7 +56,7 @@
 
 std::optional<CellLead> DecodeLead(const std::string& cell,
                                    const StoreItem& item) {
-  if (item.gone || !IsPlainWord(cell)) {
+  if (item.deleted || !IsPlainWord(cell)) {
     return std::nullopt;
   }
   return DecodeObject(item.value, [&](const Json& json) {
@@ -121,7 +121,7 @@
 void LiveDirectory::Stop() {
   stopped_ = true;
   if (lease_) {
-    store_.EndLease(*lease_, [](std::error_code, int64_t) {});
+    store_.RevokeLease(*lease_, [](std::error_code, int64_t) {});
     lease_.reset();
   }
 }
@@ -234,7 +234,7 @@
   }
   const Instant sent = executor_.Now();
   const int64_t lease = *lease_;
-  store_.KeepLease(lease, [this, sent, lease](std::error_code error, int64_t) {
+  store_.RenewLease(lease, [this, sent, lease](std::error_code error, int64_t) {
     if (stopped_ || lease_ != lease) {
       return;
     }
@@ -344,9 +344,9 @@
                    return;
                  }
                  store_heard_at_ = executor_.Now();
-                 RecordRevisionTime(events.at);
-                 if (events.at > at_) {
-                   at_ = events.at;
+                 RecordRevisionTime(events.revision);
+                 if (events.revision > at_) {
+                   at_ = events.revision;
                    for (const StoreItem& item : events.items) {
                      Apply(item);
                    }
@@ -421,12 +421,12 @@
   // The list was read before a lead was taken that this process already knows.
   const bool too_old = std::any_of(
       leads_.begin(), leads_.end(),
-      [&](const auto& entry) { return items.at < entry.second.epoch; });
-  if (items.at < at_ || too_old) {
+      [&](const auto& entry) { return items.revision < entry.second.epoch; });
+  if (items.revision < at_ || too_old) {
     return;
   }
-  RecordRevisionTime(items.at);
-  at_ = items.at;
+  RecordRevisionTime(items.revision);
+  at_ = items.revision;
   const auto before = std::move(instances_);
   instances_.clear();
   leads_.clear();
--- a/src/libdoorwood/policy/cell_policy.cpp
+++ b/src/libdoorwood/policy/cell_policy.cpp
@@ -64,7 +64,7 @@
     return after.cpu_millis > worker.capacity.cpu_millis ? PlaceProblem::kNoCpu
                                                          : PlaceProblem::kNone;
   }
-  const auto asked = static_cast<double>(worker.fill_cpu) +
+  const auto asked = static_cast<double>(worker.best_effort_cpu) +
                      static_cast<double>(step.size.cpu_millis);
   if (asked > BestEffortCpuBudget(worker, options)) {
     return PlaceProblem::kNoCpu;
@@ -185,7 +185,7 @@
   const double reserved =
       ShareUsed(worker.reserved.cpu_millis, worker.capacity.cpu_millis);
   const double best_effort_share =
-      ShareUsed(worker.fill_cpu, worker.capacity.cpu_millis);
+      ShareUsed(worker.best_effort_cpu, worker.capacity.cpu_millis);
   if (step.latency_target > Millis(0)) {
     // Serving tasks fill one worker after another, which leaves whole workers
     // to best-effort work. Among equally full workers, tasks of one image stay
--- a/src/libdoorwood/policy/cell_policy_test.cpp
+++ b/src/libdoorwood/policy/cell_policy_test.cpp
@@ -65,7 +65,7 @@
       {PlaceProblem::kNoCpu,
        [](PolicyFixture* f) {
          f->step.fills = true;
-         f->worker.fill_cpu = 30'000;
+         f->worker.best_effort_cpu = 30'000;
        }},
       {PlaceProblem::kNone,
        [](PolicyFixture* f) {
--- a/src/libdoorwood/pool/wave_keeper.cpp
+++ b/src/libdoorwood/pool/wave_keeper.cpp
@@ -389,7 +389,7 @@
     // Reported again in the next step, based on the current revision.
     for (const StoreItem& item : commit.current) {
       if (item.key == platform_->WaveStatus(number, state).key) {
-        wave.status_revision = item.gone ? 0 : item.revision;
+        wave.status_revision = item.deleted ? 0 : item.revision;
       }
     }
     return;
--- a/src/loop.adapter/http_peers.cpp
+++ b/src/loop.adapter/http_peers.cpp
@@ -23,7 +23,7 @@
      {CoreErrc::kStoreUnavailable, 503},
      {CoreErrc::kOutcomeUnknown, 504},
      {CoreErrc::kNotFound, 404},
-     {CoreErrc::kNoRoom, 429}}};
+     {CoreErrc::kNoCapacity, 429}}};
 constexpr int kOk = 200;
 constexpr char kStoreContactPath[] = "/store-heard";
 constexpr char kUnrecordedStartsPath[] = "/unrecorded-starts";
@@ -155,7 +155,7 @@
       [done = std::move(done)](std::error_code error, const HttpReply& reply) {
         const bool known = reply.body.find("known") != std::string::npos;
         done(ErrorOfChange(error, reply),
-             known ? AcceptOutcome::kKnownAlready : AcceptOutcome::kAccepted);
+             known ? AcceptOutcome::kAlreadyKnown : AcceptOutcome::kAccepted);
       });
 }
 
@@ -338,7 +338,7 @@
     }
     leader->Submit(*plan,
                    [answer](std::error_code error, AcceptOutcome outcome) {
-                     const bool known = outcome == AcceptOutcome::kKnownAlready;
+                     const bool known = outcome == AcceptOutcome::kAlreadyKnown;
                      answer(error, known ? "known" : "accepted");
                    });
   } else if (request.method == "DELETE") {
--- a/src/loop.adapter/http_peers_test.cpp
+++ b/src/loop.adapter/http_peers_test.cpp
@@ -53,7 +53,7 @@
     {"400 B", CoreErrc::kInvalid, PeerErrc::kNoAnswer},
     {"404 N", CoreErrc::kNotFound, PeerErrc::kNoAnswer},
     {"409 C", CoreErrc::kNoOwner, PeerErrc::kNoAnswer},
-    {"429 T", CoreErrc::kNoRoom, PeerErrc::kNoAnswer},
+    {"429 T", CoreErrc::kNoCapacity, PeerErrc::kNoAnswer},
     {"503 S", CoreErrc::kStoreUnavailable, PeerErrc::kNoAnswer},
     {"504 G", CoreErrc::kOutcomeUnknown, PeerErrc::kNoAnswer},
 };
--- a/src/soak/task_watch.h
+++ b/src/soak/task_watch.h
@@ -28,7 +28,7 @@
   int64_t from = 0;
   int64_t until = 0;
   bool active = true;
-  RunEnd end = RunEnd::kLapsed;
+  RunEnd end = RunEnd::kLeaseExpired;
   /// The end can still be acknowledged: the lease has not expired since.
   bool can_be_acknowledged = true;
   bool acknowledged = false;
--- a/src/soak/task_watch_test.cpp
+++ b/src/soak/task_watch_test.cpp
@@ -81,7 +81,7 @@
 
 BOOST_AUTO_TEST_CASE(Watch_SecondRunAfterTheFirst_IsFine) {
   Start("a", kTask, 1);
-  End("a", kTask, 1, RunEnd::kLapsed);
+  End("a", kTask, 1, RunEnd::kLeaseExpired);
   Start("b", kTask, 2);
   BOOST_TEST(broken.empty());
 }
--- a/src/standin/record_store_model.cpp
+++ b/src/standin/record_store_model.cpp
@@ -32,7 +32,7 @@
 
 StoreItems RecordStoreModel::List(const std::string& prefix) const {
   StoreItems items;
-  items.at = revision_;
+  items.revision = revision_;
   for (auto it = items_.lower_bound(prefix);
        it != items_.end() && it->first.starts_with(prefix); ++it) {
     items.items.push_back(it->second);
@@ -46,7 +46,7 @@
   if (after < compacted_revision_) {
     return KvErrc::kCompacted;
   }
-  events->at = revision_;
+  events->revision = revision_;
   const auto first = std::partition_point(
       history_.begin(), history_.end(),
       [after](const StoreItem& item) { return item.revision <= after; });
@@ -105,7 +105,7 @@
   StoreItem event;
   event.key = key;
   event.revision = revision_;
-  event.gone = true;
+  event.deleted = true;
   history_.push_back(event);
 }
 
--- a/src/standin/run_worker_model.cpp
+++ b/src/standin/run_worker_model.cpp
@@ -63,7 +63,7 @@
     } else if (stopped) {
       ended_tasks.emplace_back(task, RunEnd::kStopped);
     } else if (now_ >= lease_until_) {
-      ended_tasks.emplace_back(task, RunEnd::kLapsed);
+      ended_tasks.emplace_back(task, RunEnd::kLeaseExpired);
     }
   }
   for (const auto& [task, end] : ended_tasks) {
@@ -123,18 +123,18 @@
   });
 }
 
-std::error_code RunWorkerModel::Hold(const HoldOrder& order,
+std::error_code RunWorkerModel::Poll(const PollOrder& order,
                                      WorkerReport* report) {
   if (IsFenced(order.token)) {
     return RunErrc::kFenced;
   }
-  ExtendLease(order.until);
-  DropAcknowledgedEnds(order.last_seen);
+  ExtendLease(order.lease_end);
+  DropAcknowledgedEnds(order.forget_up_to);
   report->clock = now_;
   const size_t listed = std::min(ended_.size(), kMaxEndsListed);
   report->ended.assign(ended_.begin(),
                        ended_.begin() + static_cast<std::ptrdiff_t>(listed));
-  report->more_ended = listed == kMaxEndsListed;
+  report->has_more_ends = listed == kMaxEndsListed;
   for (const auto& [task, active] : runs_) {
     ActiveRun row;
     row.task = task;
@@ -152,16 +152,16 @@
   if (IsFenced(order.token)) {
     return RunErrc::kFenced;
   }
-  ExtendLease(order.until);
+  ExtendLease(order.lease_end);
   const auto running = runs_.find(order.task);
   if (running != runs_.end() && running->second.run == order.run) {
     return {};
   }
   if (highest_ended_run_[order.task] >= order.run || running != runs_.end()) {
-    return RunErrc::kOldRun;
+    return RunErrc::kStaleRun;
   }
-  if (order.until <= now_) {
-    return RunErrc::kLate;
+  if (order.lease_end <= now_) {
+    return RunErrc::kLeaseExpired;
   }
   Active active;
   active.run = order.run;
--- a/src/standin/run_worker_model.h
+++ b/src/standin/run_worker_model.h
@@ -51,7 +51,7 @@
   /// finished or stopped, or all runs if the worker's lease has expired.
   void Advance(int64_t now);
 
-  std::error_code Hold(const HoldOrder& order, WorkerReport* report);
+  std::error_code Poll(const PollOrder& order, WorkerReport* report);
   std::error_code Start(const StartOrder& order);
   std::error_code Stop(const StopOrder& order);
   std::error_code Pace(const PaceOrder& order);
--- a/src/standin/worker.cpp
+++ b/src/standin/worker.cpp
@@ -24,7 +24,7 @@
   if (!error) {
     return {200, std::move(body)};
   }
-  return {error == make_error_code(WorkerErrc::kHeld) ? kHeld : kStale};
+  return {error == make_error_code(WorkerErrc::kHeldByOther) ? kHeld : kStale};
 }
 
 Json EventJson(const WorkerEvent& event) {
--- a/src/standin/worker_model.cpp
+++ b/src/standin/worker_model.cpp
@@ -38,7 +38,7 @@
   Tick(now);
   const bool held = now < control_lease_expiry_ && holder != holder_;
   if (held) {
-    return WorkerErrc::kHeld;
+    return WorkerErrc::kHeldByOther;
   }
   holder_ = holder;
   ++epoch_;
--- a/src/worker.adapter/http_workers.cpp
+++ b/src/worker.adapter/http_workers.cpp
@@ -20,7 +20,7 @@
     case kOk:
       return std::error_code();
     case kConflict:
-      return WorkerErrc::kHeld;
+      return WorkerErrc::kHeldByOther;
     case kPreconditionFailed:
       return WorkerErrc::kStaleEpoch;
     default:
