--- a/src/bench/cell.cpp
+++ b/src/bench/cell.cpp
@@ -33,9 +33,9 @@
   for (StepPlan& step : plan.steps) {
     step.size = {static_cast<int64_t>(2000 + (*random)() % 4000), 6000, 0};
     step.estimate = Millis(millis);
-    step.fills = best_effort;
+    step.best_effort = best_effort;
     step.checkpoints = best_effort;
-    step.lasting = long_running;
+    step.long_running = long_running;
     step.latency_target = Millis(long_running ? 150 : 0);
     step.image = "image" + std::to_string((*random)() % 18);
   }
--- a/src/fakes/cell_world.cpp
+++ b/src/fakes/cell_world.cpp
@@ -167,7 +167,7 @@
         return known != machines_.end() &&
                known->second.state == MachineState::kUpkeep;
       });
-  if (down >= plan->most_at_once) {
+  if (down >= plan->max_down) {
     violations_.push_back("more machines of a wave are down than it allows");
   }
   ++machine.upkeeps[wave];
--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -76,7 +76,7 @@
 class CellLeader : public WorkerSessionListener,
                    public JournalOwner,
                    public LeadProofListener,
-                   public WaveHost {
+                   public WorkerEvacuator {
  public:
   using SubmitCallback = CellJournal::AcceptCallback;
   /// Errors: CoreErrc::kNotFound if the cell has no such job, kNoOwner if this
@@ -167,8 +167,8 @@
   void OnLeadProved() override;
   void OnLeadDisproved(std::string_view reason) override;
 
-  // WaveHost
-  Occupancy EmptyWorker(const std::string& worker) override;
+  // WorkerEvacuator
+  Occupancy EvacuateWorker(const std::string& worker) override;
 
  private:
   enum class Stage { kStandby, kCampaigning, kReading, kLeading, kShutDown };
@@ -224,7 +224,7 @@
     Instant backoff_until{};
     /// Free capacity as last computed for placement, the session's version it
     /// was computed from, and when.
-    WorkerRoom candidate;
+    CandidateWorker candidate;
     uint64_t candidate_version = 0;
     Instant candidate_at{};
   };
@@ -240,7 +240,7 @@
   struct ReadyStep {
     StepRank rank;
     Job* job = nullptr;
-    int time = 0;
+    int repetition = 0;
     int step = 0;
   };
 
@@ -340,7 +340,7 @@
   void ExpireCancels();
   bool HasLongRunningCapacity(const JobPlan& plan);
   CellSummary Summarize() const;
-  LastingRoom& LongRunningAdmissionOf(const std::string& service);
+  LongRunningAdmission& LongRunningAdmissionOf(const std::string& service);
   /// Updates the model of each service's capacity for long-running tasks with
   /// the current load of other work.
   void ObserveLoads();
@@ -391,7 +391,7 @@
   void LogLostRun(const WorkerSession& session, const Run& run) const;
   void RecordRunTime(Task* task, const Run& run);
   /// Expected run time of a task, for each step of the job.
-  std::vector<Millis> ExpectedRunTimes(const Job& job, int time) const;
+  std::vector<Millis> ExpectedRunTimes(const Job& job, int repetition) const;
   void OnJobEnded(Job* job);
   void StopRunsOfJob(const Job& job);
   void StopRunsOfTask(const std::string& task);
@@ -444,8 +444,8 @@
   static int CrashCost(const WorkerSession& session);
   int CountWorkersOfService(std::string_view service) const;
   int ChooseTrialWorker(const Task& task,
-                        const StepPlaces& places,
-                        const std::vector<WorkerRoom*>& rooms) const;
+                        const StepCandidates& places,
+                        const std::vector<CandidateWorker*>& candidates) const;
   /// Whether an earlier leader may have started the task after the last crash
   /// that it recorded.
   static bool MayHaveUnreportedCrash(const Task& task);
@@ -456,16 +456,17 @@
   /// the start has to wait for the record.
   bool RecordTrial(Task* task, const WorkerIncarnation& incarnation);
   /// Index of the worker where the suspect may be started now; empty: it has to
-  /// wait. `rooms` are the workers that `places` evaluates.
-  std::optional<int> PlaceSuspect(const ReadyStep& ready,
-                                  Task* task,
-                                  const TaskNeed& need,
-                                  const std::vector<WorkerRoom*>& rooms,
-                                  StepPlaces* places);
+  /// wait. `candidates` are the workers that `places` evaluates.
+  std::optional<int> PlaceSuspect(
+      const ReadyStep& ready,
+      Task* task,
+      const TaskRequirements& need,
+      const std::vector<CandidateWorker*>& candidates,
+      StepCandidates* places);
   /// Closes workers with new runs to a gang that has a suspect task. Returns
   /// false if the gang has to wait.
   bool CloseWorkersWithNewRuns(std::vector<Task>* gang,
-                               std::vector<WorkerRoom>* rooms);
+                               std::vector<CandidateWorker>* candidates);
   void BeginTrial(const Task& task,
                   const std::shared_ptr<WorkerSession>& session);
   /// Polls the worker once its newest runs should have been at work for
@@ -510,7 +511,7 @@
   /// Sets when tasks that are ready for the first time became ready.
   void RecordReadySince(const std::vector<ReadyStep>& ready);
   /// Each worker as placement sees it, brought up to date.
-  std::vector<WorkerRoom*> CollectCandidates();
+  std::vector<CandidateWorker*> CollectCandidates();
   /// Whether work that was placed on the worker may be ordered there.
   bool MayReceiveOrders(const CellWorker& cell_worker) const;
   /// Whether the worker may get new work, apart from being reserved for a trial
@@ -520,22 +521,24 @@
   void RefreshCandidate(const std::string& id, CellWorker* cell_worker);
   bool IsReady(const Task& task) const;
   bool MayBeAtLastAttempt(const Task& task) const;
-  void PlaceStep(const ReadyStep& ready, const std::vector<WorkerRoom*>& rooms);
-  void PlaceGang(const ReadyStep& ready, const std::vector<WorkerRoom*>& rooms);
+  void PlaceStep(const ReadyStep& ready,
+                 const std::vector<CandidateWorker*>& candidates);
+  void PlaceGang(const ReadyStep& ready,
+                 const std::vector<CandidateWorker*>& candidates);
   /// Evaluates a worker for a step, with `planned` tasks of the step assigned
   /// to it but not ordered yet.
   void EvaluatePlace(const ReadyStep& ready,
-                     const TaskNeed& need,
-                     const WorkerRoom& room,
+                     const TaskRequirements& need,
+                     const CandidateWorker& candidate,
                      size_t place,
                      int planned,
-                     StepPlaces* places) const;
+                     StepCandidates* places) const;
   /// Evaluates all workers that have changed after that pass.
   void EvaluateChangedPlaces(const ReadyStep& ready,
-                             const TaskNeed& need,
-                             const std::vector<WorkerRoom*>& rooms,
+                             const TaskRequirements& need,
+                             const std::vector<CandidateWorker*>& candidates,
                              uint64_t pass,
-                             StepPlaces* places) const;
+                             StepCandidates* places) const;
   /// Counts a step that found no placement. Returns whether to log it now.
   bool ShouldLogWaitingStep(const ReadyStep& ready);
   void LogWaitingStep(const Task& task,
@@ -543,16 +546,16 @@
                       const ProblemCounts& problems);
   void StartTask(Task* task,
                  uint32_t run,
-                 WorkerRoom* room,
+                 CandidateWorker* candidate,
                  const std::string& ticket);
-  /// Returns a copy of `rooms` in which workers without a ticket for the step
-  /// are closed, and requests the missing tickets.
-  std::vector<WorkerRoom> CandidatesWithTickets(
+  /// Returns a copy of `candidates` in which workers without a ticket for the
+  /// step are closed, and requests the missing tickets.
+  std::vector<CandidateWorker> CandidatesWithTickets(
       const ReadyStep& ready,
-      const std::vector<WorkerRoom*>& rooms);
+      const std::vector<CandidateWorker*>& candidates);
   void UpdatePaces(WorkerSession& session);
   void MoveStuckBestEffortRuns(WorkerSession& session);
-  std::vector<ServingStrain> CollectUtilizations(
+  std::vector<ServingUtilization> CollectUtilizations(
       const WorkerSession& session) const;
   // cell_evacuation.cpp: moving work off workers that leave or are emptied.
   void EvacuateLeavingWorkers();
@@ -563,7 +566,7 @@
                       const std::vector<std::string>& tasks,
                       std::string_view cause);
   bool MayStopForMaintenance(const Task& task) const;
-  std::string RackOfStep(const Job& job, int time, int step) const;
+  std::string RackOfStep(const Job& job, int repetition, int step) const;
 
   Executor& executor_;
   RecordStore& store_;
@@ -630,7 +633,7 @@
   JobTable jobs_;
   CellJournal journal_;
   LeadProof proof_;
-  WorkerTrust trust_;
+  WorkerQuarantine trust_;
   /// Whether this instance could rely on the recorded placements of
   /// long-running tasks when it took the lead; and the store revision up to
   /// which registered instances can rely on them now.
@@ -641,11 +644,11 @@
   std::set<std::string> unrecorded_placements_;
   std::set<std::string> starts_awaiting_record_;
   CrashTrials trials_;
-  CrashWave wave_;
+  MassCrashDetector wave_;
   InterferenceModel interference_;
   RunTimeModel run_times_;
-  HopelessFits hopeless_;
-  std::map<std::string, LastingRoom> long_running_admission_;
+  FailedPlacements hopeless_;
+  std::map<std::string, LongRunningAdmission> long_running_admission_;
   /// Number of scheduling passes so far.
   uint64_t pass_ = 0;
   /// Steps of this pass that found no placement; more urgent steps are counted
@@ -653,7 +656,7 @@
   int waiting_steps_ = 0;
   Instant waiting_logged_{};
   TicketBook tickets_;
-  WaveKeeper waves_;
+  UpkeepWaveController waves_;
   std::map<std::string, CellWorker> cell_workers_;
   /// Incarnations that are proven to have ended but are still listed, with
   /// their addresses.
--- a/src/include/doorwood/cell_policy.h
+++ b/src/include/doorwood/cell_policy.h
@@ -43,7 +43,7 @@
   Millis probe_interval{1000};
   /// Best-effort work is placed beside serving tasks, or sped up, only where
   /// their tail latency is then expected below this share of its target.
-  double tail_wanted = 0.85;
+  double wanted_tail_share = 0.85;
   /// Above this share of the target best-effort work is slowed down.
   double throttle_tail_share = 0.9;
   /// Above this multiple of the target all best-effort work stops.
@@ -51,7 +51,7 @@
   /// A serving task whose mean tail latency is at or above this share of its
   /// target counts as over the target. The share is below 1 because reported
   /// latencies are noisy.
-  double tail_over = 0.95;
+  double over_target_tail_share = 0.95;
   /// All best-effort work beside a serving task stops once the task has been
   /// over its target for this long. The platform's bound is 4 s; latencies
   /// cover the last 0.5 s, and orders take effect after 0.1 s.
@@ -60,21 +60,21 @@
   int max_pace_increase = 25;
   /// Share of the processors reserved by serving tasks that they are assumed to
   /// use. The mean over one simulated day was 0.48.
-  double serving_use = 0.45;
+  double serving_cpu_use_ratio = 0.45;
   CrashOptions crashes;
-  LastingRoomOptions lasting_room;
+  LongRunningAdmissionOptions long_running_admission;
   InterferenceOptions interference;
   RunTimeOptions run_times;
 };
 
 /// Processors that the long-running steps of a plan reserve, in thousandths.
-int64_t LastingCpu(const JobPlan& plan);
+int64_t LongRunningCpu(const JobPlan& plan);
 
 /// Urgency of a step. Lower sorts first, member by member.
 struct StepRank {
   /// 0: long-running; 1: on time; 2: late but still of value; 3: too late to be
   /// of value.
-  int group = 0;
+  int urgency_class = 0;
   int priority = 0;
   /// On time: the job's remaining work, in thousandths of a processor times ms.
   /// When there is more work than capacity, this finishes some jobs in time
@@ -82,7 +82,7 @@
   /// heavily overloaded deployment and changed by -1% to +2% on four others.
   /// Late: the latest start that is still of value, in ms since 1970.
   /// Otherwise: when the step was due, in ms since 1970.
-  int64_t order = 0;
+  int64_t order_in_class = 0;
 
   friend auto operator<=>(const StepRank&, const StepRank&) = default;
 };
@@ -114,14 +114,14 @@
 /// The serving tasks of one image on a worker: the modelled utilization of the
 /// most loaded one, including best-effort work that was started too recently to
 /// show in reports, and the highest utilization allowed.
-struct ServingStrain {
+struct ServingUtilization {
   ImageId image = 0;
-  double strain = 0;
-  double wanted = 1;
+  double utilization = 0;
+  double max_utilization = 1;
 };
 
 /// State of a worker that placement depends on.
-struct WorkerRoom {
+struct CandidateWorker {
   std::string_view id;
   std::string_view service;
   std::string_view rack;
@@ -134,15 +134,15 @@
   int serving = 0;
   /// Processors that serving tasks reserve, in thousandths.
   int64_t serving_cpu = 0;
-  std::vector<ServingStrain> strains;
+  std::vector<ServingUtilization> serving_utilizations;
   /// Whether the worker accepts new work.
-  bool open = true;
+  bool accepts_work = true;
   /// The last scheduling pass that found the worker changed.
-  uint64_t changed_in = 0;
+  uint64_t last_changed_pass = 0;
 };
 
 /// Properties of a task that placement depends on, besides its step's plan.
-struct TaskNeed {
+struct TaskRequirements {
   std::string_view service;
   /// Of the step's image.
   ImageId image = 0;
@@ -175,8 +175,8 @@
 /// free capacity. `on_worker` is the number of the step's tasks there, which
 /// the caller counts.
 PlaceProblem FindPlaceProblem(const StepPlan& step,
-                              const TaskNeed& need,
-                              const WorkerRoom& worker,
+                              const TaskRequirements& need,
+                              const CandidateWorker& worker,
                               int on_worker,
                               const InterferenceModel& model,
                               const PolicyOptions& options);
@@ -184,29 +184,29 @@
 /// Preference for a worker; higher is better. Meaningful only for workers that
 /// may run the task.
 double PlaceScore(const StepPlan& step,
-                  const TaskNeed& need,
-                  const WorkerRoom& worker,
+                  const TaskRequirements& need,
+                  const CandidateWorker& worker,
                   const InterferenceModel& model);
 
 /// By how much the worst-off serving tasks of a worker would exceed their
 /// allowed utilization if best-effort work of `image` using `cores` were added.
 /// Negative values are headroom.
-double ExcessUtilization(const WorkerRoom& worker,
+double ExcessUtilization(const CandidateWorker& worker,
                          ImageId image,
                          double cores,
                          const InterferenceModel& model);
 
 /// Quarantines workers on which everything fails, as distinct from jobs that
 /// fail on every worker.
-class WorkerTrust {
+class WorkerQuarantine {
  public:
-  explicit WorkerTrust(const PolicyOptions& options) : options_(options) {}
+  explicit WorkerQuarantine(const PolicyOptions& options) : options_(options) {}
 
   void OnSuccess(const std::string& worker);
   void OnFailure(const std::string& worker, std::string_view job, Instant now);
   void OnStart(const std::string& worker, Instant now);
   /// False while the worker is quarantined, or waits for its next probe.
-  bool Allows(const std::string& worker, Instant now) const;
+  bool AllowsStart(const std::string& worker, Instant now) const;
   void Forget(const std::string& worker);
 
  private:
--- a/src/include/doorwood/crash_guard.h
+++ b/src/include/doorwood/crash_guard.h
@@ -25,10 +25,10 @@
 struct CrashOptions {
   /// A run that was observed running for this long is not a suspect after its
   /// first crash.
-  Millis at_work{500};
+  Millis unsuspected_after{500};
   /// A run that was observed running for this long is not related to a crash,
   /// and earlier crash notes of its task are dropped.
-  Millis cleared{10'000};
+  Millis unrelated_after{10'000};
   /// A trial lasts twice as long as the suspect was observed running before a
   /// crash, within these bounds: a faulty task crashes its workers at about the
   /// same age each time.
@@ -56,15 +56,15 @@
 /// A run that was on a worker when the worker crashed.
 struct RunAtCrash {
   /// Time for which the worker kept reporting after it had confirmed the run.
-  Millis at_work{0};
+  Millis observed_running{0};
   /// The run was alone on the worker, as a trial, since its confirmed start.
-  bool tried = false;
+  bool in_trial = false;
   /// The run had been going for some time before this leader learned of it.
   bool adopted = false;
 };
 
 /// Role of a run in a crash.
-enum class Blame {
+enum class CrashRole {
   kNone,
   /// The run was recent but had already been observed running, or another run
   /// was in a trial there.
@@ -73,8 +73,8 @@
 };
 
 /// Returns one entry per run, in the order of `runs`.
-std::vector<Blame> BlameCrash(std::span<const RunAtCrash> runs,
-                              const CrashOptions& options);
+std::vector<CrashRole> ClassifyRuns(std::span<const RunAtCrash> runs,
+                                    const CrashOptions& options);
 
 enum class CrashVerdict {
   /// The task may run beside others.
@@ -91,7 +91,7 @@
 /// confirmed process restart, or three observed in any way. It is also given up
 /// after five crashes as a suspect, two of them confirmed. Crashes while many
 /// workers crashed do not count.
-CrashVerdict JudgeCrashes(std::span<const CrashNote> crashes);
+CrashVerdict AssessCrashes(std::span<const CrashNote> crashes);
 
 /// The task crashed a worker in a trial. Such a task is restarted with a delay,
 /// and only few are in trials at a time. Other suspects may merely have been
@@ -100,29 +100,28 @@
 
 /// How long the task must be observed running before its worker accepts other
 /// new work.
-Millis TrialOf(std::span<const CrashNote> crashes, const CrashOptions& options);
+Millis TrialDuration(std::span<const CrashNote> crashes,
+                     const CrashOptions& options);
 
 /// Delay before a likely culprit is restarted after its newest crash. `jitter`
 /// lies between 0 and 1.
-Millis PauseAfterCrashes(size_t crashes,
-                         double jitter,
-                         const CrashOptions& options);
+Millis RestartDelay(size_t crashes, double jitter, const CrashOptions& options);
 
 /// Tells isolated crashes from simultaneous crashes of many workers.
-class CrashWave {
+class MassCrashDetector {
  public:
   struct Crash {
     Instant at{};
     /// Task names and run numbers of the suspects.
-    std::vector<std::pair<std::string, uint32_t>> blamed;
+    std::vector<std::pair<std::string, uint32_t>> suspects;
   };
 
-  explicit CrashWave(const CrashOptions& options) : options_(options) {}
+  explicit MassCrashDetector(const CrashOptions& options) : options_(options) {}
 
   /// Records a crash outside of trials. Calls must be in order of time;
-  /// IsOneOfMany then tells whether the newest one belongs to a mass crash.
+  /// IsMassCrash then tells whether the newest one belongs to a mass crash.
   void Add(Crash crash);
-  bool IsOneOfMany() const {
+  bool IsMassCrash() const {
     return crashes_.size() >= options_.mass_crash_size;
   }
   /// The crashes within the last window, including those recorded before the
@@ -144,20 +143,20 @@
     std::string service;
     Instant since{};
     /// The suspect is a likely culprit.
-    bool likely = false;
+    bool likely_culprit = false;
     /// Time for which the suspect must be observed running.
-    Millis length{0};
+    Millis duration{0};
     bool started = false;
-    /// The suspect was observed running for `length`, so its worker accepts
+    /// The suspect was observed running for `duration`, so its worker accepts
     /// other work again.
-    bool settled = false;
+    bool passed = false;
   };
 
   explicit CrashTrials(const CrashOptions& options) : options_(options) {}
 
   /// Reserves a worker for the task and replaces any earlier reservation.
-  void Keep(const std::string& task, Trial trial);
-  void Settle(const std::string& task);
+  void Reserve(const std::string& task, Trial trial);
+  void MarkPassed(const std::string& task);
   void End(const std::string& task);
   /// Drops reservations whose trial did not start in time.
   void Expire(Instant now);
@@ -166,12 +165,12 @@
   /// Returns null if there is no trial.
   const Trial* Find(const std::string& task) const;
   /// Whether the worker is reserved for a trial.
-  bool Keeps(std::string_view worker) const;
+  bool IsReserved(std::string_view worker) const;
   /// Whether the task was started there as a suspect and its trial has not
   /// finished.
-  bool IsTrying(const std::string& task, std::string_view worker) const;
+  bool IsInTrial(const std::string& task, std::string_view worker) const;
   /// Whether another trial may begin on one of the service's `workers` workers.
-  bool HasPlace(std::string_view service, int workers, bool likely) const;
+  bool HasFreeSlot(std::string_view service, int workers, bool likely) const;
   const std::map<std::string, Trial>& trials() const { return trials_; }
 
  private:
--- a/src/include/doorwood/interference.h
+++ b/src/include/doorwood/interference.h
@@ -52,7 +52,7 @@
   /// work beside it.
   double load_learning_rate = 0.3;
   double load_learning_rate_alone = 0.6;
-  double first_load = 0.45;
+  double initial_load = 0.45;
 };
 
 /// Number of an image in the model, from 0. Names are looked up once per step
@@ -61,7 +61,7 @@
 using ImageId = int;
 
 /// Best-effort work on one worker: its image and the cores it uses.
-struct FillLoad {
+struct BestEffortLoad {
   ImageId image = 0;
   double cores = 0;
 };
@@ -76,11 +76,11 @@
 
   /// Utilization of a task of `image` whose tail latency is `figure`
   /// milliseconds.
-  double Strain(ImageId image, int64_t figure, Millis target) const;
+  double Utilization(ImageId image, int64_t figure, Millis target) const;
   /// Utilization at which the tail latency equals `share` of the target.
-  double StrainAt(ImageId image, Millis target, double share) const;
+  double UtilizationAtShare(ImageId image, Millis target, double share) const;
   /// Utilization that a core of `best_effort_image` adds to tasks of `serving`.
-  double Press(ImageId serving, ImageId best_effort_image) const {
+  double InterferencePerCore(ImageId serving, ImageId best_effort_image) const {
     return interference_[serving][best_effort_image];
   }
 
@@ -90,11 +90,11 @@
   double Observe(ImageId serving,
                  int64_t figure,
                  Millis target,
-                 std::span<const FillLoad> best_effort,
+                 std::span<const BestEffortLoad> best_effort,
                  double load);
 
   /// Decays the factors by `passed`; to be called periodically.
-  void Relax(Millis passed);
+  void Decay(Millis passed);
 
  private:
   double BaseLatency(ImageId image, Millis target) const;
--- a/src/include/doorwood/job_plan.h
+++ b/src/include/doorwood/job_plan.h
@@ -19,7 +19,7 @@
 namespace doorwood {
 
 /// Limits on a plan, so that a single job cannot exhaust an instance's memory.
-constexpr int kMostTasksOfJob = 20'000;
+constexpr int kMaxTasksPerJob = 20'000;
 constexpr int kMaxStepsPerJob = 200;
 constexpr int kMaxRepetitionsPerJob = 10'000;
 constexpr size_t kMaxPayloadBytes = 4'000;
@@ -39,10 +39,10 @@
   /// Tasks are slow unless they share a rack.
   bool same_rack = false;
   /// Long-running: tasks run until the job is cancelled.
-  bool lasting = false;
+  bool long_running = false;
   /// Best-effort: the processors of these tasks are not reserved; they use what
   /// other work leaves.
-  bool fills = false;
+  bool best_effort = false;
   /// Copies of a task may run at the same time.
   bool duplicates = false;
   /// Label that a worker must have; empty: any worker.
@@ -50,9 +50,9 @@
   /// Rack that holds the data; empty: none.
   std::string data_rack;
   /// Most tasks of this step on one worker; 0: no limit.
-  int most_per_worker = 0;
+  int max_per_worker = 0;
   /// Most tasks of a long-running step that planned work may stop at a time.
-  std::optional<int> may_miss;
+  std::optional<int> max_unavailable;
   /// Tasks of one image behave alike.
   std::string image;
   /// Upper bound on the tail latency of a serving task; 0: none.
@@ -68,7 +68,7 @@
   std::vector<StepPlan> steps;
   /// If positive, the steps run this many times; repetition K is due at
   /// `first_due` + K * `interval`.
-  int times = 0;
+  int repeat_count = 0;
   /// Milliseconds since 1970.
   int64_t first_due = 0;
   Millis interval{0};
@@ -76,7 +76,7 @@
   int64_t accepted_at = 0;
 
   /// How many times the steps run in total.
-  int repetitions() const { return times > 0 ? times : 1; }
+  int repetitions() const { return repeat_count > 0 ? repeat_count : 1; }
 };
 
 /// Returns a sentence that names the invalid field, or nothing if the plan is
--- a/src/include/doorwood/job_table.h
+++ b/src/include/doorwood/job_table.h
@@ -28,7 +28,7 @@
 /// Evidence for a crash of a worker while a task was there.
 enum class CrashEvidence {
   /// Another incarnation of the worker answered in its place.
-  kOtherLife,
+  kRestarted,
   /// The worker became unresponsive and its entry disappeared without a planned
   /// shutdown, or another incarnation answered after a shutdown had been
   /// announced.
@@ -36,9 +36,9 @@
   /// Whether the worker crashed is not known yet: it became unresponsive when
   /// the run was new, or an earlier leader may have started the task after it
   /// recorded the last crash.
-  kUntold,
+  kUnconfirmed,
   /// A trial of the run is in progress or about to start; this leader knows of
-  /// no crash. A successor reads it as kUntold.
+  /// no crash. A successor reads it as kUnconfirmed.
   kTrial,
 };
 
@@ -48,33 +48,33 @@
   /// The worker's machine, or the worker's id if the machine is unknown.
   std::string machine;
   std::string worker;
-  CrashEvidence evidence = CrashEvidence::kOtherLife;
+  CrashEvidence evidence = CrashEvidence::kRestarted;
   /// The run was among the newest on the worker.
   bool suspect = false;
   /// The run was alone on the worker, as a trial.
-  bool alone = false;
+  bool in_trial = false;
   /// Many workers crashed at about the same time.
-  bool one_of_many = false;
+  bool mass_crash = false;
   /// How long the run had been observed running.
-  Millis at_work{0};
+  Millis observed_running{0};
 
   friend bool operator==(const CrashNote&, const CrashNote&) = default;
 };
 
 /// To what extent `Task::place` is recorded in the store.
-enum class PlaceRecord {
+enum class AssignmentRecord {
   /// The newest record of the job holds it.
   kRecorded,
   /// A batch whose outcome is not known yet holds it.
-  kWritten,
+  kInFlight,
   kChanged,
 };
 
-/// One task. The fields from `last_run` to `place` are kept in the store; the
-/// others are not.
+/// One task. The fields from `last_run` to `assigned_worker` are kept in the
+/// store; the others are not.
 struct Task {
   Job* job = nullptr;
-  int time = 0;
+  int repetition = 0;
   int step = 0;
   int index = 0;
 
@@ -97,28 +97,28 @@
   /// For a long-running task: the only worker on which a run of it may be
   /// active; empty: none. It is recorded before the task is ordered there, so
   /// that a successor need not consider other workers.
-  std::string place;
-  PlaceRecord place_record = PlaceRecord::kRecorded;
+  std::string assigned_worker;
+  AssignmentRecord assignment_record = AssignmentRecord::kRecorded;
 
   /// The store does not hold the newest crash yet.
   bool crash_unrecorded = false;
-  /// A crash of kind CrashEvidence::kUntold is possible but not noted yet.
-  bool crash_untold = false;
+  /// A crash of kind CrashEvidence::kUnconfirmed is possible but not noted yet.
+  bool crash_unconfirmed = false;
   /// The task is not started before this time after a crash.
-  Instant rests_until{};
+  Instant no_start_before{};
   /// True while a run is ordered, active, or not known to have ended. Changed
   /// by JobTable::SetPlaced.
   bool placed = false;
   /// Set at takeover while a worker that was not contacted yet may still run
   /// the task.
-  bool unaccounted = false;
+  bool may_still_run = false;
   /// After a takeover: the adopted run (0: none); the highest run up to which
   /// all ends are recorded; and the runs between these two whose ends workers
   /// have reported. Each other run between them may have failed on a worker
   /// that was not contacted yet.
   uint32_t adopted_run = 0;
   uint32_t recorded_run = 0;
-  std::vector<uint32_t> told_runs;
+  std::vector<uint32_t> reported_runs;
   /// Worker where the task failed last; others are preferred.
   std::string failed_on;
   /// When the task last became ready; for measuring waiting times.
@@ -126,7 +126,7 @@
 
   /// Number of runs before the adopted one that may have failed without a
   /// report.
-  uint32_t UnheardEnds() const;
+  uint32_t CountUnreportedEnds() const;
 
   /// Returns the note of a trial with that run, or null.
   const CrashNote* FindTrial(uint32_t run) const;
@@ -142,14 +142,14 @@
   int idle = 0;
   /// Total run time of the tasks that ran at full speed from their start, and
   /// the number of these tasks.
-  Millis taken{0};
-  int taken_of = 0;
+  Millis total_run_time{0};
+  int run_time_samples = 0;
   /// When it was last logged that the step waits for a worker.
-  Instant waiting_told{};
+  Instant waiting_logged_at{};
   std::vector<Task> tasks;
 };
 
-struct TimeState {
+struct RepetitionState {
   std::vector<StepState> steps;
   int steps_done = 0;
 };
@@ -158,7 +158,7 @@
 
 struct Job {
   JobPlan plan;
-  std::deque<TimeState> times;
+  std::deque<RepetitionState> repetitions;
   JobOutcome outcome = JobOutcome::kOpen;
   /// The outcome is recorded in the store.
   bool outcome_recorded = false;
@@ -167,7 +167,7 @@
   /// Milliseconds since 1970; 0: not finished.
   int64_t finished_at = 0;
   /// A task of the job has started.
-  bool begun = false;
+  bool started = false;
   int repetitions_done = 0;
   /// The store does not hold the newest state yet.
   bool dirty = false;
@@ -193,7 +193,7 @@
 /// The parts of "JOB.TIME.STEP.INDEX".
 struct TaskName {
   std::string_view job;
-  int time = 0;
+  int repetition = 0;
   int step = 0;
   int index = 0;
 };
@@ -240,16 +240,16 @@
   /// Adds the crash, or replaces the note of that run. Returns false if the
   /// note is unchanged or final, or if the task is done.
   static bool NoteCrash(Task* task, CrashNote crash);
-  /// Removes a kUntold note of the run. Returns whether there was one.
-  static bool DropUntold(Task* task, uint32_t run);
+  /// Removes a kUnconfirmed note of the run. Returns whether there was one.
+  static bool RemoveUnconfirmed(Task* task, uint32_t run);
   /// Notes the worker of the task's next trial and replaces any other trial.
   static void NoteTrial(Task* task, CrashNote trial);
   /// Removes the note of a trial that ended without a crash or did not start.
   /// Returns whether there was one.
-  static bool DropTrial(Task* task);
+  static bool RemoveTrial(Task* task);
   /// Changes where the task may run. Returns false if the store already holds
   /// this value.
-  static bool SetPlace(Task* task, const std::string& worker);
+  static bool SetAssignedWorker(Task* task, const std::string& worker);
   /// Finishes the job. Returns false if it is already finished.
   bool Finish(Job* job, JobOutcome outcome);
 
--- a/src/include/doorwood/lasting_room.h
+++ b/src/include/doorwood/lasting_room.h
@@ -19,7 +19,7 @@
 
 namespace doorwood {
 
-struct LastingRoomOptions {
+struct LongRunningAdmissionOptions {
   /// Share of a service's processors that long-running work may reserve before
   /// the demand of other work is known.
   double initial_share = 0.6;
@@ -46,15 +46,16 @@
 /// Processors of a service, in thousandths.
 struct ServiceLoad {
   /// Processors that serving work leaves to other work.
-  double left = 0;
+  double available = 0;
   /// Processors requested by other work that runs, or that lacks only a
   /// placement.
-  double asked = 0;
+  double requested = 0;
 };
 
-class LastingRoom {
+class LongRunningAdmission {
  public:
-  explicit LastingRoom(const LastingRoomOptions& options) : options_(options) {}
+  explicit LongRunningAdmission(const LongRunningAdmissionOptions& options)
+      : options_(options) {}
 
   /// To be called a few times a second.
   void Observe(const ServiceLoad& load, Instant now);
@@ -67,13 +68,13 @@
               Instant now) const;
 
   /// Recent peak use of the processors that serving work leaves.
-  double use() const { return use_; }
+  double peak_use() const { return peak_use_; }
   /// Whether other work has been present for long enough.
-  bool IsProved(Instant now) const;
+  bool HasObservedLoad(Instant now) const;
 
  private:
-  const LastingRoomOptions options_;
-  double use_ = 0;
+  const LongRunningAdmissionOptions options_;
+  double peak_use_ = 0;
   Instant observed_{};
   /// Since when other work is present; zero: it has not been seen yet.
   Instant present_since_{};
--- a/src/include/doorwood/machine_platform.h
+++ b/src/include/doorwood/machine_platform.h
@@ -40,7 +40,7 @@
   /// Time within which all machines should have been down.
   Millis duration{0};
   /// Most machines of the wave that may be down at the same time.
-  int most_at_once = 1;
+  int max_down = 1;
 };
 
 enum class WaveState { kRunning, kCompleted };
--- a/src/include/doorwood/pacing.h
+++ b/src/include/doorwood/pacing.h
@@ -16,17 +16,17 @@
 namespace doorwood {
 
 /// A serving task in a report.
-struct PacedServing {
+struct PacedServingTask {
   ImageId image = 0;
-  int64_t figure = 0;
+  int64_t tail_latency_ms = 0;
   Millis target{0};
   /// How long its tail latency has been at or above the target, by the mean of
   /// its delayed and noisy reports.
-  Millis over_for{0};
+  Millis over_target_for{0};
 };
 
 /// A best-effort task in a report.
-struct PacedFill {
+struct PacedBestEffortTask {
   std::string task;
   ImageId image = 0;
   /// Processors that the task would use at full speed.
@@ -48,16 +48,17 @@
 /// smallest effect are sped up first, by one step each. Once a serving task has
 /// been over its target for long, all best-effort tasks stop, whatever the
 /// model expects.
-std::vector<PaceDecision> DecidePaces(const std::vector<PacedServing>& serving,
-                                      const std::vector<PacedFill>& best_effort,
-                                      const InterferenceModel& model,
-                                      const PolicyOptions& options);
+std::vector<PaceDecision> DecidePaces(
+    const std::vector<PacedServingTask>& serving,
+    const std::vector<PacedBestEffortTask>& best_effort,
+    const InterferenceModel& model,
+    const PolicyOptions& options);
 
 /// Processors that a best-effort task will use beyond those in the newest
 /// report: all of them for a `fresh` task, which is in no report yet, and
 /// otherwise those that its pace withholds. Withheld processors take precedence
 /// over newer work.
-double CoresToCome(double full_cores, bool fresh, int pace);
+double PendingCores(double full_cores, bool fresh, int pace);
 
 }  // namespace doorwood
 
--- a/src/include/doorwood/place_search.h
+++ b/src/include/doorwood/place_search.h
@@ -27,19 +27,19 @@
 /// once, and again only after a task was placed there: according to a profile,
 /// a leader of 490 workers spent half of its processor time on evaluating each
 /// worker for each task.
-class StepPlaces {
+class StepCandidates {
  public:
   /// All of `workers` count as unchanged, and therefore unsuitable, until they
   /// are evaluated. The arguments must outlive this object.
-  StepPlaces(const StepPlan& step,
-             std::span<WorkerRoom* const> workers,
-             const InterferenceModel& model,
-             const PolicyOptions& options);
+  StepCandidates(const StepPlan& step,
+                 std::span<CandidateWorker* const> workers,
+                 const InterferenceModel& model,
+                 const PolicyOptions& options);
 
   /// Evaluates one worker. `on_worker` is the number of the step's tasks there.
-  void Judge(size_t index, const TaskNeed& need, int on_worker);
+  void Evaluate(size_t index, const TaskRequirements& need, int on_worker);
   /// Whether the task may run there.
-  bool IsGood(size_t index) const;
+  bool IsSuitable(size_t index) const;
   /// Index of the best suitable worker, or kNoWorker. `avoid` is returned only
   /// if no other worker is suitable.
   int Best(std::string_view avoid) const;
@@ -47,7 +47,7 @@
 
  private:
   const StepPlan& step_;
-  const std::span<WorkerRoom* const> workers_;
+  const std::span<CandidateWorker* const> workers_;
   const InterferenceModel& model_;
   const PolicyOptions& options_;
   std::vector<PlaceProblem> problems_;
@@ -57,11 +57,11 @@
 /// Remembers which tasks found no worker, and in which pass. A task of the same
 /// kind that is at least as large is not tried again on workers that have not
 /// changed since.
-class HopelessFits {
+class FailedPlacements {
  public:
   /// The newest pass in which a task of the same kind, no larger than `step`'s,
   /// found no worker of `service`; 0: none.
-  uint64_t TriedIn(const StepPlan& step, std::string_view service) const;
+  uint64_t LastFailedPass(const StepPlan& step, std::string_view service) const;
   /// Records that `step` found no worker in `pass`. Ignored if constraints
   /// other than the step's size and kind may have ruled out workers.
   void Add(const StepPlan& step, std::string_view service, uint64_t pass);
@@ -69,7 +69,7 @@
  private:
   struct Entry {
     std::string service;
-    bool fills = false;
+    bool best_effort = false;
     /// Set for best-effort work, whose placement depends on its interference.
     std::string image;
     Resources size;
--- a/src/include/doorwood/wave_keeper.h
+++ b/src/include/doorwood/wave_keeper.h
@@ -41,33 +41,33 @@
 enum class Occupancy {
   kEmpty,
   /// Only work that may be stopped and run again.
-  kExpendable,
+  kRestartable,
   /// Work that must not be stopped now.
-  kNeeded,
+  kMustNotStop,
 };
 
 /// The cell's part in a wave: evacuating workers.
-class WaveHost {
+class WorkerEvacuator {
  public:
-  virtual ~WaveHost() = default;
+  virtual ~WorkerEvacuator() = default;
 
   /// Places no new work on the worker and moves its work away, as far as the
   /// limits of that work allow. To be called again until the worker is empty.
-  virtual Occupancy EmptyWorker(const std::string& worker) = 0;
+  virtual Occupancy EvacuateWorker(const std::string& worker) = 0;
 };
 
 /// Active only between `Open` and `Close`, that is, while this process leads
 /// the cell.
-class WaveKeeper {
+class UpkeepWaveController {
  public:
   /// Without a `platform` (null) there are no waves.
-  WaveKeeper(Executor& executor,
-             RecordStore& store,
-             MachinePlatform* platform,
-             WaveHost& host,
-             EventLog& log,
-             const WaveOptions& options,
-             std::string cell);
+  UpkeepWaveController(Executor& executor,
+                       RecordStore& store,
+                       MachinePlatform* platform,
+                       WorkerEvacuator& host,
+                       EventLog& log,
+                       const WaveOptions& options,
+                       std::string cell);
 
   void Open(std::string holder, int64_t epoch);
   void Close();
@@ -126,7 +126,7 @@
   Executor& executor_;
   RecordStore& store_;
   MachinePlatform* const platform_;
-  WaveHost& host_;
+  WorkerEvacuator& host_;
   EventLog& log_;
   const WaveOptions options_;
   const std::string cell_;
--- a/src/libdoorwood/cell/cell_address_test.cpp
+++ b/src/libdoorwood/cell/cell_address_test.cpp
@@ -30,7 +30,7 @@
     world.WaitForLeader();
     world.Run(Millis(1000));
     JobPlan plan = fakes::MakePlan("00112233aabbccdd", 1, 1, "");
-    plan.steps[0].lasting = true;
+    plan.steps[0].long_running = true;
     world.Submit(plan);
     world.Run(Millis(1500));
     for (const auto& [id, worker] : world.workers()) {
--- a/src/libdoorwood/cell/cell_calls.cpp
+++ b/src/libdoorwood/cell/cell_calls.cpp
@@ -44,7 +44,7 @@
 }
 
 bool CellLeader::HasLongRunningCapacity(const JobPlan& plan) {
-  const int64_t requested = LastingCpu(plan);
+  const int64_t requested = LongRunningCpu(plan);
   const auto queue = known_queues_.find(plan.queue);
   if (requested == 0 || queue == known_queues_.end() ||
       workers_read_ == Instant{}) {
@@ -64,9 +64,9 @@
   for (const Job* job : jobs_.OpenJobs()) {
     const Queue* other = QueueOf(*job);
     const bool is_same_service = other != nullptr && other->service == service;
-    reserved += is_same_service ? LastingCpu(job->plan) : 0;
+    reserved += is_same_service ? LongRunningCpu(job->plan) : 0;
   }
-  const LastingRoom& room = LongRunningAdmissionOf(service);
+  const LongRunningAdmission& room = LongRunningAdmissionOf(service);
   const Instant now = executor_.Now();
   if (room.Allows(requested, reserved, capacity, now)) {
     return true;
@@ -76,14 +76,15 @@
               {"asked_cpu", requested},
               {"lasting_cpu", reserved},
               {"capacity_cpu", capacity},
-              {"use", room.use()},
-              {"proved", room.IsProved(now)}});
+              {"use", room.peak_use()},
+              {"proved", room.HasObservedLoad(now)}});
   return false;
 }
 
-LastingRoom& CellLeader::LongRunningAdmissionOf(const std::string& service) {
+LongRunningAdmission& CellLeader::LongRunningAdmissionOf(
+    const std::string& service) {
   return long_running_admission_
-      .try_emplace(service, options_.policy.lasting_room)
+      .try_emplace(service, options_.policy.long_running_admission)
       .first->second;
 }
 
@@ -96,18 +97,19 @@
     }
     ServiceLoad& load = loads[session.incarnation().service];
     const auto serving = static_cast<double>(session.serving_cpu());
-    load.left +=
+    load.available +=
         static_cast<double>(session.incarnation().capacity.cpu_millis) -
-        options_.policy.serving_use * serving;
-    load.asked += static_cast<double>(session.reserved().cpu_millis +
-                                      session.best_effort_cpu()) -
-                  serving;
+        options_.policy.serving_cpu_use_ratio * serving;
+    load.requested += static_cast<double>(session.reserved().cpu_millis +
+                                          session.best_effort_cpu()) -
+                      serving;
   }
   const int64_t now = unix_millis_();
   for (const Job* job : jobs_.OpenJobs()) {
     const Queue* queue = QueueOf(*job);
     if (queue != nullptr) {
-      loads[queue->service].asked += static_cast<double>(WaitingCpu(*job, now));
+      loads[queue->service].requested +=
+          static_cast<double>(WaitingCpu(*job, now));
     }
   }
   for (const auto& [service, load] : loads) {
@@ -147,7 +149,7 @@
         break;
     }
   }
-  return job.begun ? JobPhase::kRunning : JobPhase::kQueued;
+  return job.started ? JobPhase::kRunning : JobPhase::kQueued;
 }
 
 void CellLeader::Cancel(const std::string& id, CancelCallback done) {
@@ -191,15 +193,15 @@
     if (job->outcome != JobOutcome::kOpen) {
       continue;
     }
-    if (!job->begun) {
+    if (!job->started) {
       ++summary.pending[job->plan.queue];
     }
     for (size_t step = 0; step < job->plan.steps.size(); ++step) {
       const StepPlan& plan = job->plan.steps[step];
-      if (plan.lasting) {
+      if (plan.long_running) {
         continue;
       }
-      const int left = plan.count - job->times.front().steps[step].done;
+      const int left = plan.count - job->repetitions.front().steps[step].done;
       summary.waiting_work += left * static_cast<double>(plan.size.cpu_millis) /
                               1e3 * static_cast<double>(plan.estimate.count()) /
                               1e3;
--- a/src/libdoorwood/cell/cell_campaign.cpp
+++ b/src/libdoorwood/cell/cell_campaign.cpp
@@ -207,9 +207,9 @@
   for (Job* job : open) {
     ForEachTask(job, [this](Task* task) {
       task->last_run += kRunNumberGap;
-      task->unaccounted = !task->done;
+      task->may_still_run = !task->done;
       task->recorded_run = task->counted_run;
-      task->crash_untold = MayHaveUnreportedCrash(*task);
+      task->crash_unconfirmed = MayHaveUnreportedCrash(*task);
       task->ready_since = executor_.Now();
     });
   }
--- a/src/libdoorwood/cell/cell_closed_test.cpp
+++ b/src/libdoorwood/cell/cell_closed_test.cpp
@@ -39,7 +39,7 @@
     char id[17];
     std::snprintf(id, sizeof(id), "%016x", number);
     JobPlan plan = fakes::MakePlan(id, 1, count, payload);
-    plan.steps[0].lasting = payload.empty();
+    plan.steps[0].long_running = payload.empty();
     world.Submit(plan);
   }
   size_t RunningIn(const std::string& centre) const {
--- a/src/libdoorwood/cell/cell_crashes.cpp
+++ b/src/libdoorwood/cell/cell_crashes.cpp
@@ -41,7 +41,7 @@
   }
   const bool leaving = session.incarnation().draining;
   if (session.dead()) {
-    return leaving ? CrashEvidence::kVanished : CrashEvidence::kOtherLife;
+    return leaving ? CrashEvidence::kVanished : CrashEvidence::kRestarted;
   }
   const bool vanished = !leaving && !cell_worker.listed &&
                         !cell_worker.entry_rejected &&
@@ -73,15 +73,15 @@
   std::vector<RunAtCrash> at_crash;
   for (const Run* run : runs) {
     const bool tried_alone = run->confirmed != Instant{} && !run->adopted &&
-                             trials_.IsTrying(run->task, incarnation.id);
+                             trials_.IsInTrial(run->task, incarnation.id);
     at_crash.push_back(
         {session.ObservedRunTime(*run), tried_alone, run->adopted});
   }
-  const std::vector<Blame> blames =
-      BlameCrash(at_crash, options_.policy.crashes);
+  const std::vector<CrashRole> blames =
+      ClassifyRuns(at_crash, options_.policy.crashes);
   std::vector<TaskCrashNote> notes;
   for (size_t i = 0; i < runs.size(); ++i) {
-    if (blames[i] == Blame::kNone) {
+    if (blames[i] == CrashRole::kNone) {
       continue;
     }
     CrashNote note;
@@ -89,9 +89,9 @@
     note.machine = MachineOf(incarnation);
     note.worker = incarnation.id;
     note.evidence = evidence;
-    note.suspect = blames[i] == Blame::kSuspect;
-    note.alone = at_crash[i].tried;
-    note.at_work = at_crash[i].at_work;
+    note.suspect = blames[i] == CrashRole::kSuspect;
+    note.in_trial = at_crash[i].in_trial;
+    note.observed_running = at_crash[i].observed_running;
     notes.emplace_back(runs[i]->task, std::move(note));
   }
   return notes;
@@ -105,17 +105,17 @@
   }
   ++counters_.worker_crashes;
   std::vector<TaskCrashNote> notes = AttributeCrash(session, *evidence);
-  const bool in_trial =
-      std::any_of(notes.begin(), notes.end(),
-                  [](const TaskCrashNote& note) { return note.second.alone; });
+  const bool in_trial = std::any_of(
+      notes.begin(), notes.end(),
+      [](const TaskCrashNote& note) { return note.second.in_trial; });
   // Crashes in trial runs are expected, so they don't indicate a common cause
   // with other crashes.
   const bool is_in_wave = !in_trial && AddToCrashWave(notes);
   LogCrash(session, notes, is_in_wave);
   for (auto& [name, note] : notes) {
     trials_.End(name);
-    note.one_of_many = is_in_wave;
-    if (note.suspect || evidence == CrashEvidence::kOtherLife) {
+    note.mass_crash = is_in_wave;
+    if (note.suspect || evidence == CrashEvidence::kRestarted) {
       NoteCrash(jobs_.FindTask(name), note);
     }
   }
@@ -128,7 +128,8 @@
   if (session.incarnation().draining) {
     return;
   }
-  for (auto& [name, note] : AttributeCrash(session, CrashEvidence::kUntold)) {
+  for (auto& [name, note] :
+       AttributeCrash(session, CrashEvidence::kUnconfirmed)) {
     Task* task = jobs_.FindTask(name);
     const bool is_trial = task->FindTrial(note.run) != nullptr;
     if (note.suspect && !is_trial &&
@@ -145,7 +146,7 @@
 void CellLeader::DropUnreportedCrashes(const WorkerSession& session) {
   for (const auto& [name, run] : session.runs()) {
     Task* task = jobs_.FindTask(name);
-    if (task != nullptr && JobTable::DropUntold(task, run.number)) {
+    if (task != nullptr && JobTable::RemoveUnconfirmed(task, run.number)) {
       MarkDirty(task->job, /*urgent=*/false);
     }
   }
@@ -175,9 +176,10 @@
   AddUncontacted(worker, cell_worker, &unheard);
   for (Job* job : std::vector<Job*>(jobs_.OpenJobs())) {
     ForEachTask(job, [&](Task* task) {
-      const bool may_run = task->unaccounted && !task->placed && !task->done &&
-                           IsDue(*job, task->time, now) &&
-                           JobTable::IsUnblocked(*job, task->time, task->step);
+      const bool may_run =
+          task->may_still_run && !task->placed && !task->done &&
+          IsDue(*job, task->repetition, now) &&
+          JobTable::IsUnblocked(*job, task->repetition, task->step);
       if (may_run && MayRunOn(*task, unheard)) {
         tasks.push_back(task);
       }
@@ -228,9 +230,10 @@
   for (Job* job : std::vector<Job*>(jobs_.OpenJobs())) {
     ForEachTask(job, [&](Task* task) {
       for (const CrashNote& note : std::vector<CrashNote>(task->crashes)) {
-        if (note.worker == worker && note.evidence == CrashEvidence::kUntold) {
+        if (note.worker == worker &&
+            note.evidence == CrashEvidence::kUnconfirmed) {
           CrashNote confirmed_note = note;
-          confirmed_note.evidence = CrashEvidence::kOtherLife;
+          confirmed_note.evidence = CrashEvidence::kRestarted;
           NoteCrash(task, confirmed_note);
         }
       }
@@ -239,17 +242,17 @@
 }
 
 bool CellLeader::AddToCrashWave(const std::vector<TaskCrashNote>& notes) {
-  CrashWave::Crash crash;
+  MassCrashDetector::Crash crash;
   crash.at = executor_.Now();
   for (const auto& [name, note] : notes) {
-    crash.blamed.emplace_back(name, note.run);
+    crash.suspects.emplace_back(name, note.run);
   }
   wave_.Add(std::move(crash));
-  if (!wave_.IsOneOfMany()) {
+  if (!wave_.IsMassCrash()) {
     return false;
   }
-  for (const CrashWave::Crash& earlier : wave_.crashes()) {
-    for (const auto& [name, run] : earlier.blamed) {
+  for (const MassCrashDetector::Crash& earlier : wave_.crashes()) {
+    for (const auto& [name, run] : earlier.suspects) {
       MarkCrashInWave(name, run);
     }
   }
@@ -262,13 +265,13 @@
     return;
   }
   for (CrashNote& note : task->crashes) {
-    if (note.run == run && !note.one_of_many) {
-      note.one_of_many = true;
+    if (note.run == run && !note.mass_crash) {
+      note.mass_crash = true;
       task->job->dirty = true;
     }
   }
   if (!IsLikelyCulprit(task->crashes)) {
-    task->rests_until = Instant{};
+    task->no_start_before = Instant{};
     task->crash_unrecorded = false;
   }
   MarkDirty(task->job, /*urgent=*/false);
@@ -304,13 +307,13 @@
   if (job->outcome != JobOutcome::kOpen || !JobTable::NoteCrash(task, crash)) {
     return;
   }
-  const CrashVerdict verdict = JudgeCrashes(task->crashes);
+  const CrashVerdict verdict = AssessCrashes(task->crashes);
   const bool likely = IsLikelyCulprit(task->crashes);
   Millis pause{0};
   if (likely) {
-    pause = PauseAfterCrashes(task->crashes.size(), Jitter(),
-                              options_.policy.crashes);
-    task->rests_until = executor_.Now() + pause;
+    pause =
+        RestartDelay(task->crashes.size(), Jitter(), options_.policy.crashes);
+    task->no_start_before = executor_.Now() + pause;
   }
   if (likely || task->crashes.size() > 1) {
     task->crash_unrecorded = true;
@@ -321,8 +324,8 @@
               {"run", crash.run},
               {"machine", crash.machine},
               {"suspect", crash.suspect},
-              {"alone", crash.alone},
-              {"one_of_many", crash.one_of_many},
+              {"alone", crash.in_trial},
+              {"one_of_many", crash.mass_crash},
               {"crashes", task->crashes.size()},
               {"verdict", ToString(verdict)},
               {"pause_ms", pause.count()},
--- a/src/libdoorwood/cell/cell_crashing_task_test.cpp
+++ b/src/libdoorwood/cell/cell_crashing_task_test.cpp
@@ -49,7 +49,7 @@
   }
   void SubmitLongRunning(int tasks) {
     JobPlan plan = fakes::MakePlan(kHealthyJob, 1, tasks, "");
-    plan.steps[0].lasting = true;
+    plan.steps[0].long_running = true;
     BOOST_REQUIRE(world.Submit(plan));
     world.Run(Millis(3000));
   }
@@ -152,7 +152,7 @@
     {"one of ten tasks", "ms=300 crashes=.0.0.3", 10, nullptr, nullptr},
     {"all of ten tasks", "ms=300 crashes=", 10, nullptr, nullptr},
     {"a long-running task", "crashes=", 1,
-     [](StepPlan* step) { step->lasting = true; }, nullptr},
+     [](StepPlan* step) { step->long_running = true; }, nullptr},
     {"one of a gang", "ms=300 crashes=.0.0.1", 4,
      [](StepPlan* step) { step->gang = true; }, nullptr},
     {"after two seconds", "ms=5000 crashes= crashes_after=2000", 1, nullptr,
--- a/src/libdoorwood/cell/cell_ends.cpp
+++ b/src/libdoorwood/cell/cell_ends.cpp
@@ -96,7 +96,7 @@
     return;
   }
   JobTable::SetPlaced(task, false);
-  JobTable::DropTrial(task);
+  JobTable::RemoveTrial(task);
   starts_awaiting_record_.erase(run.task);
   unrecorded_placements_.erase(run.task);
   if (!run.checkpoint.empty() && !task->done) {
@@ -136,9 +136,9 @@
   const auto taken =
       std::chrono::duration_cast<Millis>(executor_.Now() - run.ordered);
   const StepPlan& plan = task->plan();
-  StepState& step = task->job->times[task->time].steps[task->step];
-  step.taken += taken;
-  ++step.taken_of;
+  StepState& step = task->job->repetitions[task->repetition].steps[task->step];
+  step.total_run_time += taken;
+  ++step.run_time_samples;
   run_times_.Observe(task->job->plan.queue, plan.count, plan.estimate, taken);
 }
 
@@ -146,10 +146,10 @@
                                                  int time) const {
   std::vector<Millis> expected;
   for (size_t step = 0; step < job.plan.steps.size(); ++step) {
-    const StepState& state = job.times[time].steps[step];
+    const StepState& state = job.repetitions[time].steps[step];
     expected.push_back(
-        state.taken_of > 0
-            ? state.taken / state.taken_of
+        state.run_time_samples > 0
+            ? state.total_run_time / state.run_time_samples
             : run_times_.Expect(job.plan.queue, job.plan.steps[step].estimate));
   }
   return expected;
@@ -165,10 +165,10 @@
   const auto placed = task->placed ? NumberOfPlacedRun(end.task) : std::nullopt;
   const uint32_t number = placed && end.run >= *placed ? *placed - 1 : end.run;
   CountLateEnd(end.end);
-  task->crash_untold = false;
-  JobTable::DropUntold(task, end.run);
+  task->crash_unconfirmed = false;
+  JobTable::RemoveUnconfirmed(task, end.run);
   CountEnd(task, session, number, end.end, end.checkpoint);
-  auto& reported_runs = task->told_runs;
+  auto& reported_runs = task->reported_runs;
   if (!all_runs_accounted_ &&
       std::find(reported_runs.begin(), reported_runs.end(), end.run) ==
           reported_runs.end()) {
@@ -222,17 +222,17 @@
     return std::nullopt;
   }
   JobTable::SetPlaced(task, true);
-  if (task->plan().lasting) {
+  if (task->plan().long_running) {
     RecordAdoptedPlacement(task, session.incarnation().id);
   }
-  task->unaccounted = false;
+  task->may_still_run = false;
   task->adopted_run = all_runs_accounted_ ? 0 : active_run.run;
-  task->crash_untold = false;
-  JobTable::DropUntold(task, active_run.run);
+  task->crash_unconfirmed = false;
+  JobTable::RemoveUnconfirmed(task, active_run.run);
   task->last_run = std::max(task->last_run, active_run.run);
   task->counted_run = std::min(task->counted_run, active_run.run - 1);
-  if (!task->job->begun) {
-    task->job->begun = true;
+  if (!task->job->started) {
+    task->job->started = true;
     task->job->dirty = true;
   }
   if (IsSuspect(*task)) {
@@ -324,7 +324,8 @@
 void CellLeader::StopRunsOfCompletedTask(const Task& task) {
   // The completion of one task of a gang completes all of its tasks.
   std::vector<std::string> placed;
-  for (const Task& member : task.job->times[task.time].steps[task.step].tasks) {
+  for (const Task& member :
+       task.job->repetitions[task.repetition].steps[task.step].tasks) {
     if (member.done && member.placed &&
         (&member == &task || task.plan().gang)) {
       placed.push_back(member.name());
@@ -352,8 +353,8 @@
   }
   job->dirty = false;
   ForEachTask(job, [](Task* task) {
-    if (task->place_record == PlaceRecord::kChanged) {
-      task->place_record = PlaceRecord::kWritten;
+    if (task->assignment_record == AssignmentRecord::kChanged) {
+      task->assignment_record = AssignmentRecord::kInFlight;
     }
   });
   return EncodeJobState(*job);
--- a/src/libdoorwood/cell/cell_evacuation.cpp
+++ b/src/libdoorwood/cell/cell_evacuation.cpp
@@ -91,10 +91,10 @@
 
 bool CellLeader::MayStopForMaintenance(const Task& task) const {
   const StepPlan& plan = task.plan();
-  if (!plan.may_miss) {
+  if (!plan.max_unavailable) {
     return true;
   }
-  const std::string step = StepName(*task.job, task.time, task.step);
+  const std::string step = StepName(*task.job, task.repetition, task.step);
   int working = 0;
   for (const auto& [id, cell_worker] : cell_workers_) {
     for (const auto& [name, run] : cell_worker.session->runs()) {
@@ -104,10 +104,10 @@
     }
   }
   const int others_not_running = plan.count - 1 - working;
-  return others_not_running < *plan.may_miss;
+  return others_not_running < *plan.max_unavailable;
 }
 
-Occupancy CellLeader::EmptyWorker(const std::string& worker) {
+Occupancy CellLeader::EvacuateWorker(const std::string& worker) {
   const auto found = cell_workers_.find(worker);
   if (found == cell_workers_.end()) {
     return Occupancy::kEmpty;
@@ -129,8 +129,8 @@
     }
     occupancy =
         std::max(occupancy, run.long_running && run.phase != RunPhase::kStopping
-                                ? Occupancy::kNeeded
-                                : Occupancy::kExpendable);
+                                ? Occupancy::kMustNotStop
+                                : Occupancy::kRestartable);
   }
   StopRunsToMove(worker, session, with_checkpoints,
                  "its machine is wanted for upkeep");
--- a/src/libdoorwood/cell/cell_foreign_test.cpp
+++ b/src/libdoorwood/cell/cell_foreign_test.cpp
@@ -27,7 +27,7 @@
   std::string Runner() { return fakes::RunnerOf(world, kTask); }
   fakes::WorldWorker& StartLongRunningTask() {
     JobPlan plan = fakes::MakePlan(kJob, 1, 1, "");
-    plan.steps[0].lasting = true;
+    plan.steps[0].long_running = true;
     world.Submit(plan);
     world.Run(Millis(500));
     original_worker = Runner();
--- a/src/libdoorwood/cell/cell_lasting_places.cpp
+++ b/src/libdoorwood/cell/cell_lasting_places.cpp
@@ -12,7 +12,7 @@
 
 bool CellLeader::RequestPlacementRecord(Task* task, const std::string& worker) {
   const std::string name = task->name();
-  if (!JobTable::SetPlace(task, worker)) {
+  if (!JobTable::SetAssignedWorker(task, worker)) {
     return true;
   }
   MarkDirty(task->job, /*urgent=*/true);
@@ -25,7 +25,7 @@
 }
 
 void CellLeader::RecordAdoptedPlacement(Task* task, const std::string& worker) {
-  if (JobTable::SetPlace(task, worker)) {
+  if (JobTable::SetAssignedWorker(task, worker)) {
     unrecorded_placements_.insert(task->name());
     MarkDirty(task->job, /*urgent=*/true);
   }
@@ -44,14 +44,16 @@
   for (const std::string& name :
        std::set<std::string>(starts_awaiting_record_)) {
     Task* task = jobs_.FindTask(name);
-    const auto cell_worker =
-        task == nullptr ? cell_workers_.end() : cell_workers_.find(task->place);
+    const auto cell_worker = task == nullptr
+                                 ? cell_workers_.end()
+                                 : cell_workers_.find(task->assigned_worker);
     if (cell_worker == cell_workers_.end()) {
       starts_awaiting_record_.erase(name);
       continue;
     }
     const auto session = cell_worker->second.session;
-    const bool recorded = task->place_record == PlaceRecord::kRecorded;
+    const bool recorded =
+        task->assignment_record == AssignmentRecord::kRecorded;
     if (!MayReleaseStartOn(cell_worker->second)) {
       starts_awaiting_record_.erase(name);
       session->Stop(name);
@@ -96,8 +98,8 @@
   }
   bool newly_recorded = false;
   ForEachTask(job, [&](Task* task) {
-    if (task->place_record == PlaceRecord::kWritten) {
-      task->place_record = PlaceRecord::kRecorded;
+    if (task->assignment_record == AssignmentRecord::kInFlight) {
+      task->assignment_record = AssignmentRecord::kRecorded;
       unrecorded_placements_.erase(task->name());
       newly_recorded = true;
     }
--- a/src/libdoorwood/cell/cell_lasting_places_test.cpp
+++ b/src/libdoorwood/cell/cell_lasting_places_test.cpp
@@ -39,7 +39,7 @@
     world.WaitForLeader();
     world.Run(Millis(1000));
     JobPlan plan = fakes::MakePlan(kCellJob, 1, kTasks, payload);
-    plan.steps[0].lasting = true;
+    plan.steps[0].long_running = true;
     BOOST_REQUIRE(world.Submit(plan));
     world.Run(Millis(3000));
   }
--- a/src/libdoorwood/cell/cell_late_done_test.cpp
+++ b/src/libdoorwood/cell/cell_late_done_test.cpp
@@ -221,7 +221,7 @@
   world.WaitForLeader();
   world.Run(Millis(1000));
   JobPlan plan = fakes::MakePlan(kCellJob, 1, 1, "ms=2000");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   BOOST_REQUIRE(world.Submit(plan));
   world.Run(Millis(500));
   LoseContact(world, "w1");
--- a/src/libdoorwood/cell/cell_leader.cpp
+++ b/src/libdoorwood/cell/cell_leader.cpp
@@ -353,7 +353,7 @@
   if (!leading()) {
     return;
   }
-  interference_.Relax(options_.tick);
+  interference_.Decay(options_.tick);
   HandleDeadWorkers();
   CheckTakeover();
   UpdateTrials();
--- a/src/libdoorwood/cell/cell_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_leader_test.cpp
@@ -46,7 +46,7 @@
 
 BOOST_FIXTURE_TEST_CASE(Job_Cancelled_StopsAndStaysCancelled, CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 2, "");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   world.Submit(plan);
   world.Run(Millis(500));
   std::error_code answer = CoreErrc::kInvalid;
@@ -62,7 +62,7 @@
 
 BOOST_FIXTURE_TEST_CASE(Job_Timed_StartsEachTimeWhenDue, CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 1, "ms=100");
-  plan.times = 2;
+  plan.repeat_count = 2;
   plan.first_due = world.time().millis() + 2000;
   plan.interval = Millis(2000);
   world.Submit(plan);
@@ -262,7 +262,7 @@
   // reserve 14.4 of them.
   const auto long_running = [](const std::string& id, int count) {
     JobPlan plan = fakes::MakePlan(id, 1, count, "");
-    plan.steps[0].lasting = true;
+    plan.steps[0].long_running = true;
     return plan;
   };
   BOOST_TEST(world.Submit(long_running(kJob, 14)));
--- a/src/libdoorwood/cell/cell_named_runs_test.cpp
+++ b/src/libdoorwood/cell/cell_named_runs_test.cpp
@@ -54,7 +54,7 @@
 
 JobPlan LongRunningPlan() {
   JobPlan plan = fakes::MakePlan(kJob, 1, 1, "");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   return plan;
 }
 
--- a/src/libdoorwood/cell/cell_overdue.cpp
+++ b/src/libdoorwood/cell/cell_overdue.cpp
@@ -52,7 +52,7 @@
   if (job == jobs_.jobs().end()) {
     return false;
   }
-  *expected = ExpectedRunTimes(*job->second, name->time)[name->step];
+  *expected = ExpectedRunTimes(*job->second, name->repetition)[name->step];
   return now - run.ordered > *expected * kOverdueFactor;
 }
 
--- a/src/libdoorwood/cell/cell_pacing.cpp
+++ b/src/libdoorwood/cell/cell_pacing.cpp
@@ -23,7 +23,7 @@
 constexpr double kNewestFigureWeight = 0.5;
 
 // Adds the reported figure to the run's moving average. Returns for how long
-// the average has been at or above `tail_over` times the target.
+// the average has been at or above `over_target_tail_share` times the target.
 Millis UpdateTimeOverTarget(Run* run, Instant now, double tail_over) {
   const auto figure = static_cast<double>(run->measurement);
   run->mean_measurement =
@@ -44,26 +44,27 @@
 
 }  // namespace
 
-std::vector<ServingStrain> CellLeader::CollectUtilizations(
+std::vector<ServingUtilization> CellLeader::CollectUtilizations(
     const WorkerSession& session) const {
-  std::vector<ServingStrain> strains;
+  std::vector<ServingUtilization> strains;
   const Instant now = executor_.Now();
   for (const auto& [task, run] : session.runs()) {
     if (run.latency_target <= Millis(0)) {
       continue;
     }
-    ServingStrain serving;
+    ServingUtilization serving;
     serving.image = run.image_id;
-    serving.wanted = interference_.StrainAt(run.image_id, run.latency_target,
-                                            options_.policy.tail_wanted);
-    serving.strain = run.measurement > 0
-                         ? interference_.Strain(run.image_id, run.measurement,
-                                                run.latency_target)
-                         : options_.policy.interference.first_load;
+    serving.max_utilization = interference_.UtilizationAtShare(
+        run.image_id, run.latency_target, options_.policy.wanted_tail_share);
+    serving.utilization =
+        run.measurement > 0
+            ? interference_.Utilization(run.image_id, run.measurement,
+                                        run.latency_target)
+            : options_.policy.interference.initial_load;
     // The figures of a new task don't show its full load yet.
     if (now - run.ordered < kFigureDelay) {
-      serving.strain =
-          std::max(serving.strain, options_.policy.interference.first_load);
+      serving.utilization = std::max(serving.utilization,
+                                     options_.policy.interference.initial_load);
     }
     strains.push_back(serving);
   }
@@ -74,19 +75,20 @@
     const double full_cores =
         static_cast<double>(run.size.cpu_millis) / kMillisPerCore;
     const bool is_new = now - run.ordered < kFigureDelay;
-    const double cores = CoresToCome(full_cores, is_new, run.wanted_pace);
-    for (ServingStrain& serving : strains) {
-      serving.strain +=
-          interference_.Press(serving.image, run.image_id) * cores;
+    const double cores = PendingCores(full_cores, is_new, run.wanted_pace);
+    for (ServingUtilization& serving : strains) {
+      serving.utilization +=
+          interference_.InterferencePerCore(serving.image, run.image_id) *
+          cores;
     }
   }
   return strains;
 }
 
 void CellLeader::UpdatePaces(WorkerSession& session) {
-  std::vector<PacedServing> serving;
-  std::vector<PacedFill> best_effort_runs;
-  std::vector<FillLoad> best_effort_loads;
+  std::vector<PacedServingTask> serving;
+  std::vector<PacedBestEffortTask> best_effort_runs;
+  std::vector<BestEffortLoad> best_effort_loads;
   std::vector<std::string> observed;
   for (const auto& [task, run] : session.runs()) {
     if (run.latency_target > Millis(0) && run.measurement > 0) {
@@ -106,9 +108,10 @@
   }
   for (const std::string& task : observed) {
     Run* run = session.FindRun(task);
-    serving.push_back({run->image_id, run->measurement, run->latency_target,
-                       UpdateTimeOverTarget(run, executor_.Now(),
-                                            options_.policy.tail_over)});
+    serving.push_back(
+        {run->image_id, run->measurement, run->latency_target,
+         UpdateTimeOverTarget(run, executor_.Now(),
+                              options_.policy.over_target_tail_share)});
     run->load = interference_.Observe(run->image_id, run->measurement,
                                       run->latency_target, best_effort_loads,
                                       run->load);
--- a/src/libdoorwood/cell/cell_places.cpp
+++ b/src/libdoorwood/cell/cell_places.cpp
@@ -36,18 +36,18 @@
     return;
   }
   const WorkerIncarnation& incarnation = session.incarnation();
-  WorkerRoom& room = cell_worker->candidate;
-  room.id = id;
-  room.service = incarnation.service;
-  room.rack = RackOf(incarnation);
-  room.labels = incarnation.labels;
-  room.capacity = incarnation.capacity;
-  room.reserved = session.reserved();
-  room.best_effort_cpu = session.best_effort_cpu();
-  room.serving = session.serving_runs();
-  room.serving_cpu = session.serving_cpu();
-  room.strains = CollectUtilizations(session);
-  room.changed_in = pass_;
+  CandidateWorker& candidate = cell_worker->candidate;
+  candidate.id = id;
+  candidate.service = incarnation.service;
+  candidate.rack = RackOf(incarnation);
+  candidate.labels = incarnation.labels;
+  candidate.capacity = incarnation.capacity;
+  candidate.reserved = session.reserved();
+  candidate.best_effort_cpu = session.best_effort_cpu();
+  candidate.serving = session.serving_runs();
+  candidate.serving_cpu = session.serving_cpu();
+  candidate.serving_utilizations = CollectUtilizations(session);
+  candidate.last_changed_pass = pass_;
   cell_worker->candidate_version = session.version();
   cell_worker->candidate_at = now;
 }
@@ -66,22 +66,23 @@
   const Instant now = executor_.Now();
   return MayReceiveOrders(cell_worker) &&
          !cell_worker.session->has_unwanted_runs() &&
-         now >= cell_worker.backoff_until && trust_.Allows(id, now);
+         now >= cell_worker.backoff_until && trust_.AllowsStart(id, now);
 }
 
-std::vector<WorkerRoom*> CellLeader::CollectCandidates() {
-  std::vector<WorkerRoom*> rooms;
-  rooms.reserve(cell_workers_.size());
+std::vector<CandidateWorker*> CellLeader::CollectCandidates() {
+  std::vector<CandidateWorker*> candidates;
+  candidates.reserve(cell_workers_.size());
   for (auto& [id, cell_worker] : cell_workers_) {
     RefreshCandidate(id, &cell_worker);
-    const bool open = MayReceiveNewWork(id, cell_worker) && !trials_.Keeps(id);
-    if (open != cell_worker.candidate.open) {
-      cell_worker.candidate.open = open;
-      cell_worker.candidate.changed_in = pass_;
+    const bool open =
+        MayReceiveNewWork(id, cell_worker) && !trials_.IsReserved(id);
+    if (open != cell_worker.candidate.accepts_work) {
+      cell_worker.candidate.accepts_work = open;
+      cell_worker.candidate.last_changed_pass = pass_;
     }
-    rooms.push_back(&cell_worker.candidate);
+    candidates.push_back(&cell_worker.candidate);
   }
-  return rooms;
+  return candidates;
 }
 
 std::string CellLeader::RackOfStep(const Job& job, int time, int step) const {
@@ -95,32 +96,34 @@
 }
 
 void CellLeader::EvaluatePlace(const ReadyStep& ready,
-                               const TaskNeed& need,
-                               const WorkerRoom& room,
+                               const TaskRequirements& need,
+                               const CandidateWorker& candidate,
                                size_t place,
                                int planned,
-                               StepPlaces* places) const {
-  places->Judge(place, need, planned);
+                               StepCandidates* places) const {
+  places->Evaluate(place, need, planned);
   const StepPlan& plan = ready.job->plan.steps[ready.step];
-  if (plan.most_per_worker == 0 || !places->IsGood(place)) {
+  if (plan.max_per_worker == 0 || !places->IsSuitable(place)) {
     return;
   }
-  const auto cell_worker = cell_workers_.find(std::string(room.id));
-  const std::string step = StepName(*ready.job, ready.time, ready.step);
+  const auto cell_worker = cell_workers_.find(std::string(candidate.id));
+  const std::string step = StepName(*ready.job, ready.repetition, ready.step);
   const int on_worker = cell_worker->second.session->CountOfStep(step);
   if (on_worker > 0) {
-    places->Judge(place, need, on_worker + planned);
+    places->Evaluate(place, need, on_worker + planned);
   }
 }
 
-void CellLeader::EvaluateChangedPlaces(const ReadyStep& ready,
-                                       const TaskNeed& need,
-                                       const std::vector<WorkerRoom*>& rooms,
-                                       uint64_t pass,
-                                       StepPlaces* places) const {
-  for (size_t place = 0; place < rooms.size(); ++place) {
-    if (rooms[place]->changed_in > pass) {
-      EvaluatePlace(ready, need, *rooms[place], place, /*planned=*/0, places);
+void CellLeader::EvaluateChangedPlaces(
+    const ReadyStep& ready,
+    const TaskRequirements& need,
+    const std::vector<CandidateWorker*>& candidates,
+    uint64_t pass,
+    StepCandidates* places) const {
+  for (size_t place = 0; place < candidates.size(); ++place) {
+    if (candidates[place]->last_changed_pass > pass) {
+      EvaluatePlace(ready, need, *candidates[place], place, /*planned=*/0,
+                    places);
     }
   }
 }
@@ -128,13 +131,13 @@
 bool CellLeader::ShouldLogWaitingStep(const ReadyStep& ready) {
   ++waiting_steps_;
   const Instant now = executor_.Now();
-  StepState& step = ready.job->times[ready.time].steps[ready.step];
-  if (now - step.waiting_told < kWaitLogInterval ||
+  StepState& step = ready.job->repetitions[ready.repetition].steps[ready.step];
+  if (now - step.waiting_logged_at < kWaitLogInterval ||
       now - waiting_logged_ < kMinPauseBetweenWaitLogs) {
     return false;
   }
-  const bool first = step.waiting_told == Instant{};
-  step.waiting_told = now;
+  const bool first = step.waiting_logged_at == Instant{};
+  step.waiting_logged_at = now;
   if (!first) {
     waiting_logged_ = now;
   }
@@ -151,14 +154,14 @@
   }
   log_.Write("info", "cell", "step is waiting for a worker with free capacity",
              {{"task", task.name()},
-              {"rank", rank.group},
+              {"rank", rank.urgency_class},
               {"steps_ahead", waiting_steps_ - 1},
               {"waited_ms", std::chrono::duration_cast<Millis>(executor_.Now() -
                                                                task.ready_since)
                                 .count()},
               {"cpu", plan.size.cpu_millis},
               {"memory", plan.size.memory_mib},
-              {"most_per_worker", plan.most_per_worker},
+              {"most_per_worker", plan.max_per_worker},
               {"workers", std::move(counts)}});
 }
 
--- a/src/libdoorwood/cell/cell_record_claim_test.cpp
+++ b/src/libdoorwood/cell/cell_record_claim_test.cpp
@@ -27,7 +27,7 @@
 
 JobPlan LongRunningPlan(const std::string& id, int64_t cpu) {
   JobPlan plan = fakes::MakePlan(id, 1, 1, "");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   plan.steps[0].size.cpu_millis = cpu;
   return plan;
 }
--- a/src/libdoorwood/cell/cell_replaced_workers_test.cpp
+++ b/src/libdoorwood/cell/cell_replaced_workers_test.cpp
@@ -98,8 +98,8 @@
 
   void SubmitLongRunningJob() {
     JobPlan plan = fakes::MakePlan(NextJob(), 1, kTasksPerJob, "");
-    plan.steps[0].lasting = true;
-    plan.steps[0].most_per_worker = 1;
+    plan.steps[0].long_running = true;
+    plan.steps[0].max_per_worker = 1;
     BOOST_REQUIRE(world_.Submit(plan));
     for (int index = 0; index < kTasksPerJob; ++index) {
       downtimes_[plan.id + ".0.0." + std::to_string(index)] = Millis(0);
--- a/src/libdoorwood/cell/cell_replacing_walk_test.cpp
+++ b/src/libdoorwood/cell/cell_replacing_walk_test.cpp
@@ -207,7 +207,7 @@
     std::snprintf(id, sizeof(id), "6%015x", ++long_jobs_);
     JobPlan plan = fakes::MakePlan(id, 1, 3, "ms=15000");
     plan.steps[0].size.cpu_millis = 400;
-    plan.steps[0].most_per_worker = 1;
+    plan.steps[0].max_per_worker = 1;
     world_.Submit(plan);
   }
 
--- a/src/libdoorwood/cell/cell_room_test.cpp
+++ b/src/libdoorwood/cell/cell_room_test.cpp
@@ -44,7 +44,7 @@
 
   void SubmitLongRunning(const std::string& job, int tasks) {
     JobPlan plan = fakes::MakePlan(job, 1, tasks, "");
-    plan.steps[0].lasting = true;
+    plan.steps[0].long_running = true;
     BOOST_REQUIRE(world.Submit(plan));
   }
   int64_t Used() const {
--- a/src/libdoorwood/cell/cell_scheduling.cpp
+++ b/src/libdoorwood/cell/cell_scheduling.cpp
@@ -19,20 +19,22 @@
 constexpr int kPauseToPassRatio = 4;
 constexpr Millis kLongestPause{80};
 
-std::vector<WorkerRoom> CopyCandidates(const std::vector<WorkerRoom*>& rooms) {
-  std::vector<WorkerRoom> copies;
-  copies.reserve(rooms.size());
-  for (const WorkerRoom* room : rooms) {
-    copies.push_back(*room);
+std::vector<CandidateWorker> CopyCandidates(
+    const std::vector<CandidateWorker*>& candidates) {
+  std::vector<CandidateWorker> copies;
+  copies.reserve(candidates.size());
+  for (const CandidateWorker* candidate : candidates) {
+    copies.push_back(*candidate);
   }
   return copies;
 }
 
-std::vector<WorkerRoom*> PointersTo(std::vector<WorkerRoom>* rooms) {
-  std::vector<WorkerRoom*> pointers;
-  pointers.reserve(rooms->size());
-  for (WorkerRoom& room : *rooms) {
-    pointers.push_back(&room);
+std::vector<CandidateWorker*> PointersTo(
+    std::vector<CandidateWorker>* candidates) {
+  std::vector<CandidateWorker*> pointers;
+  pointers.reserve(candidates->size());
+  for (CandidateWorker& candidate : *candidates) {
+    pointers.push_back(&candidate);
   }
   return pointers;
 }
@@ -59,8 +61,8 @@
 }
 
 bool CellLeader::IsReady(const Task& task) const {
-  return !task.done && !task.placed && !task.unaccounted &&
-         !task.crash_unrecorded && executor_.Now() >= task.rests_until &&
+  return !task.done && !task.placed && !task.may_still_run &&
+         !task.crash_unrecorded && executor_.Now() >= task.no_start_before &&
          !MayBeAtLastAttempt(task);
 }
 
@@ -70,14 +72,15 @@
 // leases have expired, or the worker's record does not name the task.
 bool CellLeader::MayBeAtLastAttempt(const Task& task) const {
   const uint32_t unreported_ends =
-      MayRunOnUncontacted(task) ? task.UnheardEnds() : 0;
-  if (unreported_ends == 0 || task.plan().lasting) {
+      MayRunOnUncontacted(task) ? task.CountUnreportedEnds() : 0;
+  if (unreported_ends == 0 || task.plan().long_running) {
     return false;
   }
-  const Task& counting_task =
-      task.plan().gang
-          ? task.job->times[task.time].steps[task.step].tasks.front()
-          : task;
+  const Task& counting_task = task.plan().gang
+                                  ? task.job->repetitions[task.repetition]
+                                        .steps[task.step]
+                                        .tasks.front()
+                                  : task;
   return counting_task.failed_runs.size() + unreported_ends >=
          static_cast<size_t>(MaxAttempts(*task.job));
 }
@@ -92,7 +95,7 @@
       }
       for (int step = 0; step < static_cast<int>(job->plan.steps.size());
            ++step) {
-        const StepState& state = job->times[time].steps[step];
+        const StepState& state = job->repetitions[time].steps[step];
         if (state.idle == 0 || !JobTable::IsUnblocked(*job, time, step)) {
           continue;
         }
@@ -112,10 +115,10 @@
   for (ReadyStep& step : *ready) {
     const Queue* queue = QueueOf(*step.job);
     if (queue != nullptr) {
-      const auto run_times = ExpectedRunTimes(*step.job, step.time);
+      const auto run_times = ExpectedRunTimes(*step.job, step.repetition);
       step.rank = RankStep(step.job->plan, *queue, step.step,
-                           DueAt(*step.job, step.time), run_times,
-                           WorkLeft(*step.job, step.time, run_times), now,
+                           DueAt(*step.job, step.repetition), run_times,
+                           WorkLeft(*step.job, step.repetition, run_times), now,
                            options_.policy);
     }
   }
@@ -131,7 +134,8 @@
 void CellLeader::RecordReadySince(const std::vector<ReadyStep>& ready) {
   const Instant now = executor_.Now();
   for (const ReadyStep& step : ready) {
-    for (Task& task : step.job->times[step.time].steps[step.step].tasks) {
+    for (Task& task :
+         step.job->repetitions[step.repetition].steps[step.step].tasks) {
       if (task.ready_since == Instant{}) {
         task.ready_since = now;
       }
@@ -148,26 +152,26 @@
   RecordReadySince(ready);
   SortReadySteps(&ready);
   waiting_steps_ = 0;
-  const std::vector<WorkerRoom*> rooms = CollectCandidates();
+  const std::vector<CandidateWorker*> candidates = CollectCandidates();
   for (const ReadyStep& step : ready) {
     if (step.job->plan.steps[step.step].gang) {
-      PlaceGang(step, rooms);
+      PlaceGang(step, candidates);
     } else {
-      PlaceStep(step, rooms);
+      PlaceStep(step, candidates);
     }
   }
 }
 
-std::vector<WorkerRoom> CellLeader::CandidatesWithTickets(
+std::vector<CandidateWorker> CellLeader::CandidatesWithTickets(
     const ReadyStep& ready,
-    const std::vector<WorkerRoom*>& rooms) {
-  const std::string step = StepName(*ready.job, ready.time, ready.step);
-  std::vector<WorkerRoom> permitted = CopyCandidates(rooms);
+    const std::vector<CandidateWorker*>& candidates) {
+  const std::string step = StepName(*ready.job, ready.repetition, ready.step);
+  std::vector<CandidateWorker> permitted = CopyCandidates(candidates);
   std::vector<std::string> without_ticket;
-  for (WorkerRoom& room : permitted) {
-    const std::string worker(room.id);
-    if (room.open && tickets_.Find(step, worker).empty()) {
-      room.open = false;
+  for (CandidateWorker& candidate : permitted) {
+    const std::string worker(candidate.id);
+    if (candidate.accepts_work && tickets_.Find(step, worker).empty()) {
+      candidate.accepts_work = false;
       without_ticket.push_back(worker);
     }
   }
@@ -176,29 +180,31 @@
 }
 
 void CellLeader::PlaceStep(const ReadyStep& ready,
-                           const std::vector<WorkerRoom*>& rooms) {
+                           const std::vector<CandidateWorker*>& candidates) {
   const Queue* queue = QueueOf(*ready.job);
   const StepPlan& plan = ready.job->plan.steps[ready.step];
-  auto& tasks = ready.job->times[ready.time].steps[ready.step].tasks;
+  auto& tasks =
+      ready.job->repetitions[ready.repetition].steps[ready.step].tasks;
   if (queue == nullptr) {
     return;
   }
   const bool advised = queue->advice.has_value();
   const uint64_t last_failed_pass =
-      advised ? 0 : hopeless_.TriedIn(plan, queue->service);
-  std::vector<WorkerRoom> permitted;
+      advised ? 0 : hopeless_.LastFailedPass(plan, queue->service);
+  std::vector<CandidateWorker> permitted;
   if (advised) {
-    permitted = CandidatesWithTickets(ready, rooms);
+    permitted = CandidatesWithTickets(ready, candidates);
   }
-  const std::vector<WorkerRoom*> permitted_rooms = PointersTo(&permitted);
-  const std::vector<WorkerRoom*>& usable_rooms =
-      advised ? permitted_rooms : rooms;
-  std::string rack =
-      plan.same_rack ? RackOfStep(*ready.job, ready.time, ready.step) : "";
-  TaskNeed need{queue->service, interference_.Intern(plan.image), rack};
-  StepPlaces places(plan, usable_rooms, interference_, options_.policy);
+  const std::vector<CandidateWorker*> permitted_rooms = PointersTo(&permitted);
+  const std::vector<CandidateWorker*>& usable_rooms =
+      advised ? permitted_rooms : candidates;
+  std::string rack = plan.same_rack
+                         ? RackOfStep(*ready.job, ready.repetition, ready.step)
+                         : "";
+  TaskRequirements need{queue->service, interference_.Intern(plan.image), rack};
+  StepCandidates places(plan, usable_rooms, interference_, options_.policy);
   EvaluateChangedPlaces(ready, need, usable_rooms, last_failed_pass, &places);
-  const std::string step = StepName(*ready.job, ready.time, ready.step);
+  const std::string step = StepName(*ready.job, ready.repetition, ready.step);
   for (Task& task : tasks) {
     if (!IsReady(task)) {
       continue;
@@ -223,36 +229,37 @@
       }
       return;  // The step's other tasks have the same size.
     }
-    WorkerRoom* room = rooms[place];
+    CandidateWorker* candidate = candidates[place];
     const std::string ticket =
-        advised ? tickets_.Find(step, std::string(room->id)) : "";
+        advised ? tickets_.Find(step, std::string(candidate->id)) : "";
     if (advised && ticket.empty()) {
       // The ticket expired while the worker was reserved.
       trials_.End(task.name());
       continue;
     }
-    StartTask(&task, task.last_run + 1, room, ticket);
+    StartTask(&task, task.last_run + 1, candidate, ticket);
     if (suspect) {
-      BeginTrial(task, cell_workers_.at(std::string(room->id)).session);
-      room->open = false;
+      BeginTrial(task, cell_workers_.at(std::string(candidate->id)).session);
+      candidate->accepts_work = false;
     }
     if (advised) {
-      permitted[place] = *room;
+      permitted[place] = *candidate;
     }
     if (plan.same_rack && rack.empty()) {
-      rack = room->rack;
+      rack = candidate->rack;
       need.rack = rack;
       EvaluateChangedPlaces(ready, need, usable_rooms, /*pass=*/0, &places);
     }
-    EvaluatePlace(ready, need, *room, place, /*planned=*/0, &places);
+    EvaluatePlace(ready, need, *candidate, place, /*planned=*/0, &places);
   }
 }
 
 void CellLeader::PlaceGang(const ReadyStep& ready,
-                           const std::vector<WorkerRoom*>& rooms) {
+                           const std::vector<CandidateWorker*>& candidates) {
   const Queue* queue = QueueOf(*ready.job);
   const StepPlan& plan = ready.job->plan.steps[ready.step];
-  auto& tasks = ready.job->times[ready.time].steps[ready.step].tasks;
+  auto& tasks =
+      ready.job->repetitions[ready.repetition].steps[ready.step].tasks;
   const bool all_ready =
       std::all_of(tasks.begin(), tasks.end(),
                   [this](const Task& task) { return IsReady(task); });
@@ -262,13 +269,17 @@
   // A gang is started as a whole or not at all, so its tasks are first placed
   // on a copy. All of them share one run number and one checkpoint.
   const bool advised = queue->advice.has_value();
-  std::vector<WorkerRoom> planned_rooms =
-      advised ? CandidatesWithTickets(ready, rooms) : CopyCandidates(rooms);
-  const std::vector<WorkerRoom*> room_pointers = PointersTo(&planned_rooms);
+  std::vector<CandidateWorker> planned_rooms =
+      advised ? CandidatesWithTickets(ready, candidates)
+              : CopyCandidates(candidates);
+  const std::vector<CandidateWorker*> room_pointers =
+      PointersTo(&planned_rooms);
   const std::string rack =
-      plan.same_rack ? RackOfStep(*ready.job, ready.time, ready.step) : "";
-  const TaskNeed need{queue->service, interference_.Intern(plan.image), rack};
-  StepPlaces places(plan, room_pointers, interference_, options_.policy);
+      plan.same_rack ? RackOfStep(*ready.job, ready.repetition, ready.step)
+                     : "";
+  const TaskRequirements need{queue->service, interference_.Intern(plan.image),
+                              rack};
+  StepCandidates places(plan, room_pointers, interference_, options_.policy);
   std::vector<int> planned_counts(planned_rooms.size(), 0);
   const auto judge = [&](size_t place) {
     EvaluatePlace(ready, need, planned_rooms[place], place,
@@ -304,21 +315,23 @@
       checkpoint = task.checkpoint;
     }
   }
-  const std::string step = StepName(*ready.job, ready.time, ready.step);
+  const std::string step = StepName(*ready.job, ready.repetition, ready.step);
   for (size_t i = 0; i < tasks.size(); ++i) {
     tasks[i].checkpoint = checkpoint;
-    WorkerRoom* room = rooms[chosen[i]];
-    StartTask(&tasks[i], run + 1, room,
-              advised ? tickets_.Find(step, std::string(room->id)) : "");
+    CandidateWorker* candidate = candidates[chosen[i]];
+    StartTask(&tasks[i], run + 1, candidate,
+              advised ? tickets_.Find(step, std::string(candidate->id)) : "");
     if (suspect) {
-      BeginTrial(tasks[i], cell_workers_.at(std::string(room->id)).session);
-      room->open = false;
+      BeginTrial(tasks[i],
+                 cell_workers_.at(std::string(candidate->id)).session);
+      candidate->accepts_work = false;
     }
   }
 }
 
-bool CellLeader::CloseWorkersWithNewRuns(std::vector<Task>* gang,
-                                         std::vector<WorkerRoom>* rooms) {
+bool CellLeader::CloseWorkersWithNewRuns(
+    std::vector<Task>* gang,
+    std::vector<CandidateWorker>* candidates) {
   for (Task& task : *gang) {
     if (NoteUnreportedCrash(&task)) {
       return false;
@@ -328,21 +341,22 @@
   const bool likely = std::any_of(
       gang->begin(), gang->end(),
       [](const Task& task) { return IsLikelyCulprit(task.crashes); });
-  if (!trials_.HasPlace(service, CountWorkersOfService(service), likely)) {
+  if (!trials_.HasFreeSlot(service, CountWorkersOfService(service), likely)) {
     return false;
   }
-  for (WorkerRoom& room : *rooms) {
-    const auto cell_worker = cell_workers_.find(std::string(room.id));
-    room.open = room.open && !HasNewRuns(*cell_worker->second.session);
+  for (CandidateWorker& candidate : *candidates) {
+    const auto cell_worker = cell_workers_.find(std::string(candidate.id));
+    candidate.accepts_work =
+        candidate.accepts_work && !HasNewRuns(*cell_worker->second.session);
   }
   return true;
 }
 
 void CellLeader::StartTask(Task* task,
                            uint32_t number,
-                           WorkerRoom* room,
+                           CandidateWorker* candidate,
                            const std::string& ticket) {
-  const auto cell_worker = cell_workers_.find(std::string(room->id));
+  const auto cell_worker = cell_workers_.find(std::string(candidate->id));
   const auto session = cell_worker->second.session;
   Run run = MakeRun(*task, number);
   run.image_id = interference_.Intern(task->plan().image);
@@ -352,29 +366,30 @@
       run.long_running && !RequestPlacementRecord(task, cell_worker->first);
   task->last_run = number;
   JobTable::SetPlaced(task, true);
-  task->job->begun = true;
+  task->job->started = true;
   ++counters_.starts;
-  trust_.OnStart(std::string(room->id), executor_.Now());
-  room->open = trust_.Allows(std::string(room->id), executor_.Now());
+  trust_.OnStart(std::string(candidate->id), executor_.Now());
+  candidate->accepts_work =
+      trust_.AllowsStart(std::string(candidate->id), executor_.Now());
   const auto waited =
       std::chrono::duration_cast<Millis>(executor_.Now() - task->ready_since);
-  log_.Write(
-      "info", "cell", "start ordered",
-      {{"task", run.task},
-       {"run", number},
-       {"worker", room->id},
-       {"epoch", epoch_},
-       {"free_cpu", room->capacity.cpu_millis - room->reserved.cpu_millis -
-                        room->best_effort_cpu},
-       {"serving", room->serving},
-       {"held", run.start_deferred},
-       {"waited_ms", waited.count()}});
+  log_.Write("info", "cell", "start ordered",
+             {{"task", run.task},
+              {"run", number},
+              {"worker", candidate->id},
+              {"epoch", epoch_},
+              {"free_cpu", candidate->capacity.cpu_millis -
+                               candidate->reserved.cpu_millis -
+                               candidate->best_effort_cpu},
+              {"serving", candidate->serving},
+              {"held", run.start_deferred},
+              {"waited_ms", waited.count()}});
   session->Start(std::move(run), task->job->plan.payload, ticket);
-  room->reserved = session->reserved();
-  room->best_effort_cpu = session->best_effort_cpu();
-  room->serving = session->serving_runs();
-  room->serving_cpu = session->serving_cpu();
-  room->strains = CollectUtilizations(*session);
+  candidate->reserved = session->reserved();
+  candidate->best_effort_cpu = session->best_effort_cpu();
+  candidate->serving = session->serving_runs();
+  candidate->serving_cpu = session->serving_cpu();
+  candidate->serving_utilizations = CollectUtilizations(*session);
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/cell/cell_suspects.cpp
+++ b/src/libdoorwood/cell/cell_suspects.cpp
@@ -27,14 +27,14 @@
 
 bool CellLeader::IsSuspect(const Task& task) {
   return !task.crashes.empty() &&
-         JudgeCrashes(task.crashes) == CrashVerdict::kSuspect;
+         AssessCrashes(task.crashes) == CrashVerdict::kSuspect;
 }
 
 bool CellLeader::HasNewRuns(const WorkerSession& session) const {
   return std::any_of(session.runs().begin(), session.runs().end(),
                      [&](const auto& entry) {
                        return session.ObservedRunTime(entry.second) <
-                              options_.policy.crashes.at_work;
+                              options_.policy.crashes.unsuspected_after;
                      });
 }
 
@@ -58,16 +58,18 @@
 // Returns the suitable worker with the lowest cost of a crash. Workers with new
 // runs, and even more so machines on which the task has crashed before, are
 // chosen only if there is no other.
-int CellLeader::ChooseTrialWorker(const Task& task,
-                                  const StepPlaces& places,
-                                  const std::vector<WorkerRoom*>& rooms) const {
+int CellLeader::ChooseTrialWorker(
+    const Task& task,
+    const StepCandidates& places,
+    const std::vector<CandidateWorker*>& candidates) const {
   int best = kNoWorker;
   int lowest_loss = std::numeric_limits<int>::max();
-  for (size_t place = 0; place < rooms.size(); ++place) {
-    if (!places.IsGood(place)) {
+  for (size_t place = 0; place < candidates.size(); ++place) {
+    if (!places.IsSuitable(place)) {
       continue;
     }
-    const auto cell_worker = cell_workers_.find(std::string(rooms[place]->id));
+    const auto cell_worker =
+        cell_workers_.find(std::string(candidates[place]->id));
     const WorkerSession& session = *cell_worker->second.session;
     constexpr int kCrashedThereCost = 100'000;
     constexpr int kNewRunsCost = 1000;
@@ -88,19 +90,19 @@
 
 bool CellLeader::MayHaveUnreportedCrash(const Task& task) {
   return !task.done && IsSuspect(task) &&
-         task.crashes.back().evidence != CrashEvidence::kUntold;
+         task.crashes.back().evidence != CrashEvidence::kUnconfirmed;
 }
 
 // An earlier leader may have ordered a start after the last crash that it
 // recorded, and the result of that start is unknown. It is noted as an
 // unreported crash, and recorded, before the next start.
 bool CellLeader::NoteUnreportedCrash(Task* task) {
-  if (!std::exchange(task->crash_untold, false)) {
+  if (!std::exchange(task->crash_unconfirmed, false)) {
     return false;
   }
   CrashNote note;
   note.run = task->last_run;
-  note.evidence = CrashEvidence::kUntold;
+  note.evidence = CrashEvidence::kUnconfirmed;
   note.suspect = true;
   NoteCrash(task, note);
   return true;
@@ -111,9 +113,9 @@
 std::optional<int> CellLeader::PlaceSuspect(
     const ReadyStep& ready,
     Task* task,
-    const TaskNeed& need,
-    const std::vector<WorkerRoom*>& rooms,
-    StepPlaces* places) {
+    const TaskRequirements& need,
+    const std::vector<CandidateWorker*>& candidates,
+    StepCandidates* places) {
   if (NoteUnreportedCrash(task)) {
     return std::nullopt;
   }
@@ -121,22 +123,24 @@
   const std::string service(need.service);
   if (trials_.Find(name) == nullptr) {
     const bool likely = IsLikelyCulprit(task->crashes);
-    if (!trials_.HasPlace(service, CountWorkersOfService(service), likely)) {
+    if (!trials_.HasFreeSlot(service, CountWorkersOfService(service), likely)) {
       return std::nullopt;
     }
-    const int chosen = ChooseTrialWorker(*task, *places, rooms);
+    const int chosen = ChooseTrialWorker(*task, *places, candidates);
     if (chosen == kNoWorker) {
       return std::nullopt;
     }
-    const std::string id(rooms[chosen]->id);
-    trials_.Keep(name, {id, service, executor_.Now(), likely,
-                        TrialOf(task->crashes, options_.policy.crashes)});
-    rooms[chosen]->open = false;
-    rooms[chosen]->changed_in = pass_;
+    const std::string id(candidates[chosen]->id);
+    trials_.Reserve(name,
+                    {id, service, executor_.Now(), likely,
+                     TrialDuration(task->crashes, options_.policy.crashes)});
+    candidates[chosen]->accepts_work = false;
+    candidates[chosen]->last_changed_pass = pass_;
     // The worker is closed to the step's other tasks as well.
-    EvaluatePlace(ready, need, *rooms[chosen], chosen, /*planned=*/0, places);
+    EvaluatePlace(ready, need, *candidates[chosen], chosen, /*planned=*/0,
+                  places);
     ScheduleTrialPoll(cell_workers_.at(id).session,
-                      options_.policy.crashes.at_work);
+                      options_.policy.crashes.unsuspected_after);
   }
   const std::string worker = trials_.Find(name)->worker;
   const auto cell_worker = cell_workers_.find(worker);
@@ -145,23 +149,24 @@
     trials_.End(name);
     return std::nullopt;
   }
-  WorkerRoom reserved_room = cell_worker->second.candidate;
-  reserved_room.open = true;
+  CandidateWorker reserved_room = cell_worker->second.candidate;
+  reserved_room.accepts_work = true;
   const StepPlan& plan = task->plan();
   const int tasks_on_worker = cell_worker->second.session->CountOfStep(
-      StepName(*ready.job, ready.time, ready.step));
+      StepName(*ready.job, ready.repetition, ready.step));
   const bool fits =
       FindPlaceProblem(plan, need, reserved_room,
-                       plan.most_per_worker > 0 ? tasks_on_worker : 0,
+                       plan.max_per_worker > 0 ? tasks_on_worker : 0,
                        interference_, options_.policy) == PlaceProblem::kNone;
   if (!fits || HasNewRuns(*cell_worker->second.session) ||
       !RecordTrial(task, cell_worker->second.session->incarnation())) {
     return std::nullopt;
   }
-  const auto place =
-      std::find_if(rooms.begin(), rooms.end(),
-                   [&](const WorkerRoom* room) { return room->id == worker; });
-  return static_cast<int>(place - rooms.begin());
+  const auto place = std::find_if(candidates.begin(), candidates.end(),
+                                  [&](const CandidateWorker* candidate) {
+                                    return candidate->id == worker;
+                                  });
+  return static_cast<int>(place - candidates.begin());
 }
 
 bool CellLeader::RecordTrial(Task* task, const WorkerIncarnation& incarnation) {
@@ -178,7 +183,7 @@
   trial.worker = incarnation.id;
   trial.evidence = CrashEvidence::kTrial;
   trial.suspect = true;
-  trial.alone = true;
+  trial.in_trial = true;
   JobTable::NoteTrial(task, std::move(trial));
   task->crash_unrecorded = true;
   task->job->crash_unrecorded = true;
@@ -189,10 +194,10 @@
 void CellLeader::BeginTrial(const Task& task,
                             const std::shared_ptr<WorkerSession>& session) {
   const WorkerIncarnation& incarnation = session->incarnation();
-  const Millis length = TrialOf(task.crashes, options_.policy.crashes);
-  trials_.Keep(task.name(),
-               {incarnation.id, incarnation.service, executor_.Now(),
-                IsLikelyCulprit(task.crashes), length, /*started=*/true});
+  const Millis length = TrialDuration(task.crashes, options_.policy.crashes);
+  trials_.Reserve(task.name(),
+                  {incarnation.id, incarnation.service, executor_.Now(),
+                   IsLikelyCulprit(task.crashes), length, /*started=*/true});
   log_.Write("info", "cell", "trial run of a suspect begins",
              {{"task", task.name()},
               {"worker", incarnation.id},
@@ -231,12 +236,12 @@
       continue;
     }
     const Millis at_work = cell_worker->second.session->ObservedRunTime(*run);
-    if (at_work >= options_.policy.crashes.cleared) {
+    if (at_work >= options_.policy.crashes.unrelated_after) {
       ClearCrashes(task);
       ended.push_back(name);
-    } else if (at_work >= trial.length && !trial.settled) {
-      trials_.Settle(name);
-      JobTable::DropTrial(task);
+    } else if (at_work >= trial.duration && !trial.passed) {
+      trials_.MarkPassed(name);
+      JobTable::RemoveTrial(task);
       MarkDirty(task->job, /*urgent=*/false);
     }
   }
--- a/src/libdoorwood/cell/cell_takeover.cpp
+++ b/src/libdoorwood/cell/cell_takeover.cpp
@@ -64,9 +64,9 @@
   size_t held = 0;
   for (Job* job : jobs_.OpenJobs()) {
     ForEachTask(job, [&](Task* task) {
-      if (task->unaccounted) {
-        task->unaccounted = MayRunOn(*task, unheard);
-        ++(task->unaccounted ? held : freed);
+      if (task->may_still_run) {
+        task->may_still_run = MayRunOn(*task, unheard);
+        ++(task->may_still_run ? held : freed);
       }
     });
   }
@@ -113,8 +113,10 @@
 bool CellLeader::MayRunOn(const Task& task,
                           const UncontactedWorkers& unheard) const {
   const bool may_be = unheard.any_task || unheard.tasks.contains(task.name());
-  const bool has_place = placements_valid_at_takeover_ && task.plan().lasting;
-  return may_be && (!has_place || unheard.workers.contains(task.place));
+  const bool has_place =
+      placements_valid_at_takeover_ && task.plan().long_running;
+  return may_be &&
+         (!has_place || unheard.workers.contains(task.assigned_worker));
 }
 
 bool CellLeader::MayRunOnUncontacted(const Task& task) const {
@@ -175,11 +177,11 @@
   }
   int held = 0;
   for (const Job* job : jobs_.OpenJobs()) {
-    for (const TimeState& time : job->times) {
+    for (const RepetitionState& time : job->repetitions) {
       for (const StepState& step : time.steps) {
         held += static_cast<int>(std::count_if(
             step.tasks.begin(), step.tasks.end(), [](const Task& task) {
-              return task.unaccounted && !task.placed && !task.done;
+              return task.may_still_run && !task.placed && !task.done;
             }));
       }
     }
--- a/src/libdoorwood/cell/cell_unheard_wait_test.cpp
+++ b/src/libdoorwood/cell/cell_unheard_wait_test.cpp
@@ -28,7 +28,7 @@
 
 JobPlan LongRunningPlan(const std::string& id, int64_t cpu) {
   JobPlan plan = fakes::MakePlan(id, 1, 1, "");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   plan.steps[0].size.cpu_millis = cpu;
   return plan;
 }
--- a/src/libdoorwood/cell/cell_worker_loss_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_loss_test.cpp
@@ -20,7 +20,7 @@
 BOOST_FIXTURE_TEST_CASE(Worker_UnresponsiveAtTakeover_ItsTaskWaitsForProof,
                         CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 1, "");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   world.Submit(plan);
   world.Run(Millis(500));
   std::string host;
@@ -42,7 +42,7 @@
 
 BOOST_FIXTURE_TEST_CASE(Worker_Draining_LongRunningTaskMovesAway, CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 1, "");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   world.Submit(plan);
   world.Run(Millis(500));
   std::string host;
@@ -64,7 +64,7 @@
     Worker_EntryRemovedWithoutNotice_LongRunningTaskMovesInTime,
     CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 1, "");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   world.Submit(plan);
   world.Run(Millis(500));
   const std::string task = std::string(kJob) + ".0.0.0";
@@ -88,7 +88,7 @@
 
 BOOST_FIXTURE_TEST_CASE(Worker_EntryComesBack_NothingMoves, CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 1, "");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   world.Submit(plan);
   world.Run(Millis(500));
   for (const auto& [id, worker] : world.workers()) {
@@ -107,7 +107,7 @@
 BOOST_FIXTURE_TEST_CASE(Worker_PartitionedForMostOfItsLease_ItsRunsContinue,
                         CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 6, "");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   BOOST_REQUIRE(world.Submit(plan));
   world.Run(Millis(3000));
   CutAllWorkers();
@@ -123,7 +123,7 @@
 BOOST_FIXTURE_TEST_CASE(Worker_PartitionedAndEntryBackLater_NothingMoves,
                         CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 6, "");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   BOOST_REQUIRE(world.Submit(plan));
   world.Run(Millis(500));
   CutAllWorkers();
--- a/src/libdoorwood/cell/cut_leader_fixture.h
+++ b/src/libdoorwood/cell/cut_leader_fixture.h
@@ -38,7 +38,7 @@
 
   static JobPlan Plan() {
     JobPlan plan = MakePlan(kLastingJob, 1, 2, "");
-    plan.steps[0].lasting = true;
+    plan.steps[0].long_running = true;
     return plan;
   }
 
--- a/src/libdoorwood/cell/lead_trial_fixture.h
+++ b/src/libdoorwood/cell/lead_trial_fixture.h
@@ -91,7 +91,7 @@
 
   static JobPlan Plan(const std::string& id, int tasks) {
     JobPlan plan = MakePlan(id, 1, tasks, "");
-    plan.steps[0].lasting = true;
+    plan.steps[0].long_running = true;
     return plan;
   }
 
--- a/src/libdoorwood/cell/worker_session.cpp
+++ b/src/libdoorwood/cell/worker_session.cpp
@@ -38,11 +38,11 @@
   run.task = task.name();
   run.number = number;
   run.size = plan.size;
-  run.best_effort = plan.fills;
-  run.long_running = plan.lasting;
+  run.best_effort = plan.best_effort;
+  run.long_running = plan.long_running;
   run.latency_target = plan.latency_target;
   run.estimate = plan.estimate;
-  run.step = StepName(*task.job, task.time, task.step);
+  run.step = StepName(*task.job, task.repetition, task.step);
   return run;
 }
 
--- a/src/libdoorwood/config/manifest.cpp
+++ b/src/libdoorwood/config/manifest.cpp
@@ -9,7 +9,7 @@
 
 constexpr Range kYields{0, 100};
 constexpr Range kAttempts{1, 20};
-constexpr Range kCount{1, kMostTasksOfJob};
+constexpr Range kCount{1, kMaxTasksPerJob};
 constexpr int kServiceYields = 0;
 
 // Reads a task and appends `count` copies of it to the job. Copies are numbered
@@ -80,9 +80,9 @@
   if (problems->empty() && job.tasks.empty()) {
     reader.AddProblem("tasks", "must hold at least one task");
   }
-  if (job.tasks.size() > static_cast<size_t>(kMostTasksOfJob)) {
+  if (job.tasks.size() > static_cast<size_t>(kMaxTasksPerJob)) {
     reader.AddProblem("tasks", "must hold at most " +
-                                   std::to_string(kMostTasksOfJob) + " tasks");
+                                   std::to_string(kMaxTasksPerJob) + " tasks");
   }
   if (!problems->empty()) {
     return std::nullopt;
--- a/src/libdoorwood/job/job_plan.cpp
+++ b/src/libdoorwood/job/job_plan.cpp
@@ -34,7 +34,7 @@
   if (step.estimate < Millis(0)) {
     return FieldPath(index, "estimate") + " may not be negative";
   }
-  if (step.most_per_worker < 0) {
+  if (step.max_per_worker < 0) {
     return FieldPath(index, "most_per_worker") + " may not be negative";
   }
   for (const int earlier : step.depends_on) {
@@ -42,7 +42,7 @@
       return FieldPath(index, "depends_on") + " may name earlier steps only";
     }
   }
-  if (step.lasting && plan.times > 0) {
+  if (step.long_running && plan.repeat_count > 0) {
     return FieldPath(index, "lasting") + " contradicts a job of several times";
   }
   return std::nullopt;
@@ -63,10 +63,10 @@
   if (plan.steps.size() > kMaxStepsPerJob) {
     return "steps may hold at most 200 steps";
   }
-  if (plan.times < 0 || plan.times > kMaxRepetitionsPerJob) {
+  if (plan.repeat_count < 0 || plan.repeat_count > kMaxRepetitionsPerJob) {
     return "times must lie between 0 and 10000";
   }
-  if (plan.times > 1 && plan.interval <= Millis(0)) {
+  if (plan.repeat_count > 1 && plan.interval <= Millis(0)) {
     return "interval must be above 0 where times is above 1";
   }
   int64_t tasks = 0;
@@ -75,7 +75,7 @@
       return problem;
     }
     tasks += plan.steps[i].count;
-    if (tasks > kMostTasksOfJob) {
+    if (tasks > kMaxTasksPerJob) {
       return "steps may hold at most 20000 tasks in all";
     }
   }
@@ -126,12 +126,9 @@
     json["depends_on"] = step.depends_on;
   }
   const std::pair<const char*, bool> flags[] = {
-      {"checkpoints", step.checkpoints},
-      {"gang", step.gang},
-      {"same_rack", step.same_rack},
-      {"lasting", step.lasting},
-      {"fills", step.fills},
-      {"duplicates", step.duplicates}};
+      {"checkpoints", step.checkpoints}, {"gang", step.gang},
+      {"same_rack", step.same_rack},     {"lasting", step.long_running},
+      {"fills", step.best_effort},       {"duplicates", step.duplicates}};
   for (const auto& [name, value] : flags) {
     if (value) {
       json[name] = true;
@@ -146,11 +143,11 @@
       json[name] = *value;
     }
   }
-  if (step.most_per_worker > 0) {
-    json["most_per_worker"] = step.most_per_worker;
+  if (step.max_per_worker > 0) {
+    json["most_per_worker"] = step.max_per_worker;
   }
-  if (step.may_miss) {
-    json["may_miss"] = *step.may_miss;
+  if (step.max_unavailable) {
+    json["may_miss"] = *step.max_unavailable;
   }
   if (step.latency_target > Millis(0)) {
     json["latency_target_ms"] = step.latency_target.count();
@@ -168,15 +165,15 @@
   step.checkpoints = json.value("checkpoints", false);
   step.gang = json.value("gang", false);
   step.same_rack = json.value("same_rack", false);
-  step.lasting = json.value("lasting", false);
-  step.fills = json.value("fills", false);
+  step.long_running = json.value("lasting", false);
+  step.best_effort = json.value("fills", false);
   step.duplicates = json.value("duplicates", false);
   step.required_label = json.value("required_label", std::string());
   step.data_rack = json.value("data_rack", std::string());
   step.image = json.value("image", std::string());
-  step.most_per_worker = ReadInt(json, "most_per_worker");
+  step.max_per_worker = ReadInt(json, "most_per_worker");
   if (json.contains("may_miss")) {
-    step.may_miss = ReadInt(json, "may_miss");
+    step.max_unavailable = ReadInt(json, "may_miss");
   }
   step.latency_target = ReadMillisOr(json, "latency_target_ms", Millis(0));
 }
@@ -187,8 +184,8 @@
               {"payload", plan.payload},
               {"steps", plan.steps},
               {"accepted_at", plan.accepted_at}};
-  if (plan.times > 0) {
-    json["times"] = plan.times;
+  if (plan.repeat_count > 0) {
+    json["times"] = plan.repeat_count;
     json["first_due"] = plan.first_due;
     json["interval_ms"] = plan.interval.count();
   }
@@ -200,7 +197,7 @@
   json.at("payload").get_to(plan.payload);
   json.at("steps").get_to(plan.steps);
   plan.accepted_at = ReadWholeOr(json, "accepted_at", 0);
-  plan.times = ReadInt(json, "times");
+  plan.repeat_count = ReadInt(json, "times");
   plan.first_due = ReadWholeOr(json, "first_due", 0);
   plan.interval = ReadMillisOr(json, "interval_ms", Millis(0));
 }
--- a/src/libdoorwood/job/job_plan_test.cpp
+++ b/src/libdoorwood/job/job_plan_test.cpp
@@ -33,13 +33,14 @@
        "steps[1].depends_on"},
       {"depends on a later one",
        [](JobPlan* p) { p->steps[0].depends_on = {1}; }, "steps[0].depends_on"},
-      {"negative bound", [](JobPlan* p) { p->steps[0].most_per_worker = -1; },
+      {"negative bound", [](JobPlan* p) { p->steps[0].max_per_worker = -1; },
        "most_per_worker"},
-      {"times without interval", [](JobPlan* p) { p->times = 2; }, "interval"},
+      {"times without interval", [](JobPlan* p) { p->repeat_count = 2; },
+       "interval"},
       {"lasting and timed",
        [](JobPlan* p) {
-         p->times = 1;
-         p->steps[0].lasting = true;
+         p->repeat_count = 1;
+         p->steps[0].long_running = true;
        },
        "lasting"},
   };
@@ -62,15 +63,15 @@
 BOOST_AUTO_TEST_CASE(JobPlan_EncodedAndDecoded_IsUnchanged) {
   JobPlan plan = fakes::MakePlan(kId, 2, 3, "ms=10");
   StepPlan& step = plan.steps[1];
-  step.checkpoints = step.gang = step.same_rack = step.fills = true;
+  step.checkpoints = step.gang = step.same_rack = step.best_effort = true;
   step.duplicates = true;
   step.required_label = "gpu";
   step.data_rack = "r2";
   step.image = "i1";
-  step.most_per_worker = 2;
-  step.may_miss = 1;
+  step.max_per_worker = 2;
+  step.max_unavailable = 1;
   step.latency_target = Millis(150);
-  plan.times = 3;
+  plan.repeat_count = 3;
   plan.first_due = 1000;
   plan.interval = Millis(500);
   plan.accepted_at = 77;
--- a/src/libdoorwood/job/job_table.cpp
+++ b/src/libdoorwood/job/job_table.cpp
@@ -21,18 +21,18 @@
   return job->plan.steps[step];
 }
 
-uint32_t Task::UnheardEnds() const {
+uint32_t Task::CountUnreportedEnds() const {
   if (adopted_run <= recorded_run) {
     return 0;
   }
   const auto reported = std::count_if(
-      told_runs.begin(), told_runs.end(),
+      reported_runs.begin(), reported_runs.end(),
       [this](uint32_t run) { return run > recorded_run && run < adopted_run; });
   return adopted_run - recorded_run - 1 - static_cast<uint32_t>(reported);
 }
 
 std::string Task::name() const {
-  return StepName(*job, time, step) + "." + std::to_string(index);
+  return StepName(*job, repetition, step) + "." + std::to_string(index);
 }
 
 std::string StepName(const Job& job, int repetition, int step) {
@@ -41,13 +41,13 @@
 }
 
 int64_t DueAt(const Job& job, int repetition) {
-  return job.plan.times > 0
+  return job.plan.repeat_count > 0
              ? job.plan.first_due + repetition * job.plan.interval.count()
              : job.plan.accepted_at;
 }
 
 bool IsDue(const Job& job, int repetition, int64_t now) {
-  return job.plan.times <= 0 || now >= DueAt(job, repetition);
+  return job.plan.repeat_count <= 0 || now >= DueAt(job, repetition);
 }
 
 int64_t WaitingCpu(const Job& job, int64_t now) {
@@ -58,8 +58,8 @@
     }
     for (int step = 0; step < static_cast<int>(job.plan.steps.size()); ++step) {
       const StepPlan& plan = job.plan.steps[step];
-      const int idle = job.times[repetition].steps[step].idle;
-      if (idle > 0 && !plan.lasting &&
+      const int idle = job.repetitions[repetition].steps[step].idle;
+      if (idle > 0 && !plan.long_running &&
           JobTable::IsUnblocked(job, repetition, step)) {
         cpu += idle * plan.size.cpu_millis;
       }
@@ -69,7 +69,7 @@
 }
 
 void ForEachTask(Job* job, const std::function<void(Task*)>& each) {
-  for (TimeState& repetition : job->times) {
+  for (RepetitionState& repetition : job->repetitions) {
     for (StepState& step : repetition.steps) {
       for (Task& task : step.tasks) {
         each(&task);
@@ -103,7 +103,7 @@
     return std::nullopt;
   }
   parsed.job = name.substr(0, dot);
-  for (int* part : {&parsed.time, &parsed.step, &parsed.index}) {
+  for (int* part : {&parsed.repetition, &parsed.step, &parsed.index}) {
     if (dot == std::string_view::npos) {
       return std::nullopt;
     }
@@ -125,7 +125,7 @@
   auto job = std::make_unique<Job>();
   job->plan = std::move(plan);
   for (int repetition = 0; repetition < job->plan.repetitions(); ++repetition) {
-    TimeState& state = job->times.emplace_back();
+    RepetitionState& state = job->repetitions.emplace_back();
     state.steps.resize(job->plan.steps.size());
     for (size_t step = 0; step < state.steps.size(); ++step) {
       std::vector<Task>& tasks = state.steps[step].tasks;
@@ -133,7 +133,7 @@
       state.steps[step].idle = job->plan.steps[step].count;
       for (size_t index = 0; index < tasks.size(); ++index) {
         tasks[index].job = job.get();
-        tasks[index].time = repetition;
+        tasks[index].repetition = repetition;
         tasks[index].step = static_cast<int>(step);
         tasks[index].index = static_cast<int>(index);
       }
@@ -160,7 +160,8 @@
   }
   task->placed = placed;
   if (!task->done) {
-    task->job->times[task->time].steps[task->step].idle += placed ? -1 : 1;
+    task->job->repetitions[task->repetition].steps[task->step].idle +=
+        placed ? -1 : 1;
   }
 }
 
@@ -175,12 +176,12 @@
     return nullptr;
   }
   Job* job = Find(parsed->job);
-  if (job == nullptr || parsed->time < 0 || parsed->step < 0 ||
+  if (job == nullptr || parsed->repetition < 0 || parsed->step < 0 ||
       parsed->index < 0 ||
-      static_cast<size_t>(parsed->time) >= job->times.size()) {
+      static_cast<size_t>(parsed->repetition) >= job->repetitions.size()) {
     return nullptr;
   }
-  auto& steps = job->times[parsed->time].steps;
+  auto& steps = job->repetitions[parsed->repetition].steps;
   if (static_cast<size_t>(parsed->step) >= steps.size()) {
     return nullptr;
   }
@@ -203,7 +204,7 @@
 }
 
 bool JobTable::IsUnblocked(const Job& job, int repetition, int step) {
-  const TimeState& state = job.times[repetition];
+  const RepetitionState& state = job.repetitions[repetition];
   const auto& earlier = job.plan.steps[step].depends_on;
   return std::all_of(earlier.begin(), earlier.end(), [&](int needed) {
     return state.steps[needed].done == job.plan.steps[needed].count;
@@ -217,7 +218,7 @@
   task->done = true;
   task->checkpoint.clear();
   Job* job = task->job;
-  TimeState& repetition = job->times[task->time];
+  RepetitionState& repetition = job->repetitions[task->repetition];
   StepState& step = repetition.steps[task->step];
   ++step.done;
   step.idle -= task->placed ? 0 : 1;
@@ -239,7 +240,8 @@
     MarkOneDone(task);
     return;
   }
-  for (Task& member : task->job->times[task->time].steps[task->step].tasks) {
+  for (Task& member :
+       task->job->repetitions[task->repetition].steps[task->step].tasks) {
     MarkOneDone(&member);
   }
 }
@@ -247,7 +249,9 @@
 bool JobTable::CountFailure(Task* task, uint32_t run, int max_attempts) {
   Task* counter = task;
   if (task->plan().gang) {
-    counter = &task->job->times[task->time].steps[task->step].tasks.front();
+    counter = &task->job->repetitions[task->repetition]
+                   .steps[task->step]
+                   .tasks.front();
   }
   auto& failed = counter->failed_runs;
   if (std::find(failed.begin(), failed.end(), run) == failed.end()) {
@@ -264,7 +268,7 @@
   task->last_run = std::max(task->last_run, run);
   Job* job = task->job;
   const bool counts_as_failure =
-      end == RunEnd::kFailed && !task->plan().lasting && !task->done;
+      end == RunEnd::kFailed && !task->plan().long_running && !task->done;
   if (counts_as_failure) {
     job->dirty = true;
     if (CountFailure(task, run, max_attempts) &&
@@ -283,7 +287,7 @@
   // since. Without this rule 3,400 to 4,681 tasks were started again within 80
   // s of an overload with unreachable workers (five simulated runs, counted in
   // the leader's log).
-  if (end == RunEnd::kDone && !task->plan().lasting) {
+  if (end == RunEnd::kDone && !task->plan().long_running) {
     job->dirty = true;
     MarkDone(task);
     return EndEffect::kDone;
@@ -304,8 +308,9 @@
       [&](const CrashNote& other) { return other.run == crash.run; });
   if (known == task->crashes.end()) {
     task->crashes.push_back(std::move(crash));
-  } else if (*known == crash || (known->evidence != CrashEvidence::kUntold &&
-                                 known->evidence != CrashEvidence::kTrial)) {
+  } else if (*known == crash ||
+             (known->evidence != CrashEvidence::kUnconfirmed &&
+              known->evidence != CrashEvidence::kTrial)) {
     return false;
   } else {
     *known = std::move(crash);
@@ -314,10 +319,11 @@
   return true;
 }
 
-bool JobTable::DropUntold(Task* task, uint32_t run) {
+bool JobTable::RemoveUnconfirmed(Task* task, uint32_t run) {
   const auto dropped =
       std::erase_if(task->crashes, [run](const CrashNote& crash) {
-        return crash.run == run && crash.evidence == CrashEvidence::kUntold;
+        return crash.run == run &&
+               crash.evidence == CrashEvidence::kUnconfirmed;
       });
   if (dropped > 0) {
     task->job->dirty = true;
@@ -326,12 +332,12 @@
 }
 
 void JobTable::NoteTrial(Task* task, CrashNote trial) {
-  DropTrial(task);
+  RemoveTrial(task);
   task->crashes.push_back(std::move(trial));
   task->job->dirty = true;
 }
 
-bool JobTable::DropTrial(Task* task) {
+bool JobTable::RemoveTrial(Task* task) {
   const auto dropped = std::erase_if(task->crashes, [](const CrashNote& crash) {
     return crash.evidence == CrashEvidence::kTrial;
   });
@@ -341,12 +347,12 @@
   return dropped > 0;
 }
 
-bool JobTable::SetPlace(Task* task, const std::string& worker) {
-  if (task->place == worker) {
-    return task->place_record != PlaceRecord::kRecorded;
+bool JobTable::SetAssignedWorker(Task* task, const std::string& worker) {
+  if (task->assigned_worker == worker) {
+    return task->assignment_record != AssignmentRecord::kRecorded;
   }
-  task->place = worker;
-  task->place_record = PlaceRecord::kChanged;
+  task->assigned_worker = worker;
+  task->assignment_record = AssignmentRecord::kChanged;
   task->job->dirty = true;
   return true;
 }
@@ -379,8 +385,8 @@
 Json EncodeCrash(const CrashNote& crash) {
   return Json::array({crash.run, crash.machine, crash.worker,
                       static_cast<int>(crash.evidence), crash.suspect ? 1 : 0,
-                      crash.alone ? 1 : 0, crash.one_of_many ? 1 : 0,
-                      crash.at_work.count()});
+                      crash.in_trial ? 1 : 0, crash.mass_crash ? 1 : 0,
+                      crash.observed_running.count()});
 }
 
 CrashNote DecodeCrash(const Json& row) {
@@ -389,17 +395,17 @@
   row.at(1).get_to(crash.machine);
   row.at(2).get_to(crash.worker);
   const int evidence = row.at(3).get<int>();
-  crash.evidence = CrashEvidence::kUntold;
+  crash.evidence = CrashEvidence::kUnconfirmed;
   for (const auto known :
-       {CrashEvidence::kOtherLife, CrashEvidence::kVanished}) {
+       {CrashEvidence::kRestarted, CrashEvidence::kVanished}) {
     if (evidence == static_cast<int>(known)) {
       crash.evidence = known;
     }
   }
   crash.suspect = row.at(4).get<int>() != 0;
-  crash.alone = row.at(5).get<int>() != 0;
-  crash.one_of_many = row.at(6).get<int>() != 0;
-  crash.at_work = Millis(row.at(7).get<int64_t>());
+  crash.in_trial = row.at(5).get<int>() != 0;
+  crash.mass_crash = row.at(6).get<int>() != 0;
+  crash.observed_running = Millis(row.at(7).get<int64_t>());
   return crash;
 }
 
@@ -407,19 +413,19 @@
 // followed by the crashes and the place where there are any. Older versions
 // ignore these extra columns.
 Json EncodeTask(const Task& task) {
-  Json row = Json::array({task.time, task.step, task.index, task.last_run,
+  Json row = Json::array({task.repetition, task.step, task.index, task.last_run,
                           task.counted_run, task.failed_runs, task.checkpoint,
                           task.done ? 1 : 0});
   const bool has_crashes = !task.crashes.empty() && !task.done;
-  if (has_crashes || !task.place.empty()) {
+  if (has_crashes || !task.assigned_worker.empty()) {
     Json crashes = Json::array();
     for (const CrashNote& crash : task.crashes) {
       crashes.push_back(EncodeCrash(crash));
     }
     row.push_back(std::move(crashes));
   }
-  if (!task.place.empty()) {
-    row.push_back(task.place);
+  if (!task.assigned_worker.empty()) {
+    row.push_back(task.assigned_worker);
   }
   return row;
 }
@@ -430,7 +436,7 @@
   Json tasks = Json::array();
   // The tasks of a finished job are not needed any more.
   if (job.outcome == JobOutcome::kOpen) {
-    for (const TimeState& repetition : job.times) {
+    for (const RepetitionState& repetition : job.repetitions) {
       for (const StepState& step : repetition.steps) {
         for (const Task& task : step.tasks) {
           if (HasStoredState(task)) {
@@ -448,7 +454,7 @@
   }
   Json state{{"outcome", std::string(1, letter)},
              {"finished_at", job.finished_at},
-             {"begun", job.begun},
+             {"begun", job.started},
              {"tasks", std::move(tasks)}};
   if (!job.reason.empty()) {
     state["reason"] = job.reason;
@@ -465,7 +471,7 @@
   try {
     const std::string letter = json->at("outcome").get<std::string>();
     job->finished_at = json->at("finished_at").get<int64_t>();
-    job->begun = json->at("begun").get<bool>();
+    job->started = json->at("begun").get<bool>();
     if (json->contains("reason")) {
       job->reason = json->at("reason").get<std::string>();
     }
@@ -473,7 +479,8 @@
       const size_t repetition = row.at(0).get<size_t>();
       const size_t step = row.at(1).get<size_t>();
       const size_t index = row.at(2).get<size_t>();
-      Task& task = job->times.at(repetition).steps.at(step).tasks.at(index);
+      Task& task =
+          job->repetitions.at(repetition).steps.at(step).tasks.at(index);
       row.at(3).get_to(task.last_run);
       row.at(4).get_to(task.counted_run);
       row.at(5).get_to(task.failed_runs);
@@ -485,7 +492,7 @@
         }
       }
       if (row.size() > kPlaceColumn) {
-        row.at(kPlaceColumn).get_to(task.place);
+        row.at(kPlaceColumn).get_to(task.assigned_worker);
       }
     }
     for (const auto& [outcome, known] : kOutcomeLetters) {
@@ -497,7 +504,7 @@
     valid = false;  // keeps what was read before the fault
   }
   job->repetitions_done = 0;
-  for (TimeState& repetition : job->times) {
+  for (RepetitionState& repetition : job->repetitions) {
     repetition.steps_done = 0;
     for (size_t step = 0; step < repetition.steps.size(); ++step) {
       const auto& tasks = repetition.steps[step].tasks;
--- a/src/libdoorwood/job/job_table_test.cpp
+++ b/src/libdoorwood/job/job_table_test.cpp
@@ -143,9 +143,9 @@
 BOOST_AUTO_TEST_CASE(CountEnd_LastingTaskFails_HasNoLimit) {
   JobTable table;
   JobPlan plan = fakes::MakePlan(kId, 1, 1, "");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   Job* job = table.Add(plan);
-  Task* task = &job->times[0].steps[0].tasks[0];
+  Task* task = &job->repetitions[0].steps[0].tasks[0];
   for (uint32_t run = 1; run < 10; ++run) {
     table.CountEnd(task, run, RunEnd::kFailed, "", 1);
   }
@@ -158,7 +158,8 @@
   JobPlan plan = fakes::MakePlan(kId, 1, 4, "");
   plan.steps[0].gang = true;
   Job* job = table.Add(plan);
-  table.CountEnd(&job->times[0].steps[0].tasks[2], 1, RunEnd::kDone, "", 2);
+  table.CountEnd(&job->repetitions[0].steps[0].tasks[2], 1, RunEnd::kDone, "",
+                 2);
   BOOST_TEST(static_cast<int>(job->outcome) ==
              static_cast<int>(JobOutcome::kCompleted));
 }
@@ -168,7 +169,7 @@
   JobPlan plan = fakes::MakePlan(kId, 1, 2, "");
   plan.steps[0].gang = true;
   Job* job = table.Add(plan);
-  auto& tasks = job->times[0].steps[0].tasks;
+  auto& tasks = job->repetitions[0].steps[0].tasks;
   table.CountEnd(&tasks[0], 1, RunEnd::kFailed, "", 2);
   table.CountEnd(&tasks[1], 1, RunEnd::kFailed, "", 2);
   BOOST_TEST(static_cast<int>(job->outcome) ==
@@ -182,7 +183,7 @@
   JobTable table;
   Job* job = table.Add(fakes::MakePlan(kId, 2, 2, ""));
   BOOST_TEST(JobTable::IsUnblocked(*job, 0, 0));
-  auto& first = job->times[0].steps[0].tasks;
+  auto& first = job->repetitions[0].steps[0].tasks;
   table.CountEnd(&first[0], 1, RunEnd::kDone, "", 1);
   BOOST_TEST(!JobTable::IsUnblocked(*job, 0, 1));
   table.CountEnd(&first[1], 1, RunEnd::kDone, "", 1);
@@ -193,20 +194,20 @@
   JobTable before;
   const JobPlan plan = fakes::MakePlan(kId, 2, 2, "");
   Job* job = before.Add(plan);
-  auto& tasks = job->times[0].steps[0].tasks;
+  auto& tasks = job->repetitions[0].steps[0].tasks;
   before.CountEnd(&tasks[0], 4, RunEnd::kDone, "", 3);
   before.CountEnd(&tasks[1], 2, RunEnd::kFailed, "saved", 3);
-  job->begun = true;
+  job->started = true;
   JobTable after;
   Job* read = after.Add(plan);
   BOOST_TEST(DecodeJobState(EncodeJobState(*job), read));
-  const auto& restored = read->times[0].steps[0];
+  const auto& restored = read->repetitions[0].steps[0];
   BOOST_TEST(restored.done == 1);
   BOOST_TEST(restored.tasks[0].done);
   BOOST_TEST(restored.tasks[1].failed_runs.size() == 1U);
   BOOST_TEST(restored.tasks[1].checkpoint == "saved");
   BOOST_TEST(restored.tasks[1].counted_run == 2U);
-  BOOST_TEST(read->begun);
+  BOOST_TEST(read->started);
 }
 
 BOOST_AUTO_TEST_CASE(DecodeJobState_MalformedText_IsRejected) {
@@ -226,7 +227,7 @@
       !DecodeJobState(R"({"outcome":"o","finished_at":0,"begun":true,)"
                       R"("tasks":[[0,0,0,4,4,[],"",1],[0,0,"x",1,1,[],"",0]]})",
                       job));
-  const StepState& step = job->times[0].steps[0];
+  const StepState& step = job->repetitions[0].steps[0];
   BOOST_TEST(step.tasks[0].done);
   BOOST_TEST(step.done == 1);
   BOOST_TEST(step.idle == 1);
@@ -243,32 +244,32 @@
 BOOST_AUTO_TEST_CASE(EncodeJobState_CrashesAndReason_AreRestored) {
   JobTable table;
   Job* job = table.Add(fakes::MakePlan(kId, 1, 2, ""));
-  Task* task = &job->times[0].steps[0].tasks[1];
+  Task* task = &job->repetitions[0].steps[0].tasks[1];
   task->last_run = 3;
   BOOST_TEST(JobTable::NoteCrash(
-      task, {2, "m-1", "w1", CrashEvidence::kOtherLife, true, true, false}));
+      task, {2, "m-1", "w1", CrashEvidence::kRestarted, true, true, false}));
   BOOST_TEST(JobTable::NoteCrash(
-      task, {3, "m-2", "w2", CrashEvidence::kUntold, true, false, true}));
+      task, {3, "m-2", "w2", CrashEvidence::kUnconfirmed, true, false, true}));
   BOOST_TEST(JobTable::NoteCrash(
       task, {3, "m-2", "w2", CrashEvidence::kVanished, true, false, true}));
   BOOST_TEST(!JobTable::NoteCrash(task, {3, "m-3"}));
-  BOOST_TEST(!JobTable::DropUntold(task, 3));
+  BOOST_TEST(!JobTable::RemoveUnconfirmed(task, 3));
   job->reason = "why";
   JobTable successor;
   Job* read = successor.Add(fakes::MakePlan(kId, 1, 2, ""));
   BOOST_REQUIRE(DecodeJobState(EncodeJobState(*job), read));
   const std::vector<CrashNote>& crashes =
-      read->times[0].steps[0].tasks[1].crashes;
+      read->repetitions[0].steps[0].tasks[1].crashes;
   BOOST_REQUIRE(crashes.size() == 2U);
   BOOST_TEST(crashes[0].run == 2U);
   BOOST_TEST(crashes[0].machine == "m-1");
-  BOOST_TEST((crashes[0].evidence == CrashEvidence::kOtherLife));
-  BOOST_TEST(crashes[0].alone);
+  BOOST_TEST((crashes[0].evidence == CrashEvidence::kRestarted));
+  BOOST_TEST(crashes[0].in_trial);
   BOOST_TEST((crashes[1].evidence == CrashEvidence::kVanished));
   BOOST_TEST(crashes[1].suspect);
-  BOOST_TEST(crashes[1].one_of_many);
+  BOOST_TEST(crashes[1].mass_crash);
   BOOST_TEST(read->reason == "why");
-  BOOST_TEST(read->times[0].steps[0].tasks[0].crashes.empty());
+  BOOST_TEST(read->repetitions[0].steps[0].tasks[0].crashes.empty());
 }
 
 // Guards against rejecting records of an older version.
@@ -278,7 +279,7 @@
   BOOST_TEST(DecodeJobState(R"({"outcome":"o","finished_at":0,"begun":true,)"
                             R"("tasks":[[0,0,0,4,3,[],"",0]]})",
                             job));
-  BOOST_TEST(job->times[0].steps[0].tasks[0].last_run == 4U);
+  BOOST_TEST(job->repetitions[0].steps[0].tasks[0].last_run == 4U);
 }
 
 }  // namespace
--- a/src/libdoorwood/policy/cell_policy.cpp
+++ b/src/libdoorwood/policy/cell_policy.cpp
@@ -20,37 +20,40 @@
              : 0.0;
 }
 
-bool HasLabel(const WorkerRoom& worker, std::string_view label) {
+bool HasLabel(const CandidateWorker& worker, std::string_view label) {
   return std::find(worker.labels.begin(), worker.labels.end(), label) !=
          worker.labels.end();
 }
 
 // Share of the serving images there that equal `image`; 0.5 if there are none.
-double ShareOfImage(const WorkerRoom& worker, ImageId image) {
+double ShareOfImage(const CandidateWorker& worker, ImageId image) {
   constexpr double kEmptyWorker = 0.5;
-  if (worker.strains.empty()) {
+  if (worker.serving_utilizations.empty()) {
     return kEmptyWorker;
   }
-  const auto same = std::count_if(
-      worker.strains.begin(), worker.strains.end(),
-      [image](const ServingStrain& serving) { return serving.image == image; });
-  return static_cast<double>(same) / static_cast<double>(worker.strains.size());
+  const auto same = std::count_if(worker.serving_utilizations.begin(),
+                                  worker.serving_utilizations.end(),
+                                  [image](const ServingUtilization& serving) {
+                                    return serving.image == image;
+                                  });
+  return static_cast<double>(same) /
+         static_cast<double>(worker.serving_utilizations.size());
 }
 
 // Processors that best-effort work may request on a worker, in thousandths.
-double BestEffortCpuBudget(const WorkerRoom& worker,
+double BestEffortCpuBudget(const CandidateWorker& worker,
                            const PolicyOptions& options) {
   const int64_t ordinary = worker.reserved.cpu_millis - worker.serving_cpu;
   const double used =
       static_cast<double>(ordinary) +
-      options.serving_use * static_cast<double>(worker.serving_cpu);
+      options.serving_cpu_use_ratio * static_cast<double>(worker.serving_cpu);
   return (static_cast<double>(worker.capacity.cpu_millis) - used) *
          options.best_effort_cpu_share;
 }
 
 PlaceProblem FindCapacityProblem(const StepPlan& step,
-                                 const TaskNeed& need,
-                                 const WorkerRoom& worker,
+                                 const TaskRequirements& need,
+                                 const CandidateWorker& worker,
                                  const InterferenceModel& model,
                                  const PolicyOptions& options) {
   const Resources after = worker.reserved + step.size;
@@ -60,7 +63,7 @@
   if (after.accelerators > worker.capacity.accelerators) {
     return PlaceProblem::kNoAccelerators;
   }
-  if (!step.fills) {
+  if (!step.best_effort) {
     return after.cpu_millis > worker.capacity.cpu_millis ? PlaceProblem::kNoCpu
                                                          : PlaceProblem::kNone;
   }
@@ -84,7 +87,7 @@
   int64_t work = 0;
   for (size_t step = 0; step < job.plan.steps.size(); ++step) {
     const StepPlan& plan = job.plan.steps[step];
-    const int left = plan.count - job.times[repetition].steps[step].done;
+    const int left = plan.count - job.repetitions[repetition].steps[step].done;
     work += left * plan.size.cpu_millis * run_times[step].count();
   }
   return work;
@@ -98,7 +101,7 @@
                   int64_t work_left,
                   int64_t now,
                   const PolicyOptions& options) {
-  if (plan.steps[step].lasting) {
+  if (plan.steps[step].long_running) {
     return {0, queue.priority, due_at};
   }
   const auto chain = static_cast<double>(LongestChain(plan, run_times).count());
@@ -119,10 +122,12 @@
   return {3, queue.priority, due_at};
 }
 
-int64_t LastingCpu(const JobPlan& plan) {
+int64_t LongRunningCpu(const JobPlan& plan) {
   int64_t cpu = 0;
   for (const StepPlan& step : plan.steps) {
-    cpu += step.lasting && !step.fills ? step.count * step.size.cpu_millis : 0;
+    cpu += step.long_running && !step.best_effort
+               ? step.count * step.size.cpu_millis
+               : 0;
   }
   return cpu;
 }
@@ -151,18 +156,18 @@
 }
 
 PlaceProblem FindPlaceProblem(const StepPlan& step,
-                              const TaskNeed& need,
-                              const WorkerRoom& worker,
+                              const TaskRequirements& need,
+                              const CandidateWorker& worker,
                               int on_worker,
                               const InterferenceModel& model,
                               const PolicyOptions& options) {
-  if (!worker.open) {
+  if (!worker.accepts_work) {
     return PlaceProblem::kClosed;
   }
   if (worker.service != need.service) {
     return PlaceProblem::kOtherService;
   }
-  if (step.most_per_worker > 0 && on_worker >= step.most_per_worker) {
+  if (step.max_per_worker > 0 && on_worker >= step.max_per_worker) {
     return PlaceProblem::kStepBound;
   }
   if (!step.required_label.empty() && !HasLabel(worker, step.required_label)) {
@@ -175,8 +180,8 @@
 }
 
 double PlaceScore(const StepPlan& step,
-                  const TaskNeed& need,
-                  const WorkerRoom& worker,
+                  const TaskRequirements& need,
+                  const CandidateWorker& worker,
                   const InterferenceModel& model) {
   double score = 0;
   if (!step.data_rack.empty() && HasLabel(worker, step.data_rack)) {
@@ -194,12 +199,12 @@
     score += kStrongWeight * reserved;
     score += ShareOfImage(worker, need.image);
     score -= best_effort_share;
-  } else if (step.fills) {
+  } else if (step.best_effort) {
     // Prefer the worker with the least interference, then the most free
     // processors.
     const double cores =
         static_cast<double>(step.size.cpu_millis) / kMillisPerCore;
-    score -= worker.strains.empty()
+    score -= worker.serving_utilizations.empty()
                  ? 0.0
                  : 1.0 + ExcessUtilization(worker, need.image, cores, model);
     score -= best_effort_share;
@@ -211,25 +216,27 @@
   return score;
 }
 
-double ExcessUtilization(const WorkerRoom& worker,
+double ExcessUtilization(const CandidateWorker& worker,
                          ImageId image,
                          double cores,
                          const InterferenceModel& model) {
   double excess = -1.0;
-  for (const ServingStrain& serving : worker.strains) {
-    const double added = model.Press(serving.image, image) * cores;
-    excess = std::max(excess, serving.strain + added - serving.wanted);
+  for (const ServingUtilization& serving : worker.serving_utilizations) {
+    const double added =
+        model.InterferencePerCore(serving.image, image) * cores;
+    excess =
+        std::max(excess, serving.utilization + added - serving.max_utilization);
   }
   return excess;
 }
 
-void WorkerTrust::OnSuccess(const std::string& worker) {
+void WorkerQuarantine::OnSuccess(const std::string& worker) {
   records_.erase(worker);
 }
 
-void WorkerTrust::OnFailure(const std::string& worker,
-                            std::string_view job,
-                            Instant now) {
+void WorkerQuarantine::OnFailure(const std::string& worker,
+                                 std::string_view job,
+                                 Instant now) {
   Record& record = records_[worker];
   record.failures.insert_or_assign(std::string(job), now);
   std::erase_if(record.failures, [&](const auto& entry) {
@@ -241,7 +248,7 @@
   }
 }
 
-void WorkerTrust::OnStart(const std::string& worker, Instant now) {
+void WorkerQuarantine::OnStart(const std::string& worker, Instant now) {
   const auto found = records_.find(worker);
   if (found == records_.end() || found->second.quarantined_until == Instant{}) {
     return;
@@ -256,12 +263,13 @@
       std::max(found->second.quarantined_until, now + options_.probe_interval);
 }
 
-bool WorkerTrust::Allows(const std::string& worker, Instant now) const {
+bool WorkerQuarantine::AllowsStart(const std::string& worker,
+                                   Instant now) const {
   const auto found = records_.find(worker);
   return found == records_.end() || now >= found->second.quarantined_until;
 }
 
-void WorkerTrust::Forget(const std::string& worker) {
+void WorkerQuarantine::Forget(const std::string& worker) {
   records_.erase(worker);
 }
 
--- a/src/libdoorwood/policy/cell_policy_test.cpp
+++ b/src/libdoorwood/policy/cell_policy_test.cpp
@@ -16,7 +16,7 @@
     // Round shares instead of the defaults, so that rows count in whole
     // workers.
     options.best_effort_cpu_share = 1.0;
-    options.serving_use = 0.5;
+    options.serving_cpu_use_ratio = 0.5;
     worker.id = "w1";
     worker.service = "pool";
     worker.rack = "r1";
@@ -34,9 +34,9 @@
   InterferenceModel model{options.interference};
   const ImageId serving = model.Intern("s");
   std::vector<std::string> labels{"a", "r1"};
-  WorkerRoom worker;
+  CandidateWorker worker;
   StepPlan step;
-  TaskNeed need;
+  TaskRequirements need;
 };
 
 BOOST_FIXTURE_TEST_CASE(FindPlaceProblem_EachReason_IsNamed, PolicyFixture) {
@@ -46,7 +46,8 @@
   };
   const Row rows[] = {
       {PlaceProblem::kNone, [](PolicyFixture*) {}},
-      {PlaceProblem::kClosed, [](PolicyFixture* f) { f->worker.open = false; }},
+      {PlaceProblem::kClosed,
+       [](PolicyFixture* f) { f->worker.accepts_work = false; }},
       {PlaceProblem::kOtherService,
        [](PolicyFixture* f) { f->need.service = "other"; }},
       {PlaceProblem::kNoLabel,
@@ -64,19 +65,19 @@
        [](PolicyFixture* f) { f->step.size.accelerators = 2; }},
       {PlaceProblem::kNoCpu,
        [](PolicyFixture* f) {
-         f->step.fills = true;
+         f->step.best_effort = true;
          f->worker.best_effort_cpu = 30'000;
        }},
       {PlaceProblem::kNone,
        [](PolicyFixture* f) {
-         f->step.fills = true;
+         f->step.best_effort = true;
          f->worker.reserved.cpu_millis = 32'000;
          f->worker.serving_cpu = 32'000;
        }},
       {PlaceProblem::kDisturbs,
        [](PolicyFixture* f) {
-         f->step.fills = true;
-         f->worker.strains = {{f->serving, 0.7, 0.7}};
+         f->step.best_effort = true;
+         f->worker.serving_utilizations = {{f->serving, 0.7, 0.7}};
        }},
   };
   for (const Row& row : rows) {
@@ -89,7 +90,7 @@
 
 BOOST_FIXTURE_TEST_CASE(FindPlaceProblem_StepBoundReached_Refuses,
                         PolicyFixture) {
-  step.most_per_worker = 2;
+  step.max_per_worker = 2;
   BOOST_TEST(ToString(Find(1)) == ToString(PlaceProblem::kNone));
   BOOST_TEST(ToString(Find(2)) == ToString(PlaceProblem::kStepBound));
 }
@@ -98,10 +99,10 @@
                         PolicyFixture) {
   step.latency_target = Millis(150);
   need.image = serving;
-  WorkerRoom same = worker;
-  same.strains = {{serving, 0.4, 0.7}};
-  WorkerRoom other = worker;
-  other.strains = {{model.Intern("t"), 0.4, 0.7}};
+  CandidateWorker same = worker;
+  same.serving_utilizations = {{serving, 0.4, 0.7}};
+  CandidateWorker other = worker;
+  other.serving_utilizations = {{model.Intern("t"), 0.4, 0.7}};
   const double alone = PlaceScore(step, need, worker, model);
   BOOST_TEST(PlaceScore(step, need, same, model) > alone);
   BOOST_TEST(PlaceScore(step, need, other, model) < alone);
@@ -115,8 +116,9 @@
   // Objective: 2 * 600 + 1000 = 2200 ms; the value is zero after three times
   // that.
   const auto rank = [&](int64_t now, bool lasting) {
-    plan.steps[0].lasting = lasting;
-    return RankStep(plan, queue, 0, 0, run_times, 0, now, options).group;
+    plan.steps[0].long_running = lasting;
+    return RankStep(plan, queue, 0, 0, run_times, 0, now, options)
+        .urgency_class;
   };
   BOOST_TEST(rank(0, true) == 0);
   BOOST_TEST(rank(1600, false) == 1);
@@ -136,7 +138,7 @@
   Job* begun = jobs.Add(plan);
   plan.id = "ffeeddccbbaa9988";
   Job* fresh = jobs.Add(plan);
-  begun->times[0].steps[0].done = 10;
+  begun->repetitions[0].steps[0].done = 10;
   BOOST_TEST(WorkLeft(*fresh, 0, run_times) == 20 * 1000 * 300);
   BOOST_TEST(WorkLeft(*begun, 0, run_times) == 10 * 1000 * 300);
   const auto rank = [&](const Job& job, int step, int64_t due) {
@@ -153,12 +155,12 @@
                         PolicyFixture) {
   step.latency_target = Millis(150);
   need.image = serving;
-  WorkerRoom half = worker;
+  CandidateWorker half = worker;
   half.reserved.cpu_millis = 16'000;
-  half.strains = {{model.Intern("t"), 0.4, 0.7}};
-  WorkerRoom same = worker;
+  half.serving_utilizations = {{model.Intern("t"), 0.4, 0.7}};
+  CandidateWorker same = worker;
   same.reserved.cpu_millis = 4'000;
-  same.strains = {{serving, 0.4, 0.7}};
+  same.serving_utilizations = {{serving, 0.4, 0.7}};
   const double full = PlaceScore(step, need, half, model);
   BOOST_TEST(full > PlaceScore(step, need, same, model));
   BOOST_TEST(full > PlaceScore(step, need, worker, model));
@@ -172,32 +174,32 @@
 }
 
 BOOST_AUTO_TEST_CASE(WorkerQuarantine_ThreeJobsFail_ClosesThenProbes) {
-  WorkerTrust quarantine{PolicyOptions{}};
+  WorkerQuarantine quarantine{PolicyOptions{}};
   const Instant start(Millis(1'000'000));
   quarantine.OnFailure("w", "a", start);
   quarantine.OnFailure("w", "a", start);
   quarantine.OnFailure("w", "b", start);
-  BOOST_TEST(quarantine.Allows("w", start));
+  BOOST_TEST(quarantine.AllowsStart("w", start));
   quarantine.OnFailure("w", "c", start);
-  BOOST_TEST(!quarantine.Allows("w", start + Millis(3999)));
+  BOOST_TEST(!quarantine.AllowsStart("w", start + Millis(3999)));
   // This also holds beside long-running tasks that never end: in day scale-1 of
   // site kgs such a worker stayed closed for good.
   const Instant reopened = start + Millis(4000);
-  BOOST_TEST(quarantine.Allows("w", reopened));
+  BOOST_TEST(quarantine.AllowsStart("w", reopened));
   quarantine.OnStart("w", reopened);
-  BOOST_TEST(!quarantine.Allows("w", reopened + Millis(999)));
-  BOOST_TEST(quarantine.Allows("w", reopened + Millis(1000)));
+  BOOST_TEST(!quarantine.AllowsStart("w", reopened + Millis(999)));
+  BOOST_TEST(quarantine.AllowsStart("w", reopened + Millis(1000)));
   quarantine.OnSuccess("w");
-  BOOST_TEST(quarantine.Allows("w", reopened));
+  BOOST_TEST(quarantine.AllowsStart("w", reopened));
 }
 
 BOOST_AUTO_TEST_CASE(WorkerQuarantine_FailuresFarApart_DoNotAddUp) {
-  WorkerTrust quarantine{PolicyOptions{}};
+  WorkerQuarantine quarantine{PolicyOptions{}};
   Instant now(Millis(1'000'000));
   for (const char* job : {"a", "b", "c", "d"}) {
     quarantine.OnFailure("w", job, now);
     now += Millis(4000);
-    BOOST_TEST(quarantine.Allows("w", now));
+    BOOST_TEST(quarantine.AllowsStart("w", now));
   }
 }
 
--- a/src/libdoorwood/policy/crash_guard.cpp
+++ b/src/libdoorwood/policy/crash_guard.cpp
@@ -19,7 +19,7 @@
 constexpr size_t kMinConfirmedCrashes = 2;
 
 bool IsConfirmed(const CrashNote& crash) {
-  return crash.evidence == CrashEvidence::kOtherLife;
+  return crash.evidence == CrashEvidence::kRestarted;
 }
 
 bool IsObserved(const CrashNote& crash) {
@@ -40,24 +40,25 @@
   return "unknown";
 }
 
-std::vector<Blame> BlameCrash(std::span<const RunAtCrash> runs,
-                              const CrashOptions& options) {
+std::vector<CrashRole> ClassifyRuns(std::span<const RunAtCrash> runs,
+                                    const CrashOptions& options) {
   const bool any_in_trial =
       std::any_of(runs.begin(), runs.end(),
-                  [](const RunAtCrash& run) { return run.tried; });
-  std::vector<Blame> roles;
+                  [](const RunAtCrash& run) { return run.in_trial; });
+  std::vector<CrashRole> roles;
   for (const RunAtCrash& run : runs) {
-    const bool is_new = !run.adopted && run.at_work < options.at_work;
-    const bool suspect = any_in_trial ? run.tried : is_new;
-    const bool recent = run.at_work < options.cleared;
-    roles.push_back(suspect  ? Blame::kSuspect
-                    : recent ? Blame::kBystander
-                             : Blame::kNone);
+    const bool is_new =
+        !run.adopted && run.observed_running < options.unsuspected_after;
+    const bool suspect = any_in_trial ? run.in_trial : is_new;
+    const bool recent = run.observed_running < options.unrelated_after;
+    roles.push_back(suspect  ? CrashRole::kSuspect
+                    : recent ? CrashRole::kBystander
+                             : CrashRole::kNone);
   }
   return roles;
 }
 
-CrashVerdict JudgeCrashes(std::span<const CrashNote> crashes) {
+CrashVerdict AssessCrashes(std::span<const CrashNote> crashes) {
   std::set<std::string_view> trial_machines;
   std::set<std::string_view> confirmed_trial_machines;
   size_t suspect_crashes = 0;
@@ -66,16 +67,16 @@
   bool suspect = false;
   for (const CrashNote& crash : crashes) {
     suspect = suspect || crash.suspect;
-    if (crash.one_of_many || crash.evidence == CrashEvidence::kTrial) {
+    if (crash.mass_crash || crash.evidence == CrashEvidence::kTrial) {
       continue;
     }
     suspect_crashes += crash.suspect ? 1 : 0;
     bystander_crashes += crash.suspect ? 0 : 1;
     confirmed_crashes += IsConfirmed(crash) && crash.suspect ? 1 : 0;
-    if (crash.alone && IsObserved(crash)) {
+    if (crash.in_trial && IsObserved(crash)) {
       trial_machines.insert(crash.machine);
     }
-    if (crash.alone && IsConfirmed(crash)) {
+    if (crash.in_trial && IsConfirmed(crash)) {
       confirmed_trial_machines.insert(crash.machine);
     }
   }
@@ -90,13 +91,14 @@
 }
 
 bool IsLikelyCulprit(std::span<const CrashNote> crashes) {
-  return std::any_of(
-      crashes.begin(), crashes.end(),
-      [](const CrashNote& crash) { return crash.alone && IsObserved(crash); });
+  return std::any_of(crashes.begin(), crashes.end(),
+                     [](const CrashNote& crash) {
+                       return crash.in_trial && IsObserved(crash);
+                     });
 }
 
-Millis TrialOf(std::span<const CrashNote> crashes,
-               const CrashOptions& options) {
+Millis TrialDuration(std::span<const CrashNote> crashes,
+                     const CrashOptions& options) {
   Millis longest{0};
   Millis shortest = options.min_mass_crash_trial;
   for (const CrashNote& crash : crashes) {
@@ -105,16 +107,17 @@
     }
     // A task that had been running for long when many workers crashed is
     // unlikely to be the cause.
-    const Millis limit = crash.one_of_many ? options.at_work : crash.at_work;
-    longest = std::max(longest, std::min(crash.at_work, limit));
-    shortest = crash.one_of_many ? shortest : options.min_trial;
+    const Millis limit =
+        crash.mass_crash ? options.unsuspected_after : crash.observed_running;
+    longest = std::max(longest, std::min(crash.observed_running, limit));
+    shortest = crash.mass_crash ? shortest : options.min_trial;
   }
   return std::clamp(2 * longest, shortest, options.max_trial);
 }
 
-Millis PauseAfterCrashes(size_t crashes,
-                         double jitter,
-                         const CrashOptions& options) {
+Millis RestartDelay(size_t crashes,
+                    double jitter,
+                    const CrashOptions& options) {
   constexpr double kSpread = 0.5;
   Millis delay = options.restart_delay;
   for (size_t i = 1; i < crashes && delay < options.max_restart_delay; ++i) {
@@ -126,21 +129,21 @@
       static_cast<int64_t>(static_cast<double>(delay.count()) * factor));
 }
 
-void CrashWave::Add(Crash crash) {
+void MassCrashDetector::Add(Crash crash) {
   std::erase_if(crashes_, [&](const Crash& earlier) {
     return crash.at - earlier.at > options_.mass_crash_window;
   });
   crashes_.push_back(std::move(crash));
 }
 
-void CrashTrials::Keep(const std::string& task, Trial trial) {
+void CrashTrials::Reserve(const std::string& task, Trial trial) {
   trials_[task] = std::move(trial);
 }
 
-void CrashTrials::Settle(const std::string& task) {
+void CrashTrials::MarkPassed(const std::string& task) {
   const auto found = trials_.find(task);
   if (found != trials_.end()) {
-    found->second.settled = true;
+    found->second.passed = true;
   }
 }
 
@@ -160,27 +163,27 @@
   return found == trials_.end() ? nullptr : &found->second;
 }
 
-bool CrashTrials::Keeps(std::string_view worker) const {
+bool CrashTrials::IsReserved(std::string_view worker) const {
   return std::any_of(trials_.begin(), trials_.end(), [&](const auto& entry) {
-    return !entry.second.settled && entry.second.worker == worker;
+    return !entry.second.passed && entry.second.worker == worker;
   });
 }
 
-bool CrashTrials::IsTrying(const std::string& task,
-                           std::string_view worker) const {
+bool CrashTrials::IsInTrial(const std::string& task,
+                            std::string_view worker) const {
   const Trial* trial = Find(task);
-  return trial != nullptr && trial->started && !trial->settled &&
+  return trial != nullptr && trial->started && !trial->passed &&
          trial->worker == worker;
 }
 
-bool CrashTrials::HasPlace(std::string_view service,
-                           int workers,
-                           bool likely) const {
+bool CrashTrials::HasFreeSlot(std::string_view service,
+                              int workers,
+                              bool likely) const {
   const auto has_free_slot = [&](bool of_likely, double share) {
     std::set<std::string_view> reserved;
     for (const auto& [task, trial] : trials_) {
-      if (!trial.settled && trial.service == service &&
-          (trial.likely || !of_likely)) {
+      if (!trial.passed && trial.service == service &&
+          (trial.likely_culprit || !of_likely)) {
         reserved.insert(trial.worker);
       }
     }
--- a/src/libdoorwood/policy/crash_guard_test.cpp
+++ b/src/libdoorwood/policy/crash_guard_test.cpp
@@ -13,11 +13,11 @@
 constexpr Instant kNow(Millis(1'000'000));
 
 CrashNote Alone(uint32_t run, const std::string& machine) {
-  return {run, machine, machine + "+", CrashEvidence::kOtherLife, true, true};
+  return {run, machine, machine + "+", CrashEvidence::kRestarted, true, true};
 }
 
 CrashNote Beside(uint32_t run, const std::string& machine) {
-  return {run, machine, machine + "+", CrashEvidence::kOtherLife, true, false};
+  return {run, machine, machine + "+", CrashEvidence::kRestarted, true, false};
 }
 
 CrashNote Vanished(uint32_t run, const std::string& machine) {
@@ -25,15 +25,15 @@
 }
 
 CrashNote Unconfirmed(uint32_t run) {
-  return {run, "", "", CrashEvidence::kUntold, true, false};
+  return {run, "", "", CrashEvidence::kUnconfirmed, true, false};
 }
 
 CrashNote Bystander(uint32_t run, const std::string& machine) {
-  return {run, machine, machine + "+", CrashEvidence::kOtherLife, false, false};
+  return {run, machine, machine + "+", CrashEvidence::kRestarted, false, false};
 }
 
 CrashNote MassCrash(uint32_t run, const std::string& machine) {
-  return {run,  machine, machine + "+", CrashEvidence::kOtherLife,
+  return {run,  machine, machine + "+", CrashEvidence::kRestarted,
           true, false,   true};
 }
 
@@ -106,7 +106,7 @@
   };
   for (const auto& row : rows) {
     BOOST_TEST_CONTEXT(row.name) {
-      BOOST_TEST(ToString(JudgeCrashes(row.notes)) == ToString(row.verdict));
+      BOOST_TEST(ToString(AssessCrashes(row.notes)) == ToString(row.verdict));
       BOOST_TEST(IsLikelyCulprit(row.notes) == row.likely);
     }
   }
@@ -120,24 +120,26 @@
   const struct {
     const char* name;
     std::vector<RunAtCrash> runs;
-    std::vector<Blame> roles;
+    std::vector<CrashRole> roles;
   } rows[] = {
       {"nothing ran", {}, {}},
       {"one new run beside old ones",
        {fresh, old, young},
-       {Blame::kSuspect, Blame::kNone, Blame::kBystander}},
-      {"two new runs", {fresh, fresh}, {Blame::kSuspect, Blame::kSuspect}},
+       {CrashRole::kSuspect, CrashRole::kNone, CrashRole::kBystander}},
+      {"two new runs",
+       {fresh, fresh},
+       {CrashRole::kSuspect, CrashRole::kSuspect}},
       {"an adopted one beside a new one",
        {{Millis(0), false, true}, fresh},
-       {Blame::kBystander, Blame::kSuspect}},
-      {"nothing new", {young, old}, {Blame::kBystander, Blame::kNone}},
+       {CrashRole::kBystander, CrashRole::kSuspect}},
+      {"nothing new", {young, old}, {CrashRole::kBystander, CrashRole::kNone}},
       {"one in a trial",
        {fresh, tried, old},
-       {Blame::kBystander, Blame::kSuspect, Blame::kNone}},
+       {CrashRole::kBystander, CrashRole::kSuspect, CrashRole::kNone}},
   };
   for (const auto& row : rows) {
     BOOST_TEST_CONTEXT(row.name) {
-      BOOST_TEST((BlameCrash(row.runs, kOptions) == row.roles));
+      BOOST_TEST((ClassifyRuns(row.runs, kOptions) == row.roles));
     }
   }
 }
@@ -145,9 +147,10 @@
 BOOST_AUTO_TEST_CASE(TrialDuration_CrashesAtAnAge_IsTwiceTheLongest) {
   CrashNote crash = Beside(1, "a");
   const auto trial = [&](int at_work, bool mass_crash) {
-    crash.at_work = Millis(at_work);
-    crash.one_of_many = mass_crash;
-    return TrialOf(std::vector<CrashNote>{MassCrash(9, "z"), crash}, kOptions)
+    crash.observed_running = Millis(at_work);
+    crash.mass_crash = mass_crash;
+    return TrialDuration(std::vector<CrashNote>{MassCrash(9, "z"), crash},
+                         kOptions)
         .count();
   };
   BOOST_TEST(trial(0, false) == 1000);
@@ -161,59 +164,59 @@
 
 BOOST_AUTO_TEST_CASE(RestartDelay_MoreCrashes_GrowsUpToLimit) {
   constexpr double kMiddle = 0.5;
-  BOOST_TEST(PauseAfterCrashes(1, kMiddle, kOptions).count() == 250);
-  BOOST_TEST(PauseAfterCrashes(2, kMiddle, kOptions).count() == 500);
-  BOOST_TEST(PauseAfterCrashes(3, kMiddle, kOptions).count() == 1000);
-  BOOST_TEST(PauseAfterCrashes(50, kMiddle, kOptions).count() == 4000);
-  BOOST_TEST(PauseAfterCrashes(1, 0.0, kOptions).count() == 187);
-  BOOST_TEST(PauseAfterCrashes(1, 1.0, kOptions).count() == 312);
+  BOOST_TEST(RestartDelay(1, kMiddle, kOptions).count() == 250);
+  BOOST_TEST(RestartDelay(2, kMiddle, kOptions).count() == 500);
+  BOOST_TEST(RestartDelay(3, kMiddle, kOptions).count() == 1000);
+  BOOST_TEST(RestartDelay(50, kMiddle, kOptions).count() == 4000);
+  BOOST_TEST(RestartDelay(1, 0.0, kOptions).count() == 187);
+  BOOST_TEST(RestartDelay(1, 1.0, kOptions).count() == 312);
 }
 
 BOOST_AUTO_TEST_CASE(CrashTrials_WorkersReserved_LimitedByShares) {
   CrashTrials trials(kOptions);
   constexpr int kWorkers = 20;
-  BOOST_TEST(trials.HasPlace("pool", 1, true));
-  trials.Keep("a.0.0.0", {"w1", "pool", kNow, true});
-  BOOST_TEST(trials.Keeps("w1"));
-  BOOST_TEST(!trials.IsTrying("a.0.0.0", "w1"));
-  BOOST_TEST(!trials.HasPlace("pool", 1, true));
-  trials.Keep("b.0.0.0", {"w2", "pool", kNow, true, Millis(0), true});
-  BOOST_TEST(trials.IsTrying("b.0.0.0", "w2"));
-  BOOST_TEST(!trials.IsTrying("b.0.0.0", "w1"));
+  BOOST_TEST(trials.HasFreeSlot("pool", 1, true));
+  trials.Reserve("a.0.0.0", {"w1", "pool", kNow, true});
+  BOOST_TEST(trials.IsReserved("w1"));
+  BOOST_TEST(!trials.IsInTrial("a.0.0.0", "w1"));
+  BOOST_TEST(!trials.HasFreeSlot("pool", 1, true));
+  trials.Reserve("b.0.0.0", {"w2", "pool", kNow, true, Millis(0), true});
+  BOOST_TEST(trials.IsInTrial("b.0.0.0", "w2"));
+  BOOST_TEST(!trials.IsInTrial("b.0.0.0", "w1"));
   // A tenth for likely culprits, a third for all suspects.
-  BOOST_TEST(!trials.HasPlace("pool", kWorkers, true));
-  BOOST_TEST(trials.HasPlace("pool", kWorkers, false));
-  BOOST_TEST(trials.HasPlace("other", kWorkers, true));
+  BOOST_TEST(!trials.HasFreeSlot("pool", kWorkers, true));
+  BOOST_TEST(trials.HasFreeSlot("pool", kWorkers, false));
+  BOOST_TEST(trials.HasFreeSlot("other", kWorkers, true));
   for (int i = 3; i <= 6; ++i) {
-    trials.Keep("c.0.0." + std::to_string(i),
-                {"w" + std::to_string(i), "pool", kNow});
+    trials.Reserve("c.0.0." + std::to_string(i),
+                   {"w" + std::to_string(i), "pool", kNow});
   }
-  BOOST_TEST(!trials.HasPlace("pool", kWorkers, false));
-  trials.Settle("b.0.0.0");
-  BOOST_TEST(!trials.Keeps("w2"));
-  BOOST_TEST(trials.HasPlace("pool", kWorkers, true));
+  BOOST_TEST(!trials.HasFreeSlot("pool", kWorkers, false));
+  trials.MarkPassed("b.0.0.0");
+  BOOST_TEST(!trials.IsReserved("w2"));
+  BOOST_TEST(trials.HasFreeSlot("pool", kWorkers, true));
 }
 
 BOOST_AUTO_TEST_CASE(CrashTrials_ReservedButNotStarted_Expires) {
   CrashTrials trials(kOptions);
-  trials.Keep("a.0.0.0", {"w1", "pool", kNow});
-  trials.Keep("b.0.0.0", {"w2", "pool", kNow, false, Millis(0), true});
+  trials.Reserve("a.0.0.0", {"w1", "pool", kNow});
+  trials.Reserve("b.0.0.0", {"w2", "pool", kNow, false, Millis(0), true});
   trials.Expire(kNow + kOptions.reservation_timeout);
-  BOOST_TEST(trials.Keeps("w1"));
+  BOOST_TEST(trials.IsReserved("w1"));
   trials.Expire(kNow + kOptions.reservation_timeout + Millis(1));
-  BOOST_TEST(!trials.Keeps("w1"));
-  BOOST_TEST(trials.Keeps("w2"));
+  BOOST_TEST(!trials.IsReserved("w1"));
+  BOOST_TEST(trials.IsReserved("w2"));
 }
 
 BOOST_AUTO_TEST_CASE(MassCrashDetector_ThreeWithinWindow_IsMassCrash) {
-  CrashWave wave(kOptions);
+  MassCrashDetector wave(kOptions);
   wave.Add({kNow, {}});
   wave.Add({kNow + kOptions.mass_crash_window, {}});
-  BOOST_TEST(!wave.IsOneOfMany());
+  BOOST_TEST(!wave.IsMassCrash());
   wave.Add({kNow + kOptions.mass_crash_window + Millis(1), {}});
-  BOOST_TEST(!wave.IsOneOfMany());  // the first crash is outside the window
+  BOOST_TEST(!wave.IsMassCrash());  // the first crash is outside the window
   wave.Add({kNow + kOptions.mass_crash_window + Millis(2), {}});
-  BOOST_TEST(wave.IsOneOfMany());
+  BOOST_TEST(wave.IsMassCrash());
   BOOST_TEST(wave.crashes().size() == 3U);
 }
 
--- a/src/libdoorwood/policy/interference.cpp
+++ b/src/libdoorwood/policy/interference.cpp
@@ -35,22 +35,22 @@
   return std::max(base_latency_[image], bound * options_.min_base_share);
 }
 
-double InterferenceModel::Strain(ImageId image,
-                                 int64_t figure,
-                                 Millis target) const {
+double InterferenceModel::Utilization(ImageId image,
+                                      int64_t figure,
+                                      Millis target) const {
   const double base = BaseLatency(image, target);
   const double tail = std::max(base, static_cast<double>(figure));
   return 1.0 - base / tail;
 }
 
-double InterferenceModel::StrainAt(ImageId image,
-                                   Millis target,
-                                   double share) const {
+double InterferenceModel::UtilizationAtShare(ImageId image,
+                                             Millis target,
+                                             double share) const {
   const double tail = static_cast<double>(target.count()) * share;
-  return Strain(image, static_cast<int64_t>(tail), target);
+  return Utilization(image, static_cast<int64_t>(tail), target);
 }
 
-void InterferenceModel::Relax(Millis passed) {
+void InterferenceModel::Decay(Millis passed) {
   const double kept =
       1.0 - static_cast<double>(passed.count()) /
                 static_cast<double>(options_.decay_time.count());
@@ -67,7 +67,7 @@
 double InterferenceModel::Observe(ImageId serving,
                                   int64_t figure,
                                   Millis target,
-                                  std::span<const FillLoad> best_effort,
+                                  std::span<const BestEffortLoad> best_effort,
                                   double load) {
   if (figure <= 0 || target <= Millis(0)) {
     return load;
@@ -75,18 +75,18 @@
   const auto tail = static_cast<double>(figure);
   double& base = base_latency_[serving];
   base = base > 0 ? std::min(base, tail) : tail;
-  const double utilization = Strain(serving, figure, target);
+  const double utilization = Utilization(serving, figure, target);
   double added = 0;
   double squares = 0;
-  for (const FillLoad& item : best_effort) {
-    added += Press(serving, item.image) * item.cores;
+  for (const BestEffortLoad& item : best_effort) {
+    added += InterferencePerCore(serving, item.image) * item.cores;
     squares += item.cores * item.cores;
   }
   if (load < 0) {
     return std::max(0.0, utilization - added);
   }
   const double error = utilization - std::min(load + added, 1.0);
-  for (const FillLoad& item : best_effort) {
+  for (const BestEffortLoad& item : best_effort) {
     double& factor = interference_[serving][item.image];
     factor += options_.learning_rate * error * item.cores /
               (squares + kRegularization);
--- a/src/libdoorwood/policy/lasting_room.cpp
+++ b/src/libdoorwood/policy/lasting_room.cpp
@@ -7,39 +7,40 @@
 
 namespace doorwood {
 
-void LastingRoom::Observe(const ServiceLoad& load, Instant now) {
-  const double use = load.left > 0 ? load.asked / load.left : 0;
+void LongRunningAdmission::Observe(const ServiceLoad& load, Instant now) {
+  const double use = load.available > 0 ? load.requested / load.available : 0;
   const auto passed = std::chrono::duration<double>(now - observed_);
   const auto decay_time =
       std::chrono::duration<double>(options_.peak_decay_time);
   const double kept = observed_ == Instant{}
                           ? 0.0
                           : std::exp(-passed.count() / decay_time.count());
-  use_ = use + std::max(0.0, use_ - use) * kept;
+  peak_use_ = use + std::max(0.0, peak_use_ - use) * kept;
   observed_ = now;
   if (use > options_.min_seen_use && present_since_ == Instant{}) {
     present_since_ = now;
   }
 }
 
-bool LastingRoom::IsProved(Instant now) const {
+bool LongRunningAdmission::HasObservedLoad(Instant now) const {
   return present_since_ != Instant{} &&
          now - present_since_ >= options_.observation_time;
 }
 
-bool LastingRoom::Allows(int64_t asked,
-                         int64_t reserved,
-                         int64_t capacity,
-                         Instant now) const {
+bool LongRunningAdmission::Allows(int64_t asked,
+                                  int64_t reserved,
+                                  int64_t capacity,
+                                  Instant now) const {
   if (capacity <= 0) {
     return true;
   }
   const double share =
       static_cast<double>(asked + reserved) / static_cast<double>(capacity);
-  if (use_ > options_.max_use) {
+  if (peak_use_ > options_.max_use) {
     return false;
   }
-  const bool has_free_capacity = IsProved(now) && use_ <= options_.low_use;
+  const bool has_free_capacity =
+      HasObservedLoad(now) && peak_use_ <= options_.low_use;
   return share <=
          (has_free_capacity ? options_.raised_share : options_.initial_share);
 }
--- a/src/libdoorwood/policy/lasting_room_test.cpp
+++ b/src/libdoorwood/policy/lasting_room_test.cpp
@@ -26,8 +26,8 @@
     return share;
   }
 
-  LastingRoomOptions options;
-  LastingRoom admission{options};
+  LongRunningAdmissionOptions options;
+  LongRunningAdmission admission{options};
   Instant now = Instant{} + std::chrono::hours(1);
 };
 
--- a/src/libdoorwood/policy/pacing.cpp
+++ b/src/libdoorwood/policy/pacing.cpp
@@ -10,61 +10,65 @@
 
 constexpr int kFullPace = 100;
 
-double ShareOfTarget(const PacedServing& task) {
-  return static_cast<double>(task.figure) /
+double ShareOfTarget(const PacedServingTask& task) {
+  return static_cast<double>(task.tail_latency_ms) /
          static_cast<double>(std::max<int64_t>(1, task.target.count()));
 }
 
 // Utilization left up to the wanted one, for the serving task with the least.
-double Headroom(const std::vector<PacedServing>& serving,
+double Headroom(const std::vector<PacedServingTask>& serving,
                 const InterferenceModel& model,
                 const PolicyOptions& options) {
   double least = 1.0;
-  for (const PacedServing& task : serving) {
-    const double wanted =
-        model.StrainAt(task.image, task.target, options.tail_wanted);
+  for (const PacedServingTask& task : serving) {
+    const double wanted = model.UtilizationAtShare(task.image, task.target,
+                                                   options.wanted_tail_share);
     least = std::min(
-        least, wanted - model.Strain(task.image, task.figure, task.target));
+        least, wanted - model.Utilization(task.image, task.tail_latency_ms,
+                                          task.target));
   }
   return least;
 }
 
-double WorstInterference(const std::vector<PacedServing>& serving,
-                         const PacedFill& best_effort_task,
+double WorstInterference(const std::vector<PacedServingTask>& serving,
+                         const PacedBestEffortTask& best_effort_task,
                          const InterferenceModel& model) {
   double worst = 0;
-  for (const PacedServing& task : serving) {
-    worst = std::max(worst, model.Press(task.image, best_effort_task.image));
+  for (const PacedServingTask& task : serving) {
+    worst = std::max(
+        worst, model.InterferencePerCore(task.image, best_effort_task.image));
   }
   return worst;
 }
 
-std::vector<PaceDecision> SlowDown(const PacedServing& worst,
-                                   std::vector<PacedFill> best_effort,
+std::vector<PaceDecision> SlowDown(const PacedServingTask& worst,
+                                   std::vector<PacedBestEffortTask> best_effort,
                                    const InterferenceModel& model,
                                    const PolicyOptions& options) {
   std::sort(best_effort.begin(), best_effort.end(),
-            [&](const PacedFill& a, const PacedFill& b) {
-              return model.Press(worst.image, a.image) * a.cores >
-                     model.Press(worst.image, b.image) * b.cores;
+            [&](const PacedBestEffortTask& a, const PacedBestEffortTask& b) {
+              return model.InterferencePerCore(worst.image, a.image) * a.cores >
+                     model.InterferencePerCore(worst.image, b.image) * b.cores;
             });
   // Far above the target, or over it for long, the model is unreliable, so
   // everything stops.
   const bool stop_all = ShareOfTarget(worst) > options.stop_tail_share ||
-                        worst.over_for >= options.max_over_target_time;
+                        worst.over_target_for >= options.max_over_target_time;
   double excess =
-      model.Strain(worst.image, worst.figure, worst.target) -
-      model.StrainAt(worst.image, worst.target, options.tail_wanted);
+      model.Utilization(worst.image, worst.tail_latency_ms, worst.target) -
+      model.UtilizationAtShare(worst.image, worst.target,
+                               options.wanted_tail_share);
   std::vector<PaceDecision> decisions;
-  for (const PacedFill& best_effort_task : best_effort) {
+  for (const PacedBestEffortTask& best_effort_task : best_effort) {
     if (excess <= 0 && !stop_all) {
       break;
     }
     if (best_effort_task.pace == 0) {
       continue;
     }
-    const double relief = model.Press(worst.image, best_effort_task.image) *
-                          best_effort_task.cores;
+    const double relief =
+        model.InterferencePerCore(worst.image, best_effort_task.image) *
+        best_effort_task.cores;
     // Share of the pace that remains if only the excess is removed; 0 if
     // stopping the task does not remove all of it.
     const double remaining =
@@ -76,18 +80,18 @@
   return decisions;
 }
 
-std::vector<PaceDecision> SpeedUp(const std::vector<PacedServing>& serving,
-                                  std::vector<PacedFill> best_effort,
+std::vector<PaceDecision> SpeedUp(const std::vector<PacedServingTask>& serving,
+                                  std::vector<PacedBestEffortTask> best_effort,
                                   const InterferenceModel& model,
                                   const PolicyOptions& options) {
   std::sort(best_effort.begin(), best_effort.end(),
-            [&](const PacedFill& a, const PacedFill& b) {
+            [&](const PacedBestEffortTask& a, const PacedBestEffortTask& b) {
               return WorstInterference(serving, a, model) <
                      WorstInterference(serving, b, model);
             });
   double headroom = Headroom(serving, model, options);
   std::vector<PaceDecision> decisions;
-  for (const PacedFill& best_effort_task : best_effort) {
+  for (const PacedBestEffortTask& best_effort_task : best_effort) {
     if (best_effort_task.pace >= kFullPace) {
       continue;
     }
@@ -108,22 +112,23 @@
 
 }  // namespace
 
-std::vector<PaceDecision> DecidePaces(const std::vector<PacedServing>& serving,
-                                      const std::vector<PacedFill>& best_effort,
-                                      const InterferenceModel& model,
-                                      const PolicyOptions& options) {
-  const auto worst =
-      std::max_element(serving.begin(), serving.end(),
-                       [](const PacedServing& a, const PacedServing& b) {
-                         return ShareOfTarget(a) < ShareOfTarget(b);
-                       });
-  const auto longest =
-      std::max_element(serving.begin(), serving.end(),
-                       [](const PacedServing& a, const PacedServing& b) {
-                         return a.over_for < b.over_for;
-                       });
+std::vector<PaceDecision> DecidePaces(
+    const std::vector<PacedServingTask>& serving,
+    const std::vector<PacedBestEffortTask>& best_effort,
+    const InterferenceModel& model,
+    const PolicyOptions& options) {
+  const auto worst = std::max_element(
+      serving.begin(), serving.end(),
+      [](const PacedServingTask& a, const PacedServingTask& b) {
+        return ShareOfTarget(a) < ShareOfTarget(b);
+      });
+  const auto longest = std::max_element(
+      serving.begin(), serving.end(),
+      [](const PacedServingTask& a, const PacedServingTask& b) {
+        return a.over_target_for < b.over_target_for;
+      });
   if (longest != serving.end() &&
-      longest->over_for >= options.max_over_target_time) {
+      longest->over_target_for >= options.max_over_target_time) {
     return SlowDown(*longest, best_effort, model, options);
   }
   if (worst != serving.end() &&
@@ -137,7 +142,7 @@
 // not free: newer work placed there kept it waiting for up to 20 s.
 // Counting them raised the served share of shifted work by 0.008, 0.018 and
 // 0.019 on three days, simulated once each.
-double CoresToCome(double full_cores, bool fresh, int pace) {
+double PendingCores(double full_cores, bool fresh, int pace) {
   return fresh ? full_cores : full_cores * (kFullPace - pace) / kFullPace;
 }
 
--- a/src/libdoorwood/policy/pacing_test.cpp
+++ b/src/libdoorwood/policy/pacing_test.cpp
@@ -15,8 +15,8 @@
     model.Observe(serving, 30, kTarget, {}, -1);
     double load = 0.30;
     for (int i = 0; i < 200; ++i) {
-      const FillLoad heavy_load[] = {{heavy, 4.0}};
-      const FillLoad light_load[] = {{light, 4.0}};
+      const BestEffortLoad heavy_load[] = {{heavy, 4.0}};
+      const BestEffortLoad light_load[] = {{light, 4.0}};
       load = model.Observe(serving, TailAt(0.30 + 0.24), kTarget, heavy_load,
                            load);
       load = model.Observe(serving, TailAt(0.30 + 0.02), kTarget, light_load,
@@ -33,20 +33,21 @@
   const ImageId serving = model.Intern("s");
   const ImageId heavy = model.Intern("heavy");
   const ImageId light = model.Intern("light");
-  std::vector<PacedFill> best_effort{{"h", heavy, 4.0, 4.0, 100},
-                                     {"l", light, 4.0, 4.0, 100}};
+  std::vector<PacedBestEffortTask> best_effort{{"h", heavy, 4.0, 4.0, 100},
+                                               {"l", light, 4.0, 4.0, 100}};
 };
 
 BOOST_FIXTURE_TEST_CASE(Interference_AfterReports_HeavyExceedsLight,
                         PacingFixture) {
-  BOOST_TEST(model.Press(serving, heavy) > 3 * model.Press(serving, light));
-  BOOST_TEST(model.Press(serving, model.Intern("never seen")) ==
+  BOOST_TEST(model.InterferencePerCore(serving, heavy) >
+             3 * model.InterferencePerCore(serving, light));
+  BOOST_TEST(model.InterferencePerCore(serving, model.Intern("never seen")) ==
              options.interference.default_interference);
 }
 
 BOOST_FIXTURE_TEST_CASE(DecidePaces_TailAboveTarget_SlowsHeavyTaskFirst,
                         PacingFixture) {
-  const std::vector<PacedServing> tasks{{serving, 160, kTarget}};
+  const std::vector<PacedServingTask> tasks{{serving, 160, kTarget}};
   const auto decisions = DecidePaces(tasks, best_effort, model, options);
   BOOST_REQUIRE(!decisions.empty());
   BOOST_TEST(decisions[0].task == "h");
@@ -55,7 +56,7 @@
 
 BOOST_FIXTURE_TEST_CASE(DecidePaces_TailFarAboveTarget_StopsAll,
                         PacingFixture) {
-  const std::vector<PacedServing> tasks{{serving, 3000, kTarget}};
+  const std::vector<PacedServingTask> tasks{{serving, 3000, kTarget}};
   const auto decisions = DecidePaces(tasks, best_effort, model, options);
   BOOST_TEST(decisions.size() == 2U);
   for (const PaceDecision& decision : decisions) {
@@ -66,7 +67,7 @@
 // The model considers both best-effort tasks harmless enough, and the last
 // reported latency happens to be low.
 BOOST_FIXTURE_TEST_CASE(DecidePaces_OverTargetForLong_StopsAll, PacingFixture) {
-  const std::vector<PacedServing> tasks{
+  const std::vector<PacedServingTask> tasks{
       {serving, 120, kTarget, options.max_over_target_time},
       {serving, 140, kTarget}};
   const auto decisions = DecidePaces(tasks, best_effort, model, options);
@@ -79,7 +80,7 @@
 BOOST_FIXTURE_TEST_CASE(DecidePaces_TailLow_SpeedsUpInSteps, PacingFixture) {
   best_effort[0].pace = 0;
   best_effort[1].pace = 0;
-  const std::vector<PacedServing> tasks{{serving, 40, kTarget}};
+  const std::vector<PacedServingTask> tasks{{serving, 40, kTarget}};
   const auto decisions = DecidePaces(tasks, best_effort, model, options);
   BOOST_REQUIRE(!decisions.empty());
   BOOST_TEST(decisions[0].task == "l");
@@ -117,18 +118,19 @@
       {"slowed down to a quarter", false, 25, 3.0},
   };
   for (const Row& row : rows) {
-    BOOST_TEST(CoresToCome(4.0, row.fresh, row.pace) == row.cores, row.name);
+    BOOST_TEST(PendingCores(4.0, row.fresh, row.pace) == row.cores, row.name);
   }
 }
 
 BOOST_FIXTURE_TEST_CASE(PausedTask_NewerOneBesideIt_WouldDisturb,
                         PacingFixture) {
-  WorkerRoom worker;
-  worker.strains = {{serving, 0.40, 0.60}};
+  CandidateWorker worker;
+  worker.serving_utilizations = {{serving, 0.40, 0.60}};
   // The light task fits only if the paused heavy one is ignored.
   BOOST_TEST(ExcessUtilization(worker, light, 4.0, model) < 0);
-  worker.strains[0].strain +=
-      model.Press(serving, heavy) * CoresToCome(4.0, /*fresh=*/false, 0);
+  worker.serving_utilizations[0].utilization +=
+      model.InterferencePerCore(serving, heavy) *
+      PendingCores(4.0, /*fresh=*/false, 0);
   BOOST_TEST(ExcessUtilization(worker, light, 4.0, model) > 0);
 }
 
--- a/src/libdoorwood/policy/place_search.cpp
+++ b/src/libdoorwood/policy/place_search.cpp
@@ -22,10 +22,10 @@
 
 }  // namespace
 
-StepPlaces::StepPlaces(const StepPlan& step,
-                       std::span<WorkerRoom* const> workers,
-                       const InterferenceModel& model,
-                       const PolicyOptions& options)
+StepCandidates::StepCandidates(const StepPlan& step,
+                               std::span<CandidateWorker* const> workers,
+                               const InterferenceModel& model,
+                               const PolicyOptions& options)
     : step_(step),
       workers_(workers),
       model_(model),
@@ -33,19 +33,21 @@
       problems_(workers.size(), PlaceProblem::kUnchanged),
       scores_(workers.size(), kNoScore) {}
 
-void StepPlaces::Judge(size_t index, const TaskNeed& need, int on_worker) {
-  const WorkerRoom& worker = *workers_[index];
+void StepCandidates::Evaluate(size_t index,
+                              const TaskRequirements& need,
+                              int on_worker) {
+  const CandidateWorker& worker = *workers_[index];
   problems_[index] =
       FindPlaceProblem(step_, need, worker, on_worker, model_, options_);
   scores_[index] =
-      IsGood(index) ? PlaceScore(step_, need, worker, model_) : kNoScore;
+      IsSuitable(index) ? PlaceScore(step_, need, worker, model_) : kNoScore;
 }
 
-bool StepPlaces::IsGood(size_t index) const {
+bool StepCandidates::IsSuitable(size_t index) const {
   return problems_[index] == PlaceProblem::kNone;
 }
 
-int StepPlaces::Best(std::string_view avoid) const {
+int StepCandidates::Best(std::string_view avoid) const {
   int best = kNoWorker;
   int avoided = kNoWorker;
   for (size_t index = 0; index < scores_.size(); ++index) {
@@ -63,7 +65,7 @@
   return best == kNoWorker ? avoided : best;
 }
 
-ProblemCounts StepPlaces::CountProblems() const {
+ProblemCounts StepCandidates::CountProblems() const {
   ProblemCounts counts;
   for (const PlaceProblem problem : problems_) {
     if (problem != PlaceProblem::kNone) {
@@ -73,15 +75,15 @@
   return counts;
 }
 
-bool HopelessFits::IsSameKind(const Entry& entry,
-                              const StepPlan& step,
-                              std::string_view service) {
-  return entry.service == service && entry.fills == step.fills &&
-         (!entry.fills || entry.image == step.image);
+bool FailedPlacements::IsSameKind(const Entry& entry,
+                                  const StepPlan& step,
+                                  std::string_view service) {
+  return entry.service == service && entry.best_effort == step.best_effort &&
+         (!entry.best_effort || entry.image == step.image);
 }
 
-uint64_t HopelessFits::TriedIn(const StepPlan& step,
-                               std::string_view service) const {
+uint64_t FailedPlacements::LastFailedPass(const StepPlan& step,
+                                          std::string_view service) const {
   uint64_t newest = 0;
   for (const Entry& entry : entries_) {
     if (entry.pass > newest && IsSameKind(entry, step, service) &&
@@ -92,11 +94,11 @@
   return newest;
 }
 
-void HopelessFits::Add(const StepPlan& step,
-                       std::string_view service,
-                       uint64_t pass) {
-  const bool constrained = !step.required_label.empty() || step.same_rack ||
-                           step.most_per_worker > 0;
+void FailedPlacements::Add(const StepPlan& step,
+                           std::string_view service,
+                           uint64_t pass) {
+  const bool constrained =
+      !step.required_label.empty() || step.same_rack || step.max_per_worker > 0;
   if (constrained) {
     return;
   }
@@ -111,7 +113,7 @@
         [](const Entry& a, const Entry& b) { return a.pass < b.pass; }));
   }
   entries_.push_back(
-      {std::string(service), step.fills, step.image, step.size, pass});
+      {std::string(service), step.best_effort, step.image, step.size, pass});
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/policy/place_search_test.cpp
+++ b/src/libdoorwood/policy/place_search_test.cpp
@@ -24,17 +24,17 @@
 
   void EvaluateAll() {
     for (size_t i = 0; i < worker_pointers.size(); ++i) {
-      candidates.Judge(i, {kPool, 0, ""}, 0);
+      candidates.Evaluate(i, {kPool, 0, ""}, 0);
     }
   }
 
   PolicyOptions options;
   InterferenceModel model{options.interference};
-  std::array<WorkerRoom, 3> workers;
-  const std::vector<WorkerRoom*> worker_pointers{&workers[0], &workers[1],
-                                                 &workers[2]};
+  std::array<CandidateWorker, 3> workers;
+  const std::vector<CandidateWorker*> worker_pointers{&workers[0], &workers[1],
+                                                      &workers[2]};
   StepPlan step;
-  StepPlaces candidates{step, worker_pointers, model, options};
+  StepCandidates candidates{step, worker_pointers, model, options};
 };
 
 BOOST_FIXTURE_TEST_CASE(Best_NothingEvaluated_IsNoWorker, CandidatesFixture) {
@@ -48,7 +48,7 @@
   workers[2].reserved.cpu_millis = 30'000;
   EvaluateAll();
   BOOST_TEST(candidates.Best("") == 1);
-  BOOST_TEST(!candidates.IsGood(2));
+  BOOST_TEST(!candidates.IsSuitable(2));
   BOOST_TEST(candidates.CountProblems().at(PlaceProblem::kNoCpu) == 1);
 }
 
@@ -56,8 +56,8 @@
   workers[1].reserved.cpu_millis = 20'000;
   EvaluateAll();
   BOOST_TEST(candidates.Best("w1") != 1);
-  workers[0].open = false;
-  workers[2].open = false;
+  workers[0].accepts_work = false;
+  workers[2].accepts_work = false;
   EvaluateAll();
   BOOST_TEST(candidates.Best("w1") == 1);
 }
@@ -68,7 +68,7 @@
   EvaluateAll();
   BOOST_TEST(candidates.Best("") == 1);
   workers[1].reserved.cpu_millis = 30'000;
-  candidates.Judge(1, {kPool, 0, ""}, 0);
+  candidates.Evaluate(1, {kPool, 0, ""}, 0);
   BOOST_TEST(candidates.Best("") != 1);
 }
 
@@ -77,38 +77,38 @@
   small.size = {2000, 100, 0};
   StepPlan large;
   large.size = {4000, 100, 0};
-  HopelessFits failed;
-  BOOST_TEST(failed.TriedIn(large, kPool) == 0U);
+  FailedPlacements failed;
+  BOOST_TEST(failed.LastFailedPass(large, kPool) == 0U);
   failed.Add(large, kPool, 3);
-  BOOST_TEST(failed.TriedIn(large, kPool) == 3U);
-  BOOST_TEST(failed.TriedIn(small, kPool) == 0U);
-  BOOST_TEST(failed.TriedIn(large, "other") == 0U);
+  BOOST_TEST(failed.LastFailedPass(large, kPool) == 3U);
+  BOOST_TEST(failed.LastFailedPass(small, kPool) == 0U);
+  BOOST_TEST(failed.LastFailedPass(large, "other") == 0U);
   failed.Add(small, kPool, 5);
-  BOOST_TEST(failed.TriedIn(large, kPool) == 5U);
+  BOOST_TEST(failed.LastFailedPass(large, kPool) == 5U);
   failed.Add(large, kPool, 6);
-  BOOST_TEST(failed.TriedIn(large, kPool) == 6U);
-  BOOST_TEST(failed.TriedIn(small, kPool) == 5U);
+  BOOST_TEST(failed.LastFailedPass(large, kPool) == 6U);
+  BOOST_TEST(failed.LastFailedPass(small, kPool) == 5U);
 }
 
 BOOST_AUTO_TEST_CASE(FailedPlacements_OtherKind_IsIgnored) {
   StepPlan ordinary;
   ordinary.size = {2000, 100, 0};
   StepPlan best_effort = ordinary;
-  best_effort.fills = true;
+  best_effort.best_effort = true;
   best_effort.image = "a";
   StepPlan other_best_effort = best_effort;
   other_best_effort.image = "b";
   StepPlan limited = ordinary;
-  limited.most_per_worker = 1;
-  HopelessFits failed;
+  limited.max_per_worker = 1;
+  FailedPlacements failed;
   failed.Add(limited, kPool, 1);
-  BOOST_TEST(failed.TriedIn(limited, kPool) == 0U);
+  BOOST_TEST(failed.LastFailedPass(limited, kPool) == 0U);
   failed.Add(best_effort, kPool, 2);
-  BOOST_TEST(failed.TriedIn(best_effort, kPool) == 2U);
-  BOOST_TEST(failed.TriedIn(other_best_effort, kPool) == 0U);
-  BOOST_TEST(failed.TriedIn(ordinary, kPool) == 0U);
+  BOOST_TEST(failed.LastFailedPass(best_effort, kPool) == 2U);
+  BOOST_TEST(failed.LastFailedPass(other_best_effort, kPool) == 0U);
+  BOOST_TEST(failed.LastFailedPass(ordinary, kPool) == 0U);
   failed.Add(ordinary, kPool, 4);
-  BOOST_TEST(failed.TriedIn(limited, kPool) == 4U);
+  BOOST_TEST(failed.LastFailedPass(limited, kPool) == 4U);
 }
 
 }  // namespace
--- a/src/libdoorwood/pool/wave_keeper.cpp
+++ b/src/libdoorwood/pool/wave_keeper.cpp
@@ -33,13 +33,13 @@
 
 }  // namespace
 
-WaveKeeper::WaveKeeper(Executor& executor,
-                       RecordStore& store,
-                       MachinePlatform* platform,
-                       WaveHost& host,
-                       EventLog& log,
-                       const WaveOptions& options,
-                       std::string cell)
+UpkeepWaveController::UpkeepWaveController(Executor& executor,
+                                           RecordStore& store,
+                                           MachinePlatform* platform,
+                                           WorkerEvacuator& host,
+                                           EventLog& log,
+                                           const WaveOptions& options,
+                                           std::string cell)
     : executor_(executor),
       store_(store),
       platform_(platform),
@@ -48,7 +48,7 @@
       options_(options),
       cell_(std::move(cell)) {}
 
-void WaveKeeper::Open(std::string holder, int64_t epoch) {
+void UpkeepWaveController::Open(std::string holder, int64_t epoch) {
   Close();
   open_ = true;
   holder_ = std::move(holder);
@@ -56,7 +56,7 @@
   opened_ = executor_.Now();
 }
 
-void WaveKeeper::Close() {
+void UpkeepWaveController::Close() {
   open_ = false;
   ++generation_;
   waves_.clear();
@@ -68,13 +68,14 @@
   listed_ = Instant{};
 }
 
-bool WaveKeeper::HasOpenWave() const {
+bool UpkeepWaveController::HasOpenWave() const {
   return std::any_of(waves_.begin(), waves_.end(), [](const auto& entry) {
     return !entry.second.reported_completed;
   });
 }
 
-int WaveKeeper::CountIn(const Wave& wave, std::initializer_list<Stage> stages) {
+int UpkeepWaveController::CountIn(const Wave& wave,
+                                  std::initializer_list<Stage> stages) {
   return static_cast<int>(std::count_if(
       wave.machines.begin(), wave.machines.end(), [&](const auto& entry) {
         return std::find(stages.begin(), stages.end(), entry.second.stage) !=
@@ -82,7 +83,7 @@
       }));
 }
 
-void WaveKeeper::Tick() {
+void UpkeepWaveController::Tick() {
   const Instant now = executor_.Now();
   if (!open_ || platform_ == nullptr) {
     return;
@@ -108,7 +109,7 @@
 
 // --- Waves requested by the operators ---
 
-void WaveKeeper::ReadWaves() {
+void UpkeepWaveController::ReadWaves() {
   if (reading_waves_) {
     return;
   }
@@ -127,7 +128,7 @@
       });
 }
 
-void WaveKeeper::OnWaves(const std::vector<UpkeepWave>& waves) {
+void UpkeepWaveController::OnWaves(const std::vector<UpkeepWave>& waves) {
   for (const UpkeepWave& plan : waves) {
     const auto known = waves_.find(plan.number);
     if (known == waves_.end()) {
@@ -145,7 +146,7 @@
 }
 
 // An earlier leader may already have taken some of the machines down.
-void WaveKeeper::ReadRecord(const UpkeepWave& plan) {
+void UpkeepWaveController::ReadRecord(const UpkeepWave& plan) {
   if (!reading_records_.insert(plan.number).second) {
     return;
   }
@@ -170,7 +171,7 @@
                           {{"wave", plan.number},
                            {"machines", plan.machines.size()},
                            {"done", done.size()},
-                           {"most_at_once", plan.most_at_once},
+                           {"most_at_once", plan.max_down},
                            {"duration_ms", plan.duration.count()},
                            {"epoch", epoch_}});
              });
@@ -178,7 +179,7 @@
 
 // --- Progress of the machines ---
 
-void WaveKeeper::ListMachines() {
+void UpkeepWaveController::ListMachines() {
   if (listing_) {
     return;
   }
@@ -197,8 +198,8 @@
       });
 }
 
-void WaveKeeper::OnMachines(const std::vector<Machine>& machines,
-                            Instant sent) {
+void UpkeepWaveController::OnMachines(const std::vector<Machine>& machines,
+                                      Instant sent) {
   machines_.clear();
   for (const Machine& machine : machines) {
     machines_[machine.id] = machine;
@@ -221,7 +222,7 @@
   }
 }
 
-void WaveKeeper::Advance(Wave* wave) {
+void UpkeepWaveController::Advance(Wave* wave) {
   if (!wave->reported_running) {
     ReportState(wave, WaveState::kRunning);
   }
@@ -245,11 +246,10 @@
   }
 }
 
-void WaveKeeper::StartEvacuations(Wave* wave) {
+void UpkeepWaveController::StartEvacuations(Wave* wave) {
   // As many machines are evacuated as may be down at a time, so that the next
   // ones are ready when the current ones are back.
-  int free_slots =
-      wave->plan.most_at_once - CountIn(*wave, {Stage::kEvacuating});
+  int free_slots = wave->plan.max_down - CountIn(*wave, {Stage::kEvacuating});
   for (auto& [machine, progress] : wave->machines) {
     const auto listed = machines_.find(machine);
     if (free_slots <= 0) {
@@ -268,18 +268,18 @@
   }
 }
 
-void WaveKeeper::Evacuate(Wave* wave,
-                          const std::string& machine,
-                          Progress* progress) {
+void UpkeepWaveController::Evacuate(Wave* wave,
+                                    const std::string& machine,
+                                    Progress* progress) {
   const auto listed = machines_.find(machine);
   if (listed == machines_.end()) {
     return;
   }
-  const Occupancy occupancy = host_.EmptyWorker(listed->second.worker);
+  const Occupancy occupancy = host_.EvacuateWorker(listed->second.worker);
   const bool in_grace =
       executor_.Now() - progress->since < options_.evacuation_grace;
   const bool may_stop = occupancy == Occupancy::kEmpty ||
-                        (occupancy == Occupancy::kExpendable && !in_grace);
+                        (occupancy == Occupancy::kRestartable && !in_grace);
   // A machine of the wave that is down for another reason counts as well.
   int down = CountIn(*wave, {Stage::kOrdered, Stage::kDown});
   for (const auto& [id, other] : wave->machines) {
@@ -291,14 +291,14 @@
                 ? 1
                 : 0;
   }
-  if (may_stop && down < wave->plan.most_at_once &&
+  if (may_stop && down < wave->plan.max_down &&
       listed->second.state == MachineState::kUp) {
     progress->stage = Stage::kOrdered;
     Order(wave->plan.number, machine);
   }
 }
 
-void WaveKeeper::Order(int64_t number, const std::string& machine) {
+void UpkeepWaveController::Order(int64_t number, const std::string& machine) {
   waves_.at(number).machines.at(machine).order_in_flight = true;
   platform_->OrderUpkeep(
       {machine, number, holder_, static_cast<uint64_t>(epoch_)},
@@ -309,9 +309,9 @@
       });
 }
 
-void WaveKeeper::OnOrdered(int64_t number,
-                           const std::string& machine,
-                           std::error_code error) {
+void UpkeepWaveController::OnOrdered(int64_t number,
+                                     const std::string& machine,
+                                     std::error_code error) {
   Wave& wave = waves_.at(number);
   Progress& progress = wave.machines.at(machine);
   progress.order_in_flight = false;
@@ -336,7 +336,7 @@
 
 // --- Records and status reports ---
 
-void WaveKeeper::Record(const Wave& wave) {
+void UpkeepWaveController::Record(const Wave& wave) {
   Json done = Json::array();
   for (const auto& [machine, progress] : wave.machines) {
     if (progress.stage == Stage::kDown || progress.stage == Stage::kDone) {
@@ -358,7 +358,7 @@
   });
 }
 
-void WaveKeeper::ReportState(Wave* wave, WaveState state) {
+void UpkeepWaveController::ReportState(Wave* wave, WaveState state) {
   if (wave->reporting) {
     return;
   }
@@ -379,10 +379,10 @@
                 });
 }
 
-void WaveKeeper::OnStateReported(int64_t number,
-                                 WaveState state,
-                                 std::error_code error,
-                                 const StoreCommit& commit) {
+void UpkeepWaveController::OnStateReported(int64_t number,
+                                           WaveState state,
+                                           std::error_code error,
+                                           const StoreCommit& commit) {
   Wave& wave = waves_.at(number);
   wave.reporting = false;
   if (error) {
--- a/src/libdoorwood/pool/wave_keeper_test.cpp
+++ b/src/libdoorwood/pool/wave_keeper_test.cpp
@@ -41,7 +41,7 @@
       wave.machines.push_back(id);
     }
     wave.duration = Millis(30'000);
-    wave.most_at_once = most_at_once;
+    wave.max_down = most_at_once;
     world.waves().push_back(wave);
   }
   // Number of machines that were taken down for the wave exactly once.
@@ -60,9 +60,9 @@
   // Submits a job of long-running tasks, at most one per worker.
   void SubmitLongRunning(int count, std::optional<int> may_miss) {
     JobPlan plan = fakes::MakePlan(kJob, 1, count, "");
-    plan.steps[0].lasting = true;
-    plan.steps[0].may_miss = may_miss;
-    plan.steps[0].most_per_worker = 1;
+    plan.steps[0].long_running = true;
+    plan.steps[0].max_unavailable = may_miss;
+    plan.steps[0].max_per_worker = 1;
     world.Submit(plan);
     world.Run(Millis(2000));
   }
