--- a/src/bench/decisions.cpp
+++ b/src/bench/decisions.cpp
@@ -64,7 +64,7 @@
   std::mt19937_64 random_;
   std::deque<InstanceInfo> infos_;
   std::deque<TaskSpec> specs_;
-  std::deque<std::vector<Resident>> residents_;
+  std::deque<std::vector<ResidentAttempt>> residents_;
   std::vector<WorkerView> views_;
 };
 
--- a/src/celld/entry_daemon.cpp
+++ b/src/celld/entry_daemon.cpp
@@ -33,7 +33,7 @@
   LiveInstance self;
   self.name = settings.instance;
   self.data_centre = settings.data_centre;
-  self.address = settings.peer;
+  self.address = settings.peer_address;
   self.cpu_share = settings.cpu_share;
   return self;
 }
@@ -49,10 +49,10 @@
       executor_(context_),
       log_(settings_.instance),
       client_(context_),
-      store_(client_, settings_.store),
+      store_(client_, settings_.store_address),
       workers_(client_),
-      adviser_(client_, settings_.adviser),
-      machines_(client_, store_, settings_.machines),
+      adviser_(client_, settings_.adviser_address),
+      machines_(client_, store_, settings_.machine_service_address),
       directory_(store_, log_),
       config_source_(store_),
       peers_(client_),
@@ -67,8 +67,8 @@
             store_,
             directory_,
             workers_,
-            settings_.adviser.empty() ? nullptr : &adviser_,
-            settings_.machines.empty() ? nullptr : &machines_,
+            settings_.adviser_address.empty() ? nullptr : &adviser_,
+            settings_.machine_service_address.empty() ? nullptr : &machines_,
             live_,
             log_,
             UnixMillis,
@@ -111,14 +111,14 @@
 
 void EntryDaemon::Run() {
   std::signal(SIGPIPE, SIG_IGN);
-  front_server_.Listen(settings_.front);
-  ready_server_.Listen(settings_.ready);
-  peer_server_.Listen(settings_.peer);
-  metrics_server_.Listen(settings_.metrics);
+  front_server_.Listen(settings_.client_address);
+  ready_server_.Listen(settings_.readiness_address);
+  peer_server_.Listen(settings_.peer_address);
+  metrics_server_.Listen(settings_.metrics_address);
   log_.Write("info", "daemon", "started",
              {{"data_centre", settings_.data_centre},
-              {"front", settings_.front},
-              {"store", settings_.store},
+              {"front", settings_.client_address},
+              {"store", settings_.store_address},
               {"cpu_share", settings_.cpu_share}});
   live_.Start([this] { cell_.OnLiveChange(); });
   config_.Start([this](const std::shared_ptr<const QueueTable>& table) {
@@ -146,9 +146,9 @@
 
 bool EntryDaemon::IsReady() const {
   const bool store_reachable =
-      executor_.Now() - live_.store_heard_at() < kStoreTimeout;
-  return !stopping_ && config_.table() != nullptr && ingress_.ReachesACell() &&
-         (store_reachable || cell_.leading());
+      executor_.Now() - live_.last_store_answer_at() < kStoreTimeout;
+  return !stopping_ && config_.table() != nullptr &&
+         ingress_.HasReachableLeader() && (store_reachable || cell_.leading());
 }
 
 // --- Signals and settings ---
@@ -195,10 +195,10 @@
   }
   const bool changed = text != settings_text_;
   settings_text_ = text;
-  settings_.store = reloaded->store;
-  settings_.grace = reloaded->grace;
+  settings_.store_address = reloaded->store_address;
+  settings_.shutdown_grace = reloaded->shutdown_grace;
   settings_.log_level = reloaded->log_level;
-  store_.SetAddress(reloaded->store);
+  store_.SetAddress(reloaded->store_address);
   log_.Write("info", "daemon", "settings reloaded",
              {{"cause", cause}, {"changed", changed}});
 }
@@ -227,7 +227,7 @@
   const bool idle = lead_released_ && front_server_.open_requests() == 0 &&
                     peer_server_.open_requests() == 0 &&
                     since >= kBalancerRemovalTime;
-  if (!idle && since < settings_.grace - kExitReserve) {
+  if (!idle && since < settings_.shutdown_grace - kExitReserve) {
     executor_.Schedule(kIdleCheckInterval, [this] { FinishWhenIdle(); });
     return;
   }
@@ -275,10 +275,12 @@
       {"doorwood_store_answer_ms",
        static_cast<uint64_t>(cell_.journal().flow().answer_time().count())},
       {"doorwood_store_calls_total", store_.calls()},
-      {"doorwood_connects_total", client_.connects()},
+      {"doorwood_connects_total", client_.connect_attempts()},
       {"doorwood_log_lines_dropped_total", DroppedLogLines()},
-      {"doorwood_entries_refused", directory_.refused().kept()},
-      {"doorwood_entries_refused_total", directory_.refused().total()},
+      {"doorwood_entries_refused",
+       directory_.refused_entries().remembered_count()},
+      {"doorwood_entries_refused_total",
+       directory_.refused_entries().rejection_count()},
       {"doorwood_leading", cell_.leading() ? 1U : 0U},
       {"doorwood_lead_seen_ms_ago", LeaderKeyAge()},
       {"doorwood_front_connections", front_server_.connections()},
--- a/src/celld/main.cpp
+++ b/src/celld/main.cpp
@@ -53,7 +53,7 @@
     return 0;
   }
   try {
-    doorwood::StartBoundedLogging(settings->log_level);
+    doorwood::StartNonBlockingLogging(settings->log_level);
     doorwood::EntryDaemon daemon(*settings, file);
     pthread_sigmask(SIG_UNBLOCK, &signals, nullptr);
     daemon.Run();
--- a/src/doorwoodd/daemon.cpp
+++ b/src/doorwoodd/daemon.cpp
@@ -57,14 +57,14 @@
       MakeInstanceOptions(settings, NewIncarnation()),
       InstancePorts{executor_, budget_, workers_, peers_, directory_, *policy_,
                     *this, log_});
-  FrontOptions front;
+  HttpFrontendOptions front;
   front.listen = settings.listen;
   front.operator_token = settings.operator_token;
   front.peer_token = settings.peer_token;
   front.connections = static_cast<size_t>(settings.connections);
-  front.largest_body = static_cast<size_t>(settings.largest_body);
-  front_ = std::make_unique<Front>(front, router_,
-                                   static_cast<FrontBackend&>(*this), log_);
+  front.max_body_bytes = static_cast<size_t>(settings.max_body_bytes);
+  front_ = std::make_unique<HttpFrontend>(
+      front, router_, static_cast<HttpFrontendBackend&>(*this), log_);
 }
 
 Daemon::~Daemon() {
@@ -91,7 +91,7 @@
 }
 
 // Planned shutdown. The instance reports itself as not ready at once and hands
-// over control. It keeps serving for `leave_grace` so that the load balancer
+// over control. It keeps serving for `shutdown_grace` so that the load balancer
 // can remove it from rotation; the listener stops once requests in progress
 // are answered.
 void Daemon::OnSignal() {
@@ -99,11 +99,12 @@
     return;
   }
   log_.Write("info", "daemon", "shutdown requested", Json::object());
-  instance_->Leave(settings_.leave_patience, [this]() { FinishShutdown(); });
+  instance_->BeginShutdown(settings_.shutdown_timeout,
+                           [this]() { FinishShutdown(); });
 }
 
 void Daemon::FinishShutdown() {
-  executor_.Schedule(settings_.leave_grace, [this]() {
+  executor_.Schedule(settings_.shutdown_grace, [this]() {
     // Stopping waits for requests in progress. Some of them need the control
     // thread, so a separate thread waits.
     std::thread([this]() {
@@ -116,12 +117,12 @@
   });
 }
 
-// --- FrontBackend -----------------------------------------------------------
+// --- HttpFrontendBackend -----------------------------------------------------
 
-void Daemon::Operate(const OperatorCall& call,
-                     std::function<void(OperatorReply)> done) {
+void Daemon::HandleOperatorCall(const OperatorCall& call,
+                                std::function<void(OperatorReply)> done) {
   executor_.Post([this, call, done = std::move(done)]() {
-    instance_->Operate(call, done);
+    instance_->HandleOperatorCall(call, done);
   });
 }
 
@@ -164,7 +165,7 @@
   add("doorwood_config_revision",
       static_cast<double>(instance_->config().revision()));
   add("doorwood_workers_held",
-      static_cast<double>(instance_->holder().held_count()));
+      static_cast<double>(instance_->holder().held_worker_count()));
   add("doorwood_peers_heard",
       static_cast<double>(instance_->membership().peers().size()));
   const KvBudgetCounters& budget = budget_.counters();
@@ -194,7 +195,7 @@
   return samples;
 }
 
-// --- RouteSink --------------------------------------------------------------
+// --- RoutingObserver ---------------------------------------------------------
 
 void Daemon::OnBackends(std::vector<BackendTarget> backends) {
   router_.slots().SetBackends(std::move(backends));
@@ -210,19 +211,19 @@
   router_.SetConfiguration(std::move(configuration));
 }
 
-std::vector<std::string> Daemon::OpenServices() {
-  return router_.slots().OpenServices();
+std::vector<std::string> Daemon::ServicesWithFreeSlots() {
+  return router_.slots().ServicesWithFreeSlots();
 }
 
 int Daemon::SlotsInUse(const std::string& worker) {
-  return router_.slots().InUse(worker);
+  return router_.slots().SlotsInUse(worker);
 }
 
-Json Daemon::Burn() {
+Json Daemon::BurnRates() {
   return Json(metrics_.Burn());
 }
 
-// --- RequestClaims ----------------------------------------------------------
+// --- IdempotencyKeyStore -----------------------------------------------------
 
 ClaimOutcome Daemon::Claim(const std::string& key,
                            const std::string& request,
@@ -230,9 +231,9 @@
   auto promise = std::make_shared<std::promise<ClaimOutcome>>();
   auto future = promise->get_future();
   executor_.Post([this, key, request, promise]() {
-    instance_->Claim(key, request, [promise](ClaimOutcome outcome) {
-      promise->set_value(outcome);
-    });
+    instance_->ClaimIdempotencyKey(
+        key, request,
+        [promise](ClaimOutcome outcome) { promise->set_value(outcome); });
   });
   if (future.wait_until(deadline) != std::future_status::ready) {
     return ClaimOutcome::kUnknown;
@@ -241,22 +242,24 @@
 }
 
 void Daemon::Release(const std::string& key, const std::string& request) {
-  executor_.Post([this, key, request]() { instance_->Unclaim(key, request); });
+  executor_.Post([this, key, request]() {
+    instance_->ReleaseIdempotencyKey(key, request);
+  });
 }
 
-// --- RequestObserver --------------------------------------------------------
+// --- RequestObserver ---------------------------------------------------------
 
-void Daemon::OnRequest(const CallerRequest& request,
-                       const CallerResponse& response,
-                       Millis took) {
+void Daemon::OnRequestFinished(const CallerRequest& request,
+                               const CallerResponse& response,
+                               Millis took) {
   metrics_.OnRequest(request, response, took);
   // Answered requests are logged at debug level only, to limit log volume.
-  const bool answered = response.fate == RequestFate::kAnswered;
+  const bool answered = response.outcome == RequestOutcome::kAnswered;
   const char* level = answered ? "debug" : "info";
   if (!log_.IsEnabled(level)) {
     return;
   }
-  log_.Write(level, "request", ToString(response.fate),
+  log_.Write(level, "request", ToString(response.outcome),
              {{"request", request.id},
               {"service", request.service},
               {"member", request.member},
--- a/src/doorwoodd/daemon.h
+++ b/src/doorwoodd/daemon.h
@@ -27,9 +27,9 @@
 
 /// Process-level object of an entry instance. Requests are served on the
 /// threads of the HTTP front end; control work runs on one executor.
-class Daemon : private FrontBackend,
-               private RouteSink,
-               private RequestClaims,
+class Daemon : private HttpFrontendBackend,
+               private RoutingObserver,
+               private IdempotencyKeyStore,
                private RequestObserver {
  public:
   /// Binds the listening addresses; throws std::runtime_error if one cannot be
@@ -41,31 +41,31 @@
   void Run();
 
  private:
-  // FrontBackend:
-  void Operate(const OperatorCall& call,
-               std::function<void(OperatorReply)> done) override;
+  // HttpFrontendBackend:
+  void HandleOperatorCall(const OperatorCall& call,
+                          std::function<void(OperatorReply)> done) override;
   bool ready() const override;
   std::string Metrics() override;
 
-  // RouteSink:
+  // RoutingObserver:
   void OnBackends(std::vector<BackendTarget> backends) override;
   void OnPeers(std::vector<PeerTarget> peers) override;
   void OnConfiguration(
       std::shared_ptr<const Configuration> configuration) override;
-  std::vector<std::string> OpenServices() override;
+  std::vector<std::string> ServicesWithFreeSlots() override;
   int SlotsInUse(const std::string& worker) override;
-  Json Burn() override;
+  Json BurnRates() override;
 
-  // RequestClaims:
+  // IdempotencyKeyStore:
   ClaimOutcome Claim(const std::string& key,
                      const std::string& request,
                      Instant deadline) override;
   void Release(const std::string& key, const std::string& request) override;
 
   // RequestObserver:
-  void OnRequest(const CallerRequest& request,
-                 const CallerResponse& response,
-                 Millis took) override;
+  void OnRequestFinished(const CallerRequest& request,
+                         const CallerResponse& response,
+                         Millis took) override;
 
   void OnSignal();
   void FinishShutdown();
@@ -86,7 +86,7 @@
   Router router_;
   std::unique_ptr<PlacementPolicy> policy_;
   std::unique_ptr<Instance> instance_;
-  std::unique_ptr<Front> front_;
+  std::unique_ptr<HttpFrontend> front_;
   std::atomic<bool> ready_ = false;
   std::atomic<bool> shutting_down_ = false;
 };
--- a/src/doorwoodd/metrics.cpp
+++ b/src/doorwoodd/metrics.cpp
@@ -89,13 +89,13 @@
     latency = std::make_unique<Latency>();
   }
   latency->Add(static_cast<double>(took.count()));
-  ++outcomes_[{request.service, std::string(ToString(response.fate))}];
+  ++outcomes_[{request.service, std::string(ToString(response.outcome))}];
   if (response.status == kStatusKeyUsed) {
     // The caller reused an idempotency key; this does not count against the
     // service's objective.
     return;
   }
-  const bool good = response.fate == RequestFate::kAnswered &&
+  const bool good = response.outcome == RequestOutcome::kAnswered &&
                     response.status < 500 && took <= service->latency_target;
   burn_.Count(request.service, good, CurrentMinute());
 }
--- a/src/fakes/cell_world.cpp
+++ b/src/fakes/cell_world.cpp
@@ -187,7 +187,7 @@
 }
 
 void CellWorld::SetTable(const std::vector<Queue>& queues) {
-  table_ = std::make_shared<const QueueTable>(1, queues, FrontLimits{},
+  table_ = std::make_shared<const QueueTable>(1, queues, HttpLimits{},
                                               std::vector<std::string>());
   for (const auto& [name, instance] : by_name_) {
     instance->cell->OnQueueTable(table_);
@@ -390,7 +390,7 @@
   queue.path_prefix = "/" + name + "/";
   queue.service = "pool";
   queue.max_attempts = max_attempts;
-  queue.stretch = 2.0;
+  queue.max_slowdown = 2.0;
   queue.latency_target = Millis(1000);
   return queue;
 }
--- a/src/fakes/cell_world_ports.cpp
+++ b/src/fakes/cell_world_ports.cpp
@@ -295,12 +295,12 @@
   WorldInstance& self_;
 };
 
-class WorldPeers : public StoreHearing {
+class WorldPeers : public StoreContactPort {
  public:
   WorldPeers(CellWorld& world, WorldInstance& self)
       : world_(world), self_(self) {}
 
-  void Ask(const LiveInstance& instance, Callback done) override {
+  void QueryStoreContact(const LiveInstance& instance, Callback done) override {
     const auto found = world_.instances().find(instance.name);
     const bool there =
         found != world_.instances().end() && found->second->alive &&
@@ -314,8 +314,9 @@
       done(error, age.value_or(Millis(0)));
     });
   }
-  void AskToAgree(const LiveInstance& instance,
-                  std::function<void(std::error_code)> done) override {
+  void RequestUnrecordedStartsAgreement(
+      const LiveInstance& instance,
+      std::function<void(std::error_code)> done) override {
     const auto found = world_.instances().find(instance.name);
     const bool agrees = found != world_.instances().end() &&
                         !found->second->executor->frozen() &&
@@ -326,9 +327,9 @@
     self_.executor->Deliver(kWorkerDelay,
                             [error, done = std::move(done)] { done(error); });
   }
-  void HandOver(const LiveInstance& instance,
-                const std::string&,
-                int64_t epoch) override {
+  void HandOverLead(const LiveInstance& instance,
+                    const std::string&,
+                    int64_t epoch) override {
     const auto found = world_.instances().find(instance.name);
     if (found == world_.instances().end() || !Reaches(*found->second)) {
       return;
@@ -457,8 +458,8 @@
   return std::make_unique<WorldDirectory>(world, self);
 }
 
-std::unique_ptr<StoreHearing> MakeWorldPeers(CellWorld& world,
-                                             WorldInstance& self) {
+std::unique_ptr<StoreContactPort> MakeWorldPeers(CellWorld& world,
+                                                 WorldInstance& self) {
   return std::make_unique<WorldPeers>(world, self);
 }
 
--- a/src/fakes/contract_test.cpp
+++ b/src/fakes/contract_test.cpp
@@ -326,7 +326,7 @@
   auto answer = it.Send(true, epoch, {start, start});
   BOOST_REQUIRE(answer.value.results.size() == 2u);
   BOOST_TEST(answer.value.results[1].accepted);
-  BOOST_TEST(answer.value.boot == lease.value.boot);
+  BOOST_TEST(answer.value.boot_id == lease.value.boot_id);
   auto stop = Contract::Order(OrderKind::kStop, 10);
   stop.take_checkpoint = true;
   answer = it.Send(true, epoch, {stop, stop});
--- a/src/fakes/fakes.h
+++ b/src/fakes/fakes.h
@@ -260,7 +260,7 @@
   bool down_ = false;
 };
 
-class FakeRoutes : public RouteSink {
+class FakeRoutes : public RoutingObserver {
  public:
   void OnBackends(std::vector<BackendTarget> backends) override {
     backends_ = std::move(backends);
@@ -269,9 +269,9 @@
     peers_ = std::move(peers);
   }
   void OnConfiguration(std::shared_ptr<const Configuration>) override {}
-  std::vector<std::string> OpenServices() override { return {}; }
+  std::vector<std::string> ServicesWithFreeSlots() override { return {}; }
   int SlotsInUse(const std::string&) override { return slots_in_use_; }
-  Json Burn() override { return Json::array(); }
+  Json BurnRates() override { return Json::array(); }
 
   const std::vector<BackendTarget>& backends() const { return backends_; }
   void set_slots_in_use(int slots) { slots_in_use_ = slots; }
--- a/src/fakes/world.cpp
+++ b/src/fakes/world.cpp
@@ -134,7 +134,7 @@
   Entry& entry = At(id);
   Instance* instance = entry.instance.get();
   entry.executor->Post([instance, method, body, reply]() {
-    instance->Operate(
+    instance->HandleOperatorCall(
         {method, body.dump()},
         [reply](const OperatorReply& answer) { *reply = answer; });
   });
--- a/src/http.adapter/front.cpp
+++ b/src/http.adapter/front.cpp
@@ -66,17 +66,17 @@
 
 }  // namespace
 
-Front::Front(const FrontOptions& options,
-             Router& router,
-             FrontBackend& backend,
-             EventLog& log)
+HttpFrontend::HttpFrontend(const HttpFrontendOptions& options,
+                           Router& router,
+                           HttpFrontendBackend& backend,
+                           EventLog& log)
     : options_(options), router_(router), backend_(backend), log_(log) {
   request_prefix_ = std::to_string(std::random_device()()) + "-";
   server_.new_task_queue = [this]() {
     return new BoundedQueue(options_.connections);
   };
   server_.set_tcp_nodelay(true);
-  server_.set_payload_max_length(options_.largest_body);
+  server_.set_payload_max_length(options_.max_body_bytes);
   server_.set_keep_alive_timeout(kKeepAliveSeconds);
   server_.set_keep_alive_max_count(1'000'000);
   server_.set_read_timeout(kReadWriteTimeoutSeconds);
@@ -98,11 +98,11 @@
   thread_ = std::thread([this]() { server_.listen_after_bind(); });
 }
 
-Front::~Front() {
+HttpFrontend::~HttpFrontend() {
   Stop();
 }
 
-void Front::Stop() {
+void HttpFrontend::Stop() {
   server_.stop();
   if (thread_.joinable()) {
     thread_.join();
@@ -111,7 +111,7 @@
 
 // --- Routes -----------------------------------------------------------------
 
-void Front::AddRoutes() {
+void HttpFrontend::AddRoutes() {
   server_.set_pre_routing_handler(
       [](const httplib::Request&, httplib::Response& response) {
         if (!BoundedQueue::IsOverloadThread()) {
@@ -121,7 +121,7 @@
         response.set_header("Retry-After", "1");
         response.set_header("Connection", "close");
         response.set_header(kOutcomeHeader,
-                            std::string(ToString(RequestFate::kNotRun)));
+                            std::string(ToString(RequestOutcome::kNotRun)));
         response.set_content("not run: too many connections\n", "text/plain");
         return httplib::Server::HandlerResponse::Handled;
       });
@@ -151,7 +151,7 @@
       });
 }
 
-void Front::AddOperatorRoutes() {
+void HttpFrontend::AddOperatorRoutes() {
   // The body of a POST is forwarded unchanged; the core validates its fields.
   const auto post = [this](const char* path, const std::string& method) {
     server_.Post(path, [this, method](const httplib::Request& request,
@@ -186,18 +186,18 @@
 
 // --- Operators --------------------------------------------------------------
 
-bool Front::IsOperator(const httplib::Request& request) const {
+bool HttpFrontend::IsOperator(const httplib::Request& request) const {
   constexpr std::string_view kScheme = "Bearer ";
   const std::string given = request.get_header_value("Authorization");
   const std::string_view view = given;
   return view.starts_with(kScheme) &&
-         SameSecret(view.substr(kScheme.size()), options_.operator_token);
+         SecretsEqual(view.substr(kScheme.size()), options_.operator_token);
 }
 
-void Front::OnOperator(const std::string& method,
-                       const Json& body,
-                       const httplib::Request& request,
-                       httplib::Response& response) {
+void HttpFrontend::OnOperator(const std::string& method,
+                              const Json& body,
+                              const httplib::Request& request,
+                              httplib::Response& response) {
   if (!IsOperator(request)) {
     log_.Write("warn", "front", "operator call without a valid token rejected",
                {{"method", method}, {"from", request.remote_addr}});
@@ -209,9 +209,10 @@
   }
   auto promise = std::make_shared<std::promise<OperatorReply>>();
   std::future<OperatorReply> reply = promise->get_future();
-  backend_.Operate({method, body.dump()}, [promise](OperatorReply answer) {
-    promise->set_value(std::move(answer));
-  });
+  backend_.HandleOperatorCall({method, body.dump()},
+                              [promise](OperatorReply answer) {
+                                promise->set_value(std::move(answer));
+                              });
   if (reply.wait_for(options_.operator_timeout) != std::future_status::ready) {
     response.status = kGatewayTimeout;
     response.set_content(Json{{"error",
@@ -234,7 +235,7 @@
 
 // --- Callers ----------------------------------------------------------------
 
-CallerRequest Front::ParseCaller(const httplib::Request& request) const {
+CallerRequest HttpFrontend::ParseCaller(const httplib::Request& request) const {
   CallerRequest caller;
   caller.service = request.matches[1];
   caller.path = request.matches[2].matched ? request.matches[2].str() : "/";
@@ -251,8 +252,8 @@
   const std::string repeatable = request.get_header_value(kRepeatableHeader);
   const bool safe = request.method == "GET" || request.method == "HEAD";
   caller.repeatable = repeatable.empty() ? safe : repeatable == "yes";
-  caller.passed_on = SameSecret(request.get_header_value(kForwardedHeader),
-                                options_.peer_token);
+  caller.forwarded = SecretsEqual(request.get_header_value(kForwardedHeader),
+                                  options_.peer_token);
   const int64_t asked = ParseNumber(request.get_header_value(kDeadlineHeader),
                                     options_.default_deadline.count());
   const Millis deadline =
@@ -266,8 +267,8 @@
   return caller;
 }
 
-void Front::OnCaller(const httplib::Request& request,
-                     httplib::Response& response) {
+void HttpFrontend::OnCaller(const httplib::Request& request,
+                            httplib::Response& response) {
   CallerRequest caller = ParseCaller(request);
   if (caller.id.empty()) {
     caller.id = request_prefix_ + std::to_string(++next_request_);
@@ -277,7 +278,7 @@
   for (const HttpHeader& header : answer.headers) {
     response.set_header(header.name.c_str(), header.value);
   }
-  response.set_header(kOutcomeHeader, std::string(ToString(answer.fate)));
+  response.set_header(kOutcomeHeader, std::string(ToString(answer.outcome)));
   response.set_header(kRequestIdHeader, caller.id);
   if (answer.retry_after > 0) {
     response.set_header("Retry-After", std::to_string(answer.retry_after));
--- a/src/http.adapter/front.h
+++ b/src/http.adapter/front.h
@@ -19,14 +19,14 @@
 
 namespace doorwood {
 
-struct FrontOptions {
+struct HttpFrontendOptions {
   /// IP address and port to listen on; port 0 selects a free port.
   std::string listen;
   std::string operator_token;
   std::string peer_token;
   /// Maximum number of connections served at a time.
   size_t connections = 96;
-  size_t largest_body = 8 * 1024 * 1024;
+  size_t max_body_bytes = 8 * 1024 * 1024;
   Millis default_deadline{10000};
   Millis max_deadline{60000};
   /// Maximum duration of an operator's call; the reply is then 504.
@@ -35,30 +35,30 @@
 
 /// Functions of the process that the HTTP server depends on. Called on the
 /// server's threads.
-class FrontBackend {
+class HttpFrontendBackend {
  public:
-  virtual ~FrontBackend() = default;
+  virtual ~HttpFrontendBackend() = default;
 
   /// Runs an operator's call on the control thread.
-  virtual void Operate(const OperatorCall& call,
-                       std::function<void(OperatorReply)> done) = 0;
+  virtual void HandleOperatorCall(const OperatorCall& call,
+                                  std::function<void(OperatorReply)> done) = 0;
   virtual bool ready() const = 0;
   /// Returns the metrics in the Prometheus text format.
   virtual std::string Metrics() = 0;
 };
 
-class Front {
+class HttpFrontend {
  public:
   /// Starts listening immediately and serves on its own threads. Throws
   /// std::runtime_error if the address cannot be used.
-  Front(const FrontOptions& options,
-        Router& router,
-        FrontBackend& backend,
-        EventLog& log);
-  ~Front();
+  HttpFrontend(const HttpFrontendOptions& options,
+               Router& router,
+               HttpFrontendBackend& backend,
+               EventLog& log);
+  ~HttpFrontend();
 
-  Front(const Front&) = delete;
-  Front& operator=(const Front&) = delete;
+  HttpFrontend(const HttpFrontend&) = delete;
+  HttpFrontend& operator=(const HttpFrontend&) = delete;
 
   /// Stops accepting connections and returns when the requests in progress are
   /// answered.
@@ -76,9 +76,9 @@
   bool IsOperator(const httplib::Request& request) const;
   CallerRequest ParseCaller(const httplib::Request& request) const;
 
-  FrontOptions options_;
+  HttpFrontendOptions options_;
   Router& router_;
-  FrontBackend& backend_;
+  HttpFrontendBackend& backend_;
   EventLog& log_;
   httplib::Server server_;
   std::thread thread_;
--- a/src/http.adapter/http_sender.cpp
+++ b/src/http.adapter/http_sender.cpp
@@ -48,7 +48,7 @@
 
 CallerResponse ResponseOf(const httplib::Response& response) {
   CallerResponse answer;
-  answer.fate = RequestFate::kAnswered;
+  answer.outcome = RequestOutcome::kAnswered;
   answer.status = response.status;
   answer.body = response.body;
   answer.content_type = response.get_header_value("Content-Type");
@@ -60,8 +60,8 @@
   return answer;
 }
 
-AttemptFate FateOfFailure(httplib::Error error) {
-  return IsNotSent(error) ? AttemptFate::kNotSent : AttemptFate::kUnknown;
+AttemptOutcome FateOfFailure(httplib::Error error) {
+  return IsNotSent(error) ? AttemptOutcome::kNotSent : AttemptOutcome::kUnknown;
 }
 
 }  // namespace
@@ -98,22 +98,22 @@
   const httplib::Result result = Exchange(target.address, request.path, request,
                                           HeadersOf(request), timeout);
   if (!result) {
-    return {.fate = FateOfFailure(result.error())};
+    return {.outcome = FateOfFailure(result.error())};
   }
   const bool refused =
       result->status == kUnavailable && result->has_header(kRefusedHeader);
   if (refused) {
-    return {.fate = AttemptFate::kRefused};
+    return {.outcome = AttemptOutcome::kRefused};
   }
   if (!IsComplete(*result, request.method)) {
-    return {.fate = AttemptFate::kUnknown};
+    return {.outcome = AttemptOutcome::kUnknown};
   }
-  return {AttemptFate::kAnswered, ResponseOf(*result)};
+  return {AttemptOutcome::kAnswered, ResponseOf(*result)};
 }
 
-AttemptResult HttpSender::PassOn(const PeerTarget& target,
-                                 const CallerRequest& request,
-                                 Millis timeout) {
+AttemptResult HttpSender::Forward(const PeerTarget& target,
+                                  const CallerRequest& request,
+                                  Millis timeout) {
   httplib::Headers headers = HeadersOf(request);
   headers.emplace(kForwardedHeader, peer_token_);
   headers.emplace(kDeadlineHeader, std::to_string(timeout.count()));
@@ -123,21 +123,21 @@
       Exchange(target.address, "/svc/" + request.service + request.path,
                request, headers, timeout);
   if (!result) {
-    return {.fate = FateOfFailure(result.error())};
+    return {.outcome = FateOfFailure(result.error())};
   }
   const std::string outcome = result->get_header_value(kOutcomeHeader);
-  if (outcome == ToString(RequestFate::kNotRun)) {
-    return {.fate = AttemptFate::kRefused};
+  if (outcome == ToString(RequestOutcome::kNotRun)) {
+    return {.outcome = AttemptOutcome::kRefused};
   }
-  const bool reported_unknown = outcome == ToString(RequestFate::kUnknown);
-  if (!reported_unknown && outcome != ToString(RequestFate::kAnswered)) {
-    return {.fate = AttemptFate::kUnknown};
+  const bool reported_unknown = outcome == ToString(RequestOutcome::kUnknown);
+  if (!reported_unknown && outcome != ToString(RequestOutcome::kAnswered)) {
+    return {.outcome = AttemptOutcome::kUnknown};
   }
-  AttemptResult answered{AttemptFate::kAnswered, ResponseOf(*result)};
+  AttemptResult answered{AttemptOutcome::kAnswered, ResponseOf(*result)};
   if (reported_unknown) {
     // The other instance reports that the outcome is unknown. That is a valid
     // response, too.
-    answered.response.fate = RequestFate::kUnknown;
+    answered.response.outcome = RequestOutcome::kUnknown;
   }
   std::erase_if(answered.response.headers, [](const HttpHeader& header) {
     return header.name == kOutcomeHeader || header.name == kRequestIdHeader;
--- a/src/http.adapter/http_sender.h
+++ b/src/http.adapter/http_sender.h
@@ -36,9 +36,9 @@
   AttemptResult Send(const BackendTarget& target,
                      const CallerRequest& request,
                      Millis timeout) override;
-  AttemptResult PassOn(const PeerTarget& target,
-                       const CallerRequest& request,
-                       Millis timeout) override;
+  AttemptResult Forward(const PeerTarget& target,
+                        const CallerRequest& request,
+                        Millis timeout) override;
 
  private:
   httplib::Result Exchange(const std::string& address,
--- a/src/include/doorwood/config_keeper.h
+++ b/src/include/doorwood/config_keeper.h
@@ -73,7 +73,7 @@
                   std::function<void(std::error_code)> done);
   /// Adopts a stored value, from the key-value service or a peer, if its
   /// revision is newer than the one in force.
-  void Take(const std::string& value);
+  void AdoptIfNewer(const std::string& value);
 
   uint64_t revision() const { return revision_; }
   const Configuration& configuration() const { return *configuration_; }
@@ -83,7 +83,7 @@
   /// Text of the configuration in force.
   const std::string& text() const { return text_; }
   /// The stored value in force, as sent to peers.
-  const std::string& value() const { return value_; }
+  const std::string& stored_value() const { return value_; }
   /// The revision in force and earlier ones, newest first, as JSON.
   Json RevisionHistory() const;
   const std::set<std::string>& drained() const { return drained_; }
--- a/src/include/doorwood/entry_settings.h
+++ b/src/include/doorwood/entry_settings.h
@@ -31,24 +31,24 @@
   std::string data_centre;
   /// Addresses (IP address and port) to listen on: for clients, for the load
   /// balancer's readiness checks, for other entry instances, and for metrics.
-  std::string front;
-  std::string ready;
-  std::string peer;
-  std::string metrics;
+  std::string client_address;
+  std::string readiness_address;
+  std::string peer_address;
+  std::string metrics_address;
   /// Address of the platform's key-value store.
-  std::string store;
+  std::string store_address;
   /// Address of the adviser service, for queues that use one; empty if there is
   /// none.
-  std::string adviser;
+  std::string adviser_address;
   /// Address of the platform's service that manages the workers' machines;
   /// empty if there is none.
-  std::string machines;
+  std::string machine_service_address;
   std::string log_level = "info";
   CellScope cell_scope = CellScope::kEverywhere;
   /// CPU share of the machine, in processors.
   double cpu_share = 1.0;
   /// Time between the request to stop and forced termination.
-  Millis grace{6000};
+  Millis shutdown_grace{6000};
   /// Longest lease that a worker grants to a run.
   Millis max_run_lease{10000};
   /// How long a finished job can still be queried.
--- a/src/include/doorwood/holder.h
+++ b/src/include/doorwood/holder.h
@@ -45,12 +45,12 @@
   /// `WorkerHolder::Logged` is called for the attempt.
   virtual void OnAttemptEnded(const ShardId& shard, const Sighting& ended) = 0;
   /// The set of held workers has changed.
-  virtual void OnHeldChanged() = 0;
+  virtual void OnHeldWorkersChanged() = 0;
 };
 
 /// State of a worker that is held, being acquired or being released, for
 /// operators and heartbeats.
-struct HeldWorkerRow {
+struct HeldWorkerStatus {
   std::string worker;
   std::string state;
   uint64_t epoch = 0;
@@ -77,10 +77,10 @@
   /// Sets the workers that this instance should hold. Other workers are
   /// released: no new attempts go there, and the lease is released once no
   /// order is pending or in flight.
-  void SetWanted(std::span<const InstanceInfo> workers);
+  void SetAssignedWorkers(std::span<const InstanceInfo> workers);
   /// Sets the workers that an operator has drained. They get no new attempts,
   /// and their repeatable attempts are evicted.
-  void SetDrained(std::set<std::string> workers);
+  void SetDrainedWorkers(std::set<std::string> workers);
 
   /// Reserves capacity and starts the attempt. Idempotent: a repeated request
   /// for the same attempt gets the same answer.
@@ -91,19 +91,20 @@
   CensusReply Census(const CensusRequest& request);
   /// The owner has logged the ends of these attempts; the workers may forget
   /// them.
-  void Logged(const ShardId& shard, std::span<const AttemptId> attempts);
+  void AcknowledgeEnds(const ShardId& shard,
+                       std::span<const AttemptId> attempts);
   /// Refuses all later placements of `shard` whose attempt is below `floor`.
   void Fence(const ShardId& shard, const AttemptId& floor);
 
   /// True if `worker` is held and its lease is valid by the local clock.
-  bool Holds(const std::string& worker) const;
-  std::vector<HeldWorkerRow> rows() const;
+  bool IsHeld(const std::string& worker) const;
+  std::vector<HeldWorkerStatus> rows() const;
   /// Free capacity, summed over the held workers.
   Resources free() const;
   /// The largest free amount of each resource on any one held worker. The
   /// amounts may be on different workers.
-  Resources largest_room() const;
-  size_t held_count() const;
+  Resources largest_free() const;
+  size_t held_worker_count() const;
 
  private:
   enum class HoldState { kAcquiring, kWaitingOut, kHeld, kReleasing };
@@ -144,7 +145,7 @@
     Executor::TimerId timer = 0;
     // Running attempts as the policy sees them; rebuilt when `attempts`
     // changes.
-    std::vector<Resident> residents;
+    std::vector<ResidentAttempt> residents;
   };
 
   using HeldWorkerMap = std::map<std::string, std::shared_ptr<HeldWorker>>;
--- a/src/include/doorwood/ingress.h
+++ b/src/include/doorwood/ingress.h
@@ -91,9 +91,9 @@
   void Cancel(const std::string& job, CancelCallback done);
   void State(const std::string& job, StateCallback done);
   /// Number of jobs of a queue that have no started task, over all cells.
-  int Pending(const std::string& queue) const;
+  int PendingJobCount(const std::string& queue) const;
   /// True if at least one cell has a leader that this instance can reach.
-  bool ReachesACell() const;
+  bool HasReachableLeader() const;
 
  private:
   struct KnownCell {
--- a/src/include/doorwood/instance.h
+++ b/src/include/doorwood/instance.h
@@ -41,7 +41,7 @@
   Millis list_interval{1000};
   Millis call_timeout{2000};
   /// Lifetime of this instance's registration in the key-value service.
-  Millis registration{6000};
+  Millis registration_lifetime{6000};
   /// Interval between two checks of which workers to hold and which shards to
   /// own.
   Millis rebalance_interval{250};
@@ -53,21 +53,21 @@
 
 /// Interface through which the control core tells the request path which
 /// backend servers, peers and configuration to use.
-class RouteSink {
+class RoutingObserver {
  public:
-  virtual ~RouteSink() = default;
+  virtual ~RoutingObserver() = default;
 
   virtual void OnBackends(std::vector<BackendTarget> backends) = 0;
   virtual void OnPeers(std::vector<PeerTarget> peers) = 0;
   virtual void OnConfiguration(
       std::shared_ptr<const Configuration> configuration) = 0;
   /// Services that have free slots at this instance, for heartbeats.
-  virtual std::vector<std::string> OpenServices() = 0;
+  virtual std::vector<std::string> ServicesWithFreeSlots() = 0;
   /// Number of requests in progress on a worker's backend servers.
   virtual int SlotsInUse(const std::string& worker) = 0;
   /// Burn rates of service-level objectives as measured by this instance, as
   /// JSON.
-  virtual Json Burn() = 0;
+  virtual Json BurnRates() = 0;
 };
 
 /// External systems that the control core uses. They must outlive it.
@@ -78,7 +78,7 @@
   PeerNetwork& peers;
   InstanceDirectory& directory;
   PlacementPolicy& policy;
-  RouteSink& routes;
+  RoutingObserver& routes;
   EventLog& log;
 };
 
@@ -94,26 +94,27 @@
   void Start();
   /// Starts a planned shutdown: releases workers and hands over shards. Calls
   /// `done` when all are released or `leave_timeout` has elapsed.
-  void Leave(Millis leave_timeout, std::function<void()> done);
+  void BeginShutdown(Millis leave_timeout, std::function<void()> done);
 
   // PeerService:
   void Handle(const PeerRequest& request, Reply reply) override;
 
   /// Answers an operator's call, or forwards it to the instance that can answer
   /// it. Methods are listed in docs/ARCHITECTURE.md.
-  void Operate(const OperatorCall& call, OperatorDone done);
+  void HandleOperatorCall(const OperatorCall& call, OperatorDone done);
   /// Records with the owner of the key's shard that `request` uses an
   /// idempotency key.
-  void Claim(const std::string& key,
-             const std::string& request,
-             std::function<void(ClaimOutcome)> done);
+  void ClaimIdempotencyKey(const std::string& key,
+                           const std::string& request,
+                           std::function<void(ClaimOutcome)> done);
   /// Withdraws a claim, best effort.
-  void Unclaim(const std::string& key, const std::string& request);
+  void ReleaseIdempotencyKey(const std::string& key,
+                             const std::string& request);
 
   const InstanceOptions& options() const { return options_; }
   bool leaving() const { return leaving_; }
   /// True once the instance list is known and until a planned shutdown starts.
-  bool ready() const { return membership_.list_known() && !leaving_; }
+  bool ready() const { return membership_.list_received() && !leaving_; }
   const WorkerHolder& holder() const { return holder_; }
   const Membership& membership() const { return membership_; }
   const ConfigKeeper& config() const { return *config_; }
@@ -132,13 +133,13 @@
 
   // HolderListener:
   void OnAttemptEnded(const ShardId& shard, const Sighting& ended) override;
-  void OnHeldChanged() override;
+  void OnHeldWorkersChanged() override;
 
   // OwnerEnvironment:
   std::vector<HolderView> Holders() const override;
   std::vector<std::string> PossibleHolders() const override;
   Instant LastDeparture() const override;
-  bool ViewComplete() const override;
+  bool IsViewComplete() const override;
   std::vector<std::string> Workers() const override;
   void CallInstance(const std::string& instance,
                     PeerRequest request,
@@ -225,7 +226,7 @@
   KvStore& kv_;
   PeerNetwork& peers_;
   InstanceDirectory& directory_;
-  RouteSink& routes_;
+  RoutingObserver& routes_;
   EventLog& log_;
   Membership membership_;
   WorkerHolder holder_;
--- a/src/include/doorwood/json_reader.h
+++ b/src/include/doorwood/json_reader.h
@@ -29,44 +29,49 @@
 
 /// Largest integer that is accepted by default. Larger ones cannot be
 /// represented exactly by JSON writers that use double-precision numbers.
-inline constexpr int64_t kMostWhole = int64_t{1} << 53;
+inline constexpr int64_t kMaxExactInteger = int64_t{1} << 53;
 /// Longest duration that is accepted as valid: 31 years, in milliseconds.
-inline constexpr int64_t kMostMillis = 1'000'000'000'000;
+inline constexpr int64_t kMaxMillis = 1'000'000'000'000;
 /// Largest accepted amount of a resource that a task requests or a worker has.
 /// It keeps sums over many tasks or workers exact.
 inline constexpr int64_t kMaxResource = 1'000'000'000'000;
 
 /// Accepted range of an integer, both ends included.
-struct WholeRange {
-  int64_t least = 0;
-  int64_t most = kMostWhole;
+struct IntegerRange {
+  int64_t min = 0;
+  int64_t max = kMaxExactInteger;
 };
 
 /// Range for integers that are used only as identifiers, never in arithmetic.
-inline constexpr WholeRange kAnyName{0, std::numeric_limits<int64_t>::max()};
+inline constexpr IntegerRange kIdentifierRange{
+    0, std::numeric_limits<int64_t>::max()};
 
 /// Converts a value to an integer; 7.0 is accepted as 7. Throws `FieldError`
 /// with `field` as the name.
-int64_t ToWhole(const Json& value, const char* field, WholeRange range = {});
+int64_t ToInteger(const Json& value,
+                  const char* field,
+                  IntegerRange range = {});
 /// Converts a value to a non-empty string. Throws `FieldError`.
-std::string ToText(const Json& value, const char* field);
+std::string ToNonEmptyString(const Json& value, const char* field);
 
 /// These functions require the field and throw `FieldError` if it is missing.
-int64_t ReadWhole(const Json& json, const char* field, WholeRange range = {});
-std::string ReadText(const Json& json, const char* field);
+int64_t ReadInteger(const Json& json,
+                    const char* field,
+                    IntegerRange range = {});
+std::string ReadNonEmptyString(const Json& json, const char* field);
 const Json& ReadList(const Json& json, const char* field);
 Millis ReadMillis(const Json& json, const char* field);
 
 /// These functions return `otherwise`, or an empty value, if the field is
 /// missing.
-int64_t ReadWholeOr(const Json& json,
-                    const char* field,
-                    int64_t otherwise,
-                    WholeRange range = {});
+int64_t ReadIntegerOr(const Json& json,
+                      const char* field,
+                      int64_t otherwise,
+                      IntegerRange range = {});
 /// The text may also be empty.
-std::string ReadTextOr(const Json& json, const char* field);
+std::string ReadStringOrEmpty(const Json& json, const char* field);
 /// The returned reference is valid as long as `json`.
-const Json& ReadListOr(const Json& json, const char* field);
+const Json& ReadListOrEmpty(const Json& json, const char* field);
 /// Fractions of a millisecond are truncated.
 Millis ReadMillisOr(const Json& json, const char* field, Millis otherwise);
 Millis ReadSecondsOr(const Json& json, const char* field, Millis otherwise);
@@ -79,12 +84,12 @@
 
 /// Parses `text` as an object and returns the string in `field`. Returns an
 /// empty string if there is none.
-std::string TextIn(std::string_view text, const char* field);
+std::string StringFieldOf(std::string_view text, const char* field);
 
 /// Returns true if the text consists of visible ASCII characters without
 /// spaces, so that it is safe in an HTTP header, a log line and a request
 /// target.
-bool IsPlainWord(std::string_view text);
+bool IsVisibleAscii(std::string_view text);
 /// Returns true for an IPv4 address and a port.
 bool IsIpAndPort(std::string_view text);
 
--- a/src/include/doorwood/live_directory.h
+++ b/src/include/doorwood/live_directory.h
@@ -30,7 +30,7 @@
 std::string LeadKey(std::string_view cell);
 /// Key that changes with each record of workers not yet contacted, so that all
 /// instances learn the age of that record.
-std::string UnheardKey(std::string_view cell);
+std::string UncontactedWorkersKey(std::string_view cell);
 
 struct LiveInstance {
   std::string name;
@@ -40,8 +40,8 @@
   /// Share of a processor that is available to the machine.
   double cpu_share = 1.0;
   bool leaving = false;
-  /// See LiveDirectory::agreeing_since.
-  int64_t agreeing_since = 0;
+  /// See LiveDirectory::agreement_known_since.
+  int64_t agreement_known_since = 0;
 };
 
 struct CellLead {
@@ -57,32 +57,34 @@
 
 /// Port to other instances: queries how long ago the store last answered them,
 /// and hands over a lead when this instance can no longer reach the store.
-class StoreHearing {
+class StoreContactPort {
  public:
   using Callback = std::function<void(std::error_code, Millis age)>;
 
-  virtual ~StoreHearing() = default;
+  virtual ~StoreContactPort() = default;
 
   /// Queries how long ago the store last answered the instance.
-  virtual void Ask(const LiveInstance& instance, Callback done) = 0;
+  virtual void QueryStoreContact(const LiveInstance& instance,
+                                 Callback done) = 0;
   /// Asks the instance to agree that a leader which cannot reach the store
   /// starts long-running tasks without recording their workers. `done` gets an
   /// error if the instance does not agree.
-  virtual void AskToAgree(const LiveInstance& instance,
-                          std::function<void(std::error_code)> done) = 0;
+  virtual void RequestUnrecordedStartsAgreement(
+      const LiveInstance& instance,
+      std::function<void(std::error_code)> done) = 0;
   /// Notifies the instance that the lead of this epoch is released and may be
   /// taken in the store. There is no reply; if the message is lost, the lead's
   /// lease expires.
-  virtual void HandOver(const LiveInstance& instance,
-                        const std::string& cell,
-                        int64_t epoch) = 0;
+  virtual void HandOverLead(const LiveInstance& instance,
+                            const std::string& cell,
+                            int64_t epoch) = 0;
 };
 
 struct LiveOptions {
   /// Time to live of the lease: without renewal for this long the store removes
   /// this process's keys. A successor detects a failure after this time.
-  Millis lifetime{2000};
-  Millis keep_interval{500};
+  Millis lease_ttl{2000};
+  Millis lease_renewal_interval{500};
   Millis watch_wait{5000};
   /// Interval of full reads, which find what a watch has missed.
   Millis list_interval{2500};
@@ -115,7 +117,7 @@
 
   LiveDirectory(Executor& executor,
                 RecordStore& store,
-                StoreHearing& hearing,
+                StoreContactPort& store_contact,
                 EventLog& log,
                 const LiveOptions& options,
                 LiveInstance self);
@@ -133,50 +135,51 @@
   std::optional<int64_t> lease() const { return lease_; }
   /// True if the store confirmed the lease recently enough that it cannot have
   /// expired.
-  bool IsLeaseSure() const;
+  bool IsLeaseValid() const;
   /// When the store confirmed this instance's key; empty while the key is not
   /// known to be in the store.
   std::optional<Instant> registered_since() const { return registered_since_; }
   /// Revision of the registration from which on this process knows whether it
   /// has agreed to unrecorded starts; every leader that has read the directory
   /// up to there asks this process. 0 if there is none.
-  int64_t agreeing_since() const { return agreeing_since_; }
+  int64_t agreement_known_since() const { return agreeing_since_; }
   /// Agrees to unrecorded starts for as long as this instance cannot reach the
   /// store. Returns false, without agreeing, if it can.
-  bool Agree();
+  bool AgreeToUnrecordedStarts();
   /// Sets whether the other instances are to be asked to agree.
-  void SetNeedsAgreement(bool needs) { needs_agreement_ = needs; }
-  /// Until when the agreement of all instances that `OutageUntil` considers is
-  /// valid; zero if one of them has not agreed.
-  Instant AgreedUntil() const;
+  void set_needs_agreement(bool needs) { needs_agreement_ = needs; }
+  /// Until when the agreement of all instances that `OutageConfirmedUntil`
+  /// considers is valid; zero if one of them has not agreed.
+  Instant UnrecordedStartsAgreedUntil() const;
   /// Store revision up to which the directory is complete.
-  int64_t at() const { return at_; }
+  int64_t revision() const { return at_; }
   /// Earliest time in the kept history by which the store had reached the
   /// revision; empty if none is known.
-  std::optional<Instant> ReachedBefore(int64_t revision) const;
-  /// The newest `agreeing_since` of all live instances; 0 if there is none.
-  int64_t NewestAgreeingSince() const;
+  std::optional<Instant> RevisionReachedBy(int64_t revision) const;
+  /// The newest `agreement_known_since` of all live instances; 0 if there is
+  /// none.
+  int64_t NewestAgreementRevision() const;
   /// Epoch of the newest leader of the cell that this process knows of; 0 if
   /// there is none.
-  int64_t LastEpoch(const std::string& cell) const;
+  int64_t NewestKnownEpoch(const std::string& cell) const;
   /// Until when no other instance can take a lead, because every other instance
   /// that is known, or was recently, answered that it cannot reach the store
   /// either. An answer is valid from the time of its query. Zero if this does
   /// not hold.
-  Instant OutageUntil() const;
+  Instant OutageConfirmedUntil() const;
   /// An instance that recently answered that it reaches the store, while this
   /// one cannot. Null if this one can, or if no such instance is known.
-  const LiveInstance* FindInstanceThatHears() const;
-  void HandOver(const LiveInstance& instance,
-                const std::string& cell,
-                int64_t epoch) {
-    hearing_.HandOver(instance, cell, epoch);
+  const LiveInstance* FindInstanceWithStoreContact() const;
+  void HandOverLead(const LiveInstance& instance,
+                    const std::string& cell,
+                    int64_t epoch) {
+    store_contact_.HandOverLead(instance, cell, epoch);
   }
   /// True if the store has not answered this process for so long that the other
   /// instances are queried.
-  bool IsDeaf(Instant now) const;
+  bool IsStoreSilent(Instant now) const;
   /// When the store last answered this process.
-  Instant store_heard_at() const { return store_heard_at_; }
+  Instant last_store_answer_at() const { return store_heard_at_; }
 
   const LiveInstance& self() const { return self_; }
   const std::map<std::string, LiveInstance>& instances() const {
@@ -184,13 +187,13 @@
   }
   const std::map<std::string, CellLead>& leads() const { return leads_; }
   /// True once the directory has been read.
-  bool known() const { return known_; }
+  bool loaded() const { return known_; }
   /// Starts a full read of the directory unless one is running.
   void Refresh();
   /// Enters a lead that this process has just won.
   void SetLead(const CellLead& lead);
   /// Removes a lead that this process has just released.
-  void DropLead(const std::string& cell);
+  void RemoveLead(const std::string& cell);
 
  private:
   /// An instance whose key is gone, and since when.
@@ -230,7 +233,7 @@
 
   Executor& executor_;
   RecordStore& store_;
-  StoreHearing& hearing_;
+  StoreContactPort& store_contact_;
   EventLog& log_;
   const LiveOptions options_;
   LiveInstance self_;
--- a/src/include/doorwood/membership.h
+++ b/src/include/doorwood/membership.h
@@ -27,9 +27,9 @@
   /// An instance becomes a candidate holder and owner only this long after its
   /// first heartbeat, so that one that keeps appearing and disappearing does
   /// not move workers and shards.
-  Millis settle{1000};
+  Millis settle_time{1000};
   /// How long a worker is kept after it left the platform's list.
-  Millis worker_memory{20000};
+  Millis worker_retention{20000};
 };
 
 /// Returns the candidate that `key` is assigned to by rendezvous (highest
@@ -41,8 +41,8 @@
 /// Another entry instance and its newest heartbeat.
 struct PeerState {
   Heartbeat heartbeat;
-  Instant first_heard{};
-  Instant last_heard{};
+  Instant first_heartbeat_at{};
+  Instant last_heartbeat_at{};
 };
 
 /// All methods must be called on the control thread; `now` is that thread's
@@ -54,14 +54,14 @@
              Instant started);
 
   /// Replaces the platform's list.
-  void OnList(std::vector<InstanceInfo> list, Instant now);
+  void OnPlatformList(std::vector<InstanceInfo> list, Instant now);
   /// Stores the newest state of a peer, of this data centre or another.
   void OnHeartbeat(const Heartbeat& heartbeat, Instant now);
   /// Removes peers whose heartbeats have timed out.
   void Expire(Instant now);
   void set_leaving() { leaving_ = true; }
 
-  bool list_known() const { return list_known_; }
+  bool list_received() const { return list_known_; }
   const std::vector<InstanceInfo>& list() const { return list_; }
   const std::map<std::string, PeerState>& peers() const { return peers_; }
 
@@ -69,9 +69,9 @@
   /// include this one.
   std::vector<std::string> Candidates(Instant now) const;
   /// Workers that this instance should hold; leaving ones are marked.
-  std::vector<InstanceInfo> WantedWorkers(Instant now) const;
+  std::vector<InstanceInfo> AssignedWorkers(Instant now) const;
   /// Shards of this data centre that this instance should own.
-  std::vector<ShardId> WantedShards(uint32_t shard_count, Instant now) const;
+  std::vector<ShardId> AssignedShards(uint32_t shard_count, Instant now) const;
   /// Instances of this data centre that may be running: this one, and those
   /// that send heartbeats or are in the platform's list.
   std::vector<std::string> PossibleHolders() const;
@@ -79,7 +79,7 @@
   /// timed out; the start of this instance if none did.
   Instant last_departure() const { return last_departure_; }
   /// Workers of this data centre that were in the platform's list within
-  /// `worker_memory`.
+  /// `worker_retention`.
   std::vector<std::string> RecentWorkers(Instant now) const;
   /// Workers of this data centre that the platform's list or a peer reports as
   /// leaving.
--- a/src/include/doorwood/peer.h
+++ b/src/include/doorwood/peer.h
@@ -39,7 +39,7 @@
   /// Free capacity for batch work on the sender's workers.
   Resources free;
   /// Largest free capacity on a single worker of the sender.
-  Resources largest_room;
+  Resources largest_free;
   /// Number of workers that the sender holds, and a counter that increases
   /// whenever its holdings change.
   uint32_t workers = 0;
@@ -85,7 +85,7 @@
 /// attempts.
 struct CensusRequest {
   ShardId shard;
-  AttemptId floor;
+  AttemptId min_attempt;
 };
 
 /// State of one attempt, as known to the holder of its worker.
--- a/src/include/doorwood/placement.h
+++ b/src/include/doorwood/placement.h
@@ -18,7 +18,7 @@
 namespace doorwood {
 
 /// A running attempt on a worker, as the policy sees it.
-struct Resident {
+struct ResidentAttempt {
   AttemptKey key;
   const TaskSpec* spec = nullptr;
   /// True if a stop has been ordered.
@@ -33,7 +33,7 @@
   /// False: no new attempt may start there, because the worker is leaving or
   /// drained, or its lease may have expired.
   bool open = true;
-  std::span<const Resident> residents;
+  std::span<const ResidentAttempt> residents;
 };
 
 /// Decision of a policy about one attempt.
--- a/src/include/doorwood/queue_table.h
+++ b/src/include/doorwood/queue_table.h
@@ -38,16 +38,16 @@
   int priority = 0;
   /// Number of failed runs after which a task or gang fails.
   int max_attempts = 1;
-  /// A job is on time if it finishes within `stretch` times the duration of its
-  /// longest dependency chain plus `latency_target`.
-  double stretch = 1.0;
+  /// A job is on time if it finishes within `max_slowdown` times the duration
+  /// of its longest dependency chain plus `latency_target`.
+  double max_slowdown = 1.0;
   Millis latency_target{0};
   Millis timeout{0};
   std::optional<AdvicePolicy> advice;
 };
 
 /// Limits for incoming HTTP requests.
-struct FrontLimits {
+struct HttpLimits {
   size_t header_bytes = 16 * 1024;
   size_t body_bytes = 1024 * 1024;
   Millis header_timeout{5000};
@@ -58,26 +58,26 @@
  public:
   QueueTable(int64_t version,
              std::vector<Queue> queues,
-             FrontLimits limits,
-             std::vector<std::string> unguarded_services);
+             HttpLimits limits,
+             std::vector<std::string> services_without_capacity_check);
 
   int64_t version() const { return version_; }
-  const FrontLimits& limits() const { return limits_; }
+  const HttpLimits& limits() const { return limits_; }
   const std::vector<Queue>& queues() const { return queues_; }
 
   /// Returns the queue for `host` with the longest path prefix that `path`
   /// starts with, or null if there is none.
-  const Queue* Match(std::string_view host, std::string_view path) const;
+  const Queue* FindByPath(std::string_view host, std::string_view path) const;
   const Queue* FindByName(std::string_view name) const;
   /// Returns false if the workers of the service start every task they are
   /// sent, without checking their own free capacity.
-  bool GuardsCapacity(std::string_view service) const;
+  bool WorkersCheckCapacity(std::string_view service) const;
 
  private:
   int64_t version_;
   std::vector<Queue> queues_;
-  FrontLimits limits_;
-  std::vector<std::string> unguarded_services_;
+  HttpLimits limits_;
+  std::vector<std::string> services_without_capacity_check_;
 };
 
 /// Interface to the operators' configuration.
@@ -87,7 +87,7 @@
     /// Null if nothing changed or no table exists yet.
     std::shared_ptr<const QueueTable> table;
     /// Store revision at which the snapshot was taken.
-    int64_t at = 0;
+    int64_t revision = 0;
   };
   using Callback = std::function<void(std::error_code, Snapshot)>;
 
--- a/src/include/doorwood/refused_entries.h
+++ b/src/include/doorwood/refused_entries.h
@@ -17,24 +17,24 @@
 
 namespace doorwood {
 
-class RefusedEntries {
+class RejectedEntryLog {
  public:
   /// Maximum number of pairs of entry and reason that are remembered and
   /// logged.
-  static constexpr size_t kMostKept = 256;
+  static constexpr size_t kMaxRemembered = 256;
 
   /// `component` is the log component of the list's reader.
-  RefusedEntries(EventLog& log, std::string component)
+  RejectedEntryLog(EventLog& log, std::string component)
       : log_(log), component_(std::move(component)) {}
 
   /// Counts a rejected entry and logs it if this pair of entry and reason is
   /// new.
-  void Note(const std::string& id, std::string_view reason);
+  void Record(const std::string& id, std::string_view reason);
 
-  /// Number of different pairs of entry and reason, up to `kMostKept`.
-  size_t kept() const { return kept_.size(); }
+  /// Number of different pairs of entry and reason, up to `kMaxRemembered`.
+  size_t remembered_count() const { return kept_.size(); }
   /// Total number of rejections; an entry counts again each time it is read.
-  uint64_t total() const { return total_; }
+  uint64_t rejection_count() const { return total_; }
 
  private:
   EventLog& log_;
--- a/src/include/doorwood/router.h
+++ b/src/include/doorwood/router.h
@@ -65,11 +65,11 @@
   Instant deadline{};
   /// True if another entry instance has forwarded the request. A request is
   /// forwarded at most once.
-  bool passed_on = false;
+  bool forwarded = false;
 };
 
 /// Whether a request was executed, as far as is known.
-enum class RequestFate {
+enum class RequestOutcome {
   /// The request was executed and its complete response was received.
   kAnswered,
   /// The request was definitely not executed.
@@ -78,14 +78,14 @@
   kUnknown,
 };
 
-std::string_view ToString(RequestFate fate);
+std::string_view ToString(RequestOutcome fate);
 
 /// HTTP status for a request whose idempotency key was already used.
 inline constexpr int kStatusKeyUsed = 409;
 
 /// The response to the caller.
 struct CallerResponse {
-  RequestFate fate = RequestFate::kNotRun;
+  RequestOutcome outcome = RequestOutcome::kNotRun;
   int status = 503;
   std::vector<HttpHeader> headers;
   std::string body;
@@ -95,7 +95,7 @@
 };
 
 /// Outcome of one attempt.
-enum class AttemptFate {
+enum class AttemptOutcome {
   kAnswered,
   /// The request definitely did not reach the backend server.
   kNotSent,
@@ -106,7 +106,7 @@
 };
 
 struct AttemptResult {
-  AttemptFate fate = AttemptFate::kUnknown;
+  AttemptOutcome outcome = AttemptOutcome::kUnknown;
   CallerResponse response;
 };
 
@@ -117,14 +117,14 @@
   virtual ~RequestSender() = default;
 
   /// Sends the request to a backend server. Blocks for at most `timeout`. An
-  /// incomplete response counts as AttemptFate::kUnknown.
+  /// incomplete response counts as AttemptOutcome::kUnknown.
   virtual AttemptResult Send(const BackendTarget& target,
                              const CallerRequest& request,
                              Millis timeout) = 0;
   /// Forwards the request to a peer; blocks for at most `timeout`.
-  virtual AttemptResult PassOn(const PeerTarget& target,
-                               const CallerRequest& request,
-                               Millis timeout) = 0;
+  virtual AttemptResult Forward(const PeerTarget& target,
+                                const CallerRequest& request,
+                                Millis timeout) = 0;
 };
 
 /// Why no slot was granted.
@@ -169,11 +169,11 @@
   /// are in use.
   bool HasOpenBackend(const std::string& service) const;
   /// Services with a free slot and no waiting requests.
-  std::vector<std::string> OpenServices() const;
+  std::vector<std::string> ServicesWithFreeSlots() const;
   /// Number of requests that wait for a slot of the service.
   size_t WaitingCount(const std::string& service) const;
   /// Number of slots in use on one worker's backend servers.
-  int InUse(const std::string& worker) const;
+  int SlotsInUse(const std::string& worker) const;
 
  private:
   struct Waiter {
@@ -227,20 +227,20 @@
  public:
   virtual ~RequestObserver() = default;
 
-  virtual void OnRequest(const CallerRequest& request,
-                         const CallerResponse& response,
-                         Millis took) = 0;
+  virtual void OnRequestFinished(const CallerRequest& request,
+                                 const CallerResponse& response,
+                                 Millis took) = 0;
 };
 
-/// Outcome of recording an idempotency key. kTaken: another request has used
-/// the key. kUnknown: the record may or may not have been written.
-enum class ClaimOutcome { kClaimed, kTaken, kNotRecorded, kUnknown };
+/// Outcome of recording an idempotency key. kAlreadyUsed: another request has
+/// used the key. kUnknown: the record may or may not have been written.
+enum class ClaimOutcome { kClaimed, kAlreadyUsed, kNotRecorded, kUnknown };
 
 /// Interface to the records of used idempotency keys. The owner of a key's
 /// shard keeps its record.
-class RequestClaims {
+class IdempotencyKeyStore {
  public:
-  virtual ~RequestClaims() = default;
+  virtual ~IdempotencyKeyStore() = default;
 
   /// Records `key` for `request`; blocks until `deadline` at the latest.
   virtual ClaimOutcome Claim(const std::string& key,
@@ -257,7 +257,7 @@
  public:
   Router(RequestSender& sender,
          RequestObserver& observer,
-         RequestClaims& claims);
+         IdempotencyKeyStore& claims);
 
   /// Executes a request and returns its response. Blocks until the deadline
   /// at the latest; a refusal is returned without delay.
@@ -302,7 +302,7 @@
 
   RequestSender& sender_;
   RequestObserver& observer_;
-  RequestClaims& claims_;
+  IdempotencyKeyStore& claims_;
   SlotTable slots_;
   RetryBudget budget_;
   mutable std::mutex mutex_;
--- a/src/include/doorwood/secret.h
+++ b/src/include/doorwood/secret.h
@@ -13,7 +13,7 @@
 /// Returns true if both are equal and not empty. The time does not depend on
 /// where they differ, only on the length of `given`, so that it reveals nothing
 /// about `expected`.
-bool SameSecret(std::string_view given, std::string_view expected);
+bool SecretsEqual(std::string_view given, std::string_view expected);
 
 }  // namespace doorwood
 
--- a/src/include/doorwood/settings.h
+++ b/src/include/doorwood/settings.h
@@ -33,24 +33,24 @@
   /// Maximum number of connections served at a time.
   int connections = 96;
   /// Maximum size of a request body, in bytes.
-  int64_t largest_body = 8 * 1024 * 1024;
+  int64_t max_body_bytes = 8 * 1024 * 1024;
   /// Maximum number of calls to the key-value service per second.
   int kv_calls = 50;
   /// Maximum duration of a planned shutdown. After it the process stops without
   /// waiting for work that is still unfinished.
-  Millis leave_patience{20000};
+  Millis shutdown_timeout{20000};
   /// How long requests are still accepted after a planned shutdown began, so
   /// that the load balancer notices that this instance is not ready.
-  Millis leave_grace{1000};
+  Millis shutdown_grace{1000};
   int shard_count = 8;
   Millis heartbeat_interval{500};
   Millis heartbeat_timeout{2000};
-  Millis settle{1000};
+  Millis membership_settle_time{1000};
   Millis list_interval{1000};
   Millis control_lease{3000};
   Millis task_lease{10000};
   Millis renew_interval{1300};
-  Millis registration{6000};
+  Millis registration_lifetime{6000};
   Millis drift{300};
 };
 
--- a/src/include/doorwood/shard_log.h
+++ b/src/include/doorwood/shard_log.h
@@ -85,7 +85,7 @@
   const ShardState& state() const { return state_; }
   /// True while writes fail; refusable appends are then refused at once.
   bool failing() const { return failing_; }
-  bool open() const { return open_; }
+  bool is_open() const { return open_; }
   int64_t position() const { return position_; }
 
  private:
--- a/src/include/doorwood/shard_owner.h
+++ b/src/include/doorwood/shard_owner.h
@@ -53,7 +53,7 @@
   uint32_t workers = 0;
   uint64_t holdings_version = 0;
   Resources free;
-  Resources largest_room;
+  Resources largest_free;
 };
 
 /// Port through which a shard owner sees its instance, the peers and the
@@ -73,7 +73,7 @@
   virtual Instant LastDeparture() const = 0;
   /// False until the platform's list has been received. Until then, absence
   /// from `PossibleHolders` and `Workers` proves nothing.
-  virtual bool ViewComplete() const = 0;
+  virtual bool IsViewComplete() const = 0;
   /// Workers of the data centre that are, or recently were, in the platform's
   /// list.
   virtual std::vector<std::string> Workers() const = 0;
@@ -128,7 +128,7 @@
   /// See ShardLog::Verify.
   void Verify(Done done) { log_->Verify(std::move(done)); }
   /// Stops all activity at once without releasing the shard, as when fenced.
-  void Abandon();
+  void StopImmediately();
   void set_on_fenced(std::function<void()> on_fenced);
   void set_lease_valid(std::function<bool()> lease_valid);
 
@@ -138,9 +138,12 @@
   void Cancel(const std::string& job, Done done);
   /// Records that `request` is about to be run under `key`. Fails with
   /// kConflict if the key is already claimed.
-  void Claim(const std::string& key, const std::string& request, Done done);
+  void ClaimIdempotencyKey(const std::string& key,
+                           const std::string& request,
+                           Done done);
   /// Withdraws a claim; the caller knows that the request did not run.
-  void Unclaim(const std::string& key, const std::string& request);
+  void ReleaseIdempotencyKey(const std::string& key,
+                             const std::string& request);
   /// Handles attempts that a holder reports as ended. `reply` is called once
   /// the log has answered for all of them, with those that are logged.
   void OnEndReport(const EndReport& report,
--- a/src/include/doorwood/worker.h
+++ b/src/include/doorwood/worker.h
@@ -41,11 +41,11 @@
 struct WorkerInventory {
   uint64_t epoch = 0;
   /// Incarnation number: differs after each restart of the worker.
-  uint64_t boot = 0;
+  uint64_t boot_id = 0;
   Resources capacity;
   /// False: the worker does not refuse orders of an older epoch. A new holder
   /// must wait until the previous lease has expired before it starts tasks.
-  bool fences = true;
+  bool rejects_stale_epochs = true;
   std::vector<WorkerTask> tasks;
 };
 
@@ -78,7 +78,7 @@
 struct WorkerAnswer {
   /// Incarnation number, as in the inventory. If it differs from the
   /// inventory's, the worker has restarted and lost its earlier attempts.
-  uint64_t boot = 0;
+  uint64_t boot_id = 0;
   std::vector<OrderResult> results;
   std::vector<WorkerTask> ended;
 };
--- a/src/libdoorwood/base/json_codec.cpp
+++ b/src/libdoorwood/base/json_codec.cpp
@@ -214,17 +214,17 @@
 
 void to_json(Json& json, const WorkerInventory& value) {
   json = Json{{"epoch", value.epoch},
-              {"boot", value.boot},
+              {"boot", value.boot_id},
               {"capacity", value.capacity},
-              {"fences", value.fences},
+              {"fences", value.rejects_stale_epochs},
               {"tasks", value.tasks}};
 }
 
 void from_json(const Json& json, WorkerInventory& value) {
   ReadIfPresent(json, "epoch", &value.epoch);
-  ReadIfPresent(json, "boot", &value.boot);
+  ReadIfPresent(json, "boot", &value.boot_id);
   ReadIfPresent(json, "capacity", &value.capacity);
-  ReadIfPresent(json, "fences", &value.fences);
+  ReadIfPresent(json, "fences", &value.rejects_stale_epochs);
   ReadIfPresent(json, "tasks", &value.tasks);
 }
 
@@ -254,7 +254,7 @@
 }
 
 void to_json(Json& json, const WorkerAnswer& value) {
-  json = Json{{"boot", value.boot}};
+  json = Json{{"boot", value.boot_id}};
   for (const OrderResult& result : value.results) {
     json["results"].push_back(Json{{"attempt", result.attempt},
                                    {"accepted", result.accepted},
@@ -266,7 +266,7 @@
 }
 
 void from_json(const Json& json, WorkerAnswer& value) {
-  ReadIfPresent(json, "boot", &value.boot);
+  ReadIfPresent(json, "boot", &value.boot_id);
   ReadIfPresent(json, "ended", &value.ended);
   const auto results = json.find("results");
   if (results == json.end()) {
--- a/src/libdoorwood/base/json_reader.cpp
+++ b/src/libdoorwood/base/json_reader.cpp
@@ -26,7 +26,7 @@
 
 int64_t IntegerOfDouble(double value, const char* field) {
   // Also false for NaN.
-  const bool exact = std::abs(value) <= static_cast<double>(kMostWhole) &&
+  const bool exact = std::abs(value) <= static_cast<double>(kMaxExactInteger) &&
                      std::trunc(value) == value;
   if (!exact) {
     throw FieldError(field);
@@ -36,7 +36,7 @@
 
 int64_t IntegerOf(const Json& value, const char* field) {
   if (value.is_number_unsigned() &&
-      value.get<uint64_t>() > static_cast<uint64_t>(kAnyName.most)) {
+      value.get<uint64_t>() > static_cast<uint64_t>(kIdentifierRange.max)) {
     throw FieldError(field);
   }
   if (value.is_number_integer()) {
@@ -54,7 +54,7 @@
   }
   const double millis = value.get<double>() * millis_per_unit;
   const bool in_range =
-      millis >= 0 && millis <= static_cast<double>(kMostMillis);
+      millis >= 0 && millis <= static_cast<double>(kMaxMillis);
   if (!in_range) {
     throw FieldError(field);
   }
@@ -63,35 +63,35 @@
 
 }  // namespace
 
-int64_t ToWhole(const Json& value, const char* field, WholeRange range) {
+int64_t ToInteger(const Json& value, const char* field, IntegerRange range) {
   const int64_t whole = IntegerOf(value, field);
-  if (whole < range.least || whole > range.most) {
+  if (whole < range.min || whole > range.max) {
     throw FieldError(field);
   }
   return whole;
 }
 
-std::string ToText(const Json& value, const char* field) {
+std::string ToNonEmptyString(const Json& value, const char* field) {
   if (!value.is_string() || value.get_ref<const std::string&>().empty()) {
     throw FieldError(field);
   }
   return value.get<std::string>();
 }
 
-int64_t ReadWhole(const Json& json, const char* field, WholeRange range) {
-  return ToWhole(RequireField(json, field), field, range);
+int64_t ReadInteger(const Json& json, const char* field, IntegerRange range) {
+  return ToInteger(RequireField(json, field), field, range);
 }
 
-std::string ReadText(const Json& json, const char* field) {
-  return ToText(RequireField(json, field), field);
+std::string ReadNonEmptyString(const Json& json, const char* field) {
+  return ToNonEmptyString(RequireField(json, field), field);
 }
 
-int64_t ReadWholeOr(const Json& json,
-                    const char* field,
-                    int64_t otherwise,
-                    WholeRange range) {
+int64_t ReadIntegerOr(const Json& json,
+                      const char* field,
+                      int64_t otherwise,
+                      IntegerRange range) {
   const auto found = json.find(field);
-  return found == json.end() ? otherwise : ToWhole(*found, field, range);
+  return found == json.end() ? otherwise : ToInteger(*found, field, range);
 }
 
 const Json& ReadList(const Json& json, const char* field) {
@@ -106,7 +106,7 @@
   return ToMillis(RequireField(json, field), field, 1.0);
 }
 
-std::string ReadTextOr(const Json& json, const char* field) {
+std::string ReadStringOrEmpty(const Json& json, const char* field) {
   const auto found = json.find(field);
   if (found == json.end()) {
     return {};
@@ -117,7 +117,7 @@
   return found->get<std::string>();
 }
 
-const Json& ReadListOr(const Json& json, const char* field) {
+const Json& ReadListOrEmpty(const Json& json, const char* field) {
   static const Json none = Json::array();
   return json.contains(field) ? ReadList(json, field) : none;
 }
@@ -140,18 +140,20 @@
   if (!json.is_object()) {
     throw FieldError(cpu);
   }
-  const WholeRange range{0, kMaxResource};
-  return {ReadWholeOr(json, cpu, 0, range), ReadWholeOr(json, memory, 0, range),
-          ReadWholeOr(json, accelerators, 0, range)};
+  const IntegerRange range{0, kMaxResource};
+  return {ReadIntegerOr(json, cpu, 0, range),
+          ReadIntegerOr(json, memory, 0, range),
+          ReadIntegerOr(json, accelerators, 0, range)};
 }
 
-std::string TextIn(std::string_view text, const char* field) {
-  const auto found = DecodeObject(
-      text, [field](const Json& json) { return ReadTextOr(json, field); });
+std::string StringFieldOf(std::string_view text, const char* field) {
+  const auto found = DecodeObject(text, [field](const Json& json) {
+    return ReadStringOrEmpty(json, field);
+  });
   return found.value_or("");
 }
 
-bool IsPlainWord(std::string_view text) {
+bool IsVisibleAscii(std::string_view text) {
   return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
     return c >= kFirstVisible && c <= kLastVisible;
   });
@@ -168,7 +170,7 @@
   int port = 0;
   const auto read =
       std::from_chars(digits.data(), digits.data() + digits.size(), port);
-  return IsPlainWord(ip) && inet_pton(AF_INET, ip.c_str(), &parsed) == 1 &&
+  return IsVisibleAscii(ip) && inet_pton(AF_INET, ip.c_str(), &parsed) == 1 &&
          read.ec == std::errc() && read.ptr == digits.data() + digits.size() &&
          port > 0 && port <= kMaxPort;
 }
--- a/src/libdoorwood/base/json_reader_test.cpp
+++ b/src/libdoorwood/base/json_reader_test.cpp
@@ -9,16 +9,16 @@
 namespace doorwood {
 namespace {
 
-bool IsInteger(const char* text, int64_t expected, WholeRange range = {}) {
-  return ToWhole(Json::parse(text), "n", range) == expected;
+bool IsInteger(const char* text, int64_t expected, IntegerRange range = {}) {
+  return ToInteger(Json::parse(text), "n", range) == expected;
 }
 
 BOOST_AUTO_TEST_CASE(ToWhole_Integers_AreAccepted) {
   constexpr int64_t kMaxInt64 = std::numeric_limits<int64_t>::max();
   BOOST_TEST(IsInteger("0", 0));
   BOOST_TEST(IsInteger("7.0", 7));
-  BOOST_TEST(IsInteger("9007199254740992", kMostWhole));
-  BOOST_TEST(IsInteger("9223372036854775807", kMaxInt64, kAnyName));
+  BOOST_TEST(IsInteger("9007199254740992", kMaxExactInteger));
+  BOOST_TEST(IsInteger("9223372036854775807", kMaxInt64, kIdentifierRange));
   BOOST_TEST(IsInteger("-3", -3, {-5, 5}));
 }
 
@@ -26,12 +26,12 @@
   for (const char* text :
        {"-1", "1.5", "1e300", "-1e300", "9007199254740993", "true", "null",
         "\"7\"", "[]", "{}", "9223372036854775808", "18446744073709551615"}) {
-    BOOST_CHECK_THROW(ToWhole(Json::parse(text), "n"), FieldError);
+    BOOST_CHECK_THROW(ToInteger(Json::parse(text), "n"), FieldError);
   }
   const Json not_a_number = std::numeric_limits<double>::quiet_NaN();
-  BOOST_CHECK_THROW(ToWhole(not_a_number, "n"), FieldError);
+  BOOST_CHECK_THROW(ToInteger(not_a_number, "n"), FieldError);
   const Json beyond = Json::parse("18446744073709551615");
-  BOOST_CHECK_THROW(ToWhole(beyond, "n", kAnyName), FieldError);
+  BOOST_CHECK_THROW(ToInteger(beyond, "n", kIdentifierRange), FieldError);
 }
 
 BOOST_AUTO_TEST_CASE(ReadMillisOr_InvalidValues_AreRejected) {
--- a/src/libdoorwood/base/refused_entries.cpp
+++ b/src/libdoorwood/base/refused_entries.cpp
@@ -4,13 +4,13 @@
 
 namespace doorwood {
 
-void RefusedEntries::Note(const std::string& id, std::string_view reason) {
+void RejectedEntryLog::Record(const std::string& id, std::string_view reason) {
   ++total_;
   std::pair<std::string, std::string> pair(id, reason);
   if (kept_.contains(pair)) {
     return;
   }
-  if (kept_.size() < kMostKept) {
+  if (kept_.size() < kMaxRemembered) {
     kept_.insert(std::move(pair));
     log_.Write("warn", component_, "an entry is not used",
                {{"id", id}, {"reason", reason}});
@@ -19,7 +19,7 @@
   if (!limit_logged_) {
     limit_logged_ = true;
     log_.Write("warn", component_, "further entries that are not used",
-               {{"told", kMostKept}});
+               {{"told", kMaxRemembered}});
   }
 }
 
--- a/src/libdoorwood/base/secret.cpp
+++ b/src/libdoorwood/base/secret.cpp
@@ -6,7 +6,7 @@
 
 namespace doorwood {
 
-bool SameSecret(std::string_view given, std::string_view expected) {
+bool SecretsEqual(std::string_view given, std::string_view expected) {
   if (expected.empty()) {
     return false;
   }
--- a/src/libdoorwood/cell/cell_campaign.cpp
+++ b/src/libdoorwood/cell/cell_campaign.cpp
@@ -18,8 +18,8 @@
 }  // namespace
 
 bool CellLeader::MayCampaign() const {
-  return stage_ == Stage::kStandby && table_ && live_.known() &&
-         live_.IsLeaseSure() && live_.registered_since() &&
+  return stage_ == Stage::kStandby && table_ && live_.loaded() &&
+         live_.IsLeaseValid() && live_.registered_since() &&
          !live_.self().leaving && BelongsToCell(live_.self().data_centre) &&
          !live_.leads().contains(options_.cell);
 }
@@ -33,9 +33,9 @@
   // rely on recorded placements; then by name.
   int rank = 0;
   const LiveInstance& self = live_.self();
-  const int64_t last_epoch = live_.LastEpoch(options_.cell);
-  const bool agrees_since =
-      live_.agreeing_since() == 0 || live_.agreeing_since() > last_epoch;
+  const int64_t last_epoch = live_.NewestKnownEpoch(options_.cell);
+  const bool agrees_since = live_.agreement_known_since() == 0 ||
+                            live_.agreement_known_since() > last_epoch;
   for (const auto& [name, other] : live_.instances()) {
     if (!BelongsToCell(other.data_centre) || other.leaving ||
         name == self.name) {
@@ -43,7 +43,7 @@
     }
     const bool stronger = other.cpu_share > self.cpu_share;
     const bool equal = other.cpu_share == self.cpu_share;
-    const bool other_agrees_since = other.agreeing_since > last_epoch;
+    const bool other_agrees_since = other.agreement_known_since > last_epoch;
     const bool before =
         agrees_since == other_agrees_since ? name < self.name : agrees_since;
     rank += (stronger || (equal && before)) ? 1 : 0;
@@ -62,7 +62,7 @@
     StepDown("another instance leads");
     return;
   }
-  if (led && live_.known() && lead == live_.leads().end()) {
+  if (led && live_.loaded() && lead == live_.leads().end()) {
     StepDown("the lead key is gone");
   }
   // The key may be from any campaign of this process: a write that got no
@@ -253,7 +253,7 @@
 }
 
 Millis CellLeader::AgeOfRecord(int64_t revision) const {
-  const auto stood = live_.ReachedBefore(revision);
+  const auto stood = live_.RevisionReachedBy(revision);
   return stood ? std::chrono::duration_cast<Millis>(executor_.Now() - *stood)
                : Millis(0);
 }
@@ -265,8 +265,8 @@
   placements_valid_to_ =
       newest == nullptr ? 0 : DecodePlacementsValidTo(newest->value);
   placements_valid_at_takeover_ =
-      live_.agreeing_since() != 0 &&
-      live_.agreeing_since() <= placements_valid_to_;
+      live_.agreement_known_since() != 0 &&
+      live_.agreement_known_since() <= placements_valid_to_;
   if (newest == nullptr || !KeepsToTaskLists(newest->value)) {
     // A leader of an older version may have started tasks that these lists
     // exclude.
@@ -305,7 +305,7 @@
               {"chains", chains.size()},
               {"workers", known.size()},
               {"places_hold_to", placements_valid_to_},
-              {"agreeing_since", live_.agreeing_since()}});
+              {"agreeing_since", live_.agreement_known_since()}});
   journal_.Open(epoch_, chains);
   for (const KnownWorker& worker : known) {
     WorkerIncarnation incarnation;
--- a/src/libdoorwood/cell/cell_journal.cpp
+++ b/src/libdoorwood/cell/cell_journal.cpp
@@ -32,16 +32,17 @@
 std::optional<KnownWorker> DecodeKnownWorker(const Json& row) {
   try {
     KnownWorker worker;
-    worker.id = ToText(row.at(0), "id");
-    worker.address = ToText(row.at(1), "address");
+    worker.id = ToNonEmptyString(row.at(0), "id");
+    worker.address = ToNonEmptyString(row.at(1), "address");
     // Earlier versions wrote no third field.
     const int64_t unheard =
-        row.size() > 2 ? ToWhole(row.at(2), "unheard", {0, kMostMillis}) : 0;
+        row.size() > 2 ? ToInteger(row.at(2), "unheard", {0, kMaxMillis}) : 0;
     worker.not_contacted_for = Millis(unheard);
     if (row.size() > 3) {
       worker.tasks = DecodeTasks(row.at(3));
     }
-    const bool valid = IsPlainWord(worker.id) && IsPlainWord(worker.address);
+    const bool valid =
+        IsVisibleAscii(worker.id) && IsVisibleAscii(worker.address);
     return valid ? std::optional(std::move(worker)) : std::nullopt;
   } catch (const std::exception&) {
     return std::nullopt;
@@ -100,7 +101,7 @@
 
 uint64_t DecodeSequence(std::string_view text) {
   const auto sequence = DecodeObject(text, [](const Json& json) {
-    return ReadWhole(json, "sequence", kAnyName);
+    return ReadInteger(json, "sequence", kIdentifierRange);
   });
   return static_cast<uint64_t>(sequence.value_or(0));
 }
@@ -114,7 +115,7 @@
 
 int64_t DecodePlacementsValidTo(std::string_view text) {
   const auto revision = DecodeObject(text, [](const Json& json) {
-    return ReadWholeOr(json, kPlacementsValidField, 0);
+    return ReadIntegerOr(json, kPlacementsValidField, 0);
   });
   return std::max<int64_t>(revision.value_or(0), 0);
 }
--- a/src/libdoorwood/cell/cell_journal_build.cpp
+++ b/src/libdoorwood/cell/cell_journal_build.cpp
@@ -76,7 +76,7 @@
       [](const auto& worker) { return worker.not_contacted_for > Millis(0); });
   if (any_not_contacted) {
     batch->transaction.puts.push_back(
-        {UnheardKey(cell_), std::to_string(batch->number)});
+        {UncontactedWorkersKey(cell_), std::to_string(batch->number)});
   }
 }
 
--- a/src/libdoorwood/cell/cell_lasting_places.cpp
+++ b/src/libdoorwood/cell/cell_lasting_places.cpp
@@ -32,7 +32,7 @@
 }
 
 bool CellLeader::MayStartUnrecorded() const {
-  return executor_.Now() < live_.AgreedUntil();
+  return executor_.Now() < live_.UnrecordedStartsAgreedUntil();
 }
 
 bool CellLeader::MayReleaseStartOn(const CellWorker& cell_worker) const {
@@ -65,7 +65,7 @@
       session->Release(name);
     }
   }
-  live_.SetNeedsAgreement(!starts_awaiting_record_.empty());
+  live_.set_needs_agreement(!starts_awaiting_record_.empty());
 }
 
 bool CellLeader::ArePlacementsRecorded() const {
@@ -79,14 +79,15 @@
 // relies on them.
 int64_t CellLeader::PlacementsValidTo() {
   if (ArePlacementsRecorded()) {
-    placements_valid_to_ = live_.at();
+    placements_valid_to_ = live_.revision();
   }
   return placements_valid_to_;
 }
 
 void CellLeader::PublishRecordedPlacements() {
   if (ArePlacementsRecorded() &&
-      live_.NewestAgreeingSince() > placements_valid_to_ && IsLeadConfirmed()) {
+      live_.NewestAgreementRevision() > placements_valid_to_ &&
+      IsLeadConfirmed()) {
     journal_.RequestCommit();
   }
 }
@@ -111,7 +112,7 @@
 
 bool CellLeader::AgreeToUnrecordedStarts() {
   const bool may_lead = stage_ != Stage::kStandby && stage_ != Stage::kShutDown;
-  return !may_lead && live_.Agree();
+  return !may_lead && live_.AgreeToUnrecordedStarts();
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/cell/cell_leader.cpp
+++ b/src/libdoorwood/cell/cell_leader.cpp
@@ -147,7 +147,7 @@
   log_.Write("warn", "cell", "handing the lead over to another instance",
              {{"cell", options_.cell}, {"epoch", epoch}, {"to", target.name}});
   StepDown("the store turns this instance away");
-  live_.HandOver(target, options_.cell, epoch);
+  live_.HandOverLead(target, options_.cell, epoch);
 }
 
 void CellLeader::OnLeadHandedOver(int64_t epoch) {
@@ -166,7 +166,7 @@
                 {"outcome", error ? error.message() : "removed"}});
     const auto lead = live_.leads().find(options_.cell);
     if (!error && lead != live_.leads().end() && lead->second.epoch == epoch) {
-      live_.DropLead(options_.cell);
+      live_.RemoveLead(options_.cell);
     }
     if (error) {
       live_.Refresh();
@@ -239,7 +239,7 @@
 
 void CellLeader::ExtendOrderDeadline() {
   if (executor_.Now() < order_deadline_) {
-    order_deadline_ = std::max(order_deadline_, live_.OutageUntil());
+    order_deadline_ = std::max(order_deadline_, live_.OutageConfirmedUntil());
   }
   order_deadline_ =
       std::max(order_deadline_, proof_.confirmed_at() + options_.order_grace);
@@ -251,10 +251,10 @@
 
 std::optional<Millis> CellLeader::TimeSinceStoreAnswer(Instant now) const {
   const bool may_lead = stage_ != Stage::kStandby && stage_ != Stage::kShutDown;
-  if (may_lead && live_.IsDeaf(now)) {
+  if (may_lead && live_.IsStoreSilent(now)) {
     return std::nullopt;
   }
-  return std::chrono::duration_cast<Millis>(now - live_.store_heard_at());
+  return std::chrono::duration_cast<Millis>(now - live_.last_store_answer_at());
 }
 
 bool CellLeader::IsLeadConfirmed() const {
@@ -316,7 +316,7 @@
     unconfirmed_after_pause_ = false;
   }
   last_tick_ = now;
-  if (const LiveInstance* other = live_.FindInstanceThatHears()) {
+  if (const LiveInstance* other = live_.FindInstanceWithStoreContact()) {
     HandOverLead(*other);
     return;
   }
--- a/src/libdoorwood/config/config_follower.cpp
+++ b/src/libdoorwood/config/config_follower.cpp
@@ -71,7 +71,7 @@
 }
 
 void ConfigFollower::ApplyIfNewer(const QueueTableSource::Snapshot& snapshot) {
-  watched_revision_ = std::max(watched_revision_, snapshot.at);
+  watched_revision_ = std::max(watched_revision_, snapshot.revision);
   if (!snapshot.table ||
       (table_ && snapshot.table->version() <= table_->version())) {
     return;
@@ -80,7 +80,7 @@
              {{"version", snapshot.table->version()},
               {"before", table_ ? table_->version() : 0},
               {"queues", snapshot.table->queues().size()},
-              {"revision", snapshot.at}});
+              {"revision", snapshot.revision}});
   table_ = snapshot.table;
   on_change_(table_);
 }
--- a/src/libdoorwood/config/config_keeper.cpp
+++ b/src/libdoorwood/config/config_keeper.cpp
@@ -107,7 +107,7 @@
   for (const KvEntry& entry : entries) {
     watched_version_ = std::max(watched_version_, entry.version);
     if (entry.key == kCurrentKey) {
-      Take(entry.value);
+      AdoptIfNewer(entry.value);
     } else if (entry.key == kDrainedKey) {
       AdoptDrained(entry.value, entry.version);
     }
@@ -115,7 +115,7 @@
   Watch();
 }
 
-void ConfigKeeper::Take(const std::string& value) {
+void ConfigKeeper::AdoptIfNewer(const std::string& value) {
   const auto stored = ParseJson(value);
   if (!stored || !stored->is_object() || RevisionOf(*stored) <= revision_) {
     return;
@@ -201,7 +201,7 @@
   const Json before = ParseJson(entry.value).value_or(Json::object());
   const uint64_t made_revision = RevisionOfOperation(before, change.operation);
   if (made_revision != 0) {
-    Take(entry.value);
+    AdoptIfNewer(entry.value);
     done({std::error_code(), made_revision, {}});
     return;
   }
@@ -221,7 +221,7 @@
                     value = write.value,
                     revision = newest + 1](std::error_code error, int64_t) {
     if (!error) {
-      self->Take(value);
+      self->AdoptIfNewer(value);
       done({std::error_code(), revision, {}});
       return;
     }
@@ -251,7 +251,7 @@
       done({CoreErrc::kOutcomeUnknown, self->revision_, {}});
       return;
     }
-    self->Take(entry.value);
+    self->AdoptIfNewer(entry.value);
     done({std::error_code(), made_revision, {}});
   });
 }
--- a/src/libdoorwood/config/entry_settings.cpp
+++ b/src/libdoorwood/config/entry_settings.cpp
@@ -37,23 +37,26 @@
   }
   MapReader reader(root, "", problems);
   const std::pair<std::string_view, std::string*> required_texts[] = {
-      {"instance", &settings.instance}, {"data_centre", &settings.data_centre},
-      {"front", &settings.front},       {"ready", &settings.ready},
-      {"peer", &settings.peer},         {"metrics", &settings.metrics},
-      {"store", &settings.store}};
+      {"instance", &settings.instance},
+      {"data_centre", &settings.data_centre},
+      {"front", &settings.client_address},
+      {"ready", &settings.readiness_address},
+      {"peer", &settings.peer_address},
+      {"metrics", &settings.metrics_address},
+      {"store", &settings.store_address}};
   for (const auto& [key, out] : required_texts) {
     reader.Require(key);
     reader.Read(key, out);
   }
-  reader.Read("adviser", &settings.adviser);
-  reader.Read("machines", &settings.machines);
+  reader.Read("adviser", &settings.adviser_address);
+  reader.Read("machines", &settings.machine_service_address);
   reader.Read("log_level", &settings.log_level);
   size_t scope = 0;
   reader.ReadChoice("cell_span", {"everywhere", "data_centre"}, &scope);
   settings.cell_scope =
       scope == 0 ? CellScope::kEverywhere : CellScope::kDataCentre;
   reader.Read("cpu_share", kSmallestShare, kLargestShare, &settings.cpu_share);
-  reader.Read("grace_ms", kGraceMillis, &settings.grace);
+  reader.Read("grace_ms", kGraceMillis, &settings.shutdown_grace);
   reader.Read("longest_run_lease_ms", kLeaseMillis, &settings.max_run_lease);
   reader.Read("keep_finished_ms", kRetentionMillis,
               &settings.finished_job_retention);
--- a/src/libdoorwood/config/queue_table.cpp
+++ b/src/libdoorwood/config/queue_table.cpp
@@ -9,12 +9,13 @@
 
 QueueTable::QueueTable(int64_t version,
                        std::vector<Queue> queues,
-                       FrontLimits limits,
-                       std::vector<std::string> unguarded_services)
+                       HttpLimits limits,
+                       std::vector<std::string> services_without_capacity_check)
     : version_(version),
       queues_(std::move(queues)),
       limits_(limits),
-      unguarded_services_(std::move(unguarded_services)) {
+      services_without_capacity_check_(
+          std::move(services_without_capacity_check)) {
   // Longest prefix first, so that the first match is the most specific one.
   std::stable_sort(queues_.begin(), queues_.end(),
                    [](const Queue& a, const Queue& b) {
@@ -22,8 +23,8 @@
                    });
 }
 
-const Queue* QueueTable::Match(std::string_view host,
-                               std::string_view path) const {
+const Queue* QueueTable::FindByPath(std::string_view host,
+                                    std::string_view path) const {
   for (const Queue& queue : queues_) {
     if (queue.host == host && path.starts_with(queue.path_prefix)) {
       return &queue;
@@ -39,9 +40,10 @@
   return found == queues_.end() ? nullptr : &*found;
 }
 
-bool QueueTable::GuardsCapacity(std::string_view service) const {
-  return std::find(unguarded_services_.begin(), unguarded_services_.end(),
-                   service) == unguarded_services_.end();
+bool QueueTable::WorkersCheckCapacity(std::string_view service) const {
+  return std::find(services_without_capacity_check_.begin(),
+                   services_without_capacity_check_.end(),
+                   service) == services_without_capacity_check_.end();
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/config/settings.cpp
+++ b/src/libdoorwood/config/settings.cpp
@@ -69,18 +69,19 @@
 }
 
 void ReadTimes(MapReader* reader, Settings* settings) {
-  reader->Read("leave_patience_ms", kLongMillis, &settings->leave_patience);
-  reader->Read("leave_grace_ms", Range{0, 60'000}, &settings->leave_grace);
+  reader->Read("leave_patience_ms", kLongMillis, &settings->shutdown_timeout);
+  reader->Read("leave_grace_ms", Range{0, 60'000}, &settings->shutdown_grace);
   reader->Read("heartbeat_interval_ms", kShortMillis,
                &settings->heartbeat_interval);
   reader->Read("heartbeat_timeout_ms", kShortMillis,
                &settings->heartbeat_timeout);
-  reader->Read("settle_ms", kShortMillis, &settings->settle);
+  reader->Read("settle_ms", kShortMillis, &settings->membership_settle_time);
   reader->Read("list_interval_ms", kShortMillis, &settings->list_interval);
   reader->Read("control_lease_ms", kLongMillis, &settings->control_lease);
   reader->Read("task_lease_ms", kLongMillis, &settings->task_lease);
   reader->Read("renew_interval_ms", kLongMillis, &settings->renew_interval);
-  reader->Read("registration_ms", kLongMillis, &settings->registration);
+  reader->Read("registration_ms", kLongMillis,
+               &settings->registration_lifetime);
   reader->Read("drift_ms", kShortMillis, &settings->drift);
   if (settings->renew_interval * 2 + settings->drift >
       settings->control_lease) {
@@ -127,7 +128,7 @@
   reader.ReadChoice("log_level", {"debug", "info", "warn", "error"}, &level);
   settings.log_level = kLevels[level];
   reader.Read("connections", kConnections, &settings.connections);
-  reader.Read("largest_body", kBody, &settings.largest_body);
+  reader.Read("largest_body", kBody, &settings.max_body_bytes);
   reader.Read("kv_calls", kKvCalls, &settings.kv_calls);
   reader.Read("shard_count", kShards, &settings.shard_count);
   ReadTimes(&reader, &settings);
@@ -150,10 +151,10 @@
   options.shard_count = static_cast<uint32_t>(settings.shard_count);
   options.heartbeat_interval = settings.heartbeat_interval;
   options.list_interval = settings.list_interval;
-  options.registration = settings.registration;
+  options.registration_lifetime = settings.registration_lifetime;
   options.membership.heartbeat_timeout = settings.heartbeat_timeout;
-  options.membership.settle = settings.settle;
-  options.membership.worker_memory = settings.task_lease * 2;
+  options.membership.settle_time = settings.membership_settle_time;
+  options.membership.worker_retention = settings.task_lease * 2;
   options.holder.control_lease = settings.control_lease;
   options.holder.task_lease = settings.task_lease;
   options.holder.renew_interval = settings.renew_interval;
--- a/src/libdoorwood/holder/holder.cpp
+++ b/src/libdoorwood/holder/holder.cpp
@@ -35,7 +35,7 @@
   }
 }
 
-void WorkerHolder::SetWanted(std::span<const InstanceInfo> workers) {
+void WorkerHolder::SetAssignedWorkers(std::span<const InstanceInfo> workers) {
   std::set<std::string> wanted_ids;
   for (const InstanceInfo& info : workers) {
     wanted_ids.insert(info.id);
@@ -49,7 +49,7 @@
     held->info = info;
     if (held->state == HoldState::kReleasing) {
       held->state = HoldState::kHeld;
-      listener_.OnHeldChanged();
+      listener_.OnHeldWorkersChanged();
     }
     if (newly_leaving) {
       EvictRepeatableAttempts(held);
@@ -66,7 +66,7 @@
   }
 }
 
-void WorkerHolder::SetDrained(std::set<std::string> workers) {
+void WorkerHolder::SetDrainedWorkers(std::set<std::string> workers) {
   for (const auto& [name, held] : held_) {
     const bool newly_drained =
         workers.contains(name) && !drained_.contains(name);
@@ -118,9 +118,9 @@
     return;
   }
   const bool must_wait =
-      !inventory.fences && held->state != HoldState::kWaitingOut;
+      !inventory.rejects_stale_epochs && held->state != HoldState::kWaitingOut;
   held->epoch = inventory.epoch;
-  held->boot = inventory.boot;
+  held->boot = inventory.boot_id;
   held->lease_start = sent;
   if (must_wait) {
     // The worker would execute a delayed order of the previous holder. Wait
@@ -139,7 +139,7 @@
   if (held->info.leaving || drained_.contains(held->info.id)) {
     EvictRepeatableAttempts(held);
   }
-  listener_.OnHeldChanged();
+  listener_.OnHeldWorkersChanged();
   // An acquisition does not extend the task leases of running tasks; only a
   // renewal does.
   Renew(held);
@@ -233,7 +233,7 @@
     OnNoAnswer(held, error);
     return;
   }
-  if (answer.boot != held->boot) {
+  if (answer.boot_id != held->boot) {
     // The worker has restarted since its inventory was taken.
     OnLeaseLost(held);
     return;
@@ -301,7 +301,7 @@
   }
   if (held->state == HoldState::kHeld) {
     held->state = HoldState::kReleasing;
-    listener_.OnHeldChanged();
+    listener_.OnHeldWorkersChanged();
   }
   if (held->call_in_flight) {
     return;
@@ -321,7 +321,7 @@
     worker_of_.erase(key);
   }
   held_.erase(held->info.id);
-  listener_.OnHeldChanged();
+  listener_.OnHeldWorkersChanged();
 }
 
 void WorkerHolder::OnLeaseLost(const std::shared_ptr<HeldWorker>& held) {
@@ -331,7 +331,7 @@
   }
   held->state = HoldState::kAcquiring;
   // Attempts are kept until a new inventory shows their state.
-  listener_.OnHeldChanged();
+  listener_.OnHeldWorkersChanged();
   Acquire(held);
 }
 
@@ -351,16 +351,16 @@
 
 // --- Held workers and their attempts ---
 
-bool WorkerHolder::Holds(const std::string& worker) const {
+bool WorkerHolder::IsHeld(const std::string& worker) const {
   const auto held = held_.find(worker);
   return held != held_.end() && held->second->state == HoldState::kHeld &&
          HasValidLease(*held->second);
 }
 
-std::vector<HeldWorkerRow> WorkerHolder::rows() const {
+std::vector<HeldWorkerStatus> WorkerHolder::rows() const {
   constexpr const char* kStates[] = {"acquiring", "waiting-out", "held",
                                      "releasing"};
-  std::vector<HeldWorkerRow> rows;
+  std::vector<HeldWorkerStatus> rows;
   for (const auto& [name, held] : held_) {
     rows.push_back({.worker = name,
                     .state = kStates[static_cast<size_t>(held->state)],
@@ -383,7 +383,7 @@
   return sum;
 }
 
-Resources WorkerHolder::largest_room() const {
+Resources WorkerHolder::largest_free() const {
   Resources largest;
   for (const auto& [name, held] : held_) {
     if (held->state != HoldState::kHeld) {
@@ -398,7 +398,7 @@
   return largest;
 }
 
-size_t WorkerHolder::held_count() const {
+size_t WorkerHolder::held_worker_count() const {
   return std::count_if(held_.begin(), held_.end(), [](const auto& item) {
     return item.second->state == HoldState::kHeld;
   });
--- a/src/libdoorwood/holder/holder_attempts.cpp
+++ b/src/libdoorwood/holder/holder_attempts.cpp
@@ -101,7 +101,7 @@
 }
 
 CensusReply WorkerHolder::Census(const CensusRequest& request) {
-  Fence(request.shard, request.floor);
+  Fence(request.shard, request.min_attempt);
   CensusReply reply;
   const Instant now = executor_.Now();
   reply.uptime = std::chrono::duration_cast<Millis>(now - started_);
@@ -109,7 +109,7 @@
     return std::chrono::duration_cast<Millis>(now - sent);
   };
   for (const auto& [name, held] : held_) {
-    if (!Holds(name)) {
+    if (!IsHeld(name)) {
       // Another instance may have changed the attempts on this worker, so they
       // are not reported.
       if (held->acquired_once) {
@@ -130,8 +130,8 @@
   return reply;
 }
 
-void WorkerHolder::Logged(const ShardId& shard,
-                          std::span<const AttemptId> attempts) {
+void WorkerHolder::AcknowledgeEnds(const ShardId& shard,
+                                   std::span<const AttemptId> attempts) {
   for (const AttemptId& attempt : attempts) {
     const AttemptKey key{shard, attempt};
     const auto held = FindAttempt(key);
@@ -178,7 +178,7 @@
 }
 
 void WorkerHolder::ReportEndedAttempts(const HeldWorker& held) {
-  // Copied first, because the listener may call `Logged`, which erases
+  // Copied first, because the listener may call `AcknowledgeEnds`, which erases
   // attempts.
   std::vector<std::pair<ShardId, Sighting>> ended;
   for (const auto& [key, attempt] : held.attempts) {
--- a/src/libdoorwood/holder/placement.cpp
+++ b/src/libdoorwood/holder/placement.cpp
@@ -60,7 +60,7 @@
   bool MayColocateWithResidents(const TaskSpec& spec,
                                 const WorkerView& worker) {
     return std::all_of(worker.residents.begin(), worker.residents.end(),
-                       [&](const Resident& resident) {
+                       [&](const ResidentAttempt& resident) {
                          return MayColocate(spec, *resident.spec);
                        });
   }
@@ -198,8 +198,8 @@
       const TaskSpec& spec,
       const WorkerView& worker) {
     Resources available = worker.free;
-    std::vector<const Resident*> candidates;
-    for (const Resident& resident : worker.residents) {
+    std::vector<const ResidentAttempt*> candidates;
+    for (const ResidentAttempt& resident : worker.residents) {
       const bool may_colocate = rules_.MayColocate(spec, *resident.spec);
       const bool evictable = resident.spec->work_class == WorkClass::kBatch &&
                              resident.spec->repeatable &&
@@ -213,11 +213,11 @@
       }
     }
     std::stable_sort(candidates.begin(), candidates.end(),
-                     [](const Resident* a, const Resident* b) {
+                     [](const ResidentAttempt* a, const ResidentAttempt* b) {
                        return a->spec->yields > b->spec->yields;
                      });
     std::vector<AttemptKey> victims;
-    for (const Resident* resident : candidates) {
+    for (const ResidentAttempt* resident : candidates) {
       const bool conflicts = !rules_.MayColocate(spec, *resident->spec);
       if (Fits(spec.size, available) && !conflicts) {
         continue;
--- a/src/libdoorwood/holder/placement_test.cpp
+++ b/src/libdoorwood/holder/placement_test.cpp
@@ -45,7 +45,7 @@
  private:
   std::deque<InstanceInfo> infos_;
   std::deque<TaskSpec> specs_;
-  std::deque<std::vector<Resident>> residents_;
+  std::deque<std::vector<ResidentAttempt>> residents_;
   std::vector<WorkerView> views_;
 };
 
--- a/src/libdoorwood/ingress/ingress.cpp
+++ b/src/libdoorwood/ingress/ingress.cpp
@@ -53,7 +53,7 @@
   return unresponsive ? nullptr : &lead->second;
 }
 
-bool Ingress::ReachesACell() const {
+bool Ingress::HasReachableLeader() const {
   return std::any_of(live_.leads().begin(), live_.leads().end(),
                      [this](const auto& entry) {
                        return LocalLeader(entry.first) != nullptr ||
@@ -306,7 +306,7 @@
   });
 }
 
-int Ingress::Pending(const std::string& queue) const {
+int Ingress::PendingJobCount(const std::string& queue) const {
   int pending = 0;
   for (const auto& [cell, known] : cells_) {
     const CellLeader* leader = LocalLeader(cell);
--- a/src/libdoorwood/ingress/ingress_test.cpp
+++ b/src/libdoorwood/ingress/ingress_test.cpp
@@ -121,7 +121,7 @@
 };
 
 BOOST_FIXTURE_TEST_CASE(Submit_LeaderAnswers_JobIsAccepted, IngressFixture) {
-  BOOST_TEST(ingress->ReachesACell());
+  BOOST_TEST(ingress->HasReachableLeader());
   Submit();
   world.Run(Millis(50));
   BOOST_TEST(answered);
@@ -136,21 +136,21 @@
                         IngressFixture) {
   peers->unreachable = true;
   world.Run(Millis(2200));
-  BOOST_TEST(!ingress->ReachesACell());
+  BOOST_TEST(!ingress->HasReachableLeader());
   Submit();
   BOOST_TEST(answered);
   BOOST_TEST(answer == make_error_code(CoreErrc::kNoOwner));
   BOOST_TEST(peers->submits == 0);
   peers->unreachable = false;
   world.Run(Millis(800));
-  BOOST_TEST(ingress->ReachesACell());
+  BOOST_TEST(ingress->HasReachableLeader());
 }
 
 BOOST_FIXTURE_TEST_CASE(Submit_LeaderUnresponsiveWithinTimeout_IsStillTried,
                         IngressFixture) {
   peers->unreachable = true;
   world.Run(Millis(500));
-  BOOST_TEST(ingress->ReachesACell());
+  BOOST_TEST(ingress->HasReachableLeader());
   Submit();
   BOOST_TEST(peers->submits == 1);
 }
--- a/src/libdoorwood/instance/instance.cpp
+++ b/src/libdoorwood/instance/instance.cpp
@@ -47,7 +47,7 @@
   *alive_ = false;
   config_->Stop();
   for (auto& [shard, owning] : shards_) {
-    owning.owner->Abandon();
+    owning.owner->StopImmediately();
   }
 }
 
@@ -73,7 +73,7 @@
   });
 }
 
-void Instance::Leave(Millis leave_timeout, std::function<void()> done) {
+void Instance::BeginShutdown(Millis leave_timeout, std::function<void()> done) {
   leaving_ = true;
   membership_.set_leaving();
   log_.Write("info", "instance", "leaving", Json::object());
@@ -110,9 +110,9 @@
 
 void Instance::Register() {
   const Instant sent = executor_.Now();
-  kv_.GrantLease(options_.registration, [this, alive = alive_, sent](
-                                            std::error_code error,
-                                            int64_t lease) {
+  kv_.GrantLease(options_.registration_lifetime, [this, alive = alive_, sent](
+                                                     std::error_code error,
+                                                     int64_t lease) {
     if (!*alive) {
       return;
     }
@@ -126,7 +126,7 @@
     }
     registration_lease_ = lease;
     registration_valid_until_ =
-        sent + options_.registration - options_.holder.drift;
+        sent + options_.registration_lifetime - options_.holder.drift;
     const std::string key =
         AliveKey(options_.self.data_centre, options_.self.id);
     kv_.Read(key, [this, alive, key, lease](std::error_code, KvEntry entry) {
@@ -143,14 +143,14 @@
           return;
         }
         registered_ = !write_error;
-        executor_.Schedule(write_error
-                               ? kRegistrationRetry
-                               : options_.registration / kRenewalsPerLifetime,
-                           [this, alive]() {
-                             if (*alive) {
-                               registered_ ? RenewRegistration() : Register();
-                             }
-                           });
+        executor_.Schedule(
+            write_error ? kRegistrationRetry
+                        : options_.registration_lifetime / kRenewalsPerLifetime,
+            [this, alive]() {
+              if (*alive) {
+                registered_ ? RenewRegistration() : Register();
+              }
+            });
       });
     });
   });
@@ -171,10 +171,11 @@
     }
     if (!error) {
       registration_valid_until_ =
-          sent + options_.registration - options_.holder.drift;
+          sent + options_.registration_lifetime - options_.holder.drift;
     }
-    const Millis pause = error ? kRegistrationRetry
-                               : options_.registration / kRenewalsPerLifetime;
+    const Millis pause =
+        error ? kRegistrationRetry
+              : options_.registration_lifetime / kRenewalsPerLifetime;
     executor_.Schedule(pause, [this, alive]() {
       if (*alive) {
         RenewRegistration();
@@ -191,8 +192,8 @@
     if (!*alive || error) {
       return;
     }
-    const bool first = !membership_.list_known();
-    membership_.OnList(std::move(list), executor_.Now());
+    const bool first = !membership_.list_received();
+    membership_.OnPlatformList(std::move(list), executor_.Now());
     if (first) {
       SendHeartbeats();
     }
@@ -219,12 +220,12 @@
     }
   }
   beat.free = holder_.free();
-  beat.largest_room = holder_.largest_room();
-  beat.workers = static_cast<uint32_t>(holder_.held_count());
+  beat.largest_free = holder_.largest_free();
+  beat.workers = static_cast<uint32_t>(holder_.held_worker_count());
   beat.holdings_version = holdings_version_;
   beat.leaving_workers = membership_.LeavingWorkers();
   beat.open_services =
-      leaving_ ? std::vector<std::string>() : routes_.OpenServices();
+      leaving_ ? std::vector<std::string>() : routes_.ServicesWithFreeSlots();
   beat.http_address = options_.self.address;
   return beat;
 }
@@ -260,7 +261,7 @@
   const auto known = membership_.peers().find(peer);
   const bool they_send = peer < options_.self.id;
   return they_send && known != membership_.peers().end() &&
-         executor_.Now() - known->second.last_heard <=
+         executor_.Now() - known->second.last_heartbeat_at <=
              options_.heartbeat_interval;
 }
 
@@ -294,7 +295,7 @@
                  fetching_config_.erase(instance);
                  const auto* config = std::get_if<ConfigReply>(&reply);
                  if (!error && config != nullptr) {
-                   config_->Take(config->value);
+                   config_->AdoptIfNewer(config->value);
                  }
                });
 }
@@ -304,14 +305,14 @@
 void Instance::Rebalance() {
   const Instant now = executor_.Now();
   membership_.Expire(now);
-  if (leaving_ || membership_.list_known()) {
-    holder_.SetWanted(WorkersToHold(now));
+  if (leaving_ || membership_.list_received()) {
+    holder_.SetAssignedWorkers(WorkersToHold(now));
   }
-  holder_.SetDrained(config_->drained());
+  holder_.SetDrainedWorkers(config_->drained());
 
   std::vector<ShardId> wanted;
   if (!leaving_) {
-    wanted = membership_.WantedShards(options_.shard_count, now);
+    wanted = membership_.AssignedShards(options_.shard_count, now);
   }
   std::vector<ShardId> unwanted;
   for (const auto& [shard, owning] : shards_) {
@@ -341,7 +342,7 @@
 std::vector<InstanceInfo> Instance::WorkersToHold(Instant now) {
   std::vector<InstanceInfo> workers;
   if (!leaving_) {
-    workers = membership_.WantedWorkers(now);
+    workers = membership_.AssignedWorkers(now);
   }
   const std::set<std::string> closing = std::move(closing_workers_);
   closing_workers_.clear();
@@ -349,8 +350,8 @@
     const bool wanted = std::any_of(
         workers.begin(), workers.end(),
         [&](const InstanceInfo& worker) { return worker.id == info.id; });
-    const bool held =
-        !wanted && info.role == InstanceRole::kWorker && holder_.Holds(info.id);
+    const bool held = !wanted && info.role == InstanceRole::kWorker &&
+                      holder_.IsHeld(info.id);
     // A worker is released one round after closing at the earliest, so that a
     // request that took a slot just before closing is counted.
     const bool idle =
@@ -416,13 +417,13 @@
                  for (const AttemptId& attempt : answer->logged) {
                    unreported_ends_[shard].erase(attempt);
                  }
-                 holder_.Logged(shard, answer->logged);
+                 holder_.AcknowledgeEnds(shard, answer->logged);
                });
 }
 
 // --- HolderListener, OwnerEnvironment ---
 
-void Instance::OnHeldChanged() {
+void Instance::OnHeldWorkersChanged() {
   ++holdings_version_;
   if (publish_scheduled_) {
     return;
@@ -439,12 +440,13 @@
 std::vector<HolderView> Instance::Holders() const {
   std::vector<HolderView> holders;
   if (!leaving_) {
-    holders.push_back({.instance = options_.self.id,
-                       .incarnation = options_.incarnation,
-                       .workers = static_cast<uint32_t>(holder_.held_count()),
-                       .holdings_version = holdings_version_,
-                       .free = holder_.free(),
-                       .largest_room = holder_.largest_room()});
+    holders.push_back(
+        {.instance = options_.self.id,
+         .incarnation = options_.incarnation,
+         .workers = static_cast<uint32_t>(holder_.held_worker_count()),
+         .holdings_version = holdings_version_,
+         .free = holder_.free(),
+         .largest_free = holder_.largest_free()});
   }
   for (const auto& [id, peer] : membership_.peers()) {
     const Heartbeat& beat = peer.heartbeat;
@@ -456,7 +458,7 @@
                        .workers = beat.workers,
                        .holdings_version = beat.holdings_version,
                        .free = beat.free,
-                       .largest_room = beat.largest_room});
+                       .largest_free = beat.largest_free});
   }
   return holders;
 }
@@ -469,8 +471,8 @@
   return membership_.last_departure();
 }
 
-bool Instance::ViewComplete() const {
-  return membership_.list_known();
+bool Instance::IsViewComplete() const {
+  return membership_.list_received();
 }
 
 std::vector<std::string> Instance::Workers() const {
@@ -535,9 +537,9 @@
     }
     owner->OnEndReport(*ends, [reply](EndReply answer) { reply(answer); });
   } else if (const auto* call = std::get_if<OperatorCall>(&request)) {
-    Operate(*call, [reply](OperatorReply answer) { reply(answer); });
+    HandleOperatorCall(*call, [reply](OperatorReply answer) { reply(answer); });
   } else if (std::holds_alternative<ConfigFetch>(request)) {
-    reply(ConfigReply{config_->revision(), config_->value()});
+    reply(ConfigReply{config_->revision(), config_->stored_value()});
   }
 }
 
@@ -547,7 +549,7 @@
   log_.Write("info", "config", "new configuration in force",
              {{"revision", config_->revision()}});
   routes_.OnConfiguration(config_->shared_configuration());
-  holder_.SetDrained(config_->drained());
+  holder_.SetDrainedWorkers(config_->drained());
 }
 
 void Instance::PublishRoutes() {
@@ -559,7 +561,7 @@
     // other instances the backend server is listed as closed, so that requests
     // know which services exist and can wait for them.
     if (here) {
-      const bool open = holder_.Holds(info.worker) && !info.leaving &&
+      const bool open = holder_.IsHeld(info.worker) && !info.leaving &&
                         !closing_workers_.contains(info.worker);
       backends.push_back({.id = info.id,
                           .service = info.service,
--- a/src/libdoorwood/instance/instance_operator.cpp
+++ b/src/libdoorwood/instance/instance_operator.cpp
@@ -92,7 +92,7 @@
 
 }  // namespace
 
-void Instance::Operate(const OperatorCall& call, OperatorDone done) {
+void Instance::HandleOperatorCall(const OperatorCall& call, OperatorDone done) {
   const auto body = ParseJson(call.body.empty() ? "{}" : call.body);
   if (!body || !body->is_object()) {
     done(Failure(CoreErrc::kInvalid, {"the body is not a JSON object"}));
@@ -212,10 +212,11 @@
   } else if (call.method == "job.cancel") {
     owner.Cancel(id, finish({{"id", id}, {"cancelled", true}}));
   } else if (call.method == "claim") {
-    owner.Claim(body.value("key", ""), body.value("request", ""),
-                finish(Json::object()));
+    owner.ClaimIdempotencyKey(body.value("key", ""), body.value("request", ""),
+                              finish(Json::object()));
   } else if (call.method == "unclaim") {
-    owner.Unclaim(body.value("key", ""), body.value("request", ""));
+    owner.ReleaseIdempotencyKey(body.value("key", ""),
+                                body.value("request", ""));
     done(Answer(Json::object()));
   } else if (call.method == "explain") {
     Json records = Json::array();
@@ -274,7 +275,7 @@
 
 void Instance::OperateWorkers(const OperatorCall& call, OperatorDone done) {
   Json own = Json::array();
-  for (const HeldWorkerRow& row : holder_.rows()) {
+  for (const HeldWorkerStatus& row : holder_.rows()) {
     own.push_back({{"worker", row.worker},
                    {"holder", options_.self.id},
                    {"state", row.state},
@@ -331,38 +332,40 @@
                {"data_centre", options_.self.data_centre},
                {"revision", config_->revision()},
                {"store_reachable", registered.count() > 0},
-               {"list_known", membership_.list_known()},
+               {"list_known", membership_.list_received()},
                {"instances", std::move(instances)}}));
 }
 
 void Instance::OperateBurn(const OperatorCall& call, OperatorDone done) {
-  GatherFromPeers(call, routes_.Burn(), std::move(done));
+  GatherFromPeers(call, routes_.BurnRates(), std::move(done));
 }
 
 // --- Idempotency keys ---
 
-void Instance::Claim(const std::string& key,
-                     const std::string& request,
-                     std::function<void(ClaimOutcome)> done) {
+void Instance::ClaimIdempotencyKey(const std::string& key,
+                                   const std::string& request,
+                                   std::function<void(ClaimOutcome)> done) {
   const Json body{{"key", key}, {"request", request}};
-  Operate({"claim", body.dump()}, [done](const OperatorReply& reply) {
-    if (reply.status == kOk) {
-      done(ClaimOutcome::kClaimed);
-      return;
-    }
-    if (reply.status == kConflict) {
-      done(ClaimOutcome::kTaken);
-      return;
-    }
-    const auto json = ParseJson(reply.body);
-    const bool unknown = !json || json->value("outcome", "") == "unknown";
-    done(unknown ? ClaimOutcome::kUnknown : ClaimOutcome::kNotRecorded);
-  });
+  HandleOperatorCall(
+      {"claim", body.dump()}, [done](const OperatorReply& reply) {
+        if (reply.status == kOk) {
+          done(ClaimOutcome::kClaimed);
+          return;
+        }
+        if (reply.status == kConflict) {
+          done(ClaimOutcome::kAlreadyUsed);
+          return;
+        }
+        const auto json = ParseJson(reply.body);
+        const bool unknown = !json || json->value("outcome", "") == "unknown";
+        done(unknown ? ClaimOutcome::kUnknown : ClaimOutcome::kNotRecorded);
+      });
 }
 
-void Instance::Unclaim(const std::string& key, const std::string& request) {
+void Instance::ReleaseIdempotencyKey(const std::string& key,
+                                     const std::string& request) {
   const Json body{{"key", key}, {"request", request}};
-  Operate({"unclaim", body.dump()}, [](const OperatorReply&) {});
+  HandleOperatorCall({"unclaim", body.dump()}, [](const OperatorReply&) {});
 }
 
 // --- Forwarding calls ---
--- a/src/libdoorwood/instance/instance_shards.cpp
+++ b/src/libdoorwood/instance/instance_shards.cpp
@@ -61,7 +61,7 @@
 // Returns true if the registration was renewed recently: more than half of its
 // lifetime remains.
 bool Instance::StoreReachable() const {
-  return executor_.Now() + options_.registration / 2 <
+  return executor_.Now() + options_.registration_lifetime / 2 <
          registration_valid_until_;
 }
 
@@ -93,7 +93,7 @@
     return;
   }
   const std::shared_ptr<ShardOwner> owner = owning->second.owner;
-  owner->Abandon();
+  owner->StopImmediately();
   shards_.erase(owning);
 }
 
--- a/src/libdoorwood/instance/instance_test.cpp
+++ b/src/libdoorwood/instance/instance_test.cpp
@@ -211,7 +211,7 @@
   World::Entry& entry = cluster.world.At(cluster.OwnerOf(job));
   Instance* instance = entry.instance.get();
   entry.executor->Post(
-      [instance]() { instance->Leave(Millis(5000), []() {}); });
+      [instance]() { instance->BeginShutdown(Millis(5000), []() {}); });
 }
 
 const std::vector<FaultCase>& FaultCases() {
@@ -539,7 +539,7 @@
   Instance* instance = cluster.world.At("plaka-1").instance.get();
   bool done = false;
   cluster.world.At("plaka-1").executor->Post([instance, &done]() {
-    instance->Leave(Millis(10000), [&done]() { done = true; });
+    instance->BeginShutdown(Millis(10000), [&done]() { done = true; });
   });
   BOOST_TEST(cluster.world.RunUntil(Millis(5000), [&]() { return done; }));
   BOOST_TEST(instance->holder().rows().empty());
--- a/src/libdoorwood/job/job_plan.cpp
+++ b/src/libdoorwood/job/job_plan.cpp
@@ -111,9 +111,9 @@
 namespace {
 
 int ReadInt(const Json& json, const char* field) {
-  constexpr WholeRange kRange{std::numeric_limits<int>::min(),
-                              std::numeric_limits<int>::max()};
-  return static_cast<int>(ReadWholeOr(json, field, 0, kRange));
+  constexpr IntegerRange kRange{std::numeric_limits<int>::min(),
+                                std::numeric_limits<int>::max()};
+  return static_cast<int>(ReadIntegerOr(json, field, 0, kRange));
 }
 
 }  // namespace
@@ -158,9 +158,9 @@
   step.count = ReadInt(json, "count");
   json.at("size").get_to(step.size);
   step.estimate = ReadMillis(json, "estimate_ms");
-  for (const Json& earlier : ReadListOr(json, "depends_on")) {
-    step.depends_on.push_back(
-        static_cast<int>(ToWhole(earlier, "depends_on", {0, kMaxStepsPerJob})));
+  for (const Json& earlier : ReadListOrEmpty(json, "depends_on")) {
+    step.depends_on.push_back(static_cast<int>(
+        ToInteger(earlier, "depends_on", {0, kMaxStepsPerJob})));
   }
   step.checkpoints = json.value("checkpoints", false);
   step.gang = json.value("gang", false);
@@ -196,9 +196,9 @@
   json.at("queue").get_to(plan.queue);
   json.at("payload").get_to(plan.payload);
   json.at("steps").get_to(plan.steps);
-  plan.accepted_at = ReadWholeOr(json, "accepted_at", 0);
+  plan.accepted_at = ReadIntegerOr(json, "accepted_at", 0);
   plan.repeat_count = ReadInt(json, "times");
-  plan.first_due = ReadWholeOr(json, "first_due", 0);
+  plan.first_due = ReadIntegerOr(json, "first_due", 0);
   plan.interval = ReadMillisOr(json, "interval_ms", Millis(0));
 }
 
--- a/src/libdoorwood/membership/live_directory.cpp
+++ b/src/libdoorwood/membership/live_directory.cpp
@@ -28,26 +28,26 @@
               {"address", instance.address},
               {"cpu_share", instance.cpu_share},
               {"leaving", instance.leaving},
-              {"agreeing_since", instance.agreeing_since}}
+              {"agreeing_since", instance.agreement_known_since}}
       .dump();
 }
 
 std::optional<LiveInstance> DecodeInstance(const std::string& name,
                                            const StoreItem& item) {
-  if (item.deleted || !IsPlainWord(name)) {
+  if (item.deleted || !IsVisibleAscii(name)) {
     return std::nullopt;
   }
   return DecodeObject(item.value, [&](const Json& json) {
     LiveInstance instance{name,
-                          ReadText(json, "data_centre"),
-                          ReadText(json, "address"),
+                          ReadNonEmptyString(json, "data_centre"),
+                          ReadNonEmptyString(json, "address"),
                           json.value("cpu_share", 1.0),
                           json.value("leaving", false),
-                          ReadWholeOr(json, "agreeing_since", 0)};
-    if (instance.agreeing_since == 0) {
-      instance.agreeing_since = item.revision;  // first registration
+                          ReadIntegerOr(json, "agreeing_since", 0)};
+    if (instance.agreement_known_since == 0) {
+      instance.agreement_known_since = item.revision;  // first registration
     }
-    if (!IsPlainWord(instance.address)) {
+    if (!IsVisibleAscii(instance.address)) {
       throw FieldError("address");
     }
     return instance;
@@ -56,13 +56,15 @@
 
 std::optional<CellLead> DecodeLead(const std::string& cell,
                                    const StoreItem& item) {
-  if (item.deleted || !IsPlainWord(cell)) {
+  if (item.deleted || !IsVisibleAscii(cell)) {
     return std::nullopt;
   }
   return DecodeObject(item.value, [&](const Json& json) {
-    CellLead lead{cell, ReadText(json, "instance"), ReadText(json, "address"),
-                  item.created, json.at("nonce").get<uint64_t>()};
-    if (!json.at("nonce").is_number_unsigned() || !IsPlainWord(lead.address)) {
+    CellLead lead{cell, ReadNonEmptyString(json, "instance"),
+                  ReadNonEmptyString(json, "address"), item.created,
+                  json.at("nonce").get<uint64_t>()};
+    if (!json.at("nonce").is_number_unsigned() ||
+        !IsVisibleAscii(lead.address)) {
       throw FieldError("nonce");
     }
     return lead;
@@ -81,7 +83,7 @@
          std::string(instance);
 }
 
-std::string UnheardKey(std::string_view cell) {
+std::string UncontactedWorkersKey(std::string_view cell) {
   return std::string(kLivePrefix) + "unheard/" + std::string(cell);
 }
 
@@ -92,13 +94,13 @@
 
 LiveDirectory::LiveDirectory(Executor& executor,
                              RecordStore& store,
-                             StoreHearing& hearing,
+                             StoreContactPort& store_contact,
                              EventLog& log,
                              const LiveOptions& options,
                              LiveInstance self)
     : executor_(executor),
       store_(store),
-      hearing_(hearing),
+      store_contact_(store_contact),
       log_(log),
       options_(options),
       self_(std::move(self)) {}
@@ -126,11 +128,11 @@
   }
 }
 
-bool LiveDirectory::IsLeaseSure() const {
+bool LiveDirectory::IsLeaseValid() const {
   return lease_.has_value() && executor_.Now() < lease_valid_until_;
 }
 
-bool LiveDirectory::IsDeaf(Instant now) const {
+bool LiveDirectory::IsStoreSilent(Instant now) const {
   return now - store_heard_at_ >= options_.store_silence_threshold;
 }
 
@@ -142,7 +144,7 @@
   }
   const Instant sent = executor_.Now();
   store_.GrantLease(
-      options_.lifetime, [this, sent](std::error_code error, int64_t lease) {
+      options_.lease_ttl, [this, sent](std::error_code error, int64_t lease) {
         if (stopped_) {
           return;
         }
@@ -153,18 +155,19 @@
         lease_ = lease;
         failing_since_ = Instant{};
         store_heard_at_ = executor_.Now();
-        lease_valid_until_ = sent + options_.lifetime;
+        lease_valid_until_ = sent + options_.lease_ttl;
         log_.Write("info", "live", "lease granted",
                    {{"lease", lease}, {"own_leads", CountOwnLeads()}});
         Register();
-        executor_.Schedule(options_.keep_interval, [this] { RenewLease(); });
+        executor_.Schedule(options_.lease_renewal_interval,
+                           [this] { RenewLease(); });
         on_change_();
       });
 }
 
 void LiveDirectory::Register() {
   StoreTransaction transaction;
-  self_.agreeing_since = agreeing_since_;
+  self_.agreement_known_since = agreeing_since_;
   transaction.puts.push_back(
       {InstanceKey(self_.name), EncodeInstance(self_), *lease_});
   transaction.puts.push_back({SeenKey(self_.name), EncodeInstance(self_), 0});
@@ -205,8 +208,8 @@
   }
 }
 
-bool LiveDirectory::Agree() {
-  if (!IsDeaf(executor_.Now())) {
+bool LiveDirectory::AgreeToUnrecordedStarts() {
+  if (!IsStoreSilent(executor_.Now())) {
     return false;
   }
   ++agreement_count_;
@@ -215,15 +218,15 @@
   return true;
 }
 
-int64_t LiveDirectory::NewestAgreeingSince() const {
+int64_t LiveDirectory::NewestAgreementRevision() const {
   int64_t newest = 0;
   for (const auto& [name, instance] : instances_) {
-    newest = std::max(newest, instance.agreeing_since);
+    newest = std::max(newest, instance.agreement_known_since);
   }
   return newest;
 }
 
-int64_t LiveDirectory::LastEpoch(const std::string& cell) const {
+int64_t LiveDirectory::NewestKnownEpoch(const std::string& cell) const {
   const auto known = last_epochs_.find(cell);
   return known == last_epochs_.end() ? 0 : known->second;
 }
@@ -250,7 +253,7 @@
       failing_since_ = Instant{};
       reported_contact_at_.clear();  // answers from a failure that has ended
       store_heard_at_ = executor_.Now();
-      lease_valid_until_ = sent + options_.lifetime;
+      lease_valid_until_ = sent + options_.lease_ttl;
     }
     if (!error && registered_since_) {
       registered_at_ = sent;
@@ -258,8 +261,9 @@
     if (!error && !registered_since_) {
       Register();
     }
-    executor_.Schedule(error ? options_.retry_pause : options_.keep_interval,
-                       [this] { RenewLease(); });
+    executor_.Schedule(
+        error ? options_.retry_pause : options_.lease_renewal_interval,
+        [this] { RenewLease(); });
   });
 }
 
@@ -290,7 +294,8 @@
   }
 }
 
-std::optional<Instant> LiveDirectory::ReachedBefore(int64_t revision) const {
+std::optional<Instant> LiveDirectory::RevisionReachedBy(
+    int64_t revision) const {
   const auto found = std::find_if(
       revision_times_.begin(), revision_times_.end(),
       [revision](const auto& entry) { return entry.first >= revision; });
@@ -466,7 +471,7 @@
   leads_[lead.cell] = lead;
 }
 
-void LiveDirectory::DropLead(const std::string& cell) {
+void LiveDirectory::RemoveLead(const std::string& cell) {
   leads_.erase(cell);
 }
 
--- a/src/libdoorwood/membership/live_outage.cpp
+++ b/src/libdoorwood/membership/live_outage.cpp
@@ -43,15 +43,15 @@
   return contact_too_recent ? Instant{} : asked + options_.answer_validity;
 }
 
-Instant LiveDirectory::OutageUntil() const {
+Instant LiveDirectory::OutageConfirmedUntil() const {
   return AnswersValidUntil(EarliestAnswer(reported_no_contact_at_));
 }
 
-Instant LiveDirectory::AgreedUntil() const {
+Instant LiveDirectory::UnrecordedStartsAgreedUntil() const {
   return AnswersValidUntil(EarliestAnswer(agreed_at_));
 }
 
-const LiveInstance* LiveDirectory::FindInstanceThatHears() const {
+const LiveInstance* LiveDirectory::FindInstanceWithStoreContact() const {
   const Instant now = executor_.Now();
   if (failing_since_ == Instant{} ||
       now - store_heard_at_ < options_.isolation_threshold) {
@@ -101,7 +101,7 @@
     return !MayReturn(entry.second) && !seen_.contains(entry.first);
   });
   if (seen_removal_pending_ || CountOwnLeads() == 0 ||
-      IsDeaf(executor_.Now())) {
+      IsStoreSilent(executor_.Now())) {
     return;
   }
   const auto old = std::find_if(
@@ -130,7 +130,7 @@
 
 void LiveDirectory::RequestAgreement(const LiveInstance& instance) {
   const Instant sent = executor_.Now();
-  hearing_.AskToAgree(
+  store_contact_.RequestUnrecordedStartsAgreement(
       instance, [this, sent, name = instance.name](std::error_code error) {
         if (error) {
           agreed_at_.erase(name);
@@ -141,30 +141,31 @@
 }
 
 void LiveDirectory::QueryStoreContact(const LiveInstance& instance) {
-  if (needs_agreement_ && IsDeaf(executor_.Now())) {
+  if (needs_agreement_ && IsStoreSilent(executor_.Now())) {
     RequestAgreement(instance);
   }
   const Instant sent = executor_.Now();
-  hearing_.Ask(instance, [this, sent, name = instance.name](
-                             std::error_code error, Millis age) {
-    if (error) {
-      return;
-    }
-    const Instant now = executor_.Now();
-    if (failing_since_ != Instant{} &&
-        now - age > failing_since_ + options_.store_contact_margin) {
-      reported_contact_at_[name] = now;
-    } else {
-      reported_contact_at_.erase(name);
-    }
-    // Counts from the time of the query: the answer may have been queued while
-    // this process was paused.
-    if (age >= options_.store_silence_threshold) {
-      reported_no_contact_at_[name] = sent;
-    } else {
-      reported_no_contact_at_.erase(name);
-    }
-  });
+  store_contact_.QueryStoreContact(
+      instance,
+      [this, sent, name = instance.name](std::error_code error, Millis age) {
+        if (error) {
+          return;
+        }
+        const Instant now = executor_.Now();
+        if (failing_since_ != Instant{} &&
+            now - age > failing_since_ + options_.store_contact_margin) {
+          reported_contact_at_[name] = now;
+        } else {
+          reported_contact_at_.erase(name);
+        }
+        // Counts from the time of the query: the answer may have been queued
+        // while this process was paused.
+        if (age >= options_.store_silence_threshold) {
+          reported_no_contact_at_[name] = sent;
+        } else {
+          reported_no_contact_at_.erase(name);
+        }
+      });
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/membership/membership.cpp
+++ b/src/libdoorwood/membership/membership.cpp
@@ -44,7 +44,7 @@
       started_(started),
       last_departure_(started) {}
 
-void Membership::OnList(std::vector<InstanceInfo> list, Instant now) {
+void Membership::OnPlatformList(std::vector<InstanceInfo> list, Instant now) {
   UpdateLastDeparture(list, now);
   list_ = std::move(list);
   list_known_ = true;
@@ -54,7 +54,7 @@
     }
   }
   std::erase_if(workers_last_listed_, [&](const auto& item) {
-    return item.second + options_.worker_memory < now;
+    return item.second + options_.worker_retention < now;
   });
 }
 
@@ -82,10 +82,10 @@
   PeerState& peer = peers_[heartbeat.instance];
   const bool restarted = peer.heartbeat.incarnation != heartbeat.incarnation;
   if (restarted) {
-    peer.first_heard = now;
+    peer.first_heartbeat_at = now;
   }
   peer.heartbeat = heartbeat;
-  peer.last_heard = now;
+  peer.last_heartbeat_at = now;
 }
 
 void Membership::Expire(Instant now) {
@@ -93,8 +93,8 @@
     const bool same_data_centre =
         peer->second.heartbeat.data_centre == self_.data_centre;
     const int timeout_factor = same_data_centre ? 1 : kRemoteTimeoutFactor;
-    const Instant end =
-        peer->second.last_heard + timeout_factor * options_.heartbeat_timeout;
+    const Instant end = peer->second.last_heartbeat_at +
+                        timeout_factor * options_.heartbeat_timeout;
     if (end >= now) {
       ++peer;
       continue;
@@ -110,13 +110,13 @@
   std::vector<std::string> candidates;
   // Instances that start at the same time settle before this instance counts
   // itself. Otherwise it would first take all workers and shards.
-  if (!leaving_ && now >= started_ + 2 * options_.settle) {
+  if (!leaving_ && now >= started_ + 2 * options_.settle_time) {
     candidates.push_back(self_.id);
   }
   for (const auto& [id, peer] : peers_) {
     const bool same_data_centre =
         peer.heartbeat.data_centre == self_.data_centre;
-    const bool settled = now >= peer.first_heard + options_.settle;
+    const bool settled = now >= peer.first_heartbeat_at + options_.settle_time;
     if (same_data_centre && settled && !peer.heartbeat.leaving) {
       candidates.push_back(id);
     }
@@ -124,7 +124,7 @@
   return candidates;
 }
 
-std::vector<InstanceInfo> Membership::WantedWorkers(Instant now) const {
+std::vector<InstanceInfo> Membership::AssignedWorkers(Instant now) const {
   const std::vector<std::string> candidates = Candidates(now);
   const std::vector<std::string> leaving = LeavingWorkers();
   std::vector<InstanceInfo> wanted;
@@ -143,8 +143,8 @@
   return wanted;
 }
 
-std::vector<ShardId> Membership::WantedShards(uint32_t shard_count,
-                                              Instant now) const {
+std::vector<ShardId> Membership::AssignedShards(uint32_t shard_count,
+                                                Instant now) const {
   const std::vector<std::string> candidates = Candidates(now);
   std::vector<ShardId> wanted;
   for (uint32_t index = 0; index < shard_count; ++index) {
@@ -174,7 +174,7 @@
 std::vector<std::string> Membership::RecentWorkers(Instant now) const {
   std::vector<std::string> workers;
   for (const auto& [id, seen] : workers_last_listed_) {
-    if (seen + options_.worker_memory >= now) {
+    if (seen + options_.worker_retention >= now) {
       workers.push_back(id);
     }
   }
--- a/src/libdoorwood/membership/membership_test.cpp
+++ b/src/libdoorwood/membership/membership_test.cpp
@@ -66,7 +66,7 @@
 
 BOOST_AUTO_TEST_CASE(peer_is_candidate_from_settling_until_timeout_or_leaving) {
   MembershipFixture fixture;
-  const Millis settle = MembershipOptions().settle;
+  const Millis settle = MembershipOptions().settle_time;
   const Instant now = fixture.start + 10 * settle;
   fixture.members->OnHeartbeat(MakeHeartbeat("b"), now);
   BOOST_TEST(fixture.members->Candidates(now).size() == 1u);
@@ -104,12 +104,12 @@
   InstanceInfo worker;
   worker.id = "w1";
   worker.data_centre = "plaka";
-  fixture.members->OnList({worker}, fixture.start);
+  fixture.members->OnPlatformList({worker}, fixture.start);
   Heartbeat heartbeat = MakeHeartbeat("b");
   heartbeat.leaving_workers = {"w1"};
   fixture.members->OnHeartbeat(heartbeat, fixture.start + Millis(9000));
   const auto wanted =
-      fixture.members->WantedWorkers(fixture.start + Millis(9000));
+      fixture.members->AssignedWorkers(fixture.start + Millis(9000));
   BOOST_REQUIRE(wanted.size() == 1u);
   BOOST_TEST(wanted[0].leaving);
 }
@@ -276,13 +276,13 @@
 BOOST_AUTO_TEST_CASE(older_or_malformed_values_never_come_into_force) {
   TwoKeepersFixture fixture;
   fixture.Apply(fixture.first, fixture.Change("a"));
-  const std::string old = fixture.first.keeper->value();
+  const std::string old = fixture.first.keeper->stored_value();
   fixture.Apply(fixture.first, fixture.Change("b"));
   const int changes = fixture.second.changes;
   for (const std::string& value :
        {old, std::string("{}"), std::string("nonsense"),
         std::string(R"({"revision": 9, "text": "services: 3"})")}) {
-    fixture.second.keeper->Take(value);
+    fixture.second.keeper->AdoptIfNewer(value);
   }
   BOOST_TEST(fixture.second.keeper->revision() == 2u);
   BOOST_TEST(fixture.second.changes == changes);
--- a/src/libdoorwood/owner/shard_census.cpp
+++ b/src/libdoorwood/owner/shard_census.cpp
@@ -227,7 +227,7 @@
   if (round.held.contains(worker)) {
     return true;
   }
-  if (!round.all_reached || !environment_.ViewComplete()) {
+  if (!round.all_reached || !environment_.IsViewComplete()) {
     return false;
   }
   // No instance holds it. The worker ends its tasks by its own clock once the
@@ -242,7 +242,7 @@
 }
 
 bool ShardOwner::AllWorkersAccountedFor(const CensusRound& round) const {
-  if (!environment_.ViewComplete()) {
+  if (!environment_.IsViewComplete()) {
     return false;
   }
   const std::vector<std::string> workers = environment_.Workers();
--- a/src/libdoorwood/owner/shard_owner.cpp
+++ b/src/libdoorwood/owner/shard_owner.cpp
@@ -67,7 +67,7 @@
   });
 }
 
-void ShardOwner::Abandon() {
+void ShardOwner::StopImmediately() {
   active_ = false;
 }
 
@@ -159,9 +159,9 @@
   log_->Append(CancelRecord{job}, /*refusable=*/true, std::move(done));
 }
 
-void ShardOwner::Claim(const std::string& key,
-                       const std::string& request,
-                       Done done) {
+void ShardOwner::ClaimIdempotencyKey(const std::string& key,
+                                     const std::string& request,
+                                     Done done) {
   const std::string claimed = log_->state().ClaimedBy(key);
   if (!claimed.empty()) {
     done(CoreErrc::kConflict);
@@ -181,7 +181,8 @@
       });
 }
 
-void ShardOwner::Unclaim(const std::string& key, const std::string& request) {
+void ShardOwner::ReleaseIdempotencyKey(const std::string& key,
+                                       const std::string& request) {
   log_->Append(UnclaimRecord{key, request}, /*refusable=*/false, nullptr);
 }
 
--- a/src/libdoorwood/owner/shard_placing.cpp
+++ b/src/libdoorwood/owner/shard_placing.cpp
@@ -114,7 +114,7 @@
         task.unsuitable_holders.contains(holder.instance)) {
       continue;
     }
-    const bool fits = Fits(spec.size, holder.largest_room);
+    const bool fits = Fits(spec.size, holder.largest_free);
     (fits ? fitting : others).push_back(holder);
   }
   const std::vector<HolderView>& pool = fitting.empty() ? others : fitting;
--- a/src/libdoorwood/policy/cell_policy.cpp
+++ b/src/libdoorwood/policy/cell_policy.cpp
@@ -105,8 +105,8 @@
     return {0, queue.priority, due_at};
   }
   const auto chain = static_cast<double>(LongestChain(plan, run_times).count());
-  const double objective =
-      queue.stretch * chain + static_cast<double>(queue.latency_target.count());
+  const double objective = queue.max_slowdown * chain +
+                           static_cast<double>(queue.latency_target.count());
   const int64_t left = RemainingChain(plan, step, run_times).count();
   const int64_t latest_on_time =
       due_at + static_cast<int64_t>(objective) - left;
--- a/src/libdoorwood/routing/router.cpp
+++ b/src/libdoorwood/routing/router.cpp
@@ -34,7 +34,7 @@
                               std::string_view reason,
                               int retry_after) {
   CallerResponse response;
-  response.fate = RequestFate::kNotRun;
+  response.outcome = RequestOutcome::kNotRun;
   response.status = status;
   response.content_type = "text/plain";
   response.body = "not run: " + std::string(reason) + "\n";
@@ -44,7 +44,7 @@
 
 CallerResponse UnknownResponse(std::string_view reason) {
   CallerResponse response;
-  response.fate = RequestFate::kUnknown;
+  response.outcome = RequestOutcome::kUnknown;
   response.status = kStatusBadGateway;
   response.content_type = "text/plain";
   response.body = "not known whether it ran: " + std::string(reason) + "\n";
@@ -76,13 +76,13 @@
 
 }  // namespace
 
-std::string_view ToString(RequestFate fate) {
+std::string_view ToString(RequestOutcome fate) {
   switch (fate) {
-    case RequestFate::kAnswered:
+    case RequestOutcome::kAnswered:
       return "answered";
-    case RequestFate::kNotRun:
+    case RequestOutcome::kNotRun:
       return "not-run";
-    case RequestFate::kUnknown:
+    case RequestOutcome::kUnknown:
       return "unknown";
   }
   return "unknown";
@@ -114,7 +114,7 @@
 
 Router::Router(RequestSender& sender,
                RequestObserver& observer,
-               RequestClaims& claims)
+               IdempotencyKeyStore& claims)
     : sender_(sender),
       observer_(observer),
       claims_(claims),
@@ -142,8 +142,8 @@
   CallerResponse response = Run(request);
   // A request forwarded by a peer is counted by that peer, which serves the
   // caller.
-  if (!request.passed_on) {
-    observer_.OnRequest(request, response, ElapsedSince(begin));
+  if (!request.forwarded) {
+    observer_.OnRequestFinished(request, response, ElapsedSince(begin));
   }
   return response;
 }
@@ -172,7 +172,7 @@
     }
   }
   const bool release_claim =
-      progress.claimed && progress.last.fate == RequestFate::kNotRun;
+      progress.claimed && progress.last.outcome == RequestOutcome::kNotRun;
   if (release_claim) {
     claims_.Release(request.idempotency_key, request.id);
   }
@@ -202,11 +202,11 @@
   }
   const AttemptResult result = SendAttempt(*target, request);
   progress->avoid = target->id;
-  switch (result.fate) {
-    case AttemptFate::kAnswered:
+  switch (result.outcome) {
+    case AttemptOutcome::kAnswered:
       progress->last = result.response;
       return false;
-    case AttemptFate::kUnknown:
+    case AttemptOutcome::kUnknown:
       progress->may_have_run = true;
       progress->last =
           UnknownResponse("the backend server gave no whole answer");
@@ -264,7 +264,7 @@
     case ClaimOutcome::kClaimed:
       progress->claimed = true;
       return true;
-    case ClaimOutcome::kTaken:
+    case ClaimOutcome::kAlreadyUsed:
       progress->last = UnknownResponse("another request has used this key");
       progress->last.status = kStatusKeyUsed;
       return false;
@@ -288,7 +288,7 @@
 // Returns true if a peer determined the final outcome of the request. A request
 // is forwarded once at most.
 bool Router::TryPeer(const CallerRequest& request, Progress* progress) {
-  if (request.passed_on || progress->peer_outcome_unknown) {
+  if (request.forwarded || progress->peer_outcome_unknown) {
     return false;
   }
   const auto target = PickPeer(request.service);
@@ -296,12 +296,12 @@
     return false;
   }
   const AttemptResult result =
-      sender_.PassOn(*target, request, TimeUntil(request.deadline));
-  if (result.fate == AttemptFate::kAnswered) {
+      sender_.Forward(*target, request, TimeUntil(request.deadline));
+  if (result.outcome == AttemptOutcome::kAnswered) {
     progress->last = result.response;
     return true;
   }
-  if (result.fate != AttemptFate::kUnknown) {
+  if (result.outcome != AttemptOutcome::kUnknown) {
     return false;
   }
   progress->may_have_run = true;
--- a/src/libdoorwood/routing/router_test.cpp
+++ b/src/libdoorwood/routing/router_test.cpp
@@ -15,10 +15,10 @@
 namespace doorwood {
 namespace {
 
-constexpr auto kAnswered = AttemptFate::kAnswered;
-constexpr auto kNotSent = AttemptFate::kNotSent;
-constexpr auto kRefused = AttemptFate::kRefused;
-constexpr auto kUnknown = AttemptFate::kUnknown;
+constexpr auto kAnswered = AttemptOutcome::kAnswered;
+constexpr auto kNotSent = AttemptOutcome::kNotSent;
+constexpr auto kRefused = AttemptOutcome::kRefused;
+constexpr auto kUnknown = AttemptOutcome::kUnknown;
 
 // Returns the scripted attempt outcomes in turn; the last one repeats.
 class ScriptedSender : public RequestSender {
@@ -30,34 +30,34 @@
     return Next(&script);
   }
 
-  AttemptResult PassOn(const PeerTarget& target,
-                       const CallerRequest&,
-                       Millis) override {
+  AttemptResult Forward(const PeerTarget& target,
+                        const CallerRequest&,
+                        Millis) override {
     passed_to.push_back(target.instance);
     return Next(&peer_script);
   }
 
-  std::deque<AttemptFate> script = {kAnswered};
-  std::deque<AttemptFate> peer_script = {kAnswered};
+  std::deque<AttemptOutcome> script = {kAnswered};
+  std::deque<AttemptOutcome> peer_script = {kAnswered};
   std::vector<std::string> sent_to;
   std::vector<std::string> passed_to;
 
  private:
-  static AttemptResult Next(std::deque<AttemptFate>* fates) {
-    const AttemptFate fate = fates->front();
+  static AttemptResult Next(std::deque<AttemptOutcome>* fates) {
+    const AttemptOutcome fate = fates->front();
     if (fates->size() > 1) {
       fates->pop_front();
     }
-    AttemptResult result{.fate = fate};
+    AttemptResult result{.outcome = fate};
     if (fate == kAnswered) {
-      result.response.fate = RequestFate::kAnswered;
+      result.response.outcome = RequestOutcome::kAnswered;
       result.response.status = 200;
     }
     return result;
   }
 };
 
-class FixedClaims : public RequestClaims {
+class FixedClaims : public IdempotencyKeyStore {
  public:
   ClaimOutcome Claim(const std::string&, const std::string&, Instant) override {
     ++claimed;
@@ -72,7 +72,9 @@
 
 class CountingObserver : public RequestObserver {
  public:
-  void OnRequest(const CallerRequest&, const CallerResponse&, Millis) override {
+  void OnRequestFinished(const CallerRequest&,
+                         const CallerResponse&,
+                         Millis) override {
     ++count;
   }
 
@@ -112,10 +114,10 @@
   Router router{sender, observer, claims};
 };
 
-struct FateRow {
-  std::deque<AttemptFate> attempts;
+struct OutcomeRow {
+  std::deque<AttemptOutcome> attempts;
   bool repeatable;
-  RequestFate expected_fate;
+  RequestOutcome expected_outcome;
   size_t expected_attempts;
 };
 
@@ -123,30 +125,30 @@
 
 BOOST_AUTO_TEST_CASE(response_reports_outcome_of_attempts) {
   // A new retry budget allows one retry.
-  const std::vector<FateRow> rows = {
-      {{kAnswered}, true, RequestFate::kAnswered, 1},
-      {{kNotSent, kAnswered}, true, RequestFate::kAnswered, 2},
-      {{kNotSent, kAnswered}, false, RequestFate::kAnswered, 2},
-      {{kRefused, kAnswered}, false, RequestFate::kAnswered, 2},
-      {{kNotSent}, false, RequestFate::kNotRun, 2},
-      {{kRefused}, true, RequestFate::kNotRun, 2},
-      {{kUnknown, kAnswered}, true, RequestFate::kAnswered, 2},
-      {{kUnknown, kAnswered}, false, RequestFate::kUnknown, 1},
-      {{kUnknown, kRefused}, true, RequestFate::kUnknown, 2},
-      {{kUnknown, kNotSent}, true, RequestFate::kUnknown, 2},
-      {{kRefused, kUnknown}, false, RequestFate::kUnknown, 2},
-      {{kUnknown}, true, RequestFate::kUnknown, 2},
+  const std::vector<OutcomeRow> rows = {
+      {{kAnswered}, true, RequestOutcome::kAnswered, 1},
+      {{kNotSent, kAnswered}, true, RequestOutcome::kAnswered, 2},
+      {{kNotSent, kAnswered}, false, RequestOutcome::kAnswered, 2},
+      {{kRefused, kAnswered}, false, RequestOutcome::kAnswered, 2},
+      {{kNotSent}, false, RequestOutcome::kNotRun, 2},
+      {{kRefused}, true, RequestOutcome::kNotRun, 2},
+      {{kUnknown, kAnswered}, true, RequestOutcome::kAnswered, 2},
+      {{kUnknown, kAnswered}, false, RequestOutcome::kUnknown, 1},
+      {{kUnknown, kRefused}, true, RequestOutcome::kUnknown, 2},
+      {{kUnknown, kNotSent}, true, RequestOutcome::kUnknown, 2},
+      {{kRefused, kUnknown}, false, RequestOutcome::kUnknown, 2},
+      {{kUnknown}, true, RequestOutcome::kUnknown, 2},
   };
   for (size_t n = 0; n < rows.size(); ++n) {
     BOOST_TEST_CONTEXT("row " << n) {
       RouterFixture routing;
       routing.sender.script = rows[n].attempts;
       const CallerResponse response = routing.HandleRequest(rows[n].repeatable);
-      BOOST_TEST((response.fate == rows[n].expected_fate));
+      BOOST_TEST((response.outcome == rows[n].expected_outcome));
       BOOST_TEST(routing.sender.sent_to.size() == rows[n].expected_attempts);
-      BOOST_TEST(routing.router.slots().InUse("w1") == 0);
-      BOOST_TEST(routing.router.slots().InUse("w2") == 0);
-      const bool may_retry = response.fate == RequestFate::kNotRun;
+      BOOST_TEST(routing.router.slots().SlotsInUse("w1") == 0);
+      BOOST_TEST(routing.router.slots().SlotsInUse("w2") == 0);
+      const bool may_retry = response.outcome == RequestOutcome::kNotRun;
       BOOST_TEST((response.retry_after > 0) == may_retry);
     }
   }
@@ -179,22 +181,22 @@
   request.service = "nothing";
   const CallerResponse response = routing.router.Handle(request);
   BOOST_TEST(response.status == 404);
-  BOOST_TEST((response.fate == RequestFate::kNotRun));
+  BOOST_TEST((response.outcome == RequestOutcome::kNotRun));
 }
 
 struct ClaimRow {
   ClaimOutcome outcome;
-  RequestFate expected_fate;
+  RequestOutcome expected_outcome;
   size_t expected_attempts;
   int released;
 };
 
 BOOST_AUTO_TEST_CASE(request_with_key_is_sent_only_after_key_is_recorded) {
   const std::vector<ClaimRow> rows = {
-      {ClaimOutcome::kClaimed, RequestFate::kAnswered, 1, 0},
-      {ClaimOutcome::kTaken, RequestFate::kUnknown, 0, 0},
-      {ClaimOutcome::kNotRecorded, RequestFate::kNotRun, 0, 0},
-      {ClaimOutcome::kUnknown, RequestFate::kNotRun, 0, 1},
+      {ClaimOutcome::kClaimed, RequestOutcome::kAnswered, 1, 0},
+      {ClaimOutcome::kAlreadyUsed, RequestOutcome::kUnknown, 0, 0},
+      {ClaimOutcome::kNotRecorded, RequestOutcome::kNotRun, 0, 0},
+      {ClaimOutcome::kUnknown, RequestOutcome::kNotRun, 0, 1},
   };
   for (size_t n = 0; n < rows.size(); ++n) {
     BOOST_TEST_CONTEXT("row " << n) {
@@ -203,10 +205,10 @@
       CallerRequest request = RouterFixture::Request(false, Millis(2000));
       request.idempotency_key = "k";
       const CallerResponse response = routing.router.Handle(request);
-      BOOST_TEST((response.fate == rows[n].expected_fate));
+      BOOST_TEST((response.outcome == rows[n].expected_outcome));
       BOOST_TEST(routing.sender.sent_to.size() == rows[n].expected_attempts);
       BOOST_TEST(routing.claims.released == rows[n].released);
-      BOOST_TEST(routing.router.slots().InUse("w1") == 0);
+      BOOST_TEST(routing.router.slots().SlotsInUse("w1") == 0);
     }
   }
 }
@@ -217,7 +219,7 @@
   CallerRequest request = RouterFixture::Request(false, Millis(2000));
   request.idempotency_key = "k";
   const CallerResponse response = routing.router.Handle(request);
-  BOOST_TEST((response.fate == RequestFate::kNotRun));
+  BOOST_TEST((response.outcome == RequestOutcome::kNotRun));
   BOOST_TEST(routing.claims.claimed == 1);
   BOOST_TEST(routing.claims.released == 1);
 }
@@ -226,7 +228,8 @@
   RouterFixture routing;
   routing.router.slots().SetBackends({});
   routing.router.SetPeers({{"peer-1", "address", {"stream"}}});
-  BOOST_TEST((routing.HandleRequest(true).fate == RequestFate::kAnswered));
+  BOOST_TEST(
+      (routing.HandleRequest(true).outcome == RequestOutcome::kAnswered));
   BOOST_TEST(routing.sender.passed_to.size() == 1u);
 }
 
@@ -235,9 +238,9 @@
   routing.router.slots().SetBackends({});
   routing.router.SetPeers({{"peer-1", "address", {"stream"}}});
   CallerRequest request = RouterFixture::Request(true, Millis(1000));
-  request.passed_on = true;
+  request.forwarded = true;
   const CallerResponse response = routing.router.Handle(request);
-  BOOST_TEST((response.fate == RequestFate::kNotRun));
+  BOOST_TEST((response.outcome == RequestOutcome::kNotRun));
   BOOST_TEST(routing.sender.passed_to.empty());
   BOOST_TEST(routing.observer.count == 0);
 }
@@ -248,7 +251,8 @@
   routing.router.slots().SetBackends({});
   routing.router.SetPeers({{"peer-1", "address", {"stream"}}});
   routing.sender.peer_script = {kUnknown};
-  BOOST_TEST((routing.HandleRequest(false).fate == RequestFate::kUnknown));
+  BOOST_TEST(
+      (routing.HandleRequest(false).outcome == RequestOutcome::kUnknown));
   BOOST_TEST(routing.sender.passed_to.size() == 1u);
 }
 
@@ -262,7 +266,7 @@
   });
   routing.router.slots().SetBackends(RouterFixture::Backends(true));
   caller.join();
-  BOOST_TEST((response.fate == RequestFate::kAnswered));
+  BOOST_TEST((response.outcome == RequestOutcome::kAnswered));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -295,9 +299,9 @@
 BOOST_AUTO_TEST_CASE(slots_are_granted_once_and_spread_evenly) {
   SlotTableFixture slots;
   BOOST_TEST(slots.AcquireAll().size() == 4u);
-  BOOST_TEST(slots.table.InUse("w1") == 2);
-  BOOST_TEST(slots.table.InUse("w2") == 2);
-  BOOST_TEST(slots.table.OpenServices().empty());
+  BOOST_TEST(slots.table.SlotsInUse("w1") == 2);
+  BOOST_TEST(slots.table.SlotsInUse("w2") == 2);
+  BOOST_TEST(slots.table.ServicesWithFreeSlots().empty());
 }
 
 BOOST_AUTO_TEST_CASE(full_table_refuses_immediately) {
@@ -316,14 +320,14 @@
   SlotTableFixture slots;
   const auto acquired = slots.AcquireAll();
   slots.table.SetBackends({});
-  BOOST_TEST(slots.table.InUse("w1") == 2);
+  BOOST_TEST(slots.table.SlotsInUse("w1") == 2);
   // The server is listed again while earlier requests still run on it.
   slots.table.SetBackends(RouterFixture::Backends(true));
   BOOST_TEST(!slots.table.TryAcquire("stream", "").has_value());
   for (const BackendTarget& target : acquired) {
     slots.table.Release(target, Millis(1));
   }
-  BOOST_TEST(slots.table.InUse("w1") == 0);
+  BOOST_TEST(slots.table.SlotsInUse("w1") == 0);
   BOOST_TEST(slots.AcquireAll().size() == 4u);
 }
 
--- a/src/libdoorwood/routing/slot_table.cpp
+++ b/src/libdoorwood/routing/slot_table.cpp
@@ -120,7 +120,7 @@
   return OpenSlotCountLocked(service) > 0;
 }
 
-std::vector<std::string> SlotTable::OpenServices() const {
+std::vector<std::string> SlotTable::ServicesWithFreeSlots() const {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::map<std::string, bool> open;
   for (const auto& [id, backend] : backends_) {
@@ -146,7 +146,7 @@
   return item == services_.end() ? 0 : item->second.waiters.size();
 }
 
-int SlotTable::InUse(const std::string& worker) const {
+int SlotTable::SlotsInUse(const std::string& worker) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   int in_use = 0;
   for (const auto& [id, backend] : backends_) {
--- a/src/log.adapter/bounded_appender.cpp
+++ b/src/log.adapter/bounded_appender.cpp
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-void StartBoundedLogging(std::string_view level) {
+void StartNonBlockingLogging(std::string_view level) {
   static const log4cplus::Initializer initializer;
   log4cplus::Logger root = log4cplus::Logger::getRoot();
   root.removeAllAppenders();
--- a/src/log.adapter/bounded_appender.h
+++ b/src/log.adapter/bounded_appender.h
@@ -16,7 +16,7 @@
 /// Initializes log4cplus on the first call and sets it up to buffer JSON lines
 /// for standard output, which `FlushLog` writes. `level` is debug, info, warn
 /// or error.
-void StartBoundedLogging(std::string_view level);
+void StartNonBlockingLogging(std::string_view level);
 
 /// Writes as much of the buffer as standard output accepts without blocking.
 void FlushLog();
--- a/src/loop.adapter/http_client.cpp
+++ b/src/loop.adapter/http_client.cpp
@@ -246,7 +246,7 @@
   std::make_shared<Exchange>(pool_, std::move(call), std::move(done))->Begin();
 }
 
-uint64_t HttpClient::connects() const {
+uint64_t HttpClient::connect_attempts() const {
   return pool_->connects;
 }
 
--- a/src/loop.adapter/http_client.h
+++ b/src/loop.adapter/http_client.h
@@ -56,7 +56,7 @@
 
   void Send(HttpCall call, Callback done);
   /// Number of attempts to open a connection so far.
-  uint64_t connects() const;
+  uint64_t connect_attempts() const;
 
  private:
   class Pool;
--- a/src/loop.adapter/http_client_test.cpp
+++ b/src/loop.adapter/http_client_test.cpp
@@ -120,7 +120,7 @@
   for (int i = 0; i < 3; ++i) {
     BOOST_TEST(SendAndRun(context, client, call) == std::error_code());
   }
-  BOOST_TEST(client.connects() == 1U);
+  BOOST_TEST(client.connect_attempts() == 1U);
 }
 
 struct Outcome {
@@ -182,7 +182,7 @@
   BOOST_TEST(second.reply.status == 200);
   BOOST_TEST(!second.reply.sent_before);
   BOOST_TEST(fixture.server.requests().size() == 2U);
-  BOOST_TEST(fixture.client.connects() == 2U);
+  BOOST_TEST(fixture.client.connect_attempts() == 2U);
 }
 
 // Data that arrives on an idle connection must not be taken for the response
--- a/src/loop.adapter/http_peers.cpp
+++ b/src/loop.adapter/http_peers.cpp
@@ -111,7 +111,7 @@
   }
   for (const auto& [queue, count] : found->items()) {
     pending[queue] = static_cast<int>(
-        ToWhole(count, "pending", {0, std::numeric_limits<int>::max()}));
+        ToInteger(count, "pending", {0, std::numeric_limits<int>::max()}));
   }
   return pending;
 }
@@ -119,8 +119,8 @@
 std::optional<CellSummary> DecodeSummary(std::string_view text) {
   return DecodeObject(text, [](const Json& json) {
     CellSummary summary;
-    summary.cell = ReadTextOr(json, "cell");
-    summary.epoch = ReadWholeOr(json, "epoch", 0);
+    summary.cell = ReadStringOrEmpty(json, "cell");
+    summary.epoch = ReadIntegerOr(json, "epoch", 0);
     summary.pending = DecodePending(json);
     summary.waiting_work = json.value("waiting_work", 0.0);
     summary.cores = json.value("cores", 0.0);
@@ -145,9 +145,9 @@
 
 }  // namespace
 
-void HttpPeers::Submit(const CellLead& lead,
-                       const JobPlan& plan,
-                       SubmitCallback done) {
+void HttpCellPeers::Submit(const CellLead& lead,
+                           const JobPlan& plan,
+                           SubmitCallback done) {
   HttpCall call = Call(lead, "POST", plan.id, kSubmitTimeout);
   call.body = Json(plan).dump();
   client_.Send(
@@ -159,9 +159,9 @@
       });
 }
 
-void HttpPeers::Cancel(const CellLead& lead,
-                       const std::string& job,
-                       CancelCallback done) {
+void HttpCellPeers::Cancel(const CellLead& lead,
+                           const std::string& job,
+                           CancelCallback done) {
   client_.Send(
       Call(lead, "DELETE", job, kSubmitTimeout),
       [done = std::move(done)](std::error_code error, const HttpReply& reply) {
@@ -169,9 +169,9 @@
       });
 }
 
-void HttpPeers::State(const CellLead& lead,
-                      const std::string& job,
-                      StateCallback done) {
+void HttpCellPeers::State(const CellLead& lead,
+                          const std::string& job,
+                          StateCallback done) {
   client_.Send(
       Call(lead, "GET", job, kStateTimeout),
       [done = std::move(done)](std::error_code error, const HttpReply& reply) {
@@ -189,7 +189,7 @@
       });
 }
 
-void HttpPeers::Summary(const CellLead& lead, SummaryCallback done) {
+void HttpCellPeers::Summary(const CellLead& lead, SummaryCallback done) {
   client_.Send(
       Call(lead, "GET", "", kSummaryTimeout),
       [done = std::move(done)](std::error_code error, const HttpReply& reply) {
@@ -202,7 +202,8 @@
       });
 }
 
-void HttpPeers::Ask(const LiveInstance& instance, Callback done) {
+void HttpCellPeers::QueryStoreContact(const LiveInstance& instance,
+                                      Callback done) {
   HttpCall call;
   call.address = instance.address;
   call.target = kStoreContactPath;
@@ -218,8 +219,9 @@
       });
 }
 
-void HttpPeers::AskToAgree(const LiveInstance& instance,
-                           std::function<void(std::error_code)> done) {
+void HttpCellPeers::RequestUnrecordedStartsAgreement(
+    const LiveInstance& instance,
+    std::function<void(std::error_code)> done) {
   HttpCall call;
   call.address = instance.address;
   call.method = "POST";
@@ -232,9 +234,9 @@
       });
 }
 
-void HttpPeers::HandOver(const LiveInstance& instance,
-                         const std::string& cell,
-                         int64_t epoch) {
+void HttpCellPeers::HandOverLead(const LiveInstance& instance,
+                                 const std::string& cell,
+                                 int64_t epoch) {
   HttpCall call;
   call.address = instance.address;
   call.method = "POST";
@@ -243,7 +245,7 @@
   client_.Send(std::move(call), [](std::error_code, const HttpReply&) {});
 }
 
-bool PeerService::HandleHandOver(std::string_view rest) {
+bool CellPeerService::HandleHandOver(std::string_view rest) {
   const size_t slash = rest.find('/');
   if (slash == std::string_view::npos) {
     return false;
@@ -263,7 +265,7 @@
   return true;
 }
 
-std::optional<Millis> PeerService::TimeSinceStoreContact() const {
+std::optional<Millis> CellPeerService::TimeSinceStoreContact() const {
   std::optional<Millis> age = kMaxAge;
   for (const CellLeader* leader : cells_) {
     const auto leader_age = leader->TimeSinceStoreAnswer(executor_.Now());
@@ -273,13 +275,13 @@
   return age;
 }
 
-bool PeerService::AgreeToUnrecordedStarts() {
+bool CellPeerService::AgreeToUnrecordedStarts() {
   return std::all_of(cells_.begin(), cells_.end(), [](CellLeader* leader) {
     return leader->AgreeToUnrecordedStarts();
   });
 }
 
-CellLeader* PeerService::Find(const std::string& cell) const {
+CellLeader* CellPeerService::Find(const std::string& cell) const {
   for (CellLeader* leader : cells_) {
     if (leader->cell() == cell && leader->leading()) {
       return leader;
@@ -288,8 +290,8 @@
   return nullptr;
 }
 
-void PeerService::Handle(const HttpRequest& request,
-                         HttpServer::Respond respond) {
+void CellPeerService::Handle(const HttpRequest& request,
+                             HttpServer::Respond respond) {
   constexpr std::string_view kPrefix = "/cell/";
   auto answer = [respond = std::move(respond)](std::error_code error,
                                                std::string body) {
--- a/src/loop.adapter/http_peers.h
+++ b/src/loop.adapter/http_peers.h
@@ -16,9 +16,9 @@
 
 namespace doorwood {
 
-class HttpPeers : public CellPeers, public StoreHearing {
+class HttpCellPeers : public CellPeers, public StoreContactPort {
  public:
-  explicit HttpPeers(HttpClient& client) : client_(client) {}
+  explicit HttpCellPeers(HttpClient& client) : client_(client) {}
 
   void Submit(const CellLead& lead,
               const JobPlan& plan,
@@ -30,12 +30,13 @@
              const std::string& job,
              StateCallback done) override;
   void Summary(const CellLead& lead, SummaryCallback done) override;
-  void Ask(const LiveInstance& instance, Callback done) override;
-  void AskToAgree(const LiveInstance& instance,
-                  std::function<void(std::error_code)> done) override;
-  void HandOver(const LiveInstance& instance,
-                const std::string& cell,
-                int64_t epoch) override;
+  void QueryStoreContact(const LiveInstance& instance, Callback done) override;
+  void RequestUnrecordedStartsAgreement(
+      const LiveInstance& instance,
+      std::function<void(std::error_code)> done) override;
+  void HandOverLead(const LiveInstance& instance,
+                    const std::string& cell,
+                    int64_t epoch) override;
 
  private:
   HttpClient& client_;
@@ -43,9 +44,9 @@
 
 /// Serves the calls of other instances. Calls about a job or a cell's summary
 /// are answered by the leader of that cell if this process leads it.
-class PeerService {
+class CellPeerService {
  public:
-  PeerService(Executor& executor, std::vector<CellLeader*> cells)
+  CellPeerService(Executor& executor, std::vector<CellLeader*> cells)
       : executor_(executor), cells_(std::move(cells)) {}
 
   void Handle(const HttpRequest& request, HttpServer::Respond respond);
--- a/src/loop.adapter/http_peers_test.cpp
+++ b/src/loop.adapter/http_peers_test.cpp
@@ -38,7 +38,7 @@
   boost::asio::io_context context;
   ScriptedServer server;
   HttpClient client{context};
-  HttpPeers peers{client};
+  HttpCellPeers peers{client};
   CellLead lead;
 };
 
--- a/src/loop.adapter/http_server.cpp
+++ b/src/loop.adapter/http_server.cpp
@@ -200,7 +200,7 @@
         if (!shared->acceptor.is_open()) {
           return;
         }
-        if (!error && shared->connections < shared->limits.connections) {
+        if (!error && shared->connections < shared->limits.max_connections) {
           error_code ignored;
           socket.set_option(asio::ip::tcp::no_delay(true), ignored);
           std::make_shared<Session>(shared, std::move(socket))->Read();
--- a/src/loop.adapter/http_server.h
+++ b/src/loop.adapter/http_server.h
@@ -41,7 +41,7 @@
   size_t body_bytes = 1024 * 1024;
   Millis header_timeout{5000};
   Millis idle_timeout{30000};
-  size_t connections = 1500;
+  size_t max_connections = 1500;
 };
 
 class HttpServer {
--- a/src/loop.adapter/suspended_machine_test.cpp
+++ b/src/loop.adapter/suspended_machine_test.cpp
@@ -93,10 +93,10 @@
   };
   BOOST_TEST(call() == 200);
   BOOST_TEST(call() == 200);
-  BOOST_TEST(client.connects() == 1U);
+  BOOST_TEST(client.connect_attempts() == 1U);
   Suspend();
   BOOST_TEST(call() == 200);
-  BOOST_TEST(client.connects() == 2U);
+  BOOST_TEST(client.connect_attempts() == 2U);
 }
 
 }  // namespace
--- a/src/peer.adapter/peer_codec.cpp
+++ b/src/peer.adapter/peer_codec.cpp
@@ -147,7 +147,7 @@
   out.setLowestRevision(value.lowest_revision);
   EncodeList(value.shards, out.initShards(value.shards.size()));
   Encode(value.free, out.initFree());
-  Encode(value.largest_room, out.initLargestRoom());
+  Encode(value.largest_free, out.initLargestRoom());
   out.setWorkers(value.workers);
   out.setHoldingsVersion(value.holdings_version);
   EncodeTexts(value.leaving_workers,
@@ -169,7 +169,7 @@
     value.shards.push_back({Decode(owned.getShard()), owned.getEpoch()});
   }
   value.free = Decode(in.getFree());
-  value.largest_room = Decode(in.getLargestRoom());
+  value.largest_free = Decode(in.getLargestRoom());
   value.workers = in.getWorkers();
   value.holdings_version = in.getHoldingsVersion();
   value.leaving_workers = DecodeTexts(in.getLeavingWorkers());
@@ -222,7 +222,7 @@
 
 void Encode(const CensusRequest& value, wire::CensusRequest::Builder out) {
   Encode(value.shard, out.initShard());
-  Encode(value.floor, out.initFloor());
+  Encode(value.min_attempt, out.initFloor());
 }
 
 CensusRequest Decode(wire::CensusRequest::Reader in) {
--- a/src/peer.adapter/peer_network.cpp
+++ b/src/peer.adapter/peer_network.cpp
@@ -98,7 +98,7 @@
   kj::Promise<void> login(LoginContext context) override {
     const auto token = context.getParams().getToken();
     const std::string given(token.cStr(), token.size());
-    KJ_REQUIRE(SameSecret(given, token_), "wrong token");
+    KJ_REQUIRE(SecretsEqual(given, token_), "wrong token");
     context.getResults().setPeer(peer_);
     return kj::READY_NOW;
   }
--- a/src/soak/callers.cpp
+++ b/src/soak/callers.cpp
@@ -65,10 +65,10 @@
   constexpr int kSpread = 1500;
   platform::SoakJob job;
   job.tasks = 1 + static_cast<int>(Draw(4));
-  job.later_tasks = Draw(3) == 0 ? 2 : 0;
+  job.second_step_tasks = Draw(3) == 0 ? 2 : 0;
   job.cpu = 500;
   job.task_time = Millis(kShortest + Draw(kSpread));
-  job.failures = Draw(5) == 0 ? 1 : 0;
+  job.failing_runs = Draw(5) == 0 ? 1 : 0;
   TrackedJob* known = Add(std::move(job));
   known->gives_up = Draw(kGivesUp) == 0;
   known->cancels = Draw(kCancels) == 0;
@@ -87,7 +87,7 @@
   job.cpu = 500;
   job.task_time = Millis(5000);
   const bool at_once = crashing_random_() % 2 == 0;
-  job.crashes_after = Millis(at_once ? 10 : 1 + crashing_random_() % kSpread);
+  job.crash_delay = Millis(at_once ? 10 : 1 + crashing_random_() % kSpread);
   Submit(Add(std::move(job)), kMaxAttempts);
   world_.After(pause, [this, pause] { SubmitCrashingPeriodically(pause); });
 }
@@ -147,7 +147,7 @@
   if (reply.status == kOk) {
     known->accepted = true;
     world_.Log("accepted " + known->job.id);
-    if (known->job.lasts()) {
+    if (known->job.is_long_running()) {
       world_.watch().OnLongRunning(known->job.id);
     }
     PollState(known);
@@ -178,7 +178,7 @@
       state == "completed" || state == "failed" || state == "cancelled";
   if (state == "completed") {
     world_.watch().OnCompleted(known->job.id,
-                               known->job.tasks + known->job.later_tasks);
+                               known->job.tasks + known->job.second_step_tasks);
   } else if (known->finished && !IsExpectedFailure(*known, state)) {
     world_.ReportViolation("job " + known->job.id + " is shown as " + state);
   } else if (!known->finished) {
@@ -188,7 +188,7 @@
 
 bool Callers::IsExpectedFailure(const TrackedJob& known,
                                 std::string_view state) {
-  return state == "failed" && known.job.crashes_after > Millis(0);
+  return state == "failed" && known.job.crash_delay > Millis(0);
 }
 
 void Callers::Cancel(TrackedJob* known) {
@@ -205,7 +205,7 @@
 bool Callers::AllLongRunningTasksRun() const {
   return std::all_of(jobs_.begin(), jobs_.end(), [this](const auto& entry) {
     const TrackedJob& known = entry.second;
-    return !known.job.lasts() || (known.accepted && IsSettled(known));
+    return !known.job.is_long_running() || (known.accepted && IsSettled(known));
   });
 }
 
@@ -217,8 +217,9 @@
   if (known.cancelled) {
     return active == 0;
   }
-  return known.job.lasts() ? active == static_cast<size_t>(known.job.tasks)
-                           : known.finished;
+  return known.job.is_long_running()
+             ? active == static_cast<size_t>(known.job.tasks)
+             : known.finished;
 }
 
 void Callers::AwaitAll(Millis timeout, std::function<void()> done) {
@@ -237,10 +238,10 @@
   }
   for (const auto& [id, known] : jobs_) {
     if (!IsSettled(known)) {
-      world_.ReportViolation("job " + id + " is not as it must be: " +
-                             std::to_string(world_.watch().ActiveTasks(id)) +
-                             " tasks run" +
-                             (known.job.lasts() ? " of a lasting job" : ""));
+      world_.ReportViolation(
+          "job " + id + " is not as it must be: " +
+          std::to_string(world_.watch().ActiveTasks(id)) + " tasks run" +
+          (known.job.is_long_running() ? " of a lasting job" : ""));
     }
   }
   world_.watch().CheckRejected();
--- a/src/soak/config_watch.cpp
+++ b/src/soak/config_watch.cpp
@@ -40,7 +40,7 @@
 void ConfigWatch::SendProbe(size_t instance, int version) {
   HttpCall call;
   call.address = world_.ClientAddressOf(instance);
-  call.target = platform::SoakPathOf(version);
+  call.target = platform::SoakRoutePath(version);
   call.headers = {{"Host", platform::kSoakHost}};
   call.timeout = kCallTimeout;
   call.repeatable = false;
--- a/src/soak/fault_player.cpp
+++ b/src/soak/fault_player.cpp
@@ -174,14 +174,14 @@
       link->Refuse(true);
       return [link] { link->Refuse(false); };
     case FaultKind::kStoreRefuses:
-      store.manners(instance).refuses = true;
-      return [&store, instance] { store.manners(instance).refuses = false; };
+      store.faults(instance).refuses = true;
+      return [&store, instance] { store.faults(instance).refuses = false; };
     case FaultKind::kStoreRefusesAll:
-      store.RefuseAll(true);
-      return [&store] { store.RefuseAll(false); };
+      store.SetRefuseAll(true);
+      return [&store] { store.SetRefuseAll(false); };
     case FaultKind::kStoreSlow:
-      store.SlowDown(kStoreDelay);
-      return [&store] { store.SlowDown(Millis(0)); };
+      store.SetAnswerDelay(kStoreDelay);
+      return [&store] { store.SetAnswerDelay(Millis(0)); };
     case FaultKind::kStoreSilent: {
       Links links;
       for (size_t i = 0; i < world_.instances(); ++i) {
@@ -193,7 +193,7 @@
       store.Compact();
       return nullptr;
     case FaultKind::kRevoke:
-      store.Revoke(InstanceKey(World::NameOf(instance)));
+      store.RevokeLeaseOfKey(InstanceKey(World::NameOf(instance)));
       return nullptr;
     default:
       return nullptr;
--- a/src/soak/http_door.cpp
+++ b/src/soak/http_door.cpp
@@ -19,21 +19,21 @@
 
 using Message = http::request<http::string_body>;
 
-std::string ToText(boost::beast::string_view text) {
+std::string ToNonEmptyString(boost::beast::string_view text) {
   return {text.data(), text.size()};
 }
 
 DoorRequest Decode(Message* message, const std::string& incarnation_header) {
   DoorRequest decoded;
   HttpRequest& request = decoded.request;
-  request.method = ToText(message->method_string());
-  const std::string target = ToText(message->target());
+  request.method = ToNonEmptyString(message->method_string());
+  const std::string target = ToNonEmptyString(message->target());
   const size_t mark = target.find('?');
   request.path = target.substr(0, mark);
   if (mark != std::string::npos) {
     request.query = target.substr(mark + 1);
   }
-  decoded.expected_life = ToText((*message)[incarnation_header]);
+  decoded.expected_life = ToNonEmptyString((*message)[incarnation_header]);
   request.body = std::move(message->body());
   return decoded;
 }
--- a/src/soak/world.cpp
+++ b/src/soak/world.cpp
@@ -136,7 +136,7 @@
       options_.folder + "/" + NameOf(instance) + ".log");
   const std::string endpoint =
       AddressOf(Host(kServerSide, kFirstStoreEndpoint + instance), kStorePort);
-  store_.AddDoor(
+  store_.AddEndpoint(
       endpoint, Host(caller, 0).substr(0, Host(caller, 0).size() - 1),
       Host(kServerSide, 0).substr(0, Host(kServerSide, 0).size() - 1));
   added->store = std::make_unique<Link>(
--- a/src/standin/run_worker_model.h
+++ b/src/standin/run_worker_model.h
@@ -9,7 +9,7 @@
 /// - "fails=2": its first two runs fail;
 /// - "crashes=0.0.3": it crashes its worker if the task's name ends in "0.0.3";
 ///   with an empty value, any task does;
-/// - "crashes_after=300": the crash comes 300 ms after the start instead of
+/// - "crash_delay=300": the crash comes 300 ms after the start instead of
 ///   10 ms.
 
 #ifndef DOORWOOD_STANDIN_RUN_WORKER_MODEL_H_
--- a/src/standin/worker_model.cpp
+++ b/src/standin/worker_model.cpp
@@ -65,7 +65,7 @@
   if (fences_ && stale) {
     return WorkerErrc::kStaleEpoch;
   }
-  out->boot = boot_;
+  out->boot_id = boot_;
   control_lease_expiry_ = now + control_lease_;
   task_lease_expiry_ = now + task_lease_;
   for (const WorkerOrder& order : orders) {
