--- a/src/bench/cell.cpp
+++ b/src/bench/cell.cpp
@@ -66,7 +66,7 @@
     jobs_due += jobs_per_step;
     for (; jobs_due >= 1; jobs_due -= 1) {
       JobPlan plan = DrawJob(&random, jobs++);
-      plan.accepted_at = world.time().millis();
+      plan.accepted_at = world.time().now_ms();
       world.Leader()->cell->Submit(plan, [](std::error_code, AcceptOutcome) {});
     }
     world.Run(kTimeStep);
--- a/src/fakes/cell_world.cpp
+++ b/src/fakes/cell_world.cpp
@@ -17,10 +17,10 @@
   }
 }
 
-void CompletionRecorder::OnNoted(const EndedRun& end) {
+void CompletionRecorder::OnEndAcknowledged(const EndedRun& end) {
   if (end.end == RunEnd::kDone) {
     // An acknowledgement after the worker's lease expired does not count.
-    if (end.number > model_.lapsed_end()) {
+    if (end.number > model_.last_end_at_lease_expiry()) {
       acknowledged_->insert(end.task);
     }
     unacknowledged_.erase(unacknowledged_.find(end.task));
@@ -34,7 +34,7 @@
 void CellWorld::Trace(const std::string& line) const {
   static const bool enabled = std::getenv("DOORWOOD_TRACE") != nullptr;
   if (enabled) {
-    std::cerr << time_.millis() << " " << line << "\n";
+    std::cerr << time_.now_ms() << " " << line << "\n";
   }
 }
 
@@ -64,7 +64,7 @@
   self.cell = std::make_unique<CellLeader>(
       *self.executor, *self.store, *self.directory, *self.workers,
       self.adviser.get(), self.machines.get(), *self.live, *self.log,
-      [this] { return time_.millis(); }, options_);
+      [this] { return time_.now_ms(); }, options_);
   by_name_[name] = &self;
   instances_.push_back(std::move(instance));
   if (table_) {
@@ -83,10 +83,10 @@
   worker->incarnation.service = "pool";
   worker->incarnation.capacity = {cpu_millis, 1'000'000, 0};
   worker->incarnation.labels = {"a", "r1"};
-  worker->model.Advance(time_.millis());
+  worker->model.Advance(time_.now_ms());
   worker->completions = std::make_unique<CompletionRecorder>(
       worker->model, &acknowledged_completions_);
-  worker->model.SetWatcher(worker->completions.get());
+  worker->model.SetObserver(worker->completions.get());
   WorldWorker& added = *worker;
   workers_[id] = std::move(worker);
   return added;
@@ -103,7 +103,7 @@
   workers_.erase(id);
 }
 
-void CellWorld::CrashAndReturn(const std::string& id) {
+void CellWorld::CrashAndRestart(const std::string& id) {
   constexpr Millis kEntryRemovalDelay{600};
   constexpr Millis kRestartDelay{2000};
   WorldWorker& worker = *workers_.at(id);
@@ -119,12 +119,12 @@
     ++crashes_while_running_[task];
     ++runs_crashed_;
   }
-  TakeAway(id);
+  ShutDownWorker(id);
   worker.refuses_calls = crashed_refuse_calls_;
   worker.listed = was_listed;
-  time_.At(time_.now() + kEntryRemovalDelay,
-           [this, id] { workers_.at(id)->listed = false; });
-  time_.At(time_.now() + kRestartDelay, [this, id] {
+  time_.RunAt(time_.now() + kEntryRemovalDelay,
+              [this, id] { workers_.at(id)->listed = false; });
+  time_.RunAt(time_.now() + kRestartDelay, [this, id] {
     const WorkerIncarnation incarnation = workers_.at(id)->incarnation;
     if (addresses_reused_) {
       CrashWorker(id);
@@ -137,7 +137,7 @@
   });
 }
 
-void CellWorld::TakeAway(const std::string& id) {
+void CellWorld::ShutDownWorker(const std::string& id) {
   WorldWorker& worker = *workers_.at(id);
   worker.model = standin::RunWorkerModel();
   worker.completions = std::make_unique<CompletionRecorder>(
@@ -146,7 +146,7 @@
   worker.listed = false;
 }
 
-void CellWorld::MakeMachines() {
+void CellWorld::AddMachines() {
   for (const auto& [id, worker] : workers_) {
     machines_["m-" + id].worker = id;
   }
@@ -155,7 +155,7 @@
 void CellWorld::StartUpkeep(const std::string& name, int64_t wave) {
   constexpr Millis kUpkeep{2000};
   WorldMachine& machine = machines_.at(name);
-  if (machine.upkeeps.contains(wave)) {
+  if (machine.upkeep_counts.contains(wave)) {
     return;
   }
   const auto plan = std::find_if(
@@ -170,14 +170,14 @@
   if (down >= plan->max_down) {
     violations_.push_back("more machines of a wave are down than it allows");
   }
-  ++machine.upkeeps[wave];
+  ++machine.upkeep_counts[wave];
   machine.state = MachineState::kUpkeep;
   const WorkerIncarnation incarnation =
       workers_.at(machine.worker)->incarnation;
   runs_lost_to_upkeep_ +=
-      static_cast<int>(workers_.at(machine.worker)->model.running());
+      static_cast<int>(workers_.at(machine.worker)->model.running_count());
   CrashWorker(machine.worker);
-  time_.At(time_.now() + kUpkeep, [this, name, incarnation] {
+  time_.RunAt(time_.now() + kUpkeep, [this, name, incarnation] {
     WorldMachine& restarted = machines_.at(name);
     restarted.state = MachineState::kUp;
     restarted.worker += "+";
@@ -194,15 +194,15 @@
   }
 }
 
-int CellWorld::logged(const std::string& message) const {
+int CellWorld::log_count(const std::string& message) const {
   const auto found = log_counts_.find(message);
   return found == log_counts_.end() ? 0 : found->second;
 }
 
 void CellWorld::AdvanceAll() {
-  store_.Advance(time_.millis());
+  store_.Advance(time_.now_ms());
   for (const auto& [id, worker] : workers_) {
-    worker->model.Advance(time_.millis());
+    worker->model.Advance(time_.now_ms());
   }
 }
 
@@ -245,7 +245,7 @@
     return false;
   }
   JobPlan stamped = plan;
-  stamped.accepted_at = time_.millis();
+  stamped.accepted_at = time_.now_ms();
   auto accepted = std::make_shared<bool>(false);
   leader->cell->Submit(
       stamped,
@@ -264,7 +264,7 @@
   return found == starts_.end() ? 0 : found->second;
 }
 
-std::string CellWorld::ticket(const std::string& task) const {
+std::string CellWorld::latest_ticket(const std::string& task) const {
   const auto found = tickets_.find(task);
   return found == tickets_.end() ? "" : found->second;
 }
@@ -284,21 +284,21 @@
   if (!late) {
     CheckNotCompleted(order.task);
   }
-  std::optional<Millis> after = standin::CrashesAfter(order);
+  std::optional<Millis> after = standin::CrashDelay(order);
   if (crashing_machines_.contains(workers_.at(worker)->incarnation.machine)) {
     after = Millis(10);
   }
   if (after) {
-    time_.At(time_.now() + *after, [this, worker, task = order.task] {
+    time_.RunAt(time_.now() + *after, [this, worker, task = order.task] {
       const auto found = workers_.find(worker);
-      if (found != workers_.end() && found->second->model.Runs(task)) {
-        CrashAndReturn(worker);
+      if (found != workers_.end() && found->second->model.IsRunning(task)) {
+        CrashAndRestart(worker);
       }
     });
   }
 }
 
-int CellWorld::crashes_under(const std::string& task) const {
+int CellWorld::crashes_while_running(const std::string& task) const {
   const auto found = crashes_while_running_.find(task);
   return found == crashes_while_running_.end() ? 0 : found->second;
 }
@@ -306,13 +306,13 @@
 void CellWorld::CheckCrashLimit(const std::string& task) {
   constexpr int kCrashLimit = 3;
   constexpr int kFurtherStarts = 3;
-  if (crashes_under(task) >= kCrashLimit &&
+  if (crashes_while_running(task) >= kCrashLimit &&
       ++starts_after_three_crashes_[task] == kFurtherStarts) {
     violations_.push_back(
         task +
         " was started three more times after three workers had "
         "crashed while running it, at " +
-        std::to_string(time_.millis()));
+        std::to_string(time_.now_ms()));
   }
 }
 
@@ -330,7 +330,7 @@
             row.tasks->end()) {
       violations_.push_back("the record of tasks that may run on " + worker +
                             " does not name " + task + " at " +
-                            std::to_string(time_.millis()));
+                            std::to_string(time_.now_ms()));
     }
   }
 }
@@ -338,11 +338,11 @@
 void CellWorld::CheckSingleRun(const std::string& task) {
   int running = 0;
   for (const auto& [id, worker] : workers_) {
-    running += worker->model.Runs(task) ? 1 : 0;
+    running += worker->model.IsRunning(task) ? 1 : 0;
   }
   if (running > 1) {
     violations_.push_back("two runs of " + task + " at " +
-                          std::to_string(time_.millis()));
+                          std::to_string(time_.now_ms()));
   }
 }
 
@@ -358,7 +358,7 @@
   if (reported || acknowledged_completions_.contains(task)) {
     completed_task_starts_.push_back(
         task + (reported ? " reported" : " acknowledged") +
-        " as completed, started at " + std::to_string(time_.millis()));
+        " as completed, started at " + std::to_string(time_.now_ms()));
   }
 }
 
--- a/src/fakes/cell_world.h
+++ b/src/fakes/cell_world.h
@@ -29,14 +29,14 @@
 /// Faults between one instance and the store.
 struct StoreFaults {
   /// Calls fail at once as unavailable.
-  bool down = false;
+  bool unavailable = false;
   /// Calls are neither answered nor executed; they time out.
-  bool silent = false;
+  bool unresponsive = false;
   /// Share (0 to 1) of writes that are executed but not answered, and of those
   /// that are not answered and executed seconds later, if their conditions
   /// still hold.
-  double answer_lost = 0;
-  double late = 0;
+  double lost_reply_share = 0;
+  double delayed_write_share = 0;
 };
 
 /// One simulated entry instance.
@@ -54,24 +54,24 @@
   std::unique_ptr<CellLeader> cell;
   StoreFaults store_faults;
   /// Share of orders to workers that get no answer and are executed after
-  /// `orders_late_by`.
-  double late_orders = 0;
-  Millis orders_late_by{6000};
+  /// `order_delay`.
+  double delayed_order_share = 0;
+  Millis order_delay{6000};
   /// Share of orders to workers that are executed at once but not answered.
-  double order_answers_lost = 0;
+  double lost_order_reply_share = 0;
   /// Number of further orders to machines that are executed but not answered.
-  int machine_answers_lost = 0;
+  int machine_replies_to_lose = 0;
   /// Workers that it cannot reach.
-  std::set<std::string> cut_from;
+  std::set<std::string> unreachable_workers;
   /// It is partitioned from all other instances.
-  bool cut_from_peers = false;
+  bool partitioned_from_peers = false;
   /// Instances that it is partitioned from, in both directions.
-  std::set<std::string> cut_from_instances;
+  std::set<std::string> unreachable_instances;
   bool alive = true;
 };
 
 /// Records the completions of tasks on one worker.
-class CompletionRecorder : public standin::RunWatcher {
+class CompletionRecorder : public standin::RunObserver {
  public:
   CompletionRecorder(const standin::RunWorkerModel& model,
                      std::set<std::string>* acknowledged)
@@ -79,7 +79,7 @@
 
   void OnStarted(const StartOrder&) override {}
   void OnEnded(const EndedRun& end) override;
-  void OnNoted(const EndedRun& end) override;
+  void OnEndAcknowledged(const EndedRun& end) override;
   /// The task completed here, and the leader that holds the worker has not yet
   /// acknowledged that.
   bool IsUnacknowledged(const std::string& task) const {
@@ -105,8 +105,8 @@
   /// process answers there.
   std::string listed_address;
   /// Number of calls that reached it, and of runs that it started.
-  int calls = 0;
-  int started = 0;
+  int calls_received = 0;
+  int runs_started = 0;
   std::vector<Instant> start_times{};
 };
 
@@ -115,7 +115,7 @@
   std::string worker;
   MachineState state = MachineState::kUp;
   /// Number of upkeeps by upkeep wave.
-  std::map<int64_t, int> upkeeps;
+  std::map<int64_t, int> upkeep_counts;
 };
 
 class CellWorld {
@@ -135,16 +135,16 @@
   /// directory entry disappears 0.6 s later, and 2 s after the crash its
   /// machine starts another incarnation, whose id is the old one with a "+"
   /// appended.
-  void CrashAndReturn(const std::string& id);
+  void CrashAndRestart(const std::string& id);
   /// A crashed worker's address is not used by another incarnation.
-  void KeepAddressesFree() { addresses_reused_ = false; }
+  void DisableAddressReuse() { addresses_reused_ = false; }
   /// Calls to a crashed worker's machine time out instead of being refused.
-  void KeepCrashedSilent() { crashed_refuse_calls_ = false; }
+  void TimeOutCallsToCrashedWorkers() { crashed_refuse_calls_ = false; }
   /// All runs on the worker end, its directory entry is removed, and nothing
   /// answers at its address any more.
-  void TakeAway(const std::string& id);
+  void ShutDownWorker(const std::string& id);
   /// Adds one machine for each worker, named "m-" followed by the worker's id.
-  void MakeMachines();
+  void AddMachines();
   void SetTable(const std::vector<Queue>& queues);
 
   /// Advances time in steps of 50 ms; the last step is not shortened.
@@ -169,37 +169,39 @@
   std::map<std::string, WorldMachine>& machines() { return machines_; }
   std::vector<UpkeepWave>& waves() { return waves_; }
   /// Data centres that operators have closed to new work.
-  std::set<std::string>& closed() { return closed_data_centres_; }
+  std::set<std::string>& closed_data_centres() { return closed_data_centres_; }
   /// Directory entries that were written by other programs.
-  std::vector<WorkerIncarnation>& foreign() { return foreign_entries_; }
+  std::vector<WorkerIncarnation>& foreign_entries() { return foreign_entries_; }
   std::mt19937_64& random() { return random_; }
   /// Descriptions of violated invariants.
-  const std::vector<std::string>& broken() const { return violations_; }
+  const std::vector<std::string>& violations() const { return violations_; }
   int starts(const std::string& task) const;
   /// Machines whose workers crash 10 ms after each start of a run.
   std::set<std::string>& crashing_machines() { return crashing_machines_; }
   /// Number of worker crashes while the task ran there.
-  int crashes_under(const std::string& task) const;
+  int crashes_while_running(const std::string& task) const;
   /// Number of all crashes, and of the runs that they ended.
   int crashes() const { return crashes_; }
   int runs_crashed() const { return runs_crashed_; }
   /// Number of crashes of workers that had started several runs within the
   /// last 0.4 s.
-  int crowded_crashes() const { return crashes_after_several_starts_; }
+  int crashes_after_several_starts() const {
+    return crashes_after_several_starts_;
+  }
   /// Starts of tasks that had completed: the completion was acknowledged, or
   /// is reported by a worker whose lease has not expired. Excludes starts that
   /// a worker executed late.
-  const std::vector<std::string>& started_done() const {
+  const std::vector<std::string>& completed_task_starts() const {
     return completed_task_starts_;
   }
   /// Number of calls that were answered by another incarnation or process.
-  int calls_elsewhere() const { return misdirected_calls_; }
+  int misdirected_calls() const { return misdirected_calls_; }
   /// Number of log lines with this message, over all instances.
-  int logged(const std::string& message) const;
+  int log_count(const std::string& message) const;
   /// Number of runs that ended because of upkeep of machines.
-  int lost_runs() const { return runs_lost_to_upkeep_; }
+  int runs_lost_to_upkeep() const { return runs_lost_to_upkeep_; }
   /// Ticket that the task's latest start carried.
-  std::string ticket(const std::string& task) const;
+  std::string latest_ticket(const std::string& task) const;
   /// Writes the line to stderr if DOORWOOD_TRACE is set in the environment.
   void Trace(const std::string& line) const;
 
--- a/src/fakes/cell_world_ports.cpp
+++ b/src/fakes/cell_world_ports.cpp
@@ -36,18 +36,18 @@
              Millis wait,
              Callback<StoreItems> done) override {
     StoreItems events;
-    if (self_.store_faults.down || self_.store_faults.silent) {
+    if (self_.store_faults.unavailable || self_.store_faults.unresponsive) {
       Answer<StoreItems>(kNoAnswer, KvErrc::kUnknown, {}, std::move(done));
       return;
     }
     world_.AdvanceAll();
-    const auto error = world_.store().Changes(prefix, after, &events);
+    const auto error = world_.store().ChangesAfter(prefix, after, &events);
     if (error || !events.items.empty() || wait <= Millis(0)) {
       Answer<StoreItems>(kStoreDelay, error, events, std::move(done));
       return;
     }
     // The wait takes place in the store, also while this process is frozen.
-    world_.time().At(
+    world_.time().RunAt(
         world_.time().now() + kPollInterval,
         [this, prefix, after, wait, done = std::move(done)]() mutable {
           Watch(prefix, after, wait - kPollInterval, std::move(done));
@@ -62,25 +62,25 @@
   }
   void GrantLease(Millis lifetime, Callback<int64_t> done) override {
     Call<int64_t>(false, std::move(done), [this, lifetime](int64_t* lease) {
-      *lease = world_.store().Grant(lifetime.count());
+      *lease = world_.store().GrantLease(lifetime.count());
       return std::error_code();
     });
   }
   void RenewLease(int64_t lease, Callback<int64_t> done) override {
     Call<int64_t>(false, std::move(done), [this, lease](int64_t*) {
-      return world_.store().Keep(lease);
+      return world_.store().RenewLease(lease);
     });
   }
   void RevokeLease(int64_t lease, Callback<int64_t> done) override {
     Call<int64_t>(false, std::move(done), [this, lease](int64_t*) {
-      return world_.store().End(lease);
+      return world_.store().RevokeLease(lease);
     });
   }
 
  private:
   template <typename T>
   void Answer(Millis delay, std::error_code error, T value, Callback<T> done) {
-    self_.executor->Deliver(
+    self_.executor->DeliverAnswer(
         delay, [error, value = std::move(value), done = std::move(done)] {
           done(error, value);
         });
@@ -89,28 +89,29 @@
   template <typename T, typename Effect>
   void Call(bool writes, Callback<T> done, Effect effect) {
     const StoreFaults& faults = self_.store_faults;
-    if (faults.down) {
+    if (faults.unavailable) {
       Answer<T>(kStoreDelay, KvErrc::kUnavailable, {}, std::move(done));
       return;
     }
-    if (faults.silent) {
+    if (faults.unresponsive) {
       Answer<T>(kNoAnswer, KvErrc::kUnknown, {}, std::move(done));
       return;
     }
     const double draw = writes ? world_.Chance() : 1.0;
-    if (draw < faults.late) {
-      world_.time().At(world_.time().now() + kExecutionDelay, [this, effect] {
-        T ignored{};
-        world_.AdvanceAll();
-        effect(&ignored);
-      });
+    if (draw < faults.delayed_write_share) {
+      world_.time().RunAt(world_.time().now() + kExecutionDelay,
+                          [this, effect] {
+                            T ignored{};
+                            world_.AdvanceAll();
+                            effect(&ignored);
+                          });
       Answer<T>(kNoAnswer, KvErrc::kUnknown, {}, std::move(done));
       return;
     }
     world_.AdvanceAll();
     T value{};
     const std::error_code error = effect(&value);
-    if (draw < faults.late + faults.answer_lost) {
+    if (draw < faults.delayed_write_share + faults.lost_reply_share) {
       Answer<T>(kNoAnswer, KvErrc::kUnknown, {}, std::move(done));
       return;
     }
@@ -137,20 +138,21 @@
       Fail<WorkerReport>(worker, std::move(done));
       return;
     }
-    target->model.Advance(world_.time().millis());
+    target->model.Advance(world_.time().now_ms());
     WorkerReport report;
     const auto error = target->model.Poll(order, &report);
     if (!error && report.ended.empty() && order.max_wait > Millis(0)) {
       PollOrder rest = order;
       rest.max_wait = std::max(Millis(0), order.max_wait - kPollInterval);
       // The wait takes place in the worker, also while this process is frozen.
-      world_.time().At(world_.time().now() + kPollInterval,
-                       [this, worker, rest, done = std::move(done)]() mutable {
-                         Poll(worker, rest, std::move(done));
-                       });
+      world_.time().RunAt(
+          world_.time().now() + kPollInterval,
+          [this, worker, rest, done = std::move(done)]() mutable {
+            Poll(worker, rest, std::move(done));
+          });
       return;
     }
-    self_.executor->Deliver(
+    self_.executor->DeliverAnswer(
         kWorkerDelay,
         [error, report, done = std::move(done)] { done(error, report); });
   }
@@ -159,11 +161,11 @@
              Callback<int64_t> done) override {
     Order(worker, std::move(done),
           [this, order, id = worker.id](WorldWorker& target, bool late) {
-            const bool already_running = target.model.Runs(order.task);
+            const bool already_running = target.model.IsRunning(order.task);
             const auto error = target.model.Start(order);
             if (!error && !already_running) {
               world_.OnStarted(id, order, late);
-              ++target.started;
+              ++target.runs_started;
             }
             return error;
           });
@@ -190,10 +192,10 @@
       return nullptr;
     }
     WorldWorker* found = world_.workers().at(worker.id).get();
-    if (!found->up || self_.cut_from.contains(worker.id)) {
+    if (!found->up || self_.unreachable_workers.contains(worker.id)) {
       return nullptr;
     }
-    ++found->calls;
+    ++found->calls_received;
     return found;
   }
 
@@ -208,10 +210,10 @@
     const bool misdirected = IsMisdirected(worker);
     const bool at_once =
         misdirected || (world_.workers().at(worker.id)->refuses_calls &&
-                        !self_.cut_from.contains(worker.id));
+                        !self_.unreachable_workers.contains(worker.id));
     const auto error =
         misdirected ? RunErrc::kOtherIncarnation : RunErrc::kNoAnswer;
-    self_.executor->Deliver(
+    self_.executor->DeliverAnswer(
         at_once ? kWorkerDelay : kNoAnswer,
         [error, done = std::move(done)] { done(error, T{}); });
   }
@@ -226,27 +228,27 @@
       return;
     }
     const double draw = world_.Chance();
-    if (draw < self_.late_orders) {
-      world_.time().At(world_.time().now() + self_.orders_late_by,
-                       [this, worker, effect] {
-                         if (WorldWorker* later = Reach(worker)) {
-                           world_.AdvanceAll();
-                           effect(*later, /*late=*/true);
-                         }
-                       });
-      self_.executor->Deliver(
+    if (draw < self_.delayed_order_share) {
+      world_.time().RunAt(world_.time().now() + self_.order_delay,
+                          [this, worker, effect] {
+                            if (WorldWorker* later = Reach(worker)) {
+                              world_.AdvanceAll();
+                              effect(*later, /*late=*/true);
+                            }
+                          });
+      self_.executor->DeliverAnswer(
           kNoAnswer, [done = std::move(done)] { done(RunErrc::kNoAnswer, 0); });
       return;
     }
-    target->model.Advance(world_.time().millis());
+    target->model.Advance(world_.time().now_ms());
     const auto error = effect(*target, /*late=*/false);
-    if (draw < self_.late_orders + self_.order_answers_lost) {
-      self_.executor->Deliver(
+    if (draw < self_.delayed_order_share + self_.lost_order_reply_share) {
+      self_.executor->DeliverAnswer(
           kNoAnswer, [done = std::move(done)] { done(RunErrc::kNoAnswer, 0); });
       return;
     }
     const int64_t clock = target->model.now();
-    self_.executor->Deliver(
+    self_.executor->DeliverAnswer(
         kWorkerDelay,
         [error, clock, done = std::move(done)] { done(error, clock); });
   }
@@ -262,10 +264,10 @@
 
   void ListWorkers(Callback done) override {
     std::error_code error;
-    if (self_.store_faults.down || self_.store_faults.silent) {
+    if (self_.store_faults.unavailable || self_.store_faults.unresponsive) {
       error = KvErrc::kUnavailable;
     }
-    std::vector<WorkerIncarnation> incarnations = world_.foreign();
+    std::vector<WorkerIncarnation> incarnations = world_.foreign_entries();
     for (const auto& [id, worker] : world_.workers()) {
       if (worker->listed) {
         incarnations.push_back(worker->incarnation);
@@ -274,20 +276,19 @@
         }
       }
     }
-    self_.executor->Deliver(kStoreDelay,
-                            [error, incarnations, done = std::move(done)] {
-                              done(error, incarnations);
-                            });
+    self_.executor->DeliverAnswer(
+        kStoreDelay, [error, incarnations, done = std::move(done)] {
+          done(error, incarnations);
+        });
   }
   void ListClosedDataCentres(ClosedDataCentresCallback done) override {
     std::error_code error;
-    if (self_.store_faults.down || self_.store_faults.silent) {
+    if (self_.store_faults.unavailable || self_.store_faults.unresponsive) {
       error = KvErrc::kUnavailable;
     }
-    self_.executor->Deliver(
-        kStoreDelay, [error, closed = world_.closed(), done = std::move(done)] {
-          done(error, closed);
-        });
+    self_.executor->DeliverAnswer(
+        kStoreDelay, [error, closed = world_.closed_data_centres(),
+                      done = std::move(done)] { done(error, closed); });
   }
 
  private:
@@ -310,9 +311,10 @@
               : std::nullopt;
     const std::error_code error =
         age ? std::error_code() : make_error_code(PeerErrc::kNotSent);
-    self_.executor->Deliver(kWorkerDelay, [error, age, done = std::move(done)] {
-      done(error, age.value_or(Millis(0)));
-    });
+    self_.executor->DeliverAnswer(kWorkerDelay,
+                                  [error, age, done = std::move(done)] {
+                                    done(error, age.value_or(Millis(0)));
+                                  });
   }
   void RequestUnrecordedStartsAgreement(
       const LiveInstance& instance,
@@ -324,8 +326,8 @@
                         found->second->cell->AgreeToUnrecordedStarts();
     const std::error_code error =
         agrees ? std::error_code() : make_error_code(PeerErrc::kNotSent);
-    self_.executor->Deliver(kWorkerDelay,
-                            [error, done = std::move(done)] { done(error); });
+    self_.executor->DeliverAnswer(
+        kWorkerDelay, [error, done = std::move(done)] { done(error); });
   }
   void HandOverLead(const LiveInstance& instance,
                     const std::string&,
@@ -335,15 +337,15 @@
       return;
     }
     WorldInstance* other = found->second;
-    other->executor->Deliver(
+    other->executor->DeliverAnswer(
         kWorkerDelay, [other, epoch] { other->cell->OnLeadHandedOver(epoch); });
   }
 
  private:
   bool Reaches(const WorldInstance& other) const {
-    return !self_.cut_from_peers && !other.cut_from_peers &&
-           !self_.cut_from_instances.contains(other.name) &&
-           !other.cut_from_instances.contains(self_.name);
+    return !self_.partitioned_from_peers && !other.partitioned_from_peers &&
+           !self_.unreachable_instances.contains(other.name) &&
+           !other.unreachable_instances.contains(self_.name);
   }
 
   CellWorld& world_;
@@ -365,7 +367,7 @@
         advice.tickets.push_back({worker, step + "@" + worker});
       }
     }
-    self_.executor->Deliver(
+    self_.executor->DeliverAnswer(
         kStoreDelay, [advice, done = std::move(done)] { done({}, advice); });
   }
 
@@ -388,25 +390,25 @@
       machine.worker = known.worker;
       machines.push_back(machine);
     }
-    self_.executor->Deliver(kStoreDelay, [machines, done = std::move(done)] {
-      done({}, machines);
-    });
+    self_.executor->DeliverAnswer(
+        kStoreDelay,
+        [machines, done = std::move(done)] { done({}, machines); });
   }
   void OrderUpkeep(const UpkeepOrder& order, OrderCallback done) override {
     world_.StartUpkeep(order.machine, order.wave);
-    const bool lost = self_.machine_answers_lost > 0;
-    self_.machine_answers_lost -= lost ? 1 : 0;
-    self_.executor->Deliver(
+    const bool lost = self_.machine_replies_to_lose > 0;
+    self_.machine_replies_to_lose -= lost ? 1 : 0;
+    self_.executor->DeliverAnswer(
         lost ? kNoAnswer : kStoreDelay, [lost, done = std::move(done)] {
           done(lost ? make_error_code(RunErrc::kNoAnswer) : std::error_code());
         });
   }
   void OrderMove(const MoveOrder&, OrderCallback done) override {
-    self_.executor->Deliver(kStoreDelay,
-                            [done = std::move(done)] { done(RunErrc::kBusy); });
+    self_.executor->DeliverAnswer(
+        kStoreDelay, [done = std::move(done)] { done(RunErrc::kBusy); });
   }
   void ListWaves(WavesCallback done) override {
-    self_.executor->Deliver(
+    self_.executor->DeliverAnswer(
         kStoreDelay,
         [waves = world_.waves(), done = std::move(done)] { done({}, waves); });
   }
--- a/src/fakes/commit_only_store.h
+++ b/src/fakes/commit_only_store.h
@@ -31,7 +31,7 @@
   void RevokeLease(int64_t, Callback<int64_t>) override {}
 
   /// Writes the cell's leader key; returns its revision.
-  int64_t TakeLead(const std::string& cell, const std::string& instance) {
+  int64_t WriteLeaderKey(const std::string& cell, const std::string& instance) {
     StoreTransaction lead;
     lead.puts.push_back({LeadKey(cell), instance, 0});
     StoreCommit won;
--- a/src/fakes/fake_executor_test.cpp
+++ b/src/fakes/fake_executor_test.cpp
@@ -18,8 +18,8 @@
                         Fixture) {
   executor.Freeze();
   executor.Schedule(Millis(10), [this] { order += "t"; });
-  executor.Deliver(Millis(20), [this] { order += "a"; });
-  executor.Deliver(Millis(30), [this] { order += "a"; });
+  executor.DeliverAnswer(Millis(20), [this] { order += "a"; });
+  executor.DeliverAnswer(Millis(30), [this] { order += "a"; });
   time.Run(Millis(100));
   BOOST_TEST(order.empty());
   executor.Thaw();
@@ -31,7 +31,7 @@
   fakes::FakeExecutor other(time, 2);
   other.Schedule(Millis(50), [this] { order += "o"; });
   executor.Schedule(Millis(50), [this] { order += "s"; });
-  executor.PauseAtNow(2, Millis(200));
+  executor.PauseInNowCall(2, Millis(200));
   const Instant start = executor.Now();
   BOOST_TEST(order.empty());
   BOOST_TEST((executor.Now() - start == Millis(200)));
@@ -42,7 +42,7 @@
 
 BOOST_FIXTURE_TEST_CASE(Kill_WhileFrozen_NothingRunsAtThaw, Fixture) {
   executor.Freeze();
-  executor.Deliver(Millis(1), [this] { order += "a"; });
+  executor.DeliverAnswer(Millis(1), [this] { order += "a"; });
   time.Run(Millis(5));
   executor.Kill();
   executor.Thaw();
--- a/src/fakes/fakes.cpp
+++ b/src/fakes/fakes.cpp
@@ -20,11 +20,11 @@
 
 // --- Time -------------------------------------------------------------------
 
-int64_t VirtualTime::millis() const {
+int64_t VirtualTime::now_ms() const {
   return std::chrono::duration_cast<Millis>(now_.time_since_epoch()).count();
 }
 
-void VirtualTime::At(Instant time, std::function<void()> function) {
+void VirtualTime::RunAt(Instant time, std::function<void()> function) {
   queue_.push({std::max(time, now_), ++order_, std::move(function)});
 }
 
@@ -47,18 +47,19 @@
 }
 
 void FakeExecutor::Post(std::function<void()> function) {
-  time_.At(time_.now(),
-           [this, function = std::move(function)]() { Run(function); });
+  time_.RunAt(time_.now(),
+              [this, function = std::move(function)]() { Run(function); });
 }
 
 Executor::TimerId FakeExecutor::Schedule(Millis delay,
                                          std::function<void()> function) {
   const TimerId id = ++last_timer_;
-  time_.At(time_.now() + delay, [this, id, function = std::move(function)]() {
-    if (cancelled_.erase(id) == 0) {
-      Run(function);
-    }
-  });
+  time_.RunAt(time_.now() + delay,
+              [this, id, function = std::move(function)]() {
+                if (cancelled_.erase(id) == 0) {
+                  Run(function);
+                }
+              });
   return id;
 }
 
@@ -89,20 +90,20 @@
   return time_.now();
 }
 
-void FakeExecutor::PauseAtNow(int call, Millis pause) {
+void FakeExecutor::PauseInNowCall(int call, Millis pause) {
   calls_to_pause_ = call;
   pause_ = pause;
 }
 
-void FakeExecutor::Deliver(Millis delay, std::function<void()> function) {
-  time_.At(time_.now() + delay,
-           [this, function = std::move(function)]() mutable {
-             if (frozen_ && !dead_) {
-               deferred_answers_.push_back(std::move(function));
-             } else {
-               Run(std::move(function));
-             }
-           });
+void FakeExecutor::DeliverAnswer(Millis delay, std::function<void()> function) {
+  time_.RunAt(time_.now() + delay,
+              [this, function = std::move(function)]() mutable {
+                if (frozen_ && !dead_) {
+                  deferred_answers_.push_back(std::move(function));
+                } else {
+                  Run(std::move(function));
+                }
+              });
 }
 
 void FakeExecutor::Thaw() {
@@ -129,17 +130,17 @@
   Fault fault = fault_;
   if (changes) {
     ++writes_;
-    if (fault_writes_ == 0) {
+    if (faulty_writes_ == 0) {
       fault = Fault::kNone;
-    } else if (fault_writes_ > 0) {
-      --fault_writes_;
+    } else if (faulty_writes_ > 0) {
+      --faulty_writes_;
     }
-  } else if (fault_writes_ >= 0) {
+  } else if (faulty_writes_ >= 0) {
     fault = Fault::kNone;
   }
   const auto answer = [this, done](std::error_code error, T value,
                                    Millis after) {
-    time_.At(time_.now() + after, [this, done, error, value]() {
+    time_.RunAt(time_.now() + after, [this, done, error, value]() {
       executor_.Post([done, error, value]() { done(error, value); });
     });
   };
@@ -148,13 +149,13 @@
                                       : make_error_code(KvErrc::kUnavailable);
   switch (fault) {
     case Fault::kNone:
-      time_.At(time_.now() + kLatency, [effect, answer]() {
+      time_.RunAt(time_.now() + kLatency, [effect, answer]() {
         T value{};
         const std::error_code error = effect(&value);
         answer(error, value, kLatency);
       });
       return;
-    case Fault::kDown:
+    case Fault::kRefused:
       answer(KvErrc::kUnavailable, T{}, kLatency);
       return;
     case Fault::kAnswerLost: {
@@ -166,8 +167,8 @@
     case Fault::kRequestLost:
       answer(unclear, T{}, kTimeout);
       return;
-    case Fault::kLate:
-      time_.At(time_.now() + kLate, [effect]() {
+    case Fault::kDelayed:
+      time_.RunAt(time_.now() + kLate, [effect]() {
         T value{};
         effect(&value);
       });
@@ -180,7 +181,7 @@
   Run<KvEntry>(
       false,
       [this, key](KvEntry* out) {
-        return model_.Read(key, time_.millis(), out);
+        return model_.Read(key, time_.now_ms(), out);
       },
       done);
 }
@@ -190,7 +191,7 @@
   Run<std::vector<KvEntry>>(
       false,
       [this, prefix](std::vector<KvEntry>* out) {
-        *out = model_.List(prefix, time_.millis());
+        *out = model_.List(prefix, time_.now_ms());
         return std::error_code();
       },
       done);
@@ -200,7 +201,7 @@
   Run<int64_t>(
       true,
       [this, write](int64_t* out) {
-        return model_.Write(write, time_.millis(), out);
+        return model_.Write(write, time_.now_ms(), out);
       },
       done);
 }
@@ -211,7 +212,7 @@
   Run<int64_t>(
       true,
       [this, key, expected_version](int64_t*) {
-        return model_.Remove(key, expected_version, time_.millis());
+        return model_.Remove(key, expected_version, time_.now_ms());
       },
       done);
 }
@@ -220,7 +221,7 @@
   Run<int64_t>(
       false,
       [this, lifetime](int64_t* out) {
-        *out = model_.Grant(lifetime.count(), time_.millis());
+        *out = model_.GrantLease(lifetime.count(), time_.now_ms());
         return std::error_code();
       },
       done);
@@ -229,7 +230,9 @@
 void FakeKv::RenewLease(int64_t lease, Callback<int64_t> done) {
   Run<int64_t>(
       false,
-      [this, lease](int64_t*) { return model_.Renew(lease, time_.millis()); },
+      [this, lease](int64_t*) {
+        return model_.RenewLease(lease, time_.now_ms());
+      },
       done);
 }
 
@@ -243,10 +246,10 @@
   }
   auto look = std::make_shared<std::function<void(int)>>();
   *look = [this, prefix, after, done, look](int left) {
-    const bool news = model_.NewestUnder(prefix) > after;
+    const bool news = model_.HighestVersionUnder(prefix) > after;
     if (!news && left > 0 && fault_ == Fault::kNone) {
-      time_.At(time_.now() + kWatchPollInterval,
-               [look, left]() { (*look)(left - 1); });
+      time_.RunAt(time_.now() + kWatchPollInterval,
+                  [look, left]() { (*look)(left - 1); });
       return;
     }
     List(prefix, done);
@@ -263,37 +266,37 @@
     Callback<T> done) {
   const auto answer = [this, done](std::error_code error, T value,
                                    Millis after) {
-    time_.At(time_.now() + after, [this, done, error, value]() {
+    time_.RunAt(time_.now() + after, [this, done, error, value]() {
       executor_.Post([done, error, value]() { done(error, value); });
     });
   };
   const auto model = fleet_.find(worker.address);
   const Fault fault =
-      model == fleet_.end() ? Fault::kDown : faults_[worker.address];
+      model == fleet_.end() ? Fault::kRefused : faults_[worker.address];
   const std::error_code unreachable = WorkerErrc::kUnreachable;
   switch (fault) {
     case Fault::kNone:
-      time_.At(time_.now() + kLatency, [effect, answer, model]() {
+      time_.RunAt(time_.now() + kLatency, [effect, answer, model]() {
         T value{};
         const std::error_code error = effect(*model->second, &value);
         answer(error, value, kLatency);
       });
       return;
     case Fault::kAnswerLost:
-      time_.At(time_.now() + kLatency, [effect, model]() {
+      time_.RunAt(time_.now() + kLatency, [effect, model]() {
         T value{};
         effect(*model->second, &value);
       });
       answer(unreachable, T{}, kTimeout);
       return;
-    case Fault::kLate:
-      time_.At(time_.now() + kLate, [effect, model]() {
+    case Fault::kDelayed:
+      time_.RunAt(time_.now() + kLate, [effect, model]() {
         T value{};
         effect(*model->second, &value);
       });
       answer(unreachable, T{}, kTimeout);
       return;
-    case Fault::kDown:
+    case Fault::kRefused:
     case Fault::kRequestLost:
       answer(unreachable, T{}, kTimeout);
       return;
@@ -306,7 +309,7 @@
       worker,
       [this](standin::WorkerModel& model, WorkerInventory* out) {
         return model.Acquire(holder_, options_.control_lease.count(),
-                             options_.task_lease.count(), time_.millis(), out);
+                             options_.task_lease.count(), time_.now_ms(), out);
       },
       done);
 }
@@ -319,7 +322,7 @@
       worker,
       [this, epoch, orders = std::move(orders)](standin::WorkerModel& model,
                                                 WorkerAnswer* out) {
-        return model.Obey(epoch, orders, time_.millis(), out);
+        return model.ApplyOrders(epoch, orders, time_.now_ms(), out);
       },
       done);
 }
@@ -338,7 +341,9 @@
 
 // --- Peers ------------------------------------------------------------------
 
-void FakeNetwork::SetCut(const std::string& a, const std::string& b, bool cut) {
+void FakeNetwork::SetPartitioned(const std::string& a,
+                                 const std::string& b,
+                                 bool cut) {
   const auto pair = std::minmax(a, b);
   if (cut) {
     cuts_.insert(pair);
@@ -347,7 +352,8 @@
   }
 }
 
-bool FakeNetwork::IsCut(const std::string& a, const std::string& b) const {
+bool FakeNetwork::IsPartitioned(const std::string& a,
+                                const std::string& b) const {
   return cuts_.contains(std::minmax(a, b));
 }
 
@@ -388,30 +394,31 @@
   };
   const FakeNetwork::Node* found = network_.Find(address);
   const bool reachable = found != nullptr && !found->executor->dead() &&
-                         !network_.IsCut(address_, address);
+                         !network_.IsPartitioned(address_, address);
   if (!reachable) {
-    time_.At(time_.now() + kLatency,
-             [answer]() { answer(PeerErrc::kNotSent, PeerReply()); });
+    time_.RunAt(time_.now() + kLatency,
+                [answer]() { answer(PeerErrc::kNotSent, PeerReply()); });
     return;
   }
   // A copy, so that a later process at this address does not get the request.
   const FakeNetwork::Node node = *found;
-  time_.At(time_.now() + timeout,
-           [answer]() { answer(PeerErrc::kNoAnswer, PeerReply()); });
+  time_.RunAt(time_.now() + timeout,
+              [answer]() { answer(PeerErrc::kNoAnswer, PeerReply()); });
   const bool lose = !std::holds_alternative<Heartbeat>(request) &&
                     network_.ConsumeLostReply();
   const Millis way =
       network_.ConsumeDelayedPlacement(request) ? kLate : kLatency;
-  time_.At(time_.now() + way, [this, node, answer, lose, address,
-                               request = std::move(request)]() {
+  time_.RunAt(time_.now() + way, [this, node, answer, lose, address,
+                                  request = std::move(request)]() {
     node.executor->Post([this, node, answer, lose, address, request]() {
       node.service->Handle(
           request, [this, answer, lose, address](PeerReply reply) {
-            if (lose || network_.IsCut(address_, address)) {
+            if (lose || network_.IsPartitioned(address_, address)) {
               return;
             }
-            time_.At(time_.now() + kLatency,
-                     [answer, reply]() { answer(std::error_code(), reply); });
+            time_.RunAt(time_.now() + kLatency, [answer, reply]() {
+              answer(std::error_code(), reply);
+            });
           });
     });
   });
@@ -434,7 +441,7 @@
                     std::string_view component,
                     std::string_view message,
                     const Json& fields) {
-  trace_.push_back(std::to_string(time_.millis()) + " " + name_ + " " +
+  trace_.push_back(std::to_string(time_.now_ms()) + " " + name_ + " " +
                    std::string(level) + " " + std::string(component) + " " +
                    std::string(message) + " " + fields.dump());
 }
--- a/src/fakes/fakes.h
+++ b/src/fakes/fakes.h
@@ -30,8 +30,8 @@
 class VirtualTime {
  public:
   Instant now() const { return now_; }
-  int64_t millis() const;
-  void At(Instant time, std::function<void()> function);
+  int64_t now_ms() const;
+  void RunAt(Instant time, std::function<void()> function);
   /// Advances the clock by `duration` and runs all functions due by then.
   void Run(Millis duration);
   /// Runs the next function; returns false if none is due by `limit`.
@@ -68,12 +68,12 @@
   /// Delivers an answer over a socket after `delay`. Answers that arrive while
   /// the process is frozen are handled at `Thaw`, before its timers, in an
   /// order drawn from the seed.
-  void Deliver(Millis delay, std::function<void()> function);
+  void DeliverAnswer(Millis delay, std::function<void()> function);
   /// Defers all functions until `Thaw`.
   void Freeze() { frozen_ = true; }
   /// Pauses the process for `pause` within its `call`th call of `Now` from here
   /// on, in the middle of a function. Other processes run meanwhile.
-  void PauseAtNow(int call, Millis pause);
+  void PauseInNowCall(int call, Millis pause);
   void Thaw();
   /// Drops all pending and future functions.
   void Kill() { dead_ = true; }
@@ -101,13 +101,13 @@
 enum class Fault {
   kNone,
   /// Refused before it has any effect.
-  kDown,
+  kRefused,
   /// Takes effect; the answer is lost.
   kAnswerLost,
   /// Does not arrive; the caller cannot tell.
   kRequestLost,
   /// Arrives long after the caller timed out.
-  kLate,
+  kDelayed,
 };
 
 /// One instance's access to the key-value store.
@@ -132,7 +132,7 @@
   void set_fault(Fault fault) { fault_ = fault; }
   /// Limits the fault to the next `count` writes and no reads; -1 applies it to
   /// all calls without a limit.
-  void set_fault_writes(int count) { fault_writes_ = count; }
+  void set_faulty_writes(int count) { faulty_writes_ = count; }
   int64_t writes() const { return writes_; }
 
  private:
@@ -145,7 +145,7 @@
   Executor& executor_;
   standin::KvModel& model_;
   Fault fault_ = Fault::kNone;
-  int fault_writes_ = -1;
+  int faulty_writes_ = -1;
   int64_t writes_ = 0;
 };
 
@@ -205,10 +205,10 @@
 
   void Attach(const std::string& address, Node node) { nodes_[address] = node; }
   /// Partitions or reconnects two addresses, in both directions.
-  void SetCut(const std::string& a, const std::string& b, bool cut);
-  bool IsCut(const std::string& a, const std::string& b) const;
+  void SetPartitioned(const std::string& a, const std::string& b, bool cut);
+  bool IsPartitioned(const std::string& a, const std::string& b) const;
   /// Drops the next `count` replies.
-  void LoseReplies(int count) { lose_replies_ = count; }
+  void DropReplies(int count) { lose_replies_ = count; }
   bool ConsumeLostReply();
   /// Delays the next `count` placement requests far beyond their time-out.
   void DelayPlacements(int count) { delay_placements_ = count; }
--- a/src/fakes/world.cpp
+++ b/src/fakes/world.cpp
@@ -35,7 +35,7 @@
       info.labels = {{"worker", info.id}};
       list_.push_back(info);
       fleet_[info.id] = std::make_shared<standin::WorkerModel>(
-          info.id, options.capacity, options.fences,
+          info.id, options.capacity, options.workers_check_epoch,
           [this](const standin::WorkerEvent& event) { OnEvent(event); });
     }
   }
@@ -88,7 +88,7 @@
 }
 
 void World::Kill(const std::string& id) {
-  At(id).executor->Kill();
+  EntryOf(id).executor->Kill();
   killed_entries_.push_back(std::move(entries_.at(id)));
   entries_.erase(id);
 }
@@ -109,7 +109,7 @@
   std::erase_if(list_, [&](const InstanceInfo& info) { return info.id == id; });
 }
 
-void World::SetLeaving(const std::string& id) {
+void World::MarkLeaving(const std::string& id) {
   for (InstanceInfo& info : list_) {
     info.leaving = info.leaving || info.id == id;
   }
@@ -131,7 +131,7 @@
                              const std::string& method,
                              const Json& body) {
   auto reply = std::make_shared<std::optional<OperatorReply>>();
-  Entry& entry = At(id);
+  Entry& entry = EntryOf(id);
   Instance* instance = entry.instance.get();
   entry.executor->Post([instance, method, body, reply]() {
     instance->HandleOperatorCall(
@@ -162,23 +162,23 @@
   const OperatorReply reply = Operate(id, "submit", {{"manifest", manifest}});
   const Json body = Json::parse(reply.body);
   if (reply.status != 200) {
-    refusals_.push_back(reply.body);
+    rejections_.push_back(reply.body);
   }
   return body.value("id", "");
 }
 
-Json World::Job(const std::string& id, const std::string& job) {
+Json World::JobStatus(const std::string& id, const std::string& job) {
   return Json::parse(Operate(id, "job.show", {{"id", job}}).body);
 }
 
-std::string World::Phase(const std::string& id, const std::string& job) {
-  return Job(id, job).value("phase", "");
+std::string World::JobPhase(const std::string& id, const std::string& job) {
+  return JobStatus(id, job).value("phase", "");
 }
 
 void World::OnEvent(const standin::WorkerEvent& event) {
   constexpr const char* kKinds[] = {"acquired", "released", "start", "end"};
   events_.push_back(event);
-  trace_.push_back(std::to_string(time_.millis()) + " " + event.worker + " " +
+  trace_.push_back(std::to_string(time_.now_ms()) + " " + event.worker + " " +
                    kKinds[static_cast<int>(event.kind)] + " " + event.holder +
                    " " + ToString(event.task) + " " + ToString(event.attempt) +
                    " " + std::string(ToString(event.end)));
@@ -191,7 +191,7 @@
     // others first, or a run whose lease has expired counts as running.
     for (auto& [name, model] : fleet_) {
       if (name != event.worker) {
-        model->Tick(time_.millis());
+        model->Tick(time_.now_ms());
       }
     }
     const auto [item, first] =
@@ -207,12 +207,12 @@
 
 const std::vector<std::string>& World::violations() {
   for (auto& [name, model] : fleet_) {
-    model->Tick(time_.millis());
+    model->Tick(time_.now_ms());
   }
   return violations_;
 }
 
-int World::Starts(const std::string& task_name) const {
+int World::StartCount(const std::string& task_name) const {
   return static_cast<int>(
       std::count_if(events_.begin(), events_.end(), [&](const auto& event) {
         return event.kind == standin::WorkerEventKind::kStart &&
@@ -220,7 +220,7 @@
       }));
 }
 
-int World::Successes(const std::string& task_name) const {
+int World::SuccessCount(const std::string& task_name) const {
   return static_cast<int>(
       std::count_if(events_.begin(), events_.end(), [&](const auto& event) {
         return event.kind == standin::WorkerEventKind::kEnd &&
@@ -229,7 +229,7 @@
       }));
 }
 
-std::string World::HolderOf(const std::string& worker) const {
+std::string World::LeaseHolderOf(const std::string& worker) const {
   std::string holder;
   for (const auto& event : events_) {
     if (event.kind == standin::WorkerEventKind::kAcquired &&
--- a/src/fakes/world.h
+++ b/src/fakes/world.h
@@ -20,7 +20,7 @@
   std::vector<std::string> data_centres = {"plaka"};
   int entries = 2;
   int workers = 3;
-  bool fences = true;
+  bool workers_check_epoch = true;
   uint64_t seed = 1;
   Resources capacity{4000, 8192, 1};
 };
@@ -48,15 +48,15 @@
   void StartAll();
   /// Ends the process at once, like SIGKILL.
   void Kill(const std::string& id);
-  void Freeze(const std::string& id) { At(id).executor->Freeze(); }
-  void Thaw(const std::string& id) { At(id).executor->Thaw(); }
+  void Freeze(const std::string& id) { EntryOf(id).executor->Freeze(); }
+  void Thaw(const std::string& id) { EntryOf(id).executor->Thaw(); }
   void SetKvFault(Fault fault);
   /// Sets the fault injected into all instances' calls to one worker.
   void SetWorkerFault(const std::string& worker, Fault fault);
   /// Removes an instance or worker from the platform's list, or marks it as
   /// leaving there.
   void RemoveFromList(const std::string& id);
-  void SetLeaving(const std::string& id);
+  void MarkLeaving(const std::string& id);
 
   void Run(Millis duration) { time_.Run(duration); }
   /// Runs until `condition` holds; returns false if it does not within `limit`.
@@ -73,11 +73,11 @@
                      int count,
                      const std::string& payload,
                      const std::string& more = "");
-  Json Job(const std::string& id, const std::string& job);
-  std::string Phase(const std::string& id, const std::string& job);
+  Json JobStatus(const std::string& id, const std::string& job);
+  std::string JobPhase(const std::string& id, const std::string& job);
 
-  bool Has(const std::string& id) const { return entries_.contains(id); }
-  Entry& At(const std::string& id) { return *entries_.at(id); }
+  bool IsRunning(const std::string& id) const { return entries_.contains(id); }
+  Entry& EntryOf(const std::string& id) { return *entries_.at(id); }
   FakeNetwork& network() { return network_; }
   VirtualTime& time() { return time_; }
   standin::KvModel& store() { return kv_; }
@@ -89,11 +89,11 @@
   const std::vector<std::string>& violations();
   const std::vector<standin::WorkerEvent>& events() const { return events_; }
   /// Reply bodies of refused submissions.
-  const std::vector<std::string>& refusals() const { return refusals_; }
-  int Starts(const std::string& task_name) const;
-  int Successes(const std::string& task_name) const;
+  const std::vector<std::string>& rejections() const { return rejections_; }
+  int StartCount(const std::string& task_name) const;
+  int SuccessCount(const std::string& task_name) const;
   /// The instance to which the worker last granted its lease.
-  std::string HolderOf(const std::string& worker) const;
+  std::string LeaseHolderOf(const std::string& worker) const;
 
  private:
   void OnEvent(const standin::WorkerEvent& event);
@@ -112,7 +112,7 @@
   std::vector<standin::WorkerEvent> events_;
   std::map<TaskId, std::string> running_;
   std::vector<std::string> violations_;
-  std::vector<std::string> refusals_;
+  std::vector<std::string> rejections_;
   Trace trace_;
 };
 
--- a/src/libdoorwood/cell/cell_address_test.cpp
+++ b/src/libdoorwood/cell/cell_address_test.cpp
@@ -34,7 +34,7 @@
     world.Submit(plan);
     world.Run(Millis(1500));
     for (const auto& [id, worker] : world.workers()) {
-      if (worker->model.Runs(kTask)) {
+      if (worker->model.IsRunning(kTask)) {
         return id;
       }
     }
@@ -42,13 +42,13 @@
   }
   void PartitionAllFrom(const std::string& worker) {
     for (auto& [name, instance] : world.instances()) {
-      instance->cut_from.insert(worker);
+      instance->unreachable_workers.insert(worker);
     }
   }
   size_t Running() {
     size_t running = 0;
     for (const auto& [id, worker] : world.workers()) {
-      running += worker->model.running();
+      running += worker->model.running_count();
     }
     return running;
   }
@@ -80,7 +80,7 @@
     }
     fixture.world.Run(Millis(20'000));
     BOOST_TEST_CONTEXT(row.name) {
-      BOOST_TEST(fixture.world.broken().empty());
+      BOOST_TEST(fixture.world.violations().empty());
       BOOST_TEST(fixture.Running() == 1U);
       // Only a worker that no instance reaches is declared lost, once its lease
       // has expired.
@@ -108,7 +108,7 @@
   fixture.PartitionAllFrom(runner);
   fixture.world.Kill(fixture.world.Leader()->name);
   fixture.world.Run(Millis(20'000));
-  BOOST_TEST(fixture.world.broken().empty());
+  BOOST_TEST(fixture.world.violations().empty());
   BOOST_TEST(fixture.Running() == 1U);
 }
 
@@ -123,7 +123,7 @@
   fixture.world.CrashWorker(runner);
   BOOST_REQUIRE(fixture.world.WaitForLeader() != nullptr);
   fixture.world.Run(kRestartBound);
-  BOOST_TEST(fixture.world.broken().empty());
+  BOOST_TEST(fixture.world.violations().empty());
   BOOST_TEST(fixture.Running() == 1U);
 }
 
--- a/src/libdoorwood/cell/cell_campaign_test.cpp
+++ b/src/libdoorwood/cell/cell_campaign_test.cpp
@@ -49,7 +49,7 @@
   for (int seed = 1; seed <= LargeSiteFixture::kSeeds; ++seed) {
     LargeSiteFixture fixture(seed);
     for (auto& [name, instance] : fixture.world.instances()) {
-      fixture.world.store().Revoke(*instance->live->lease());
+      fixture.world.store().DropLeaseKeys(*instance->live->lease());
     }
     fixture.world.Run(Millis(4000));
     BOOST_TEST_CONTEXT("seed " << seed) {
--- a/src/libdoorwood/cell/cell_closed_test.cpp
+++ b/src/libdoorwood/cell/cell_closed_test.cpp
@@ -28,7 +28,7 @@
     world.Run(Millis(1000));
   }
   ~ClosedFixture() {
-    for (const std::string& rule : world.broken()) {
+    for (const std::string& rule : world.violations()) {
       BOOST_ERROR(rule);
     }
   }
@@ -46,7 +46,7 @@
     size_t running = 0;
     for (const auto& [id, worker] : world.workers()) {
       running += worker->incarnation.data_centre == centre
-                     ? worker->model.running()
+                     ? worker->model.running_count()
                      : 0;
     }
     return running;
@@ -65,7 +65,7 @@
 
 BOOST_FIXTURE_TEST_CASE(DataCentre_Closed_GetsNoNewWorkAndTheOthersDo,
                         ClosedFixture) {
-  world.closed() = {"plaka"};
+  world.closed_data_centres() = {"plaka"};
   world.Run(kClosingTime);
   Submit(1, 24, "ms=60000");
   world.Run(Millis(1000));
@@ -77,7 +77,7 @@
   Submit(1, 6, "");
   world.Run(Millis(500));
   const size_t before = RunningIn("plaka");
-  world.closed() = {"plaka", "kerameikos", "pireas"};
+  world.closed_data_centres() = {"plaka", "kerameikos", "pireas"};
   world.Run(Millis(4000));
   BOOST_TEST(RunningIn("plaka") == before);
 }
@@ -89,7 +89,7 @@
   world.Run(Millis(500));
   const std::string centre = RunningIn("plaka") > 0 ? "plaka" : "pireas";
   BOOST_REQUIRE(RunningIn(centre) > 0U);
-  world.closed() = {centre};
+  world.closed_data_centres() = {centre};
   world.Run(kClosingTime);
   world.CrashWorker(centre + "1");
   world.CrashWorker(centre + "2");
@@ -98,27 +98,27 @@
   BOOST_TEST(RunningIn(centre) == 0U);
   size_t running = 0;
   for (const auto& [id, worker] : world.workers()) {
-    running += worker->model.running();
+    running += worker->model.running_count();
   }
   BOOST_TEST(running == 28U);
 }
 
 BOOST_FIXTURE_TEST_CASE(DataCentre_Reopened_GetsWorkAgain, ClosedFixture) {
-  world.closed() = {"plaka"};
+  world.closed_data_centres() = {"plaka"};
   world.Run(Millis(3000));
   Submit(1, 48, "ms=60000");
   world.Run(Millis(500));
   BOOST_TEST(RunningIn("plaka") == 0U);
-  world.closed().clear();
+  world.closed_data_centres().clear();
   world.Run(Millis(2000));
   BOOST_TEST(RunningIn("plaka") == 16U);
 }
 
 BOOST_FIXTURE_TEST_CASE(DataCentre_ClosedAndReopenedWithinASecond_GetsWork,
                         ClosedFixture) {
-  world.closed() = {"plaka"};
+  world.closed_data_centres() = {"plaka"};
   world.Run(Millis(400));
-  world.closed().clear();
+  world.closed_data_centres().clear();
   world.Run(Millis(2000));
   Submit(1, 48, "ms=60000");
   world.Run(Millis(1000));
@@ -132,7 +132,7 @@
   Submit(2, 30, "ms=60000");
   world.Run(Millis(500));
   world.Kill(world.Leader()->name);
-  world.closed() = {"pireas"};
+  world.closed_data_centres() = {"pireas"};
   for (const char* worker : {"pireas1", "pireas2"}) {
     world.CrashWorker(worker);
   }
@@ -146,10 +146,10 @@
 
 BOOST_FIXTURE_TEST_CASE(DataCentres_AllClosed_JobsAreRefusedAtOnce,
                         ClosedFixture) {
-  world.closed() = {"plaka", "kerameikos", "pireas"};
+  world.closed_data_centres() = {"plaka", "kerameikos", "pireas"};
   world.Run(kClosingTime);
   BOOST_TEST(Refusal(1) == make_error_code(CoreErrc::kNoCapacity));
-  world.closed() = {"plaka", "kerameikos"};
+  world.closed_data_centres() = {"plaka", "kerameikos"};
   world.Run(kClosingTime);
   BOOST_TEST(Refusal(2) == std::error_code());
 }
--- a/src/libdoorwood/cell/cell_concluded_silence_test.cpp
+++ b/src/libdoorwood/cell/cell_concluded_silence_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using fakes::CellWorld;
-using fakes::RunnerOf;
+using fakes::WorkerRunning;
 using fakes::WorldInstance;
 
 constexpr char kJob[] = "00112233aabbccdd";
@@ -33,28 +33,28 @@
       world.SetTable({fakes::MakeQueue("queue", 4)});
       world.AddWorker("silent", 4000);
       for (const char* name : {"a1", "b1", "c1"}) {
-        world.AddInstance(name, fakes::LeadTrial::CentreOf(name));
+        world.AddInstance(name, fakes::LeaderSuccession::DataCentreOf(name));
       }
       WorldInstance* first = world.WaitForLeader();
       world.Run(Millis(1000));
-      BOOST_REQUIRE(world.Submit(fakes::LeadTrial::Plan(kJob, 1)));
+      BOOST_REQUIRE(world.Submit(fakes::LeaderSuccession::Plan(kJob, 1)));
       world.AddWorker("heard", 8000);
       JobPlan large = fakes::MakePlan(kWaitingJob, 1, 1, "");
       large.steps[0].size.cpu_millis = 12'000;
       BOOST_REQUIRE(world.Submit(large));
       world.Run(Millis(1000));
-      BOOST_REQUIRE(world.workers().at("silent")->model.running() == 1U);
-      fakes::CutAllFrom(world, "silent");
+      BOOST_REQUIRE(world.workers().at("silent")->model.running_count() == 1U);
+      fakes::PartitionAllFrom(world, "silent");
       world.Run(Millis(unresponsive_ms));
-      BOOST_TEST(RunnerOf(world, std::string(kJob) + ".0.0.0") == "heard");
+      BOOST_TEST(WorkerRunning(world, std::string(kJob) + ".0.0.0") == "heard");
       world.Kill(first->name);
       world.AddWorker("large", 16'000);
       world.Run(kStartBound);
       BOOST_TEST_CONTEXT("unresponsive for " << unresponsive_ms << ", seed "
                                              << seed) {
-        BOOST_TEST(RunnerOf(world, std::string(kWaitingJob) + ".0.0.0") ==
+        BOOST_TEST(WorkerRunning(world, std::string(kWaitingJob) + ".0.0.0") ==
                    "large");
-        BOOST_TEST(world.broken().empty());
+        BOOST_TEST(world.violations().empty());
       }
     }
   }
--- a/src/libdoorwood/cell/cell_crashing_task_test.cpp
+++ b/src/libdoorwood/cell/cell_crashing_task_test.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 using fakes::CellWorld;
-using fakes::kCellJob;
+using fakes::kFixtureJob;
 
 constexpr int kSeeds = 8;
 constexpr char kHealthyJob[] = "5555555555555555";
@@ -35,7 +35,7 @@
     world.Run(Millis(1000));
   }
   ~CrashFixture() {
-    for (const std::string& rule : world.broken()) {
+    for (const std::string& rule : world.violations()) {
       BOOST_ERROR(rule);
     }
   }
@@ -62,13 +62,13 @@
       }
     }
     for (const std::string& id : half) {
-      world.CrashAndReturn(id);
+      world.CrashAndRestart(id);
     }
   }
   size_t RunningTasks() {
     size_t running = 0;
     for (const auto& [id, worker] : world.workers()) {
-      running += worker->model.running();
+      running += worker->model.running_count();
     }
     return running;
   }
@@ -92,9 +92,10 @@
     BOOST_TEST_CONTEXT("seed " << seed) {
       CrashFixture fixture(seed);
       fixture.SubmitLongRunning(8);
-      fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 1, "ms=300 crashes="));
+      fixture.world.Submit(
+          fakes::MakePlan(kFixtureJob, 1, 1, "ms=300 crashes="));
       fixture.world.Run(Millis(60'000));
-      BOOST_TEST(fixture.StateOf(kCellJob) == "failed");
+      BOOST_TEST(fixture.StateOf(kFixtureJob) == "failed");
       BOOST_TEST(fixture.StateOf(kHealthyJob) == "running");
     }
   }
@@ -106,12 +107,13 @@
     BOOST_TEST_CONTEXT("seed " << seed) {
       CrashFixture fixture(seed);
       fixture.SubmitLongRunning(8);
-      fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 1, "ms=300 crashes="));
+      fixture.world.Submit(
+          fakes::MakePlan(kFixtureJob, 1, 1, "ms=300 crashes="));
       for (int i = 0; i < 10; ++i) {
         fixture.world.Run(Millis(5000 + 500 * i));
         fixture.RestartLeader();
       }
-      BOOST_TEST(fixture.StateOf(kCellJob) == "failed");
+      BOOST_TEST(fixture.StateOf(kFixtureJob) == "failed");
       BOOST_TEST(fixture.StateOf(kHealthyJob) == "running");
     }
   }
@@ -123,7 +125,8 @@
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       CrashFixture fixture(seed, /*workers=*/4);
-      fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 1, "ms=300 crashes="));
+      fixture.world.Submit(
+          fakes::MakePlan(kFixtureJob, 1, 1, "ms=300 crashes="));
       std::vector<std::string> healthy_jobs;
       for (int i = 0; i < 40; ++i) {
         healthy_jobs.push_back("00000000000000" + std::to_string(10 + i));
@@ -132,7 +135,7 @@
         fixture.world.Run(Millis(150));
       }
       fixture.world.Run(Millis(60'000));
-      BOOST_TEST(fixture.StateOf(kCellJob) == "failed");
+      BOOST_TEST(fixture.StateOf(kFixtureJob) == "failed");
       for (const std::string& job : healthy_jobs) {
         BOOST_TEST(fixture.StateOf(job) == "completed");
       }
@@ -160,7 +163,7 @@
     {"as soon as it starts", "ms=300 crashes= crashes_after=1", 1, nullptr,
      nullptr},
     {"addresses are not reused", "ms=300 crashes=", 1, nullptr,
-     [](CellWorld* world) { world->KeepAddressesFree(); }},
+     [](CellWorld* world) { world->DisableAddressReuse(); }},
     {"entries name no machine", "ms=300 crashes=", 1, nullptr,
      [](CellWorld* world) {
        for (const auto& [id, worker] : world->workers()) {
@@ -180,7 +183,7 @@
           row.world(&fixture.world);
         }
         fixture.SubmitLongRunning(8);
-        JobPlan plan = fakes::MakePlan(kCellJob, 1, row.count, row.payload);
+        JobPlan plan = fakes::MakePlan(kFixtureJob, 1, row.count, row.payload);
         if (row.shape != nullptr) {
           row.shape(&plan.steps[0]);
         }
@@ -193,7 +196,7 @@
           fixture.world.Run(Millis(500));
         }
         fixture.world.Run(Millis(60'000));
-        BOOST_TEST(fixture.StateOf(kCellJob) == "failed");
+        BOOST_TEST(fixture.StateOf(kFixtureJob) == "failed");
         BOOST_TEST(fixture.StateOf(kHealthyJob) == "running");
         for (const std::string& job : healthy_jobs) {
           BOOST_TEST(fixture.StateOf(job) == "completed");
@@ -270,17 +273,19 @@
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       CrashFixture fixture(seed);
-      fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 1, "ms=300 crashes="));
+      fixture.world.Submit(
+          fakes::MakePlan(kFixtureJob, 1, 1, "ms=300 crashes="));
       for (auto& [name, instance] : fixture.world.instances()) {
-        instance->store_faults.down = true;
+        instance->store_faults.unavailable = true;
       }
       fixture.world.Run(Millis(20'000));
-      BOOST_TEST(fixture.world.starts(std::string(kCellJob) + ".0.0.0") == 1);
+      BOOST_TEST(fixture.world.starts(std::string(kFixtureJob) + ".0.0.0") ==
+                 1);
       for (auto& [name, instance] : fixture.world.instances()) {
-        instance->store_faults.down = false;
+        instance->store_faults.unavailable = false;
       }
       fixture.world.Run(Millis(40'000));
-      BOOST_TEST(fixture.StateOf(kCellJob) == "failed");
+      BOOST_TEST(fixture.StateOf(kFixtureJob) == "failed");
     }
   }
 }
@@ -324,7 +329,7 @@
                                  int poll_ms = 50) {
   constexpr int kLongestWait = 10'000;
   fixture->SubmitLongRunning(8);
-  fixture->world.Submit(fakes::MakePlan(kCellJob, 1, 1, "ms=300 crashes="));
+  fixture->world.Submit(fakes::MakePlan(kFixtureJob, 1, 1, "ms=300 crashes="));
   for (int i = 0; i < 8; ++i) {
     const int before = fixture->world.crashes();
     for (int waited = 0;
@@ -336,7 +341,7 @@
     fixture->RestartLeader();
   }
   fixture->world.Run(Millis(20'000));
-  BOOST_TEST(fixture->StateOf(kCellJob) == "failed");
+  BOOST_TEST(fixture->StateOf(kFixtureJob) == "failed");
   BOOST_TEST(fixture->StateOf(kHealthyJob) == "running");
 }
 
@@ -371,7 +376,7 @@
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
       BOOST_TEST_CONTEXT("after " << delay_ms << ", seed " << seed) {
         CrashFixture fixture(seed);
-        fixture.world.KeepCrashedSilent();
+        fixture.world.TimeOutCallsToCrashedWorkers();
         RestartLeaderAfterEachCrash(&fixture, delay_ms);
       }
     }
@@ -384,7 +389,7 @@
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       CrashFixture fixture(seed);
-      fixture.world.KeepCrashedSilent();
+      fixture.world.TimeOutCallsToCrashedWorkers();
       fixture.SubmitLongRunning(8);
       std::vector<std::string> healthy_jobs;
       int crashed = 0;
@@ -402,7 +407,7 @@
               tasks.begin(), tasks.end(),
               [](const auto& task) { return task.starts_with(kHealthyJob); });
           if (worker->up && tasks.size() > 1 && !runs_long_task) {
-            fixture.world.CrashAndReturn(id);
+            fixture.world.CrashAndRestart(id);
             ++crashed;
             break;
           }
@@ -429,11 +434,11 @@
       fixture.world.Submit(
           fakes::MakePlan("0000000000000011", 1, 300, "ms=700"));
       fixture.world.Submit(
-          fakes::MakePlan(kCellJob, 1, 200, "ms=700 crashes=.0.0.7"));
+          fakes::MakePlan(kFixtureJob, 1, 200, "ms=700 crashes=.0.0.7"));
       fixture.world.Run(Millis(60'000));
-      BOOST_TEST(fixture.StateOf(kCellJob) == "failed");
+      BOOST_TEST(fixture.StateOf(kFixtureJob) == "failed");
       BOOST_TEST(fixture.world.crashes() > 1);
-      BOOST_TEST(fixture.world.crowded_crashes() <= 1);
+      BOOST_TEST(fixture.world.crashes_after_several_starts() <= 1);
     }
   }
 }
--- a/src/libdoorwood/cell/cell_doubt_test.cpp
+++ b/src/libdoorwood/cell/cell_doubt_test.cpp
@@ -16,25 +16,25 @@
 namespace doorwood {
 namespace {
 
-using fakes::CutLeaderFixture;
-using fakes::kLastingJob;
+using fakes::kLongRunningJob;
+using fakes::PartitionedLeaderFixture;
 
 // The worker becomes unresponsive to the old leader 0 to 6 s before that leader
 // is partitioned. The successor reaches the worker, adopts the runs there and
 // extends their lease.
 BOOST_AUTO_TEST_CASE(PartitionedLeader_SuccessorHoldsTheWorker_StartsNothing) {
   for (int before = 0; before <= 6000; before += 500) {
-    CutLeaderFixture fixture;
-    fixture.old->cut_from.insert("shared");
+    PartitionedLeaderFixture fixture;
+    fixture.old_leader->unreachable_workers.insert("shared");
     fixture.world.Run(Millis(before));
-    fixture.CutOldLeader();
+    fixture.PartitionOldLeader();
     fixture.world.Run(Millis(14'000));
-    fixture.ExpectNothingBroken("unresponsive for " + std::to_string(before));
-    fixture.Heal();
+    fixture.ExpectNoViolations("unresponsive for " + std::to_string(before));
+    fixture.HealPartition();
     fixture.world.Run(Millis(8000));
-    fixture.ExpectNothingBroken("healed, " + std::to_string(before));
+    fixture.ExpectNoViolations("healed, " + std::to_string(before));
     for (const char* task : {".0.0.0", ".0.0.1"}) {
-      BOOST_TEST(fixture.Runs(kLastingJob + std::string(task)));
+      BOOST_TEST(fixture.Runs(kLongRunningJob + std::string(task)));
     }
   }
 }
@@ -45,15 +45,15 @@
 BOOST_AUTO_TEST_CASE(
     PartitionedLeader_SharedWorkerCrashes_OneLeaderStartsAgain) {
   for (int after = 0; after <= 6000; after += 250) {
-    CutLeaderFixture fixture;
-    fixture.CutOldLeader();
-    fixture.old->cut_from.insert("shared");
+    PartitionedLeaderFixture fixture;
+    fixture.PartitionOldLeader();
+    fixture.old_leader->unreachable_workers.insert("shared");
     fixture.world.AddWorker("far", 8000);
-    fixture.old->cut_from.insert("far");
+    fixture.old_leader->unreachable_workers.insert("far");
     fixture.world.Run(Millis(after));
     fixture.world.CrashWorker("shared");
     fixture.world.Run(Millis(14'000));
-    fixture.ExpectNothingBroken("crash after " + std::to_string(after));
+    fixture.ExpectNoViolations("crash after " + std::to_string(after));
   }
 }
 
@@ -61,58 +61,58 @@
 // unresponsive worker have ended.
 BOOST_FIXTURE_TEST_CASE(
     LeaseIsCertain_WorkerUnresponsiveForItsLease_StartsElsewhere,
-    CutLeaderFixture) {
+    PartitionedLeaderFixture) {
   for (const auto& [name, instance] : world.instances()) {
-    instance->cut_from.insert("shared");
+    instance->unreachable_workers.insert("shared");
   }
   world.Run(Millis(9000));
-  BOOST_TEST(world.workers().at("near")->model.Runs(std::string(kLastingJob) +
-                                                    ".0.0.0"));
-  ExpectNothingBroken("certain of its lease");
+  BOOST_TEST(world.workers().at("near")->model.IsRunning(
+      std::string(kLongRunningJob) + ".0.0.0"));
+  ExpectNoViolations("certain of its lease");
 }
 
 // During a store outage for all instances an unresponsive worker proves
 // nothing. The time counts at once when the lease turns out to have been kept.
 BOOST_FIXTURE_TEST_CASE(Store_DownForAllAndWorkerCrashes_TasksRestartWithStore,
-                        CutLeaderFixture) {
+                        PartitionedLeaderFixture) {
   for (const auto& [name, instance] : world.instances()) {
-    instance->store_faults.down = true;
+    instance->store_faults.unavailable = true;
   }
   world.Run(Millis(1000));
   world.CrashWorker("shared");
   world.Run(Millis(6000));
   for (const auto& [name, instance] : world.instances()) {
-    instance->store_faults.down = false;
+    instance->store_faults.unavailable = false;
   }
   world.Run(Millis(6000));
-  BOOST_TEST(world.workers().at("near")->model.Runs(std::string(kLastingJob) +
-                                                    ".0.0.0"));
-  ExpectNothingBroken("store down");
+  BOOST_TEST(world.workers().at("near")->model.IsRunning(
+      std::string(kLongRunningJob) + ".0.0.0"));
+  ExpectNoViolations("store down");
 }
 
 // Two takeovers while a worker that is gone for good may still hold runs: the
 // second successor continues the first one's wait instead of starting a new
 // one.
 BOOST_FIXTURE_TEST_CASE(Successor_WorkerIsGoneForTwoLeaders_WaitIsContinued,
-                        CutLeaderFixture) {
+                        PartitionedLeaderFixture) {
   world.AddInstance("d1", "plaka");
   world.AddInstance("e1", "pireas");
   world.Run(Millis(1000));
   for (const auto& [name, instance] : world.instances()) {
-    instance->cut_from.insert("shared");
+    instance->unreachable_workers.insert("shared");
   }
   world.workers().at("shared")->listed = false;
-  world.Kill(old->name);
+  world.Kill(old_leader->name);
   BOOST_REQUIRE(world.WaitForLeader() != nullptr);
   world.Run(Millis(6000));
   world.Kill(world.Leader()->name);
   BOOST_REQUIRE(world.WaitForLeader() != nullptr);
   world.Run(Millis(5000));
   for (const char* task : {".0.0.0", ".0.0.1"}) {
-    BOOST_TEST(world.workers().at("near")->model.Runs(kLastingJob +
-                                                      std::string(task)));
+    BOOST_TEST(world.workers().at("near")->model.IsRunning(kLongRunningJob +
+                                                           std::string(task)));
   }
-  ExpectNothingBroken("wait continued");
+  ExpectNoViolations("wait continued");
 }
 
 // The first successor reaches the worker after 1 to 5.5 s, extends the lease of
@@ -144,13 +144,13 @@
 
 BOOST_AUTO_TEST_CASE(Successor_WorkerIsContactedAndLost_NothingRunsTwice) {
   for (const ContactedAndLost& row : ContactedAndLostRows()) {
-    CutLeaderFixture fixture;
+    PartitionedLeaderFixture fixture;
     fakes::CellWorld& world = fixture.world;
     world.AddInstance("d1", "plaka");
     world.AddInstance("e1", "pireas");
     world.Run(Millis(1000));
     const auto end_leader = [&](fakes::WorldInstance* leader) {
-      if (row.planned_shutdown && !leader->store_faults.silent) {
+      if (row.planned_shutdown && !leader->store_faults.unresponsive) {
         leader->live->AnnounceLeaving();
         leader->cell->ShutDown([] {});
         world.Run(Millis(300));
@@ -160,22 +160,22 @@
     };
     const auto partition_worker = [&] {
       for (const auto& [name, instance] : world.instances()) {
-        instance->cut_from.insert("shared");
+        instance->unreachable_workers.insert("shared");
       }
     };
     partition_worker();
-    end_leader(fixture.old);
+    end_leader(fixture.old_leader);
     BOOST_REQUIRE(world.WaitForLeader() != nullptr);
     fakes::WorldInstance* first = world.Leader();
     world.Run(Millis(row.not_contacted_ms));
-    first->store_faults.silent = row.store_unreachable;
-    first->cut_from.clear();
+    first->store_faults.unresponsive = row.store_unreachable;
+    first->unreachable_workers.clear();
     world.Run(Millis(row.contacted_ms));
     partition_worker();
     end_leader(first);
     world.Run(Millis(16'000));
     for (const auto& [name, instance] : world.instances()) {
-      instance->cut_from.clear();
+      instance->unreachable_workers.clear();
     }
     world.Run(Millis(3000));
     const std::string context =
@@ -183,8 +183,8 @@
         std::to_string(row.contacted_ms) +
         (row.planned_shutdown ? " planned shutdown" : "") +
         (row.store_unreachable ? " store unreachable" : "");
-    fixture.ExpectNothingBroken(context);
-    BOOST_TEST(fixture.Runs(std::string(kLastingJob) + ".0.0.0"), context);
+    fixture.ExpectNoViolations(context);
+    BOOST_TEST(fixture.Runs(std::string(kLongRunningJob) + ".0.0.0"), context);
   }
 }
 
@@ -222,12 +222,12 @@
     world.WaitForLeader();
     world.Run(Millis(1000));
     fakes::WorldInstance* old = world.Leader();
-    const std::string task = std::string(kLastingJob) + ".0.0.0";
+    const std::string task = std::string(kLongRunningJob) + ".0.0.0";
     BOOST_REQUIRE(world.Submit(
-        fakes::MakePlan(kLastingJob, 1, 1, "ms=1200 fails=999999")));
+        fakes::MakePlan(kLongRunningJob, 1, 1, "ms=1200 fails=999999")));
     const auto runner = [&] {
       for (const auto& [id, worker] : world.workers()) {
-        if (worker->model.Runs(task)) {
+        if (worker->model.IsRunning(task)) {
           return id;
         }
       }
@@ -245,29 +245,29 @@
       partitioned_worker =
           run == partitioned_run ? runner() : partitioned_worker;
       for (const auto& [name, instance] : world.instances()) {
-        instance->store_faults.down = run > recorded;
+        instance->store_faults.unavailable = run > recorded;
       }
     }
     run_until(3);
     world.Run(Millis(100));
-    old->cut_from_peers = true;
+    old->partitioned_from_peers = true;
     for (const auto& [name, instance] : world.instances()) {
       if (instance != old) {
-        instance->store_faults.down = false;
-        instance->cut_from.insert(partitioned_worker);
+        instance->store_faults.unavailable = false;
+        instance->unreachable_workers.insert(partitioned_worker);
       }
     }
     world.Kill(old->name);
     world.Run(Millis(partitioned_ms));
     for (const auto& [name, instance] : world.instances()) {
-      instance->cut_from.clear();
+      instance->unreachable_workers.clear();
     }
     world.Run(Millis(16'000));
     BOOST_TEST_CONTEXT("recorded " << recorded << ", partitioned run "
                                    << partitioned_run << " for "
                                    << partitioned_ms) {
       BOOST_TEST(world.starts(task) == 4);
-      const auto state = world.StateOf(kLastingJob);
+      const auto state = world.StateOf(kLongRunningJob);
       BOOST_TEST((state ? ToString(*state) : "not known") == "failed");
     }
   }
--- a/src/libdoorwood/cell/cell_fixture.h
+++ b/src/libdoorwood/cell/cell_fixture.h
@@ -15,18 +15,18 @@
 
 namespace doorwood::fakes {
 
-inline constexpr char kCellJob[] = "00112233aabbccdd";
+inline constexpr char kFixtureJob[] = "00112233aabbccdd";
 
 /// Three workers, and instances in different data centres, one of which leads.
 /// The destructor reports every violated rule of the world.
 struct CellFixture {
   /// Data centres of the instances, by instance name.
-  using Centres = std::map<std::string, std::string>;
+  using DataCentres = std::map<std::string, std::string>;
 
   explicit CellFixture(uint64_t seed = 11,
-                       const Centres& instances = {{"a1", "plaka"},
-                                                   {"b1", "kerameikos"},
-                                                   {"c1", "pireas"}})
+                       const DataCentres& instances = {{"a1", "plaka"},
+                                                       {"b1", "kerameikos"},
+                                                       {"c1", "pireas"}})
       : world(seed) {
     world.SetTable({MakeQueue("queue", 3)});
     for (const char* id : {"w1", "w2", "w3"}) {
@@ -39,33 +39,33 @@
     world.Run(Millis(1000));
   }
   ~CellFixture() {
-    for (const std::string& rule : world.broken()) {
+    for (const std::string& rule : world.violations()) {
       BOOST_ERROR(rule);
     }
   }
   CellFixture(const CellFixture&) = delete;
   CellFixture& operator=(const CellFixture&) = delete;
 
-  std::string State(const std::string& job = kCellJob) {
+  std::string State(const std::string& job = kFixtureJob) {
     const auto state = world.StateOf(job);
     return state ? std::string(ToString(*state)) : "not known";
   }
 
-  void CutAllWorkers() {
+  void PartitionAllWorkers() {
     for (const auto& [id, worker] : world.workers()) {
       for (const auto& [name, instance] : world.instances()) {
-        instance->cut_from.insert(id);
+        instance->unreachable_workers.insert(id);
       }
     }
   }
-  void HealAllWorkers() {
+  void ReconnectAllWorkers() {
     for (const auto& [name, instance] : world.instances()) {
-      instance->cut_from.clear();
+      instance->unreachable_workers.clear();
     }
   }
   void ExpectStartedOnce(int tasks) const {
     for (int index = 0; index < tasks; ++index) {
-      BOOST_TEST(world.starts(std::string(kCellJob) + ".0.0." +
+      BOOST_TEST(world.starts(std::string(kFixtureJob) + ".0.0." +
                               std::to_string(index)) == 1);
     }
   }
--- a/src/libdoorwood/cell/cell_foreign_test.cpp
+++ b/src/libdoorwood/cell/cell_foreign_test.cpp
@@ -24,7 +24,7 @@
   ForeignEntriesFixture()
       : CellFixture(29, {{"a1", "plaka"}, {"b1", "kerameikos"}}) {}
 
-  std::string Runner() { return fakes::RunnerOf(world, kTask); }
+  std::string Runner() { return fakes::WorkerRunning(world, kTask); }
   fakes::WorldWorker& StartLongRunningTask() {
     JobPlan plan = fakes::MakePlan(kJob, 1, 1, "");
     plan.steps[0].long_running = true;
@@ -91,17 +91,17 @@
     fixture.world.Run(Millis(3000));
     fixture.ExpectRunNotMoved();
     fixture.SubmitLargeTasks();
-    const int before = worker.started;
+    const int before = worker.runs_started;
     fixture.world.Run(Millis(6000));
     fixture.ExpectRunNotMoved();
-    BOOST_TEST(worker.started == before, row.name);
+    BOOST_TEST(worker.runs_started == before, row.name);
     // The worker rewrites its entry.
     worker.incarnation = original_entry;
     fixture.world.Run(Millis(3000));
     JobPlan wide = fakes::MakePlan("00112233aabbccdf", 1, 20, "ms=500");
     BOOST_TEST(fixture.world.Submit(wide));
     fixture.world.Run(Millis(1500));
-    BOOST_TEST(worker.started > before, row.name);
+    BOOST_TEST(worker.runs_started > before, row.name);
     fixture.ExpectRunNotMoved();
   }
 }
@@ -123,8 +123,8 @@
 BOOST_FIXTURE_TEST_CASE(Worker_EntryOverwrittenAndItCrashes_RunMoves,
                         ForeignEntriesFixture) {
   fakes::WorldWorker& worker = StartLongRunningTask();
-  world.foreign().push_back(worker.incarnation);
-  world.foreign().back().address = "10.0.0.9:1";
+  world.foreign_entries().push_back(worker.incarnation);
+  world.foreign_entries().back().address = "10.0.0.9:1";
   worker.listed = false;
   world.Run(Millis(2000));
   world.CrashWorker(original_worker);
@@ -138,13 +138,13 @@
   fakes::WorldWorker& other = world.AddWorker("w9", 8000);
   other.incarnation.service = "unnamed";
   world.Run(Millis(3000));
-  BOOST_TEST(other.calls == 0);
+  BOOST_TEST(other.calls_received == 0);
   // Once a queue names its service, it is used like the other workers.
   Queue queue = fakes::MakeQueue("late", 3);
   queue.service = "unnamed";
   world.SetTable({fakes::MakeQueue("queue", 3), queue});
   world.Run(Millis(3000));
-  BOOST_TEST(other.calls > 0);
+  BOOST_TEST(other.calls_received > 0);
 }
 
 // Entries at whose address another incarnation answers: copies of a worker's
@@ -155,11 +155,11 @@
   for (int n = 0; n < kCopies; ++n) {
     WorkerIncarnation copy = world.workers().at("w1")->incarnation;
     copy.id = "copy-" + std::to_string(n);
-    world.foreign().push_back(copy);
+    world.foreign_entries().push_back(copy);
   }
   world.Run(Millis(10000));
-  BOOST_TEST(world.logged("a worker is gone") <= kCopies);
-  BOOST_TEST(world.calls_elsewhere() <= 2 * kCopies);
+  BOOST_TEST(world.log_count("a worker is gone") <= kCopies);
+  BOOST_TEST(world.misdirected_calls() <= 2 * kCopies);
   SubmitLargeTasks();
   world.Run(Millis(3000));
   BOOST_TEST((world.StateOf(kOtherJob) == JobPhase::kCompleted));
@@ -175,17 +175,17 @@
     incarnation.address = "10.0.0.9:1";
     incarnation.data_centre = "plaka";
     incarnation.service = "unnamed";
-    world.foreign().push_back(incarnation);
+    world.foreign_entries().push_back(incarnation);
   }
   StartLongRunningTask();
   SubmitLargeTasks();
   world.Run(Millis(10000));
   BOOST_TEST((world.StateOf(kOtherJob) == JobPhase::kCompleted));
   ExpectRunNotMoved();
-  BOOST_TEST(world.calls_elsewhere() == 0);
-  BOOST_TEST(world.logged("an entry is not used") <= 256);
-  BOOST_TEST(world.logged("an entry is not used") > 0);
-  BOOST_TEST(world.logged("further entries that are not used") <= 1);
+  BOOST_TEST(world.misdirected_calls() == 0);
+  BOOST_TEST(world.log_count("an entry is not used") <= 256);
+  BOOST_TEST(world.log_count("an entry is not used") > 0);
+  BOOST_TEST(world.log_count("further entries that are not used") <= 1);
 }
 
 // --- This system's own keys ---
--- a/src/libdoorwood/cell/cell_journal_load_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_load_test.cpp
@@ -74,7 +74,7 @@
 
 struct LoadFixture : public JournalOwner {
   LoadFixture() : executor(time, 1), store(executor) {
-    journal.Open(store.TakeLead("all", "me"), {});
+    journal.Open(store.WriteLeaderKey("all", "me"), {});
   }
 
   std::string EncodeState(const std::string& job) override {
--- a/src/libdoorwood/cell/cell_journal_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_test.cpp
@@ -66,7 +66,7 @@
 
 struct JournalFixture : public JournalOwner {
   JournalFixture() : executor(time, 1), store(executor) {
-    journal.Open(store.TakeLead("all", "me"), {});
+    journal.Open(store.WriteLeaderKey("all", "me"), {});
   }
 
   std::string EncodeState(const std::string&) override { return state; }
@@ -294,7 +294,7 @@
 
 BOOST_FIXTURE_TEST_CASE(Commit_AnotherInstanceLeads_LeadIsLost,
                         JournalFixture) {
-  store.TakeLead("all", "other");
+  store.WriteLeaderKey("all", "other");
   Accept();
   time.Run(Millis(100));
   BOOST_TEST(lost);
--- a/src/libdoorwood/cell/cell_known_workers_test.cpp
+++ b/src/libdoorwood/cell/cell_known_workers_test.cpp
@@ -185,7 +185,7 @@
       BOOST_REQUIRE(world.Submit(fakes::MakePlan(
           "00000000000000a" + std::to_string(i), 1, count, "")));
       world.Run(Millis(1000));
-      BOOST_REQUIRE(worker.model.running() == static_cast<size_t>(count));
+      BOOST_REQUIRE(worker.model.running_count() == static_cast<size_t>(count));
     }
     for (const auto& [id, worker] : world.workers()) {
       worker->incarnation.draining = true;
--- a/src/libdoorwood/cell/cell_large_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_large_takeover_test.cpp
@@ -50,20 +50,20 @@
   BOOST_REQUIRE(world.Submit(fakes::MakePlan(kJob, 1, 1, "ms=1")));
   const char* release_message =
       "released tasks that cannot run on workers not yet contacted";
-  const int before = world.logged(release_message);
+  const int before = world.log_count(release_message);
   world.Kill(world.Leader()->name);
   for (const auto& [id, worker] : world.workers()) {
     if (worker->incarnation.draining) {
-      world.TakeAway(id);
+      world.ShutDownWorker(id);
     }
   }
   BOOST_REQUIRE(world.WaitForLeader() != nullptr);
   int released_ms = 0;
-  while (world.logged(release_message) == before && released_ms < 20'000) {
+  while (world.log_count(release_message) == before && released_ms < 20'000) {
     world.Run(Millis(50));
     released_ms += 50;
   }
-  BOOST_TEST(world.broken().empty());
+  BOOST_TEST(world.violations().empty());
   return released_ms;
 }
 
--- a/src/libdoorwood/cell/cell_lasting_places_test.cpp
+++ b/src/libdoorwood/cell/cell_lasting_places_test.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 using fakes::CellWorld;
-using fakes::kCellJob;
+using fakes::kFixtureJob;
 
 constexpr int kSeeds = 8;
 constexpr int kTasks = 16;
@@ -38,13 +38,13 @@
     }
     world.WaitForLeader();
     world.Run(Millis(1000));
-    JobPlan plan = fakes::MakePlan(kCellJob, 1, kTasks, payload);
+    JobPlan plan = fakes::MakePlan(kFixtureJob, 1, kTasks, payload);
     plan.steps[0].long_running = true;
     BOOST_REQUIRE(world.Submit(plan));
     world.Run(Millis(3000));
   }
   ~PlacementFixture() {
-    for (const std::string& rule : world.broken()) {
+    for (const std::string& rule : world.violations()) {
       BOOST_ERROR(rule);
     }
   }
@@ -52,12 +52,12 @@
   PlacementFixture& operator=(const PlacementFixture&) = delete;
 
   static std::string NameOf(int task) {
-    return std::string(kCellJob) + ".0.0." + std::to_string(task);
+    return std::string(kFixtureJob) + ".0.0." + std::to_string(task);
   }
   /// The worker that runs the task; empty if there is none.
   std::string WorkerOf(const std::string& task) {
     for (const auto& [id, worker] : world.workers()) {
-      if (worker->model.Runs(task)) {
+      if (worker->model.IsRunning(task)) {
         return id;
       }
     }
@@ -66,7 +66,7 @@
   std::vector<std::string> BusyWorkers() {
     std::vector<std::string> busy_workers;
     for (const auto& [id, worker] : world.workers()) {
-      if (worker->up && worker->model.running() > 0) {
+      if (worker->up && worker->model.running_count() > 0) {
         busy_workers.push_back(id);
       }
     }
@@ -75,7 +75,7 @@
   void PartitionFromAll(const std::string& worker) {
     unreachable_workers.push_back(worker);
     for (auto& [name, instance] : world.instances()) {
-      instance->cut_from.insert(worker);
+      instance->unreachable_workers.insert(worker);
     }
   }
   /// Kills the leader and starts it again a second later, partitioned from the
@@ -85,12 +85,12 @@
     world.Kill(name);
     Run(Millis(1000));
     auto& back = world.AddInstance(name, std::string(1, name[0]));
-    back.cut_from.insert(unreachable_workers.begin(),
-                         unreachable_workers.end());
+    back.unreachable_workers.insert(unreachable_workers.begin(),
+                                    unreachable_workers.end());
   }
   void SetStoreDown(bool down_for_all) {
     for (auto& [name, instance] : world.instances()) {
-      instance->store_faults.down = down_for_all;
+      instance->store_faults.unavailable = down_for_all;
     }
   }
   /// Runs the world, and measures for how long each task of `watched` runs on
@@ -143,7 +143,7 @@
             }
           }
           for (int i = 0; i < 4; ++i) {
-            fixture.world.CrashAndReturn(busy_workers[unreachable_count + i]);
+            fixture.world.CrashAndRestart(busy_workers[unreachable_count + i]);
             fixture.RestartLeader();
             fixture.Run(Millis(interval_ms));
           }
@@ -169,7 +169,7 @@
         const std::string lost_worker = fixture.BusyWorkers().front();
         fixture.watched =
             fixture.world.workers().at(lost_worker)->model.running_tasks();
-        fixture.world.TakeAway(lost_worker);
+        fixture.world.ShutDownWorker(lost_worker);
         for (int i = 0; i < 6; ++i) {
           fixture.RestartLeader();
           fixture.Run(Millis(interval_ms));
@@ -235,8 +235,9 @@
       for (const char* name : {"a2", "b2", "c2"}) {
         auto& new_instance =
             fixture.world.AddInstance(name, std::string(1, name[0]));
-        new_instance.cut_from.insert(fixture.unreachable_workers.begin(),
-                                     fixture.unreachable_workers.end());
+        new_instance.unreachable_workers.insert(
+            fixture.unreachable_workers.begin(),
+            fixture.unreachable_workers.end());
       }
       fixture.Run(Millis(20'000));
       BOOST_TEST(!fixture.WorkerOf(PlacementFixture::NameOf(0)).empty());
--- a/src/libdoorwood/cell/cell_lasting_walk_test.cpp
+++ b/src/libdoorwood/cell/cell_lasting_walk_test.cpp
@@ -19,23 +19,23 @@
 constexpr int kSeeds = 400;
 constexpr int kSteps = 70;
 
-class BasicFaultWalk : public fakes::LastingWalk {
+class BasicFaultWalk : public fakes::LongRunningFaultWalk {
  public:
-  using LastingWalk::LastingWalk;
+  using LongRunningFaultWalk::LongRunningFaultWalk;
 
  private:
-  void Step() override { Play(Pick(16)); }
+  void InjectFaultOrSubmit() override { InjectFault(RandomBelow(16)); }
 };
 
 BOOST_AUTO_TEST_CASE(Cells_LongRunningTasksAndRandomFaults_NothingRunsTwice) {
   const char* only = std::getenv("DOORWOOD_SEED");
   const int first = only == nullptr ? 1 : std::atoi(only);
   const int last = only == nullptr ? kSeeds : first;
-  fakes::Tally tally;
+  fakes::ViolationReport violation_report;
   for (int seed = first; seed <= last; ++seed) {
     BasicFaultWalk walk(static_cast<uint64_t>(seed));
     walk.Run(kSteps);
-    tally.Take("seed " + std::to_string(seed), walk.world());
+    violation_report.Add("seed " + std::to_string(seed), walk.world());
   }
 }
 
--- a/src/libdoorwood/cell/cell_late_campaign_test.cpp
+++ b/src/libdoorwood/cell/cell_late_campaign_test.cpp
@@ -34,7 +34,7 @@
 
   void SetLate(double share) {
     for (const auto& [name, instance] : world.instances()) {
-      instance->store_faults.late = share;
+      instance->store_faults.delayed_write_share = share;
     }
   }
 
@@ -70,7 +70,7 @@
     BOOST_REQUIRE(leader != nullptr);
     world.Run(Millis(led));
     // The store removes the key without notice.
-    world.store().Revoke(*leader->live->lease());
+    world.store().DropLeaseKeys(*leader->live->lease());
     world.Run(kRecoveryTime);
     BOOST_TEST((world.Leader() != nullptr), "led for " << led << " ms");
   }
--- a/src/libdoorwood/cell/cell_late_done_test.cpp
+++ b/src/libdoorwood/cell/cell_late_done_test.cpp
@@ -28,9 +28,9 @@
 namespace {
 
 using fakes::CellWorld;
-using fakes::CutAllFrom;
-using fakes::kCellJob;
-using fakes::RunnerOf;
+using fakes::kFixtureJob;
+using fakes::PartitionAllFrom;
+using fakes::WorkerRunning;
 using fakes::WorldInstance;
 
 // Time until a worker that is back is listed and called, and its report is
@@ -38,19 +38,19 @@
 constexpr Millis kReportDelay{1100};
 
 std::string TaskOf(int step, int index) {
-  return std::string(kCellJob) + ".0." + std::to_string(step) + "." +
+  return std::string(kFixtureJob) + ".0." + std::to_string(step) + "." +
          std::to_string(index);
 }
 
 // Partitions the worker from all instances, and removes its directory entry.
 void LoseContact(CellWorld& world, const std::string& worker) {
-  CutAllFrom(world, worker);
+  PartitionAllFrom(world, worker);
   world.workers().at(worker)->listed = false;
 }
 
 void RestoreContact(CellWorld& world, const std::string& worker) {
   for (const auto& [name, instance] : world.instances()) {
-    instance->cut_from.clear();
+    instance->unreachable_workers.clear();
   }
   world.workers().at(worker)->listed = true;
 }
@@ -66,15 +66,15 @@
     }
     world.WaitForLeader();
     world.Run(Millis(1000));
-    plan = fakes::MakePlan(kCellJob, 2, tasks, "ms=2000");
+    plan = fakes::MakePlan(kFixtureJob, 2, tasks, "ms=2000");
     plan.steps[0].gang = gang;
     BOOST_REQUIRE(world.Submit(plan));
     world.Run(Millis(500));
-    BOOST_REQUIRE(RunnerOf(world, TaskOf(0, 0)) == "w1");
+    BOOST_REQUIRE(WorkerRunning(world, TaskOf(0, 0)) == "w1");
     LoseContact(world, "w1");
   }
   ~LateCompletionFixture() {
-    for (const std::string& rule : world.broken()) {
+    for (const std::string& rule : world.violations()) {
       BOOST_ERROR(rule);
     }
   }
@@ -87,10 +87,10 @@
     for (int i = 0; i < 300 && world.starts(TaskOf(0, 0)) == 1; ++i) {
       world.Run(Millis(50));
     }
-    BOOST_REQUIRE(RunnerOf(world, TaskOf(0, 0)) == "w2");
+    BOOST_REQUIRE(WorkerRunning(world, TaskOf(0, 0)) == "w2");
   }
   void ExpectCompleted() {
-    BOOST_TEST((world.StateOf(kCellJob) == JobPhase::kCompleted));
+    BOOST_TEST((world.StateOf(kFixtureJob) == JobPhase::kCompleted));
   }
 
   CellWorld world;
@@ -126,7 +126,7 @@
       RestoreContact(fixture.world, "w1");
       fixture.world.Run(kReportDelay);
       for (int index = 0; index < 3; ++index) {
-        BOOST_TEST(RunnerOf(fixture.world, TaskOf(0, index)).empty());
+        BOOST_TEST(WorkerRunning(fixture.world, TaskOf(0, index)).empty());
         BOOST_TEST(fixture.world.starts(TaskOf(1, index)) == 1);
       }
       fixture.world.Run(Millis(3000));
@@ -148,7 +148,7 @@
       RestoreContact(fixture.world, "w1");
       fixture.world.Run(kReportDelay);
       for (int index = 0; index < 3; ++index) {
-        BOOST_TEST(RunnerOf(fixture.world, TaskOf(0, index)).empty());
+        BOOST_TEST(WorkerRunning(fixture.world, TaskOf(0, index)).empty());
         BOOST_TEST(fixture.world.starts(TaskOf(1, index)) == 1);
       }
       fixture.world.Run(Millis(3000));
@@ -165,7 +165,7 @@
   world.AddInstance("a1", "a1");
   world.WaitForLeader();
   world.Run(Millis(1000));
-  JobPlan plan = fakes::MakePlan(kCellJob, 2, 3, "ms=2000");
+  JobPlan plan = fakes::MakePlan(kFixtureJob, 2, 3, "ms=2000");
   plan.steps[0].gang = true;
   BOOST_REQUIRE(world.Submit(plan));
   world.Run(Millis(500));
@@ -175,15 +175,15 @@
   for (int i = 0; i < 300 && world.starts(TaskOf(0, 0)) == 1; ++i) {
     world.Run(Millis(50));
   }
-  BOOST_REQUIRE(world.workers().at("w2")->model.running() == 3U);
-  world.instances().at("a1")->cut_from.erase("w0");
+  BOOST_REQUIRE(world.workers().at("w2")->model.running_count() == 3U);
+  world.instances().at("a1")->unreachable_workers.erase("w0");
   world.workers().at("w0")->listed = true;
   world.Run(kReportDelay);
   for (int index = 0; index < 3; ++index) {
-    BOOST_TEST(RunnerOf(world, TaskOf(0, index)).empty());
+    BOOST_TEST(WorkerRunning(world, TaskOf(0, index)).empty());
     BOOST_TEST(world.starts(TaskOf(1, index)) == 1);
   }
-  for (const std::string& rule : world.broken()) {
+  for (const std::string& rule : world.violations()) {
     BOOST_ERROR(rule);
   }
 }
@@ -220,7 +220,7 @@
   world.AddInstance("a1", "a1");
   world.WaitForLeader();
   world.Run(Millis(1000));
-  JobPlan plan = fakes::MakePlan(kCellJob, 1, 1, "ms=2000");
+  JobPlan plan = fakes::MakePlan(kFixtureJob, 1, 1, "ms=2000");
   plan.steps[0].long_running = true;
   BOOST_REQUIRE(world.Submit(plan));
   world.Run(Millis(500));
@@ -229,8 +229,8 @@
   RestoreContact(world, "w1");
   world.Run(kReportDelay);
   BOOST_TEST(world.starts(TaskOf(0, 0)) == 2);
-  BOOST_TEST(RunnerOf(world, TaskOf(0, 0)) == "w1");
-  for (const std::string& rule : world.broken()) {
+  BOOST_TEST(WorkerRunning(world, TaskOf(0, 0)) == "w1");
+  for (const std::string& rule : world.violations()) {
     BOOST_ERROR(rule);
   }
 }
--- a/src/libdoorwood/cell/cell_lead_proof_test.cpp
+++ b/src/libdoorwood/cell/cell_lead_proof_test.cpp
@@ -16,18 +16,18 @@
 namespace doorwood {
 namespace {
 
-using fakes::CutLeaderFixture;
+using fakes::PartitionedLeaderFixture;
 
 // The store answers again before the old leader has learned of its successor.
 BOOST_AUTO_TEST_CASE(PartitionedLeader_IsGrantedANewLease_StartsNothing) {
   for (int duration = 2500; duration <= 9000; duration += 50) {
-    CutLeaderFixture fixture;
-    fixture.old->cut_from.insert("shared");
-    fixture.CutOldLeader();
+    PartitionedLeaderFixture fixture;
+    fixture.old_leader->unreachable_workers.insert("shared");
+    fixture.PartitionOldLeader();
     fixture.world.Run(Millis(duration));
-    fixture.old->store_faults = {};
+    fixture.old_leader->store_faults = {};
     fixture.world.Run(Millis(6000));
-    fixture.ExpectNothingBroken("partitioned for " + std::to_string(duration));
+    fixture.ExpectNoViolations("partitioned for " + std::to_string(duration));
   }
 }
 
@@ -36,14 +36,14 @@
 BOOST_AUTO_TEST_CASE(
     PartitionedLeader_KeyIsRemovedBeforeLeaseEnd_StartsNothing) {
   for (int unreachable = 0; unreachable <= 7000; unreachable += 100) {
-    CutLeaderFixture fixture;
-    fixture.old->cut_from.insert("shared");
+    PartitionedLeaderFixture fixture;
+    fixture.old_leader->unreachable_workers.insert("shared");
     fixture.world.Run(Millis(unreachable));
-    fixture.CutOldLeader();
-    fixture.world.store().Revoke(*fixture.old->live->lease());
+    fixture.PartitionOldLeader();
+    fixture.world.store().DropLeaseKeys(*fixture.old_leader->live->lease());
     fixture.world.Run(Millis(14'000));
-    fixture.ExpectNothingBroken("unreachable for " +
-                                std::to_string(unreachable));
+    fixture.ExpectNoViolations("unreachable for " +
+                               std::to_string(unreachable));
   }
 }
 
--- a/src/libdoorwood/cell/cell_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_leader_test.cpp
@@ -13,7 +13,7 @@
 
 using fakes::CellFixture;
 
-constexpr auto& kJob = fakes::kCellJob;
+constexpr auto& kJob = fakes::kFixtureJob;
 
 BOOST_FIXTURE_TEST_CASE(Job_TwoSteps_RunsOnceAndCompletes, CellFixture) {
   BOOST_TEST(world.Submit(fakes::MakePlan(kJob, 2, 3, "ms=300")));
@@ -56,14 +56,14 @@
   BOOST_TEST(answer == std::error_code());
   BOOST_TEST(State() == "cancelled");
   for (const auto& [id, worker] : world.workers()) {
-    BOOST_TEST(worker->model.running() == 0U, id);
+    BOOST_TEST(worker->model.running_count() == 0U, id);
   }
 }
 
 BOOST_FIXTURE_TEST_CASE(Job_Timed_StartsEachTimeWhenDue, CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 1, "ms=100");
   plan.repeat_count = 2;
-  plan.first_due = world.time().millis() + 2000;
+  plan.first_due = world.time().now_ms() + 2000;
   plan.interval = Millis(2000);
   world.Submit(plan);
   world.Run(Millis(1500));
@@ -98,7 +98,7 @@
   world.Run(Millis(3000));
   BOOST_TEST(State() == "completed");
   for (const char* task : {".0.0.0", ".0.0.1", ".0.1.0", ".0.1.1"}) {
-    const std::string ticket = world.ticket(kJob + std::string(task));
+    const std::string ticket = world.latest_ticket(kJob + std::string(task));
     BOOST_TEST(ticket.find('@') != std::string::npos, ticket);
     BOOST_TEST(!ticket.ends_with("x"));
   }
@@ -146,7 +146,7 @@
                         CellFixture) {
   fakes::WorldInstance* old = world.Leader();
   const int64_t epoch = old->cell->epoch();
-  world.store().Revoke(*old->live->lease());
+  world.store().DropLeaseKeys(*old->live->lease());
   world.Run(Millis(1500));
   BOOST_REQUIRE(world.WaitForLeader() != nullptr);
   BOOST_TEST(world.Leader()->cell->epoch() > epoch);
@@ -155,7 +155,7 @@
 BOOST_FIXTURE_TEST_CASE(Store_DownForAll_AcceptedWorkContinues, CellFixture) {
   world.Submit(fakes::MakePlan(kJob, 3, 2, "ms=1500"));
   for (const auto& [name, instance] : world.instances()) {
-    instance->store_faults.down = true;
+    instance->store_faults.unavailable = true;
   }
   world.Run(Millis(8000));
   const std::string last = std::string(kJob) + ".0.2.0";
@@ -163,7 +163,7 @@
   JobPlan refused = fakes::MakePlan("1111111111111111", 1, 1, "");
   BOOST_TEST(!world.Submit(refused));
   for (const auto& [name, instance] : world.instances()) {
-    instance->store_faults.down = false;
+    instance->store_faults.unavailable = false;
   }
   world.WaitForLeader();
   world.Run(Millis(3000));
@@ -192,7 +192,7 @@
   fakes::WorldInstance& weak = world.AddInstance("weak", "plaka", 0.1);
   world.Run(Millis(1000));
   fakes::WorldInstance& leader = *world.Leader();
-  leader.store_faults.down = true;
+  leader.store_faults.unavailable = true;
   weak.cell->OnLeadHandedOver(leader.cell->epoch());
   world.Run(Millis(1500));
   BOOST_TEST(leader.name == "b1");
@@ -216,7 +216,7 @@
       world.AddInstance("b1", "kerameikos");
       world.WaitForLeader();
       world.Run(Millis(1000));
-      world.Leader()->late_orders = 0.7;
+      world.Leader()->delayed_order_share = 0.7;
       world.Submit(fakes::MakePlan(kJob, 1, 6, "ms=60000"));
       world.Run(Millis(200));
       bool confirmed = false;
@@ -226,7 +226,7 @@
       if (leader_dies) {
         world.Kill(world.Leader()->name);
       } else {
-        world.Leader()->late_orders = 0;
+        world.Leader()->delayed_order_share = 0;
       }
       // Stops are sent again until they are confirmed; a successor leads after
       // 3 s.
@@ -240,7 +240,7 @@
         world.AdvanceAll();
         bool runs = false;
         for (const auto& [id, worker] : world.workers()) {
-          runs = runs || worker->model.running() > 0;
+          runs = runs || worker->model.running_count() > 0;
         }
         consecutive = runs ? consecutive + 1 : 0;
         longest = std::max(longest, consecutive);
@@ -248,7 +248,7 @@
       BOOST_TEST_CONTEXT("seed " << seed << ", leader dies " << leader_dies) {
         BOOST_TEST(confirmed);
         BOOST_TEST(longest <= 3);
-        for (const std::string& rule : world.broken()) {
+        for (const std::string& rule : world.violations()) {
           BOOST_ERROR(rule);
         }
       }
@@ -280,7 +280,7 @@
                         CellFixture) {
   world.Submit(fakes::MakePlan(kJob, 2, 2, "ms=800"));
   fakes::WorldInstance* old = world.Leader();
-  old->store_faults.down = true;
+  old->store_faults.unavailable = true;
   world.Run(Millis(1500));
   BOOST_REQUIRE(world.Leader() != nullptr);
   BOOST_TEST(world.Leader() != old);
@@ -292,9 +292,9 @@
 
 BOOST_FIXTURE_TEST_CASE(Store_OneRenewalFails_LeadStays, CellFixture) {
   fakes::WorldInstance* leader = world.Leader();
-  leader->store_faults.down = true;
+  leader->store_faults.unavailable = true;
   world.Run(Millis(300));
-  leader->store_faults.down = false;
+  leader->store_faults.unavailable = false;
   world.Run(Millis(3000));
   BOOST_TEST(world.Leader() == leader);
 }
--- a/src/libdoorwood/cell/cell_leaving_test.cpp
+++ b/src/libdoorwood/cell/cell_leaving_test.cpp
@@ -108,7 +108,7 @@
       BOOST_TEST(taken.count() <= kMaxHandOverTime.count());
       BOOST_TEST(fixture.unknown_outcomes == 0);
       BOOST_TEST(accepted > 0);
-      BOOST_TEST(world.broken().empty());
+      BOOST_TEST(world.violations().empty());
       for (const auto& [id, answer] : fixture.answers) {
         if (answer == "accepted") {
           const auto state = world.StateOf(id);
--- a/src/libdoorwood/cell/cell_many_ends_test.cpp
+++ b/src/libdoorwood/cell/cell_many_ends_test.cpp
@@ -26,7 +26,7 @@
     world.SetTable({fakes::MakeQueue("queue", 4)});
     world.AddWorker("large", 1'000'000);
     for (const char* name : {"a1", "b1", "c1"}) {
-      world.AddInstance(name, fakes::LeadTrial::CentreOf(name));
+      world.AddInstance(name, fakes::LeaderSuccession::DataCentreOf(name));
     }
     WorldInstance* old_leader = world.WaitForLeader();
     world.Run(Millis(1000));
@@ -34,16 +34,16 @@
     plan.steps[0].size = {100, 10, 0};
     BOOST_REQUIRE(world.Submit(plan));
     world.Run(Millis(1000));
-    BOOST_REQUIRE(world.workers().at("large")->model.running() ==
+    BOOST_REQUIRE(world.workers().at("large")->model.running_count() ==
                   static_cast<size_t>(tasks));
-    old_leader->store_faults.silent = true;
+    old_leader->store_faults.unresponsive = true;
     world.Run(Millis(1000));
-    BOOST_REQUIRE(world.workers().at("large")->model.running() == 0U);
+    BOOST_REQUIRE(world.workers().at("large")->model.running_count() == 0U);
     world.Kill(old_leader->name);
     world.Run(Millis(12'000));
     BOOST_TEST_CONTEXT(tasks << " tasks") {
-      BOOST_TEST(world.started_done().size() == 0U);
-      BOOST_TEST(world.broken().empty());
+      BOOST_TEST(world.completed_task_starts().size() == 0U);
+      BOOST_TEST(world.violations().empty());
       const auto state = world.StateOf(kJob);
       BOOST_TEST((state ? ToString(*state) : "not known") == "completed");
     }
--- a/src/libdoorwood/cell/cell_named_runs_test.cpp
+++ b/src/libdoorwood/cell/cell_named_runs_test.cpp
@@ -19,9 +19,9 @@
 namespace {
 
 using fakes::CellWorld;
-using fakes::CutAllFrom;
-using fakes::RunnerOf;
-using fakes::Tally;
+using fakes::PartitionAllFrom;
+using fakes::ViolationReport;
+using fakes::WorkerRunning;
 using fakes::WorldInstance;
 using fakes::WorldWorker;
 
@@ -74,17 +74,17 @@
                              bool stays = true)
       : world(7) {
     world.SetTable({fakes::MakeQueue("queue", 4)});
-    world.AddWorker("leaves", 4000).model.SetStopTakes(stop_takes);
+    world.AddWorker("leaves", 4000).model.SetStopDuration(stop_takes);
     world.AddInstance("a1", "plaka", 2.0);
     for (const char* name : {"b1", "c1", "a2", "b2"}) {
-      world.AddInstance(name, fakes::LeadTrial::CentreOf(name));
+      world.AddInstance(name, fakes::LeaderSuccession::DataCentreOf(name));
     }
     world.WaitForLeader();
     world.Run(Millis(1000));
     old = world.Leader();
     BOOST_REQUIRE(world.Submit(plan));
     world.Run(Millis(300));
-    BOOST_REQUIRE(RunnerOf(world, kTask) == "leaves");
+    BOOST_REQUIRE(WorkerRunning(world, kTask) == "leaves");
     if (stays) {
       AddStays();
     }
@@ -107,7 +107,8 @@
     for (Millis passed{0}; passed < duration; passed += kStep) {
       world.time().Run(kStep);
       world.AdvanceAll();
-      downtime = RunnerOf(world, kTask).empty() ? downtime + kStep : Millis(0);
+      downtime =
+          WorkerRunning(world, kTask).empty() ? downtime + kStep : Millis(0);
       longest_downtime = std::max(longest_downtime, downtime);
       waited += world.starts(kWaitingTask) == 0 ? kStep : Millis(0);
     }
@@ -116,7 +117,7 @@
   void PartitionFromOthers(const WorldInstance* reaches) const {
     for (const auto& [name, instance] : world.instances()) {
       if (instance != reaches) {
-        instance->cut_from.insert("leaves");
+        instance->unreachable_workers.insert("leaves");
       }
     }
   }
@@ -124,9 +125,9 @@
   void ClearFaults() const {
     for (const auto& [name, instance] : world.instances()) {
       instance->store_faults = {};
-      instance->cut_from_peers = false;
-      instance->cut_from.clear();
-      instance->order_answers_lost = 0;
+      instance->partitioned_from_peers = false;
+      instance->unreachable_workers.clear();
+      instance->lost_order_reply_share = 0;
     }
   }
 
@@ -139,19 +140,20 @@
       world.Kill(old->name);
       old = nullptr;
     } else if (loss == LeaderLoss::kPartitioned) {
-      old->store_faults.silent = true;
-      old->cut_from_peers = true;
+      old->store_faults.unresponsive = true;
+      old->partitioned_from_peers = true;
     } else {
       old->executor->Freeze();
       WorldInstance* frozen = old;
-      world.time().At(world.time().now() + Millis(5000),
-                      [frozen] { frozen->executor->Thaw(); });
+      world.time().RunAt(world.time().now() + Millis(5000),
+                         [frozen] { frozen->executor->Thaw(); });
     }
   }
 
-  void Take(Tally* tally, const std::string& context) const {
-    tally->Take(context, world);
-    for (const std::string& rule : world.started_done()) {
+  void Take(ViolationReport* violation_report,
+            const std::string& context) const {
+    violation_report->Add(context, world);
+    for (const std::string& rule : world.completed_task_starts()) {
       BOOST_ERROR(context + ": " + rule);
     }
   }
@@ -186,7 +188,7 @@
 // The leader is lost 0 to 1.5 s after the worker's entry says that it drains,
 // so before or after the row that names the task is confirmed.
 BOOST_AUTO_TEST_CASE(NamedRun_LeaderLostAroundItsRecord_RunsOnceAndInTime) {
-  Tally tally;
+  ViolationReport violation_report;
   Millis longest_reachable{0};
   Millis longest_unreachable{0};
   for (const int stop_takes : {0, 2500}) {
@@ -200,13 +202,13 @@
           const std::string context = Context(loss, reachable, at) +
                                       " stop takes ms " +
                                       std::to_string(stop_takes);
-          scenario.Take(&tally, context);
+          scenario.Take(&violation_report, context);
           const Millis bound = reachable ? kReachableBound : kUnreachableBound;
           Millis& longest = reachable ? longest_reachable : longest_unreachable;
           longest = std::max(longest, scenario.longest_downtime);
           BOOST_TEST_CONTEXT(context) {
             BOOST_TEST(scenario.longest_downtime.count() <= bound.count());
-            BOOST_TEST(!RunnerOf(scenario.world, kTask).empty());
+            BOOST_TEST(!WorkerRunning(scenario.world, kTask).empty());
           }
         },
         1500, 50);
@@ -219,7 +221,7 @@
 // A waiting job that the row does not name must not be held back: free capacity
 // for it appears while the successor cannot reach the worker.
 BOOST_AUTO_TEST_CASE(OtherTask_RowNamesWhatMayRun_StartsWithoutWait) {
-  Tally tally;
+  ViolationReport violation_report;
   for (const LeaderLoss loss :
        {LeaderLoss::kKilled, LeaderLoss::kPartitioned}) {
     for (int at = 900; at <= 4000; at += 100) {
@@ -229,12 +231,12 @@
       scenario.LoseLeader(loss, /*reachable=*/false);
       scenario.world.AddWorker("large", 16'000);
       if (loss == LeaderLoss::kPartitioned) {
-        scenario.old->cut_from.insert("large");
+        scenario.old->unreachable_workers.insert("large");
       }
       scenario.waited = Millis(0);
       scenario.Run(kSettleTime);
       const std::string context = Context(loss, false, at);
-      scenario.Take(&tally, context);
+      scenario.Take(&violation_report, context);
       BOOST_TEST_CONTEXT(context) {
         BOOST_TEST(scenario.waited.count() <= kReachableBound.count());
       }
@@ -246,18 +248,18 @@
 // row, so it is not held back when its next worker is lost together with the
 // leader.
 BOOST_AUTO_TEST_CASE(MovedTask_NoLongerInRow_StartsWithoutWait) {
-  Tally tally;
+  ViolationReport violation_report;
   for (int at = 3500; at <= 6500; at += 100) {
     NamedRunsScenario scenario(LongRunningPlan(), Millis(1500));
     scenario.SetDraining(true);
     scenario.Run(Millis(at));
-    BOOST_REQUIRE(RunnerOf(scenario.world, kTask) == "stays");
+    BOOST_REQUIRE(WorkerRunning(scenario.world, kTask) == "stays");
     scenario.LoseLeader(LeaderLoss::kKilled, /*reachable=*/false);
     scenario.world.CrashWorker("stays");
     scenario.world.AddWorker("spare", 4000);
     scenario.Run(kSettleTime);
     const std::string context = "lost at " + std::to_string(at);
-    scenario.Take(&tally, context);
+    scenario.Take(&violation_report, context);
     BOOST_TEST_CONTEXT(context) {
       BOOST_TEST(scenario.longest_downtime.count() <= kReachableBound.count());
     }
@@ -268,21 +270,21 @@
 // been unresponsive to it since shortly before. The worker answers the
 // successor or does not.
 BOOST_AUTO_TEST_CASE(NamedRun_CompletionNotRecorded_NotStartedAgain) {
-  Tally tally;
+  ViolationReport violation_report;
   ForEachLeaderLoss(
       [&](LeaderLoss loss, bool reachable, int at) {
         NamedRunsScenario scenario(fakes::MakePlan(kJob, 1, 1, "ms=4000"));
         scenario.SetDraining(true);
         scenario.leaves().incarnation.min_time_to_leave = Millis(9000);
         scenario.Run(Millis(1000 + at));
-        scenario.old->store_faults.silent = true;
+        scenario.old->store_faults.unresponsive = true;
         scenario.Run(Millis(1500));
         scenario.LoseLeader(loss, reachable);
         scenario.Run(kSettleTime);
         scenario.ClearFaults();
         scenario.Run(Millis(6000));
         const std::string context = Context(loss, reachable, at);
-        scenario.Take(&tally, context);
+        scenario.Take(&violation_report, context);
         BOOST_TEST_CONTEXT(context) {
           const auto state = scenario.world.StateOf(kJob);
           BOOST_TEST((state ? ToString(*state) : "not known") == "completed");
@@ -301,7 +303,7 @@
 BOOST_AUTO_TEST_CASE(NamedRun_RowOvertakesCompletion_NotStartedAgain) {
   constexpr int kSeeds = 600;
   constexpr Millis kSubmitInterval{40};
-  Tally tally;
+  ViolationReport violation_report;
   for (int seed = 1; seed <= kSeeds; ++seed) {
     CellWorld world(static_cast<uint64_t>(seed));
     world.SetTable({fakes::MakeQueue("queue", 4)});
@@ -321,24 +323,24 @@
         std::snprintf(id, sizeof(id), "%016x", ++jobs);
         const auto takes = std::to_string(100 + world.random()() % 500);
         JobPlan plan = fakes::MakePlan(id, 3, 1, "ms=" + takes);
-        plan.accepted_at = world.time().millis();
+        plan.accepted_at = world.time().now_ms();
         old->cell->Submit(plan, [](std::error_code, AcceptOutcome) {});
         world.time().Run(kSubmitInterval);
         world.AdvanceAll();
       }
     };
     run_with_load(Millis(1500));
-    old->store_faults.answer_lost = 0.2;
+    old->store_faults.lost_reply_share = 0.2;
     WorldWorker& leaves = *world.workers().at("leaves");
     leaves.incarnation.draining = seed % 3 != 0;
     leaves.listed = seed % 3 == 1;
     run_with_load(Millis(500 + seed * 2));
-    CutAllFrom(world, "leaves");
+    PartitionAllFrom(world, "leaves");
     world.Kill(old->name);
     world.Run(kSettleTime);
     const std::string context = "seed " + std::to_string(seed);
-    tally.Take(context, world);
-    for (const std::string& rule : world.started_done()) {
+    violation_report.Add(context, world);
+    for (const std::string& rule : world.completed_task_starts()) {
       BOOST_ERROR(context << ": " << rule);
     }
   }
@@ -347,27 +349,28 @@
 // A start is executed but not answered, and only then the worker becomes
 // unresponsive, drains or is no longer listed: its row must name the task.
 BOOST_AUTO_TEST_CASE(UnansweredStart_WorkerClosedToNewTasks_NotStartedAgain) {
-  Tally tally;
+  ViolationReport violation_report;
   int ran = 0;
   for (const bool drains : {true, false}) {
     for (const bool partitioned : {true, false}) {
       for (int at = 100; at <= 4000; at += 100) {
         NamedRunsScenario scenario(LongRunningPlan(), Millis(0),
                                    /*stays=*/false);
-        scenario.old->order_answers_lost = 1;
+        scenario.old->lost_order_reply_share = 1;
         scenario.world.Submit(UnboundedPlan(kNewJob, 1000));
         ran += scenario.world.starts(kNewTask);
         if (partitioned) {
-          scenario.old->cut_from.insert("leaves");
+          scenario.old->unreachable_workers.insert("leaves");
         }
         scenario.SetDraining(drains);
         scenario.Run(Millis(at));
         scenario.LoseLeader(LeaderLoss::kKilled, /*reachable=*/false);
         scenario.AddStays();
         scenario.Run(kSettleTime);
-        scenario.Take(&tally, std::string(drains ? "drains " : "") +
-                                  (partitioned ? "partitioned " : "") +
-                                  "lost after " + std::to_string(at));
+        scenario.Take(&violation_report,
+                      std::string(drains ? "drains " : "") +
+                          (partitioned ? "partitioned " : "") + "lost after " +
+                          std::to_string(at));
       }
     }
   }
@@ -379,7 +382,7 @@
 // shortly before or after the change of the entry the leader's writes are
 // delayed and not answered; its reads are answered.
 BOOST_AUTO_TEST_CASE(DrainCancelled_RecordNotConfirmed_NothingRunsTwice) {
-  Tally tally;
+  ViolationReport violation_report;
   int started_after_drain = 0;
   for (const bool killed : {true, false}) {
     for (int writes_delayed_after = -600; writes_delayed_after <= 600;
@@ -393,13 +396,13 @@
         scenario.Run(Millis(500));
         BOOST_REQUIRE(scenario.world.starts(kNewTask) == 0);
         if (writes_delayed_after < 0) {
-          scenario.old->store_faults.late = 1;
+          scenario.old->store_faults.delayed_write_share = 1;
           scenario.Run(Millis(-writes_delayed_after));
           scenario.SetDraining(false);
         } else {
           scenario.SetDraining(false);
           scenario.Run(Millis(writes_delayed_after));
-          scenario.old->store_faults.late = 1;
+          scenario.old->store_faults.delayed_write_share = 1;
         }
         scenario.Run(Millis(lost_after));
         started_after_drain += scenario.world.starts(kNewTask);
@@ -408,14 +411,14 @@
             /*reachable=*/false);
         scenario.AddStays();
         if (!killed) {
-          scenario.old->cut_from.insert("stays");
+          scenario.old->unreachable_workers.insert("stays");
         }
         scenario.Run(kSettleTime);
-        scenario.Take(
-            &tally, std::string(killed ? "killed" : "network partition") +
-                        " writes delayed after " +
-                        std::to_string(writes_delayed_after) + " lost after " +
-                        std::to_string(lost_after));
+        scenario.Take(&violation_report,
+                      std::string(killed ? "killed" : "network partition") +
+                          " writes delayed after " +
+                          std::to_string(writes_delayed_after) +
+                          " lost after " + std::to_string(lost_after));
       }
     }
   }
@@ -434,9 +437,9 @@
     scenario.SetDraining(false);
     scenario.Run(Millis(1000));
     BOOST_TEST_CONTEXT("drained for " << drained) {
-      BOOST_TEST(RunnerOf(scenario.world, kNewTask) == "leaves");
+      BOOST_TEST(WorkerRunning(scenario.world, kNewTask) == "leaves");
       BOOST_TEST(scenario.world.starts(kNewTask) < kStartLimit);
-      BOOST_TEST(scenario.world.broken().empty());
+      BOOST_TEST(scenario.world.violations().empty());
     }
   }
 }
@@ -446,7 +449,7 @@
 // is cancelled. A confirmation of the older record must not count as one of the
 // newest.
 BOOST_AUTO_TEST_CASE(DrainCancelled_OlderRecordConfirmed_NothingRunsTwice) {
-  Tally tally;
+  ViolationReport violation_report;
   for (int drains = 0; drains <= 1000; drains += 100) {
     for (int cancelled_after = 50; cancelled_after <= 1500;
          cancelled_after += 50) {
@@ -455,23 +458,23 @@
       scenario.world.Submit(UnboundedPlan(kNewJob, 12'000));
       // A joining worker causes a new record, which includes the row of
       // "leaves".
-      scenario.old->store_faults.answer_lost = 1;
+      scenario.old->store_faults.lost_reply_share = 1;
       scenario.world.AddWorker("joins", 500);
       scenario.Run(Millis(500));
-      scenario.old->store_faults.answer_lost = 0;
+      scenario.old->store_faults.lost_reply_share = 0;
       scenario.SetDraining(true);
       scenario.Run(Millis(drains));
       scenario.world.Submit(UnboundedPlan("00112233aabbcc01", 1000));
       scenario.Run(Millis(cancelled_after));
-      scenario.old->store_faults.late = 1;
+      scenario.old->store_faults.delayed_write_share = 1;
       scenario.SetDraining(false);
       scenario.Run(Millis(1500));
       scenario.LoseLeader(LeaderLoss::kKilled, /*reachable=*/false);
       scenario.AddStays();
       scenario.Run(kSettleTime);
-      scenario.Take(&tally, "drains for " + std::to_string(drains) +
-                                " drain cancelled after " +
-                                std::to_string(cancelled_after));
+      scenario.Take(&violation_report, "drains for " + std::to_string(drains) +
+                                           " drain cancelled after " +
+                                           std::to_string(cancelled_after));
     }
   }
 }
@@ -481,7 +484,7 @@
 // drains.
 BOOST_AUTO_TEST_CASE(DrainCancelled_SecondLeaderCannotRecord_NothingRunsTwice) {
   constexpr Millis kFineStep{5};
-  Tally tally;
+  ViolationReport violation_report;
   int started_after_drain = 0;
   for (const int late : {0, 20, 60, 100, 150, 250}) {
     for (int leads = 100; leads <= 3000; leads += 100) {
@@ -501,15 +504,16 @@
       }
       BOOST_REQUIRE(second != nullptr);
       scenario.world.time().Run(Millis(late));
-      second->store_faults.late = 1;
+      second->store_faults.delayed_write_share = 1;
       scenario.Run(Millis(leads));
       started_after_drain += scenario.world.starts(kNewTask);
       scenario.PartitionFromOthers(second);
       scenario.world.Kill(second->name);
       scenario.AddStays();
       scenario.Run(kSettleTime);
-      scenario.Take(&tally, "writes delayed after " + std::to_string(late) +
-                                " leads " + std::to_string(leads));
+      scenario.Take(&violation_report, "writes delayed after " +
+                                           std::to_string(late) + " leads " +
+                                           std::to_string(leads));
     }
   }
   BOOST_TEST(started_after_drain > 0);
@@ -523,7 +527,7 @@
 // The second leader reads the row of a worker that it can or cannot reach, and
 // is lost 0.5 to 14 s later; the third reads the row that the second wrote.
 BOOST_AUTO_TEST_CASE(ThirdLeader_ReadsRowOfSecond_RunsOnceAndInTime) {
-  Tally tally;
+  ViolationReport violation_report;
   // The bound for both successors together, with one second for each record of
   // the wait.
   constexpr Millis kBothSuccessorsBound = kUnreachableBound + Millis(4500);
@@ -545,10 +549,10 @@
         BOOST_REQUIRE(second != nullptr);
         scenario.Run(Millis(leads));
         for (const auto& [name, instance] : scenario.world.instances()) {
-          instance->cut_from.clear();
+          instance->unreachable_workers.clear();
         }
         if (!row.third_reaches) {
-          CutAllFrom(scenario.world, "leaves");
+          PartitionAllFrom(scenario.world, "leaves");
         }
         scenario.world.Kill(second->name);
         scenario.world.AddWorker("large", 16'000);
@@ -559,12 +563,12 @@
             std::to_string(leads) +
             (row.second_reaches ? " second reaches" : "") +
             (row.third_reaches ? " third reaches" : "");
-        scenario.Take(&tally, context);
+        scenario.Take(&violation_report, context);
         longest = std::max(longest, scenario.longest_downtime);
         BOOST_TEST_CONTEXT(context) {
           BOOST_TEST(scenario.longest_downtime.count() <=
                      kBothSuccessorsBound.count());
-          BOOST_TEST(!RunnerOf(scenario.world, kTask).empty());
+          BOOST_TEST(!WorkerRunning(scenario.world, kTask).empty());
           if (at >= 900) {
             BOOST_TEST(scenario.waited.count() <= kReachableBound.count());
           }
--- a/src/libdoorwood/cell/cell_outage_test.cpp
+++ b/src/libdoorwood/cell/cell_outage_test.cpp
@@ -14,43 +14,43 @@
 namespace doorwood {
 namespace {
 
-using fakes::LeadTrial;
-using fakes::Tally;
+using fakes::LeaderSuccession;
+using fakes::ViolationReport;
 
 constexpr Millis kSettlingTime{16'000};
 
 // The store refuses the first instance of each data centre and serves the
 // second. `reached` names the served ones that the leader can reach.
-void RefuseFirstOfEachDataCentre(const LeadTrial& trial,
+void RefuseFirstOfEachDataCentre(const LeaderSuccession& trial,
                                  bool silent,
                                  const std::set<std::string>& reached) {
-  BOOST_REQUIRE(trial.old->name == "b1");
+  BOOST_REQUIRE(trial.old_leader->name == "b1");
   for (const char* name : {"a1", "b1", "c1"}) {
     auto& faults = trial.world.instances().at(name)->store_faults;
-    faults.silent = silent;
-    faults.down = !silent;
+    faults.unresponsive = silent;
+    faults.unavailable = !silent;
   }
   for (const char* name : {"a2", "b2", "c2"}) {
     if (!reached.contains(name)) {
-      trial.old->cut_from_instances.insert(name);
+      trial.old_leader->unreachable_instances.insert(name);
     }
   }
 }
 
 void RunScenario(const std::set<std::string>& reached) {
-  Tally tally;
+  ViolationReport violation_report;
   for (const auto& [silent, partitioned] :
        {std::pair(false, false), {true, false}, {false, true}, {true, true}}) {
     for (int offset = 0; offset < 20; ++offset) {
-      LeadTrial trial({"a2", "b2", "c2"});
-      trial.PartWorkers(partitioned);
+      LeaderSuccession trial({"a2", "b2", "c2"});
+      trial.SetWorkersPartitioned(partitioned);
       trial.world.Run(Millis(offset * 60));
       RefuseFirstOfEachDataCentre(trial, silent, reached);
       trial.world.Run(kSettlingTime);
-      tally.Take((silent ? "silent" : "refused") +
-                     std::string(partitioned ? ", partitioned" : "") +
-                     ", offset " + std::to_string(offset * 60),
-                 trial.world);
+      violation_report.Add((silent ? "silent" : "refused") +
+                               std::string(partitioned ? ", partitioned" : "") +
+                               ", offset " + std::to_string(offset * 60),
+                           trial.world);
     }
   }
 }
@@ -70,20 +70,20 @@
 // An outage for all instances. The store serves some again after 2 to 9 s, and
 // the leader cannot reach these.
 BOOST_AUTO_TEST_CASE(Outage_EndsForInstancesOutOfReach_NothingRunsTwice) {
-  Tally tally;
+  ViolationReport violation_report;
   for (int outage = 2000; outage <= 9000; outage += 250) {
-    LeadTrial trial({"a2", "b2", "c2"});
-    trial.PartWorkers(true);
+    LeaderSuccession trial({"a2", "b2", "c2"});
+    trial.SetWorkersPartitioned(true);
     for (const auto& [name, instance] : trial.world.instances()) {
-      instance->store_faults.down = true;
+      instance->store_faults.unavailable = true;
     }
     trial.world.Run(Millis(outage));
     for (const char* name : {"a2", "b2", "c2"}) {
-      trial.old->cut_from_instances.insert(name);
-      trial.world.instances().at(name)->store_faults.down = false;
+      trial.old_leader->unreachable_instances.insert(name);
+      trial.world.instances().at(name)->store_faults.unavailable = false;
     }
     trial.world.Run(kSettlingTime);
-    tally.Take("outage " + std::to_string(outage), trial.world);
+    violation_report.Add("outage " + std::to_string(outage), trial.world);
   }
 }
 
@@ -91,19 +91,19 @@
 // may without notice. The successor's wait counts from a time at which the old
 // leader still considers itself the leader.
 BOOST_AUTO_TEST_CASE(PartitionedLeader_KeysRemovedBeforeLeaseEnd_NothingTwice) {
-  Tally tally;
+  ViolationReport violation_report;
   for (int offset = 0; offset < 1200; offset += 60) {
     for (int after = 0; after <= 2000; after += 200) {
-      LeadTrial trial;
-      trial.PartWorkers(true);
+      LeaderSuccession trial;
+      trial.SetWorkersPartitioned(true);
       trial.world.Run(Millis(offset));
-      trial.CutOldLeader();
+      trial.PartitionOldLeader();
       trial.world.Run(Millis(after));
-      trial.world.store().Revoke(*trial.old->live->lease());
+      trial.world.store().DropLeaseKeys(*trial.old_leader->live->lease());
       trial.world.Run(kSettlingTime);
-      tally.Take("offset " + std::to_string(offset) + ", removed after " +
-                     std::to_string(after),
-                 trial.world);
+      violation_report.Add("offset " + std::to_string(offset) +
+                               ", removed after " + std::to_string(after),
+                           trial.world);
     }
   }
 }
@@ -112,17 +112,17 @@
 // meanwhile.
 BOOST_AUTO_TEST_CASE(Outage_ForAll_RunsAreKeptAndNothingRunsTwice) {
   for (int outage = 2000; outage <= 20'000; outage += 1500) {
-    LeadTrial trial({"a2", "b2", "c2"});
+    LeaderSuccession trial({"a2", "b2", "c2"});
     for (const auto& [name, instance] : trial.world.instances()) {
-      instance->store_faults.down = true;
+      instance->store_faults.unavailable = true;
     }
     trial.world.Run(Millis(outage));
-    BOOST_TEST(trial.world.workers().at("old_only")->model.running() > 0);
+    BOOST_TEST(trial.world.workers().at("old_only")->model.running_count() > 0);
     for (const auto& [name, instance] : trial.world.instances()) {
-      instance->store_faults.down = false;
+      instance->store_faults.unavailable = false;
     }
     trial.world.Run(kSettlingTime);
-    BOOST_TEST(trial.world.broken().empty(), "outage " << outage);
+    BOOST_TEST(trial.world.violations().empty(), "outage " << outage);
   }
 }
 
@@ -135,19 +135,19 @@
     world.SetTable({fakes::MakeQueue("queue", 4)});
     world.AddWorker("w1", 8000);
     for (const char* name : {"a1", "b1", "c1", "d1"}) {
-      world.AddInstance(name, LeadTrial::CentreOf(name));
+      world.AddInstance(name, LeaderSuccession::DataCentreOf(name));
     }
     const fakes::WorldInstance* leader = world.WaitForLeader();
     BOOST_REQUIRE(leader != nullptr);
     world.Kill(leader->name == "d1" ? "c1" : "d1");
     world.Run(Millis(gone_for * 1000));
     BOOST_REQUIRE(
-        world.Submit(fakes::MakePlan(fakes::kTrialJob, 3, 1, "ms=4000")));
+        world.Submit(fakes::MakePlan(fakes::kSuccessionJob, 3, 1, "ms=4000")));
     for (const auto& [name, instance] : world.instances()) {
-      instance->store_faults.down = true;
+      instance->store_faults.unavailable = true;
     }
     world.Run(Millis(14'000));
-    BOOST_TEST(world.starts(std::string(fakes::kTrialJob) + ".0.2.0") == 1,
+    BOOST_TEST(world.starts(std::string(fakes::kSuccessionJob) + ".0.2.0") == 1,
                "gone for " << gone_for << " s");
   }
 }
@@ -165,21 +165,21 @@
     world.WaitForLeader();
     world.Run(Millis(2000));
     BOOST_REQUIRE(
-        world.Submit(fakes::MakePlan(fakes::kTrialJob, 8, 2, "ms=1000")));
+        world.Submit(fakes::MakePlan(fakes::kSuccessionJob, 8, 2, "ms=1000")));
     world.Run(Millis(700));
-    const int before = world.workers().at("w1")->started;
+    const int before = world.workers().at("w1")->runs_started;
     for (const auto& [name, instance] : world.instances()) {
-      instance->cut_from.insert("w1");
+      instance->unreachable_workers.insert("w1");
     }
     world.Run(Millis(duration));
     for (const auto& [name, instance] : world.instances()) {
-      instance->cut_from.clear();
-      instance->store_faults.down = true;
+      instance->unreachable_workers.clear();
+      instance->store_faults.unavailable = true;
     }
     world.Run(Millis(20'000));
-    BOOST_TEST(world.workers().at("w1")->started > before,
+    BOOST_TEST(world.workers().at("w1")->runs_started > before,
                "unresponsive for " << duration);
-    BOOST_TEST(world.broken().empty());
+    BOOST_TEST(world.violations().empty());
   }
 }
 
--- a/src/libdoorwood/cell/cell_pause_test.cpp
+++ b/src/libdoorwood/cell/cell_pause_test.cpp
@@ -16,8 +16,8 @@
 namespace doorwood {
 namespace {
 
-using fakes::LeadTrial;
-using fakes::Tally;
+using fakes::LeaderSuccession;
+using fakes::ViolationReport;
 
 // A poll waits for 1.2 s: twenty offsets within one poll.
 constexpr int kOffsets = 20;
@@ -38,39 +38,39 @@
 
 // The store serves the old leader before and after the pause.
 BOOST_AUTO_TEST_CASE(OldLeader_Paused_NothingRunsTwice) {
-  Tally tally;
+  ViolationReport violation_report;
   for (const bool partitioned : {false, true}) {
     for (int pause = 1000; pause <= 12'000; pause += 250) {
       for (int offset = 0; offset < kOffsets; ++offset) {
-        LeadTrial trial;
-        trial.PartWorkers(partitioned);
+        LeaderSuccession trial;
+        trial.SetWorkersPartitioned(partitioned);
         trial.world.Run(kOffsetStep * offset);
         trial.Pause(Millis(pause));
         trial.world.Run(kSettlingTime);
-        tally.Take(Describe({{"parted", partitioned},
-                             {"pause", pause},
-                             {"offset", offset}}),
-                   trial.world);
+        violation_report.Add(Describe({{"parted", partitioned},
+                                       {"pause", pause},
+                                       {"offset", offset}}),
+                             trial.world);
       }
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(OldLeader_PausedTwice_NothingRunsTwice) {
-  Tally tally;
+  ViolationReport violation_report;
   for (const bool partitioned : {false, true}) {
     for (int pause = 1000; pause <= 12'000; pause += 250) {
       for (int offset = 0; offset < kOffsets; ++offset) {
-        LeadTrial trial;
-        trial.PartWorkers(partitioned);
+        LeaderSuccession trial;
+        trial.SetWorkersPartitioned(partitioned);
         trial.Pause(Millis(pause));
         trial.world.Run(Millis(1 + offset * 10));
         trial.Pause(Millis(pause));
         trial.world.Run(kSettlingTime);
-        tally.Take(Describe({{"parted", partitioned},
-                             {"pause", pause},
-                             {"between", 1 + offset * 10}}),
-                   trial.world);
+        violation_report.Add(Describe({{"parted", partitioned},
+                                       {"pause", pause},
+                                       {"between", 1 + offset * 10}}),
+                             trial.world);
       }
     }
   }
@@ -79,20 +79,21 @@
 // It cannot reach the store and the other instances, continues for its 3 s, and
 // is paused around their end.
 BOOST_AUTO_TEST_CASE(PartitionedLeader_Paused_NothingRunsTwice) {
-  Tally tally;
+  ViolationReport violation_report;
   for (const bool partitioned : {false, true}) {
     for (int pause = 250; pause <= 6000; pause += 250) {
       for (int offset = 0; offset < 2 * kOffsets; ++offset) {
-        LeadTrial trial;
-        trial.PartWorkers(partitioned);
-        trial.CutOldLeader();
+        LeaderSuccession trial;
+        trial.SetWorkersPartitioned(partitioned);
+        trial.PartitionOldLeader();
         trial.world.Run(Millis(3000) + kOffsetStep * offset);
         trial.Pause(Millis(pause));
         trial.world.Run(kSettlingTime);
-        tally.Take(Describe({{"parted", partitioned},
-                             {"pause", pause},
-                             {"partitioned for", 3000 + 60 * offset}}),
-                   trial.world);
+        violation_report.Add(
+            Describe({{"parted", partitioned},
+                      {"pause", pause},
+                      {"partitioned for", 3000 + 60 * offset}}),
+            trial.world);
       }
     }
   }
@@ -102,21 +103,21 @@
 // follows from it.
 BOOST_AUTO_TEST_CASE(
     PartitionedLeader_PausedBetweenCheckAndOrder_NothingTwice) {
-  Tally tally;
+  ViolationReport violation_report;
   for (const bool partitioned : {false, true}) {
     for (int pause = 500; pause <= 5500; pause += 500) {
       for (int call = 1; call <= 300; ++call) {
-        LeadTrial trial;
-        trial.PartWorkers(partitioned);
-        trial.CutOldLeader();
+        LeaderSuccession trial;
+        trial.SetWorkersPartitioned(partitioned);
+        trial.PartitionOldLeader();
         const Instant orders_end =
-            trial.old->cell->proof().confirmed_at() + kUnsureTime;
+            trial.old_leader->cell->proof().confirmed_at() + kUnsureTime;
         const auto left = std::chrono::duration_cast<Millis>(
             orders_end - trial.world.time().now());
         trial.world.Run(left - Millis(1300));
-        trial.old->executor->PauseAtNow(call, Millis(pause));
+        trial.old_leader->executor->PauseInNowCall(call, Millis(pause));
         trial.world.Run(kSettlingTime);
-        tally.Take(
+        violation_report.Add(
             Describe(
                 {{"parted", partitioned}, {"pause", pause}, {"call", call}}),
             trial.world);
@@ -128,15 +129,15 @@
 // The same for a leader that the store serves: it loses the lead by the pause
 // alone.
 BOOST_AUTO_TEST_CASE(OldLeader_PausedBetweenCheckAndOrder_NothingTwice) {
-  Tally tally;
+  ViolationReport violation_report;
   for (const bool partitioned : {false, true}) {
     for (int pause = 3000; pause <= 5750; pause += 250) {
       for (int call = 1; call <= 300; call += 3) {
-        LeadTrial trial;
-        trial.PartWorkers(partitioned);
-        trial.old->executor->PauseAtNow(call, Millis(pause));
+        LeaderSuccession trial;
+        trial.SetWorkersPartitioned(partitioned);
+        trial.old_leader->executor->PauseInNowCall(call, Millis(pause));
         trial.world.Run(kSettlingTime + Millis(2000));
-        tally.Take(
+        violation_report.Add(
             Describe(
                 {{"parted", partitioned}, {"pause", pause}, {"call", call}}),
             trial.world);
--- a/src/libdoorwood/cell/cell_record_claim_test.cpp
+++ b/src/libdoorwood/cell/cell_record_claim_test.cpp
@@ -19,8 +19,8 @@
 namespace {
 
 using fakes::CellWorld;
-using fakes::CutAllFrom;
-using fakes::RunnerOf;
+using fakes::PartitionAllFrom;
+using fakes::WorkerRunning;
 
 constexpr char kJob[] = "00112233aabbccdd";
 constexpr char kTask[] = "00112233aabbccdd.0.0.0";
@@ -47,42 +47,42 @@
 int DropAndReadmitWorker(int lost_from, int unresponsive_from) {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
-  world.AddWorker("w1", 8000).model.SetStopTakes(Millis(100));
+  world.AddWorker("w1", 8000).model.SetStopDuration(Millis(100));
   world.AddInstance("a1", "plaka");
   world.AddInstance("b1", "plaka");
   world.WaitForLeader();
   world.Run(Millis(1000));
   BOOST_REQUIRE(world.Submit(LongRunningPlan(kJob, 2000)));
   world.Run(Millis(1000));
-  BOOST_REQUIRE(RunnerOf(world, kTask) == "w1");
+  BOOST_REQUIRE(WorkerRunning(world, kTask) == "w1");
   auto* old = world.Leader();
   auto& w1 = *world.workers().at("w1");
   w1.listed = false;
   // The worker is evacuated, and its run ends.
-  for (int i = 0; i < 6000 && RunnerOf(world, kTask) == "w1"; ++i) {
+  for (int i = 0; i < 6000 && WorkerRunning(world, kTask) == "w1"; ++i) {
     RunInMillisecondSteps(world, 1);
   }
   RunInMillisecondSteps(world, lost_from);
-  old->store_faults.answer_lost = 1.0;
+  old->store_faults.lost_reply_share = 1.0;
   for (int i = 0; i < 700 && old->alive; i += 50) {
     RunInMillisecondSteps(world, 50);
-    if (world.logged("a worker is gone") > 0) {
+    if (world.log_count("a worker is gone") > 0) {
       w1.listed = true;
     }
   }
-  old->store_faults.answer_lost = 0.0;
-  const int before = w1.started;
+  old->store_faults.lost_reply_share = 0.0;
+  const int before = w1.runs_started;
   for (int i = 0; i < 1500; ++i) {
     if (i == unresponsive_from) {
-      old->store_faults.silent = true;
+      old->store_faults.unresponsive = true;
     }
     RunInMillisecondSteps(world, 1);
-    if (w1.started > before) {
+    if (w1.runs_started > before) {
       world.Kill(old->name);
-      CutAllFrom(world, "w1");
+      PartitionAllFrom(world, "w1");
       world.AddWorker("w3", 8000);
       world.Run(Millis(6000));
-      return static_cast<int>(world.broken().size());
+      return static_cast<int>(world.violations().size());
     }
   }
   return -1;
@@ -109,26 +109,26 @@
 
 // A random walk in which entries appear, disappear, and start or stop to say
 // that a worker drains.
-class EntryChangeWalk : public fakes::LastingWalk {
+class EntryChangeWalk : public fakes::LongRunningFaultWalk {
  public:
-  using LastingWalk::LastingWalk;
+  using LongRunningFaultWalk::LongRunningFaultWalk;
 
  private:
-  void Step() override {
-    const uint64_t fault = Pick(30);
-    auto& worker = *world_.workers().at(AWorker());
+  void InjectFaultOrSubmit() override {
+    const uint64_t fault = RandomBelow(30);
+    auto& worker = *world_.workers().at(RandomWorker());
     switch (fault) {
       case 14:
-        LeaderOrOther().store_faults.late = kFaultShare;
+        LeaderOrRandomInstance().store_faults.delayed_write_share = kFaultShare;
         return;
       case 15:
-        LeaderOrOther().store_faults.answer_lost = kFaultShare;
+        LeaderOrRandomInstance().store_faults.lost_reply_share = kFaultShare;
         return;
       case 16:
-        LeaderOrOther().late_orders = kFaultShare;
+        LeaderOrRandomInstance().delayed_order_share = kFaultShare;
         return;
       case 17:
-        LeaderOrOther().live->AnnounceLeaving();
+        LeaderOrRandomInstance().live->AnnounceLeaving();
         return;
       case 18:
       case 19:
@@ -141,7 +141,8 @@
         worker.listed = !worker.listed;
         return;
       case 24:
-        worker.model.SetStopTakes(Millis(static_cast<int64_t>(Pick(1500))));
+        worker.model.SetStopDuration(
+            Millis(static_cast<int64_t>(RandomBelow(1500))));
         return;
       case 25:
       case 26:
@@ -151,26 +152,27 @@
         }
         return;
       default:
-        Play(fault);
+        InjectFault(fault);
     }
   }
 };
 
-void RunEntryChangeWalk(uint64_t seed, fakes::Tally* tally) {
+void RunEntryChangeWalk(uint64_t seed,
+                        fakes::ViolationReport* violation_report) {
   EntryChangeWalk walk(seed);
   walk.Run(70);
-  tally->Take("seed " + std::to_string(seed), walk.world());
+  violation_report->Add("seed " + std::to_string(seed), walk.world());
 }
 
 BOOST_AUTO_TEST_CASE(Cells_EntriesChangeAtRandom_NothingRunsTwice) {
   constexpr uint64_t kSeeds = 300;
-  fakes::Tally tally;
+  fakes::ViolationReport violation_report;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    RunEntryChangeWalk(seed, &tally);
+    RunEntryChangeWalk(seed, &violation_report);
   }
   // Seeds that failed in the past.
   for (const uint64_t seed : {889, 1631, 3996}) {
-    RunEntryChangeWalk(seed, &tally);
+    RunEntryChangeWalk(seed, &violation_report);
   }
 }
 
@@ -188,7 +190,7 @@
   world.Run(Millis(2000));
   BOOST_REQUIRE(world.Submit(LongRunningPlan(kJob, 1000)));
   world.Run(Millis(1000));
-  BOOST_REQUIRE(RunnerOf(world, kTask) == "w1");
+  BOOST_REQUIRE(WorkerRunning(world, kTask) == "w1");
   // What the older version leaves: the unchanged row, and a batch of its own.
   StoreTransaction transaction;
   transaction.puts.push_back({WorkersKey("all"), R"([["w1","w1",0,[]]])"});
@@ -196,10 +198,10 @@
   StoreCommit commit;
   BOOST_REQUIRE(!world.store().Commit(transaction, &commit));
   world.Kill(world.Leader()->name);
-  CutAllFrom(world, "w1");
+  PartitionAllFrom(world, "w1");
   world.AddWorker("w3", 8000);
   world.Run(Millis(6000));
-  BOOST_TEST(world.broken().empty());
+  BOOST_TEST(world.violations().empty());
   BOOST_TEST(world.starts(kTask) == 1);
 }
 
--- a/src/libdoorwood/cell/cell_replaced_workers_test.cpp
+++ b/src/libdoorwood/cell/cell_replaced_workers_test.cpp
@@ -87,7 +87,7 @@
  private:
   void AddWorker() {
     world_.AddWorker("w" + std::to_string(++workers_added_), 8000)
-        .model.SetStopTakes(kStopDuration);
+        .model.SetStopDuration(kStopDuration);
   }
 
   std::string NextJob() {
@@ -125,7 +125,7 @@
     for (auto it = ends_at_.begin(); it != ends_at_.end();) {
       auto& worker = *world_.workers().at(it->first);
       if (worker.up && now >= it->second) {
-        world_.TakeAway(it->first);
+        world_.ShutDownWorker(it->first);
         worker.listed = true;
       }
       if (now >= it->second + kEntryRemovalDelay) {
@@ -139,7 +139,7 @@
 
   void UpdateDowntimes() {
     for (auto& [task, downtime] : downtimes_) {
-      const bool runs = !fakes::RunnerOf(world_, task).empty();
+      const bool runs = !fakes::WorkerRunning(world_, task).empty();
       downtime = runs ? Millis(0) : downtime + kStep;
       longest_downtime_ = std::max(longest_downtime_, downtime);
     }
@@ -187,7 +187,7 @@
     BOOST_TEST_CONTEXT("seed " << seed << ", leaders change every "
                                << interval.count() << " ms") {
       BOOST_TEST(scenario.longest_downtime().count() <= kDowntimeBound.count());
-      BOOST_TEST(scenario.world().broken().empty());
+      BOOST_TEST(scenario.world().violations().empty());
     }
   }
 }
--- a/src/libdoorwood/cell/cell_replacing_walk_test.cpp
+++ b/src/libdoorwood/cell/cell_replacing_walk_test.cpp
@@ -25,19 +25,19 @@
 constexpr unsigned kShortJobLimit = 40;
 constexpr unsigned kLongJobLimit = 12;
 
-class ReplacingWalk : public fakes::LastingWalk {
+class ReplacingWalk : public fakes::LongRunningFaultWalk {
  public:
-  explicit ReplacingWalk(uint64_t seed) : LastingWalk(seed) {
+  explicit ReplacingWalk(uint64_t seed) : LongRunningFaultWalk(seed) {
     for (const auto& [id, worker] : world_.workers()) {
-      worker->model.SetStopTakes(Between(0, 3000));
+      worker->model.SetStopDuration(Between(0, 3000));
     }
   }
 
   int replaced() const { return replaced_; }
 
  private:
-  void Step() override {
-    const uint64_t fault = Pick(36);
+  void InjectFaultOrSubmit() override {
+    const uint64_t fault = RandomBelow(36);
     switch (fault) {
       case 14:
       case 15:
@@ -53,17 +53,17 @@
         world_.Run(Between(300, 3500));
         return KillLeader();
       case 21:
-        LeaderOrOther().store_faults.late = kFaultShare;
+        LeaderOrRandomInstance().store_faults.delayed_write_share = kFaultShare;
         return;
       case 22:
-        LeaderOrOther().store_faults.answer_lost = kFaultShare;
+        LeaderOrRandomInstance().store_faults.lost_reply_share = kFaultShare;
         return;
       case 23:
-        LeaderOrOther().late_orders = kFaultShare;
-        LeaderOrOther().orders_late_by = Between(300, 6000);
+        LeaderOrRandomInstance().delayed_order_share = kFaultShare;
+        LeaderOrRandomInstance().order_delay = Between(300, 6000);
         return;
       case 24:
-        LeaderOrOther().order_answers_lost = kFaultShare;
+        LeaderOrRandomInstance().lost_order_reply_share = kFaultShare;
         return;
       case 25:
         return ChangeEntryTemporarily();
@@ -80,17 +80,17 @@
         return LoseStartRepliesAndKillLeader();
       case 31:
         for (const auto& [name, instance] : world_.instances()) {
-          instance->order_answers_lost = 0;
+          instance->lost_order_reply_share = 0;
         }
         return;
       default:
-        Play(fault);
+        InjectFault(fault);
     }
   }
 
   Millis Between(int64_t least, int64_t most) {
-    return Millis(least + static_cast<int64_t>(
-                              Pick(static_cast<uint64_t>(most - least))));
+    return Millis(least + static_cast<int64_t>(RandomBelow(
+                              static_cast<uint64_t>(most - least))));
   }
 
   /// A random worker among those that are up.
@@ -101,34 +101,34 @@
         serving.push_back(id);
       }
     }
-    return serving[Pick(serving.size())];
+    return serving[RandomBelow(serving.size())];
   }
 
   void ReplaceOneWorker() {
     ++replaced_;
     const std::string leaving = PickServingWorker();
     auto& joining = world_.AddWorker("r" + std::to_string(replaced_), 4000);
-    joining.model.SetStopTakes(Between(0, 3000));
+    joining.model.SetStopDuration(Between(0, 3000));
     auto& worker = *world_.workers().at(leaving);
     const Instant now = world_.time().now();
     const Instant ends_at = now + Between(200, 8000);
     const Instant unlisted_at = ends_at + Between(0, 2500);
-    if (Pick(3) == 0) {
+    if (RandomBelow(3) == 0) {
       // Unannounced: at most its entry is removed before it ends.
-      worker.listed = Pick(2) == 0;
+      worker.listed = RandomBelow(2) == 0;
     } else {
       worker.incarnation.draining = true;
       worker.incarnation.min_time_to_leave = Between(0, 6000);
     }
-    world_.time().At(ends_at, [this, leaving] {
+    world_.time().RunAt(ends_at, [this, leaving] {
       const auto found = world_.workers().find(leaving);
       if (found != world_.workers().end()) {
         const bool listed = found->second->listed;
-        world_.TakeAway(leaving);
+        world_.ShutDownWorker(leaving);
         found->second->listed = listed;
       }
     });
-    world_.time().At(unlisted_at, [this, leaving] {
+    world_.time().RunAt(unlisted_at, [this, leaving] {
       const auto found = world_.workers().find(leaving);
       if (found != world_.workers().end()) {
         found->second->listed = false;
@@ -143,10 +143,10 @@
     if (worker.incarnation.draining || !worker.listed) {
       return;
     }
-    const bool drains = Pick(2) == 0;
+    const bool drains = RandomBelow(2) == 0;
     worker.incarnation.draining = drains;
     worker.listed = drains;
-    world_.time().At(world_.time().now() + Between(300, 5000), [this, id] {
+    world_.time().RunAt(world_.time().now() + Between(300, 5000), [this, id] {
       const auto found = world_.workers().find(id);
       if (found != world_.workers().end() && found->second->up) {
         found->second->incarnation.draining = false;
@@ -167,10 +167,10 @@
     PartitionOthersFrom(id, leader);
     world_.workers().at(id)->incarnation.draining = true;
     world_.Run(Between(100, 2500));
-    if (Pick(2) == 0) {
-      leader->store_faults.late = 1;
+    if (RandomBelow(2) == 0) {
+      leader->store_faults.delayed_write_share = 1;
     } else {
-      leader->store_faults.answer_lost = 1;
+      leader->store_faults.lost_reply_share = 1;
     }
     world_.Run(Between(50, 1000));
     const auto found = world_.workers().find(id);
@@ -191,9 +191,9 @@
     }
     const std::string id = PickServingWorker();
     PartitionOthersFrom(id, leader);
-    leader->order_answers_lost = 1;
+    leader->lost_order_reply_share = 1;
     SubmitLong();
-    leader->cut_from.insert(id);
+    leader->unreachable_workers.insert(id);
     world_.Run(Between(1000, 4000));
     KillLeader();
   }
@@ -215,7 +215,7 @@
                            const WorldInstance* reaches) {
     for (const auto& [name, instance] : world_.instances()) {
       if (instance != reaches) {
-        instance->cut_from.insert(id);
+        instance->unreachable_workers.insert(id);
       }
     }
   }
@@ -223,12 +223,13 @@
   // Only the leader, or no instance at all, reaches a worker that is up.
   void PartitionServingWorker() {
     const std::string worker = PickServingWorker();
-    const WorldInstance* reaches = Pick(3) == 0 ? nullptr : world_.Leader();
+    const WorldInstance* reaches =
+        RandomBelow(3) == 0 ? nullptr : world_.Leader();
     for (const auto& [name, instance] : world_.instances()) {
       if (instance == reaches) {
-        instance->cut_from.erase(worker);
+        instance->unreachable_workers.erase(worker);
       } else {
-        instance->cut_from.insert(worker);
+        instance->unreachable_workers.insert(worker);
       }
     }
   }
@@ -236,12 +237,12 @@
   // Replaces an instance by one that reaches the same workers.
   void ReplaceInstance(fakes::WorldInstance* before) {
     const std::string name = before->name;
-    const auto cut_from = before->cut_from;
+    const auto cut_from = before->unreachable_workers;
     world_.Kill(name);
     const std::string next =
         name.substr(0, 1) + "s" + std::to_string(++successors_);
-    world_.AddInstance(next, fakes::LeadTrial::CentreOf(name)).cut_from =
-        cut_from;
+    world_.AddInstance(next, fakes::LeaderSuccession::DataCentreOf(name))
+        .unreachable_workers = cut_from;
   }
 
   void ShutDownLeader() {
@@ -268,8 +269,8 @@
     }
     char id[17];
     std::snprintf(id, sizeof(id), "5%015x", ++short_jobs_);
-    const int steps = static_cast<int>(1 + Pick(2));
-    const int count = static_cast<int>(1 + Pick(3));
+    const int steps = static_cast<int>(1 + RandomBelow(2));
+    const int count = static_cast<int>(1 + RandomBelow(3));
     const auto takes = Between(100, 4000).count();
     world_.Submit(
         fakes::MakePlan(id, steps, count, "ms=" + std::to_string(takes)));
@@ -288,13 +289,13 @@
   const int last = last_seed != nullptr   ? std::atoi(last_seed)
                    : only_seed == nullptr ? kSeeds
                                           : first;
-  fakes::Tally tally;
+  fakes::ViolationReport violation_report;
   int started_done = 0;
   for (int seed = first; seed <= last; ++seed) {
     ReplacingWalk walk(static_cast<uint64_t>(seed));
     walk.Run(kSteps);
-    tally.Take("seed " + std::to_string(seed), walk.world());
-    for (const std::string& rule : walk.world().started_done()) {
+    violation_report.Add("seed " + std::to_string(seed), walk.world());
+    for (const std::string& rule : walk.world().completed_task_starts()) {
       ++started_done;
       BOOST_ERROR("seed " << seed << ": " << rule);
     }
--- a/src/libdoorwood/cell/cell_restarted_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_restarted_leader_test.cpp
@@ -20,8 +20,8 @@
 namespace doorwood {
 namespace {
 
-using fakes::LeadTrial;
-using fakes::Tally;
+using fakes::LeaderSuccession;
+using fakes::ViolationReport;
 using fakes::WorldInstance;
 
 constexpr Millis kSettleTime{20'000};
@@ -33,37 +33,38 @@
 // Kills the leader's process and restarts it under the same name, with the same
 // partitions from workers, and with the CPU share that makes it the preferred
 // leader.
-void RestartLeader(LeadTrial* scenario) {
-  const std::string name = scenario->old->name;
-  const auto cut_from = scenario->old->cut_from;
+void RestartLeader(LeaderSuccession* scenario) {
+  const std::string name = scenario->old_leader->name;
+  const auto cut_from = scenario->old_leader->unreachable_workers;
   scenario->world.Kill(name);
   WorldInstance& restarted = scenario->world.AddInstance(
-      name, LeadTrial::CentreOf(name), kHighestCpuShare);
-  restarted.cut_from = cut_from;
-  scenario->old = &restarted;
+      name, LeaderSuccession::DataCentreOf(name), kHighestCpuShare);
+  restarted.unreachable_workers = cut_from;
+  scenario->old_leader = &restarted;
 }
 
 BOOST_AUTO_TEST_CASE(
     RestartedLeader_StoreServesUnknownInstance_NothingRunsTwice) {
-  Tally tally;
+  ViolationReport violation_report;
   int led_again = 0;
   for (int refused_ms = 2500; refused_ms <= 6000; refused_ms += 250) {
-    LeadTrial scenario;
-    BOOST_REQUIRE(scenario.old->name == "b1");
-    scenario.PartWorkers(true);
+    LeaderSuccession scenario;
+    BOOST_REQUIRE(scenario.old_leader->name == "b1");
+    scenario.SetWorkersPartitioned(true);
     auto& world = scenario.world;
-    world.instances().at("a1")->store_faults.down = true;
+    world.instances().at("a1")->store_faults.unavailable = true;
     world.Run(Millis(refused_ms));
     RestartLeader(&scenario);
-    scenario.old->cut_from_instances.insert("a1");
+    scenario.old_leader->unreachable_instances.insert("a1");
     world.Run(kLeadsAgain);
-    led_again += world.Leader() == scenario.old ? 1 : 0;
-    world.instances().at("a1")->store_faults.down = false;
+    led_again += world.Leader() == scenario.old_leader ? 1 : 0;
+    world.instances().at("a1")->store_faults.unavailable = false;
     for (const char* name : {"b1", "c1"}) {
-      world.instances().at(name)->store_faults.down = true;
+      world.instances().at(name)->store_faults.unavailable = true;
     }
     world.Run(kSettleTime);
-    tally.Take("store refuses a1 for " + std::to_string(refused_ms), world);
+    violation_report.Add("store refuses a1 for " + std::to_string(refused_ms),
+                         world);
   }
   BOOST_TEST(led_again > 0);
 }
@@ -72,18 +73,18 @@
 // extending leases, because all known instances confirm the outage and none is
 // missing.
 BOOST_AUTO_TEST_CASE(RestartedLeader_StoreIsDownForAll_NoLeaseExpires) {
-  LeadTrial scenario;
+  LeaderSuccession scenario;
   auto& world = scenario.world;
   RestartLeader(&scenario);
   world.Run(kLeadsAgain);
-  BOOST_REQUIRE(world.Leader() == scenario.old);
+  BOOST_REQUIRE(world.Leader() == scenario.old_leader);
   for (const auto& [name, instance] : world.instances()) {
-    instance->store_faults.down = true;
+    instance->store_faults.unavailable = true;
   }
   world.Run(kSettleTime);
-  BOOST_TEST(world.workers().at("old_only")->model.running() == 2U);
-  BOOST_TEST(world.workers().at("both")->model.running() == 2U);
-  for (const std::string& rule : world.broken()) {
+  BOOST_TEST(world.workers().at("old_only")->model.running_count() == 2U);
+  BOOST_TEST(world.workers().at("both")->model.running_count() == 2U);
+  for (const std::string& rule : world.violations()) {
     BOOST_ERROR(rule);
   }
 }
@@ -93,23 +94,23 @@
 BOOST_AUTO_TEST_CASE(RestartedLeader_AnotherIsGone_IsForgottenInAMinute) {
   for (const bool within_a_minute : {true, false}) {
     BOOST_TEST_CONTEXT((within_a_minute ? "at once" : "after a minute")) {
-      LeadTrial scenario;
+      LeaderSuccession scenario;
       auto& world = scenario.world;
       world.Kill("c1");
       world.Run(within_a_minute ? Millis(5000) : Millis(65'000));
       RestartLeader(&scenario);
       world.Run(kLeadsAgain);
-      BOOST_REQUIRE(world.Leader() == scenario.old);
+      BOOST_REQUIRE(world.Leader() == scenario.old_leader);
       for (const auto& [name, instance] : world.instances()) {
-        instance->store_faults.down = true;
+        instance->store_faults.unavailable = true;
       }
       world.Run(kSettleTime);
       const size_t expected_runs = within_a_minute ? 0U : 2U;
-      BOOST_TEST(world.workers().at("old_only")->model.running() ==
+      BOOST_TEST(world.workers().at("old_only")->model.running_count() ==
                  expected_runs);
-      BOOST_TEST(
-          world.logged("removed the record of a permanently gone instance") ==
-          (within_a_minute ? 0 : 1));
+      BOOST_TEST(world.log_count(
+                     "removed the record of a permanently gone instance") ==
+                 (within_a_minute ? 0 : 1));
     }
   }
 }
--- a/src/libdoorwood/cell/cell_returning_instance_test.cpp
+++ b/src/libdoorwood/cell/cell_returning_instance_test.cpp
@@ -16,31 +16,31 @@
 namespace doorwood {
 namespace {
 
-using fakes::LeadTrial;
-using fakes::Tally;
+using fakes::LeaderSuccession;
+using fakes::ViolationReport;
 
 constexpr Millis kSettlingTime{20'000};
 
 void RunScenario(bool reached) {
-  Tally tally;
+  ViolationReport violation_report;
   for (int offset = 0; offset < 20; ++offset) {
-    LeadTrial trial;
-    BOOST_REQUIRE(trial.old->name == "b1");
-    trial.PartWorkers(true);
+    LeaderSuccession trial;
+    BOOST_REQUIRE(trial.old_leader->name == "b1");
+    trial.SetWorkersPartitioned(true);
     auto& world = trial.world;
     world.instances().at("a1")->live->AnnounceLeaving();
     world.Run(Millis(200 + offset * 60));
     for (const char* name : {"b1", "c1"}) {
-      world.instances().at(name)->store_faults.down = true;
+      world.instances().at(name)->store_faults.unavailable = true;
     }
     world.Kill("a1");
     auto& restarted = world.AddInstance("a1", "plaka", 2.0);
-    restarted.cut_from = {"old_only"};
+    restarted.unreachable_workers = {"old_only"};
     if (!reached) {
-      trial.old->cut_from_instances.insert("a1");
+      trial.old_leader->unreachable_instances.insert("a1");
     }
     world.Run(kSettlingTime);
-    tally.Take("offset " + std::to_string(offset * 60), world);
+    violation_report.Add("offset " + std::to_string(offset * 60), world);
   }
 }
 
@@ -48,21 +48,21 @@
 // instance, and refuses the leader, which no longer knows of the instance, and
 // all that the leader knows.
 BOOST_AUTO_TEST_CASE(UnknownInstance_AloneIsServedAgain_NothingRunsTwice) {
-  Tally tally;
+  ViolationReport violation_report;
   for (int away = 2500; away <= 6000; away += 250) {
-    LeadTrial trial;
-    BOOST_REQUIRE(trial.old->name == "b1");
-    trial.PartWorkers(true);
+    LeaderSuccession trial;
+    BOOST_REQUIRE(trial.old_leader->name == "b1");
+    trial.SetWorkersPartitioned(true);
     auto& world = trial.world;
-    world.instances().at("a1")->store_faults.down = true;
+    world.instances().at("a1")->store_faults.unavailable = true;
     world.Run(Millis(away));
-    world.instances().at("a1")->store_faults.down = false;
+    world.instances().at("a1")->store_faults.unavailable = false;
     for (const char* name : {"b1", "c1"}) {
-      world.instances().at(name)->store_faults.down = true;
+      world.instances().at(name)->store_faults.unavailable = true;
     }
-    trial.old->cut_from_instances.insert("a1");
+    trial.old_leader->unreachable_instances.insert("a1");
     world.Run(kSettlingTime);
-    tally.Take("away for " + std::to_string(away), world);
+    violation_report.Add("away for " + std::to_string(away), world);
   }
 }
 
--- a/src/libdoorwood/cell/cell_returning_walk_test.cpp
+++ b/src/libdoorwood/cell/cell_returning_walk_test.cpp
@@ -19,44 +19,45 @@
 // Share of replies that are lost, and of calls that are executed late.
 constexpr double kFaultShare = 0.35;
 
-class ReturningWalk : public fakes::LastingWalk {
+class ReturningWalk : public fakes::LongRunningFaultWalk {
  public:
-  using LastingWalk::LastingWalk;
+  using LongRunningFaultWalk::LongRunningFaultWalk;
 
  private:
-  void Step() override {
-    const uint64_t fault = Pick(22);
+  void InjectFaultOrSubmit() override {
+    const uint64_t fault = RandomBelow(22);
     switch (fault) {
       case 14:
-        LeaderOrOther().store_faults.late = kFaultShare;
+        LeaderOrRandomInstance().store_faults.delayed_write_share = kFaultShare;
         return;
       case 15:
-        LeaderOrOther().store_faults.answer_lost = kFaultShare;
+        LeaderOrRandomInstance().store_faults.lost_reply_share = kFaultShare;
         return;
       case 16:
-        LeaderOrOther().late_orders = kFaultShare;
+        LeaderOrRandomInstance().delayed_order_share = kFaultShare;
         return;
       case 17:
-        LeaderOrOther().live->AnnounceLeaving();
+        LeaderOrRandomInstance().live->AnnounceLeaving();
         return;
       case 18:
       case 19:
         return RestartInstance();
       default:
-        Play(fault);
+        InjectFault(fault);
     }
   }
 
   // Restarts an instance under its name, with the same partitions.
   void RestartInstance() {
-    auto& before = LeaderOrOther();
+    auto& before = LeaderOrRandomInstance();
     const std::string name = before.name;
-    const auto cut_from = before.cut_from;
-    const auto cut_from_instances = before.cut_from_instances;
+    const auto cut_from = before.unreachable_workers;
+    const auto cut_from_instances = before.unreachable_instances;
     world_.Kill(name);
-    auto& after = world_.AddInstance(name, fakes::LeadTrial::CentreOf(name));
-    after.cut_from = cut_from;
-    after.cut_from_instances = cut_from_instances;
+    auto& after =
+        world_.AddInstance(name, fakes::LeaderSuccession::DataCentreOf(name));
+    after.unreachable_workers = cut_from;
+    after.unreachable_instances = cut_from_instances;
   }
 };
 
@@ -64,11 +65,11 @@
   const char* only_seed = std::getenv("DOORWOOD_SEED");
   const int first = only_seed == nullptr ? 1 : std::atoi(only_seed);
   const int last = only_seed == nullptr ? kSeeds : first;
-  fakes::Tally tally;
+  fakes::ViolationReport violation_report;
   for (int seed = first; seed <= last; ++seed) {
     ReturningWalk walk(static_cast<uint64_t>(seed));
     walk.Run(kSteps);
-    tally.Take("seed " + std::to_string(seed), walk.world());
+    violation_report.Add("seed " + std::to_string(seed), walk.world());
   }
 }
 
--- a/src/libdoorwood/cell/cell_room_test.cpp
+++ b/src/libdoorwood/cell/cell_room_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 using fakes::CellWorld;
-using fakes::kCellJob;
+using fakes::kFixtureJob;
 
 constexpr char kOtherJob[] = "5555555555555555";
 constexpr int64_t kTaskCpu = 1000;
@@ -35,7 +35,7 @@
     world.Run(Millis(1000));
   }
   ~CapacityFixture() {
-    for (const std::string& rule : world.broken()) {
+    for (const std::string& rule : world.violations()) {
       BOOST_ERROR(rule);
     }
   }
@@ -48,7 +48,7 @@
     BOOST_REQUIRE(world.Submit(plan));
   }
   int64_t Used() const {
-    return static_cast<int64_t>(worker->model.running()) * kTaskCpu;
+    return static_cast<int64_t>(worker->model.running_count()) * kTaskCpu;
   }
   /// Runs the world, and returns the highest processor use of the worker after
   /// a start in that time, in thousandths of a processor; 0 if nothing started.
@@ -56,10 +56,11 @@
     constexpr Millis kStep{50};
     int64_t max_usage = 0;
     for (Millis passed{0}; passed < duration; passed += kStep) {
-      const int started_before = worker->started;
+      const int started_before = worker->runs_started;
       world.Run(kStep);
-      max_usage = worker->started > started_before ? std::max(max_usage, Used())
-                                                   : max_usage;
+      max_usage = worker->runs_started > started_before
+                      ? std::max(max_usage, Used())
+                      : max_usage;
     }
     return max_usage;
   }
@@ -73,7 +74,7 @@
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       CapacityFixture fixture(seed);
-      fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 200, "ms=500"));
+      fixture.world.Submit(fakes::MakePlan(kFixtureJob, 1, 200, "ms=500"));
       fixture.world.Run(Millis(2000));
       fixture.worker->incarnation.capacity.cpu_millis = 3 * kTaskCpu;
       fixture.world.Run(Millis(1000));
@@ -107,7 +108,7 @@
     BOOST_TEST_CONTEXT("seed " << seed) {
       CapacityFixture fixture(seed);
       fixture.SubmitLongRunning(kOtherJob, 3);
-      fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 200, "ms=500"));
+      fixture.world.Submit(fakes::MakePlan(kFixtureJob, 1, 200, "ms=500"));
       fixture.world.Run(Millis(1000));
       fixture.worker->incarnation.capacity.cpu_millis = 4 * kTaskCpu;
       fixture.world.Kill(fixture.world.WaitForLeader()->name);
@@ -124,19 +125,19 @@
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       CapacityFixture fixture(seed);
-      fixture.worker->model.SetStopTakes(kStopDuration);
+      fixture.worker->model.SetStopDuration(kStopDuration);
       fixture.SubmitLongRunning(kOtherJob, 4);
       fixture.world.Run(Millis(1000));
       fakes::WorldInstance* leader = fixture.world.WaitForLeader();
-      leader->cut_from.insert("w1");
+      leader->unreachable_workers.insert("w1");
       leader->cell->Cancel(kOtherJob, [](std::error_code) {});
       fixture.world.Run(Millis(100));
       fixture.world.Kill(leader->name);
       BOOST_REQUIRE(fixture.world.WaitForLeader() != nullptr);
-      fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 40, "ms=300"));
+      fixture.world.Submit(fakes::MakePlan(kFixtureJob, 1, 40, "ms=300"));
       BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(5000)) <= 8 * kTaskCpu);
       fixture.world.Run(Millis(10'000));
-      const auto state = fixture.world.StateOf(kCellJob);
+      const auto state = fixture.world.StateOf(kFixtureJob);
       BOOST_REQUIRE(state.has_value());
       BOOST_TEST(ToString(*state) == "completed");
     }
@@ -149,7 +150,7 @@
   fixture.worker->incarnation.is_valid = false;
   fixture.worker->incarnation.capacity = {100 * kTaskCpu, 1'000'000, 0};
   fixture.world.Run(Millis(1000));
-  fixture.world.Submit(fakes::MakePlan(kCellJob, 1, 20, "ms=500"));
+  fixture.world.Submit(fakes::MakePlan(kFixtureJob, 1, 20, "ms=500"));
   BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(2000)) == 0);
   fixture.worker->incarnation.is_valid = true;
   fixture.worker->incarnation.capacity.cpu_millis = 2 * kTaskCpu;
--- a/src/libdoorwood/cell/cell_run_number_test.cpp
+++ b/src/libdoorwood/cell/cell_run_number_test.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 using fakes::CellWorld;
-using fakes::CutAllFrom;
-using fakes::RunnerOf;
+using fakes::PartitionAllFrom;
+using fakes::WorkerRunning;
 using fakes::WorldInstance;
 
 constexpr char kJob[] = "00112233aabbccdd";
@@ -46,10 +46,10 @@
     for (int i = 0; i < 100 && world.starts(task) == 0; ++i) {
       world.Run(Millis(50));
     }
-    const std::string lost_worker = RunnerOf(world, task);
+    const std::string lost_worker = WorkerRunning(world, task);
     BOOST_REQUIRE(lost_worker == "w2");
     world.Kill(second->name);
-    CutAllFrom(world, lost_worker);
+    PartitionAllFrom(world, lost_worker);
     world.AddWorker("w3", 16'000);
     for (int i = 0; i < 600 && world.starts(task) == 1; ++i) {
       world.Run(Millis(50));
@@ -57,7 +57,7 @@
     BOOST_REQUIRE(world.starts(task) == 2);
     world.Run(Millis(reachable_after_ms));
     for (const auto& [name, instance] : world.instances()) {
-      instance->cut_from.clear();
+      instance->unreachable_workers.clear();
     }
     world.Run(Millis(24'000));
     ++rounds;
@@ -94,28 +94,28 @@
   for (int i = 0; i < 100 && world.starts(task) == 0; ++i) {
     world.Run(Millis(50));
   }
-  BOOST_REQUIRE(RunnerOf(world, task) == "w2");
+  BOOST_REQUIRE(WorkerRunning(world, task) == "w2");
   world.Kill(second->name);
-  CutAllFrom(world, "w2");
+  PartitionAllFrom(world, "w2");
   world.AddWorker("w3", 16'000);
   for (int i = 0; i < 600 && world.starts(task) == 1; ++i) {
     world.Run(Millis(50));
   }
-  BOOST_REQUIRE(RunnerOf(world, task) == "w3");
+  BOOST_REQUIRE(WorkerRunning(world, task) == "w3");
   WorldInstance* third = world.Leader();
   BOOST_REQUIRE(third != nullptr);
   world.Kill(third->name);
   for (const auto& [name, instance] : world.instances()) {
-    instance->cut_from.clear();
-    instance->late_orders = 1.0;
+    instance->unreachable_workers.clear();
+    instance->delayed_order_share = 1.0;
   }
   BOOST_REQUIRE(world.WaitForLeader() != nullptr);
   world.Run(Millis(1000));
   for (const auto& [name, instance] : world.instances()) {
-    instance->late_orders = 0;
+    instance->delayed_order_share = 0;
   }
   world.Run(Millis(8000));
-  for (const std::string& rule : world.broken()) {
+  for (const std::string& rule : world.violations()) {
     BOOST_ERROR(rule);
   }
 }
--- a/src/libdoorwood/cell/cell_silent_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_silent_takeover_test.cpp
@@ -21,7 +21,7 @@
 namespace doorwood {
 namespace {
 
-using fakes::CutLeaderFixture;
+using fakes::PartitionedLeaderFixture;
 
 // A successor's wait since the last lease extension (docs/design/silence.md: a
 // run lease at the slowest clock, 3 s, 0.5 s), the time without a leader
@@ -31,12 +31,12 @@
 // the rest of the lease, the margin of 0.5 s, and the time without a leader.
 constexpr Millis kLeaseWaitBound{6123 - 4000 + 500 + 2500};
 
-struct UnresponsiveTakeover : CutLeaderFixture {
-  using CutLeaderFixture::CutLeaderFixture;
+struct UnresponsiveTakeover : PartitionedLeaderFixture {
+  using PartitionedLeaderFixture::PartitionedLeaderFixture;
 
   void PartitionShared() {
     for (const auto& [name, instance] : world.instances()) {
-      instance->cut_from.insert("shared");
+      instance->unreachable_workers.insert("shared");
     }
   }
   /// Submits one small job after the other for that time, so that tasks are
@@ -59,8 +59,8 @@
   Millis TimeUntilRestarted(Instant since) {
     const auto& near = world.workers().at("near")->model;
     const auto restarted = [&] {
-      return near.Runs(fakes::kLastingJob + std::string(".0.0.0")) &&
-             near.Runs(fakes::kLastingJob + std::string(".0.0.1"));
+      return near.IsRunning(fakes::kLongRunningJob + std::string(".0.0.0")) &&
+             near.IsRunning(fakes::kLongRunningJob + std::string(".0.0.1"));
     };
     for (int i = 0; i < 600 && !restarted(); ++i) {
       world.Run(Millis(50));
@@ -79,13 +79,13 @@
     scenario.PartitionShared();
     const Instant since = scenario.world.time().now();
     scenario.world.Run(Millis(unresponsive_ms));
-    scenario.world.Kill(scenario.old->name);
+    scenario.world.Kill(scenario.old_leader->name);
     const Millis downtime = scenario.TimeUntilRestarted(since);
     BOOST_TEST(
         downtime.count() <= kDowntimeBound.count(),
         "unresponsive for " << unresponsive_ms << " ms: " << downtime.count());
-    scenario.ExpectNothingBroken("unresponsive for " +
-                                 std::to_string(unresponsive_ms));
+    scenario.ExpectNoViolations("unresponsive for " +
+                                std::to_string(unresponsive_ms));
   }
 }
 
@@ -102,14 +102,14 @@
       scenario.PartitionShared();
       scenario.RunWithStarts(Millis(unresponsive_ms));
       const Instant lost = scenario.world.time().now();
-      scenario.world.Kill(scenario.old->name);
+      scenario.world.Kill(scenario.old_leader->name);
       const Millis wait = scenario.TimeUntilRestarted(lost);
       const std::string context = "seed " + std::to_string(seed) +
                                   ", unresponsive for " +
                                   std::to_string(unresponsive_ms);
       BOOST_TEST(wait.count() <= kLeaseWaitBound.count(),
                  context << " ms: " << wait.count());
-      scenario.ExpectNothingBroken(context);
+      scenario.ExpectNoViolations(context);
     }
   }
 }
@@ -125,19 +125,19 @@
       scenario.PartitionShared();
       scenario.world.Run(Millis(unresponsive_ms));
       for (const auto& [name, instance] : scenario.world.instances()) {
-        instance->cut_from.clear();
+        instance->unreachable_workers.clear();
       }
       scenario.world.Run(Millis(reachable_ms));
       for (const auto& [name, instance] : scenario.world.instances()) {
-        if (instance != scenario.old) {
-          instance->cut_from.insert("shared");
+        if (instance != scenario.old_leader) {
+          instance->unreachable_workers.insert("shared");
         }
       }
-      scenario.CutOldLeader();
+      scenario.PartitionOldLeader();
       scenario.world.Run(Millis(22'000));
-      scenario.Heal();
+      scenario.HealPartition();
       scenario.world.Run(Millis(3000));
-      scenario.ExpectNothingBroken(
+      scenario.ExpectNoViolations(
           "unresponsive for " + std::to_string(unresponsive_ms) +
           ", reachable for " + std::to_string(reachable_ms));
     }
@@ -156,14 +156,14 @@
         UnresponsiveTakeover scenario(seed);
         scenario.PartitionShared();
         scenario.world.Run(Millis(unresponsive_ms));
-        scenario.old->store_faults.silent = true;
-        scenario.old->cut_from_peers = true;
+        scenario.old_leader->store_faults.unresponsive = true;
+        scenario.old_leader->partitioned_from_peers = true;
         scenario.world.Run(Millis(reachable_after_ms));
-        scenario.old->cut_from.erase("shared");
+        scenario.old_leader->unreachable_workers.erase("shared");
         scenario.world.Run(Millis(15'000));
-        scenario.Heal();
+        scenario.HealPartition();
         scenario.world.Run(Millis(3000));
-        scenario.ExpectNothingBroken(
+        scenario.ExpectNoViolations(
             "seed " + std::to_string(seed) + ", unresponsive for " +
             std::to_string(unresponsive_ms) + ", later " +
             std::to_string(reachable_after_ms));
@@ -183,15 +183,15 @@
       scenario.RunWithStarts(Millis(1000));
       scenario.PartitionShared();
       scenario.RunWithStarts(Millis(unresponsive_ms));
-      const auto lease = scenario.old->live->lease();
+      const auto lease = scenario.old_leader->live->lease();
       BOOST_REQUIRE(lease.has_value());
-      scenario.world.store().Revoke(*lease);
+      scenario.world.store().DropLeaseKeys(*lease);
       scenario.world.Run(Millis(12'000));
-      scenario.Heal();
+      scenario.HealPartition();
       scenario.world.Run(Millis(3000));
-      scenario.ExpectNothingBroken("seed " + std::to_string(seed) +
-                                   ", unresponsive for " +
-                                   std::to_string(unresponsive_ms));
+      scenario.ExpectNoViolations("seed " + std::to_string(seed) +
+                                  ", unresponsive for " +
+                                  std::to_string(unresponsive_ms));
     }
   }
 }
@@ -210,7 +210,7 @@
       scenario.PartitionShared();
       scenario.world.Run(Millis(unresponsive_ms));
       for (const auto& [name, instance] : scenario.world.instances()) {
-        instance->cut_from.clear();
+        instance->unreachable_workers.clear();
       }
       scenario.world.Run(Millis(10'000));
       const auto& shared = scenario.world.workers().at("shared")->model;
@@ -219,10 +219,10 @@
                                   ", unresponsive for " +
                                   std::to_string(unresponsive_ms);
       if (unresponsive_ms <= kAnswersInTimeMs) {
-        BOOST_TEST(shared.running() == 2U, context);
+        BOOST_TEST(shared.running_count() == 2U, context);
       }
-      BOOST_TEST(shared.running() + near.running() == 2U, context);
-      scenario.ExpectNothingBroken(context);
+      BOOST_TEST(shared.running_count() + near.running_count() == 2U, context);
+      scenario.ExpectNoViolations(context);
     }
   }
 }
--- a/src/libdoorwood/cell/cell_silent_worker_test.cpp
+++ b/src/libdoorwood/cell/cell_silent_worker_test.cpp
@@ -21,9 +21,9 @@
 namespace {
 
 using fakes::CellWorld;
-using fakes::CutAllFrom;
-using fakes::kCellJob;
-using fakes::RunnerOf;
+using fakes::kFixtureJob;
+using fakes::PartitionAllFrom;
+using fakes::WorkerRunning;
 
 constexpr int kTasks = 3;
 // The lease of 6 s has expired at most 6.6 s after the last answered status
@@ -39,13 +39,13 @@
     world.WaitForLeader();
     world.Run(Millis(1000));
     BOOST_REQUIRE(
-        world.Submit(fakes::MakePlan(kCellJob, 1, kTasks, "ms=60000")));
+        world.Submit(fakes::MakePlan(kFixtureJob, 1, kTasks, "ms=60000")));
     world.Run(Millis(500));
-    BOOST_REQUIRE(RunnerOf(world, task) == "w1");
-    CutAllFrom(world, "w1");
+    BOOST_REQUIRE(WorkerRunning(world, task) == "w1");
+    PartitionAllFrom(world, "w1");
   }
   ~UnresponsiveWorkerFixture() {
-    for (const std::string& rule : world.broken()) {
+    for (const std::string& rule : world.violations()) {
       BOOST_ERROR(rule);
     }
   }
@@ -55,22 +55,22 @@
 
   void Heal() {
     for (const auto& [name, instance] : world.instances()) {
-      instance->cut_from.clear();
+      instance->unreachable_workers.clear();
     }
   }
 
   CellWorld world;
-  const std::string task = std::string(kCellJob) + ".0.0.0";
+  const std::string task = std::string(kFixtureJob) + ".0.0.0";
 };
 
 BOOST_AUTO_TEST_CASE(UnresponsiveWorker_LeaseExpired_GetsNothingNew) {
   UnresponsiveWorkerFixture fixture;
   fixture.world.Run(kLeaseExpiry);
-  BOOST_REQUIRE(fixture.world.logged(
+  BOOST_REQUIRE(fixture.world.log_count(
                     "the run lease of an unresponsive worker has expired") ==
                 1);
   fixture.world.Run(Millis(10'000));
-  BOOST_TEST(fixture.world.logged("start ordered") == kTasks);
+  BOOST_TEST(fixture.world.log_count("start ordered") == kTasks);
 }
 
 BOOST_AUTO_TEST_CASE(UnresponsiveWorker_AnotherJoins_TakesTheTasksAtOnce) {
@@ -79,7 +79,7 @@
   fixture.world.AddWorker("w2", 8000);
   // Long enough until it is listed, recorded and contacted.
   fixture.world.Run(Millis(800));
-  BOOST_TEST(RunnerOf(fixture.world, fixture.task) == "w2");
+  BOOST_TEST(WorkerRunning(fixture.world, fixture.task) == "w2");
 }
 
 BOOST_AUTO_TEST_CASE(UnresponsiveWorker_AnswersAgain_TakesTheTasksAtOnce) {
@@ -89,7 +89,7 @@
   // Long enough until the next status call, which is made 0.15 s after a failed
   // one, which takes 0.7 s.
   fixture.world.Run(Millis(1000));
-  BOOST_TEST(RunnerOf(fixture.world, fixture.task) == "w1");
+  BOOST_TEST(WorkerRunning(fixture.world, fixture.task) == "w1");
 }
 
 // While a start is unanswered, two status calls may be in flight. If one fails
@@ -105,7 +105,7 @@
     JobPlan plan = fakes::MakePlan("00112233aabbccd0", 1, 1, "ms=60000");
     BOOST_REQUIRE(fixture.world.Submit(plan));
     fixture.world.Run(Millis(300));
-    BOOST_TEST(RunnerOf(fixture.world, "00112233aabbccd0.0.0.0") == "w1",
+    BOOST_TEST(WorkerRunning(fixture.world, "00112233aabbccd0.0.0.0") == "w1",
                "unresponsive for " << unresponsive_ms << " ms");
   }
 }
--- a/src/libdoorwood/cell/cell_successors_test.cpp
+++ b/src/libdoorwood/cell/cell_successors_test.cpp
@@ -16,10 +16,10 @@
 namespace {
 
 using fakes::CellWorld;
-using fakes::CutAllFrom;
-using fakes::LeadTrial;
-using fakes::RunnerOf;
-using fakes::Tally;
+using fakes::LeaderSuccession;
+using fakes::PartitionAllFrom;
+using fakes::ViolationReport;
+using fakes::WorkerRunning;
 using fakes::WorldInstance;
 
 constexpr char kJobOfSecond[] = "00112233aabbccee";
@@ -36,23 +36,23 @@
 // the runs there, starts more, and is lost 0.05 to 2 s later. The third leader
 // never reaches that worker.
 BOOST_AUTO_TEST_CASE(ThirdLeader_OnlySecondReachedWorker_NothingRunsTwice) {
-  Tally tally;
+  ViolationReport violation_report;
   for (int not_contacted_ms = 500; not_contacted_ms <= 11'000;
        not_contacted_ms += 500) {
     for (int contacted_ms = 50; contacted_ms <= 2000; contacted_ms += 150) {
-      LeadTrial scenario({"a2", "b2"});
+      LeaderSuccession scenario({"a2", "b2"});
       CellWorld& world = scenario.world;
-      WorldInstance* second = ReplaceLeader(world, scenario.old);
+      WorldInstance* second = ReplaceLeader(world, scenario.old_leader);
       world.Run(Millis(not_contacted_ms));
-      second->cut_from = {"new_only", "both"};
-      world.Submit(LeadTrial::Plan(kJobOfSecond, 2));
+      second->unreachable_workers = {"new_only", "both"};
+      world.Submit(LeaderSuccession::Plan(kJobOfSecond, 2));
       world.Run(Millis(contacted_ms));
-      CutAllFrom(world, "old_only");
+      PartitionAllFrom(world, "old_only");
       ReplaceLeader(world, second);
       world.Run(kSettleTime);
-      tally.Take("not contacted " + std::to_string(not_contacted_ms) +
-                     " contacted " + std::to_string(contacted_ms),
-                 world);
+      violation_report.Add("not contacted " + std::to_string(not_contacted_ms) +
+                               " contacted " + std::to_string(contacted_ms),
+                           world);
     }
   }
 }
@@ -61,36 +61,36 @@
 // becomes unresponsive to that leader 0 to 1.5 s later, and the leader is lost
 // 0.2 to 4 s after that. The directory may no longer list the worker by then.
 BOOST_AUTO_TEST_CASE(ThirdLeader_WorkerJoinedUnderSecond_NothingRunsTwice) {
-  Tally tally;
+  ViolationReport violation_report;
   int started = 0;
   for (const bool listed : {true, false}) {
     for (int store_unresponsive_after = 0; store_unresponsive_after <= 1500;
          store_unresponsive_after += 50) {
       for (const int lost_after : {200, 1000, 2500, 4000}) {
-        LeadTrial scenario({"a2", "b2"});
+        LeaderSuccession scenario({"a2", "b2"});
         CellWorld& world = scenario.world;
-        WorldInstance* second = ReplaceLeader(world, scenario.old);
+        WorldInstance* second = ReplaceLeader(world, scenario.old_leader);
         world.Run(Millis(10'500));
-        CutAllFrom(world, "late");
-        second->cut_from = {"new_only", "both", "old_only"};
+        PartitionAllFrom(world, "late");
+        second->unreachable_workers = {"new_only", "both", "old_only"};
         // Larger than the free capacity of the other workers.
         JobPlan plan = fakes::MakePlan(kJobOfSecond, 1, 1, "ms=100000");
         plan.steps[0].size.cpu_millis = 9000;
         BOOST_REQUIRE(world.Submit(plan));
         world.AddWorker("late", 16'000);
         world.Run(Millis(store_unresponsive_after));
-        second->store_faults.silent = true;
+        second->store_faults.unresponsive = true;
         world.Run(Millis(lost_after));
         started +=
-            static_cast<int>(world.workers().at("late")->model.running());
+            static_cast<int>(world.workers().at("late")->model.running_count());
         world.workers().at("late")->listed = listed;
         ReplaceLeader(world, second);
         world.Run(kSettleTime);
-        tally.Take("store unresponsive after " +
-                       std::to_string(store_unresponsive_after) +
-                       " lost after " + std::to_string(lost_after) +
-                       (listed ? "" : " not listed"),
-                   world);
+        violation_report.Add("store unresponsive after " +
+                                 std::to_string(store_unresponsive_after) +
+                                 " lost after " + std::to_string(lost_after) +
+                                 (listed ? "" : " not listed"),
+                             world);
       }
     }
   }
@@ -132,7 +132,7 @@
 int UncountedFailures(CellWorld& world, const std::string& task) {
   int failures = 0;
   for (const auto& [id, worker] : world.workers()) {
-    failures += worker->model.lapsed_failures(task);
+    failures += worker->model.failures_at_lease_expiry(task);
   }
   return failures;
 }
@@ -140,7 +140,7 @@
 // Two runs fail, of which one or none is recorded in the store. The second
 // leader cannot reach the worker of one of them, and the third can or cannot.
 void RunAttempts(bool within_wait) {
-  const std::string task = std::string(fakes::kTrialJob) + ".0.0.0";
+  const std::string task = std::string(fakes::kSuccessionJob) + ".0.0.0";
   for (const AttemptsRow& row : AttemptsRows(within_wait)) {
     CellWorld world(3);
     world.SetTable({fakes::MakeQueue("queue", 4)});
@@ -148,12 +148,12 @@
       world.AddWorker(id, 8000);
     }
     for (const char* name : {"a1", "b1", "c1", "a2", "b2"}) {
-      world.AddInstance(name, LeadTrial::CentreOf(name));
+      world.AddInstance(name, LeaderSuccession::DataCentreOf(name));
     }
     WorldInstance* old = world.WaitForLeader();
     world.Run(Millis(1000));
     BOOST_REQUIRE(world.Submit(
-        fakes::MakePlan(fakes::kTrialJob, 1, 1, "ms=1200 fails=999999")));
+        fakes::MakePlan(fakes::kSuccessionJob, 1, 1, "ms=1200 fails=999999")));
     std::string partitioned_worker;
     const auto run_until = [&](int starts) {
       for (int i = 0; i < 100 && world.starts(task) < starts; ++i) {
@@ -163,28 +163,29 @@
     for (int run = 1; run <= 2; ++run) {
       run_until(run);
       world.Run(Millis(300));
-      partitioned_worker = run == row.partitioned_run ? RunnerOf(world, task)
-                                                      : partitioned_worker;
+      partitioned_worker = run == row.partitioned_run
+                               ? WorkerRunning(world, task)
+                               : partitioned_worker;
       for (const auto& [name, instance] : world.instances()) {
-        instance->store_faults.down = run > row.recorded;
+        instance->store_faults.unavailable = run > row.recorded;
       }
     }
     run_until(3);
     world.Run(Millis(100));
-    old->cut_from_peers = true;
+    old->partitioned_from_peers = true;
     for (const auto& [name, instance] : world.instances()) {
-      instance->store_faults.down = instance == old;
+      instance->store_faults.unavailable = instance == old;
     }
-    CutAllFrom(world, partitioned_worker);
+    PartitionAllFrom(world, partitioned_worker);
     WorldInstance* second = ReplaceLeader(world, old);
     world.Run(Millis(row.second_leads));
     WorldInstance* third = ReplaceLeader(world, second);
     if (row.third_reaches) {
-      third->cut_from.clear();
+      third->unreachable_workers.clear();
     }
     world.Run(kSettleTime);
     for (const auto& [name, instance] : world.instances()) {
-      instance->cut_from.clear();
+      instance->unreachable_workers.clear();
     }
     world.Run(kSettleTime);
     BOOST_TEST_CONTEXT("recorded " << row.recorded << ", partitioned run "
@@ -193,8 +194,8 @@
                                    << row.third_reaches) {
       const int uncounted = within_wait ? 0 : UncountedFailures(world, task);
       BOOST_TEST(world.starts(task) <= 4 + uncounted);
-      BOOST_TEST(world.broken().empty());
-      const auto state = world.StateOf(fakes::kTrialJob);
+      BOOST_TEST(world.violations().empty());
+      const auto state = world.StateOf(fakes::kSuccessionJob);
       BOOST_TEST((state ? ToString(*state) : "not known") == "failed");
     }
   }
--- a/src/libdoorwood/cell/cell_unheard_again_test.cpp
+++ b/src/libdoorwood/cell/cell_unheard_again_test.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 using fakes::CellWorld;
-using fakes::CutAllFrom;
-using fakes::RunnerOf;
+using fakes::PartitionAllFrom;
+using fakes::WorkerRunning;
 using fakes::WorldInstance;
 
 constexpr char kJob[] = "00112233aabbccdd";
@@ -44,18 +44,18 @@
       world.SetTable({fakes::MakeQueue("queue", 4)});
       world.AddWorker("unheard", 4000);
       for (const char* name : {"a1", "b1", "c1", "a2", "b2"}) {
-        world.AddInstance(name, fakes::LeadTrial::CentreOf(name));
+        world.AddInstance(name, fakes::LeaderSuccession::DataCentreOf(name));
       }
       WorldInstance* first = world.WaitForLeader();
       world.Run(Millis(1000));
-      BOOST_REQUIRE(world.Submit(fakes::LeadTrial::Plan(kJob, 1)));
+      BOOST_REQUIRE(world.Submit(fakes::LeaderSuccession::Plan(kJob, 1)));
       world.AddWorker("heard", 8000);
       JobPlan large = fakes::MakePlan(kWaitingJob, 1, 1, "");
       large.steps[0].size.cpu_millis = 12'000;
       BOOST_REQUIRE(world.Submit(large));
       world.Run(Millis(1000));
-      BOOST_REQUIRE(world.workers().at("unheard")->model.running() == 1U);
-      CutAllFrom(world, "unheard");
+      BOOST_REQUIRE(world.workers().at("unheard")->model.running_count() == 1U);
+      PartitionAllFrom(world, "unheard");
       WorldInstance* second = ReplaceLeader(world, first);
       world.Run(Millis(second_leads_ms - 1000));
       if (joins) {
@@ -67,8 +67,8 @@
       world.Run(kStartBound);
       BOOST_TEST_CONTEXT("second leads " << second_leads_ms
                                          << (joins ? ", a worker joins" : "")) {
-        BOOST_TEST(RunnerOf(world, kWaitingTask) == "large");
-        BOOST_TEST(world.broken().empty());
+        BOOST_TEST(WorkerRunning(world, kWaitingTask) == "large");
+        BOOST_TEST(world.violations().empty());
       }
     }
   }
--- a/src/libdoorwood/cell/cell_unheard_wait_test.cpp
+++ b/src/libdoorwood/cell/cell_unheard_wait_test.cpp
@@ -17,8 +17,8 @@
 namespace {
 
 using fakes::CellWorld;
-using fakes::CutAllFrom;
-using fakes::RunnerOf;
+using fakes::PartitionAllFrom;
+using fakes::WorkerRunning;
 
 constexpr char kJob[] = "00112233aabbccdd";
 constexpr char kTask[] = "00112233aabbccdd.0.0.0";
@@ -45,12 +45,12 @@
   if (far_listed) {
     world.AddWorker("far", 8000);
     if (!far_contacted) {
-      CutAllFrom(world, "far");
+      PartitionAllFrom(world, "far");
     }
   }
   world.WaitForLeader();
   world.Run(Millis(3000));
-  CutAllFrom(world, "far");
+  PartitionAllFrom(world, "far");
   world.Run(Millis(20'000));
   Millis waited{0};
   for (int i = 1; i <= leaders; ++i) {
@@ -65,14 +65,14 @@
     world.workers().at("w1")->incarnation.draining = false;
     world.Kill(world.Leader()->name);
     waited = Millis(0);
-    while (RunnerOf(world, std::string(id) + ".0.0.0").empty() &&
+    while (WorkerRunning(world, std::string(id) + ".0.0.0").empty() &&
            waited < Millis(30'000)) {
       world.Run(Millis(50));
       waited += Millis(50);
     }
     world.Run(Millis(20'000));
   }
-  BOOST_TEST(world.broken().empty());
+  BOOST_TEST(world.violations().empty());
   return static_cast<int>(waited.count());
 }
 
@@ -106,22 +106,22 @@
   // Its first leader is lost before the task is started, the next one after.
   world.Kill(world.Leader()->name);
   world.AddWorker("stays", 8000);
-  for (int i = 0; i < 200 && RunnerOf(world, kTask).empty(); ++i) {
+  for (int i = 0; i < 200 && WorkerRunning(world, kTask).empty(); ++i) {
     world.Run(Millis(50));
   }
-  BOOST_REQUIRE(RunnerOf(world, kTask) == "stays");
+  BOOST_REQUIRE(WorkerRunning(world, kTask) == "stays");
   world.Run(Millis(1500));
   world.Kill(world.Leader()->name);
-  world.TakeAway("leaves");
-  for (int i = 0; i < 200 && !RunnerOf(world, kTask).empty(); ++i) {
+  world.ShutDownWorker("leaves");
+  for (int i = 0; i < 200 && !WorkerRunning(world, kTask).empty(); ++i) {
     world.Run(Millis(50));
   }
   int waited = 0;
-  for (; waited < 20'000 && RunnerOf(world, kTask).empty(); waited += 50) {
+  for (; waited < 20'000 && WorkerRunning(world, kTask).empty(); waited += 50) {
     world.Run(Millis(50));
   }
   BOOST_TEST(waited <= 1000);
-  BOOST_TEST(world.broken().empty());
+  BOOST_TEST(world.violations().empty());
 }
 
 }  // namespace
--- a/src/libdoorwood/cell/cell_walk_test.cpp
+++ b/src/libdoorwood/cell/cell_walk_test.cpp
@@ -75,10 +75,10 @@
         FreezeInstance();
         break;
       case 2:
-        PickOf(world_.instances())->store_faults.silent = Pick(2) == 0;
+        PickOf(world_.instances())->store_faults.unresponsive = Pick(2) == 0;
         break;
       case 3:
-        PickOf(world_.instances())->store_faults.down = Pick(2) == 0;
+        PickOf(world_.instances())->store_faults.unavailable = Pick(2) == 0;
         break;
       case 4:
         SetStoreOutage(Pick(2) == 0);
@@ -124,16 +124,16 @@
 
   void SetStoreOutage(bool down) {
     for (const auto& [name, instance] : world_.instances()) {
-      instance->store_faults.down = down;
+      instance->store_faults.unavailable = down;
     }
   }
 
   void ToggleLostAndDelayedMessages() {
     const bool on = Pick(2) == 0;
     for (const auto& [name, instance] : world_.instances()) {
-      instance->store_faults.answer_lost = on ? 0.2 : 0;
-      instance->store_faults.late = on ? 0.1 : 0;
-      instance->late_orders = on ? 0.1 : 0;
+      instance->store_faults.lost_reply_share = on ? 0.2 : 0;
+      instance->store_faults.delayed_write_share = on ? 0.1 : 0;
+      instance->delayed_order_share = on ? 0.1 : 0;
     }
   }
 
@@ -152,9 +152,9 @@
             ->first;
     for (const auto& [name, instance] : world_.instances()) {
       if (Pick(2) == 0) {
-        instance->cut_from.insert(worker);
+        instance->unreachable_workers.insert(worker);
       } else {
-        instance->cut_from.clear();
+        instance->unreachable_workers.clear();
       }
     }
   }
@@ -162,22 +162,22 @@
   void RevokeInstanceLease() {
     auto* instance = PickOf(world_.instances());
     if (instance->live->lease()) {
-      world_.store().Revoke(*instance->live->lease());
+      world_.store().DropLeaseKeys(*instance->live->lease());
     }
   }
 
   void ClearFaults() {
     for (const auto& [name, instance] : world_.instances()) {
       instance->store_faults = {};
-      instance->late_orders = 0;
-      instance->cut_from.clear();
-      instance->cut_from_peers = false;
+      instance->delayed_order_share = 0;
+      instance->unreachable_workers.clear();
+      instance->partitioned_from_peers = false;
     }
   }
 
   void Check() {
     BOOST_REQUIRE(world_.Leader() != nullptr);
-    for (const std::string& rule : world_.broken()) {
+    for (const std::string& rule : world_.violations()) {
       BOOST_ERROR(rule);
     }
     for (const auto& [id, plan] : accepted_) {
