--- a/src/libdoorwood/cell/cell_worker_loss_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_loss_test.cpp
@@ -15,7 +15,7 @@
 
 using fakes::CellFixture;
 
-constexpr auto& kJob = fakes::kCellJob;
+constexpr auto& kJob = fakes::kFixtureJob;
 
 BOOST_FIXTURE_TEST_CASE(Worker_UnresponsiveAtTakeover_ItsTaskWaitsForProof,
                         CellFixture) {
@@ -25,12 +25,12 @@
   world.Run(Millis(500));
   std::string host;
   for (const auto& [id, worker] : world.workers()) {
-    if (worker->model.running() > 0) {
+    if (worker->model.running_count() > 0) {
       host = id;
     }
   }
   for (const auto& [name, instance] : world.instances()) {
-    instance->cut_from.insert(host);
+    instance->unreachable_workers.insert(host);
   }
   world.Kill(world.Leader()->name);
   BOOST_REQUIRE(world.WaitForLeader() != nullptr);
@@ -47,13 +47,13 @@
   world.Run(Millis(500));
   std::string host;
   for (auto& [id, worker] : world.workers()) {
-    if (worker->model.running() > 0) {
+    if (worker->model.running_count() > 0) {
       host = id;
       worker->incarnation.draining = true;
     }
   }
   world.Run(Millis(2500));
-  BOOST_TEST(world.workers().at(host)->model.running() == 0U);
+  BOOST_TEST(world.workers().at(host)->model.running_count() == 0U);
   BOOST_TEST(world.starts(std::string(kJob) + ".0.0.0") == 2);
 }
 
@@ -70,7 +70,7 @@
   const std::string task = std::string(kJob) + ".0.0.0";
   const auto runner = [&] {
     for (const auto& [id, worker] : world.workers()) {
-      if (worker->model.Runs(task)) {
+      if (worker->model.IsRunning(task)) {
         return id;
       }
     }
@@ -110,9 +110,9 @@
   plan.steps[0].long_running = true;
   BOOST_REQUIRE(world.Submit(plan));
   world.Run(Millis(3000));
-  CutAllWorkers();
+  PartitionAllWorkers();
   world.Run(Millis(4000));
-  HealAllWorkers();
+  ReconnectAllWorkers();
   world.Run(Millis(4000));
   ExpectStartedOnce(6);
 }
@@ -126,13 +126,13 @@
   plan.steps[0].long_running = true;
   BOOST_REQUIRE(world.Submit(plan));
   world.Run(Millis(500));
-  CutAllWorkers();
+  PartitionAllWorkers();
   world.Run(Millis(1500));
   for (const auto& [id, worker] : world.workers()) {
     worker->listed = false;
   }
   world.Run(Millis(2500));
-  HealAllWorkers();
+  ReconnectAllWorkers();
   world.Run(Millis(1500));
   for (const auto& [id, worker] : world.workers()) {
     worker->listed = true;
--- a/src/libdoorwood/cell/cell_world_steps.h
+++ b/src/libdoorwood/cell/cell_world_steps.h
@@ -14,9 +14,9 @@
 namespace doorwood::fakes {
 
 /// The id of the worker that runs the task; empty: none does.
-inline std::string RunnerOf(CellWorld& world, const std::string& task) {
+inline std::string WorkerRunning(CellWorld& world, const std::string& task) {
   for (const auto& [id, worker] : world.workers()) {
-    if (worker->model.Runs(task)) {
+    if (worker->model.IsRunning(task)) {
       return id;
     }
   }
@@ -24,9 +24,9 @@
 }
 
 /// Partitions all instances that exist now from the worker.
-inline void CutAllFrom(CellWorld& world, const std::string& worker) {
+inline void PartitionAllFrom(CellWorld& world, const std::string& worker) {
   for (const auto& [name, instance] : world.instances()) {
-    instance->cut_from.insert(worker);
+    instance->unreachable_workers.insert(worker);
   }
 }
 
--- a/src/libdoorwood/cell/cut_leader_fixture.h
+++ b/src/libdoorwood/cell/cut_leader_fixture.h
@@ -16,12 +16,12 @@
 
 namespace doorwood::fakes {
 
-inline constexpr char kLastingJob[] = "00112233aabbccdd";
+inline constexpr char kLongRunningJob[] = "00112233aabbccdd";
 
 /// Two workers: "shared" runs the tasks; once the old leader is partitioned, it
 /// is the only one that can reach "near".
-struct CutLeaderFixture {
-  explicit CutLeaderFixture(uint64_t seed = 7) : world(seed) {
+struct PartitionedLeaderFixture {
+  explicit PartitionedLeaderFixture(uint64_t seed = 7) : world(seed) {
     world.SetTable({MakeQueue("queue", 4)});
     world.AddWorker("shared", 8000);
     world.AddInstance("a1", "plaka");
@@ -29,7 +29,7 @@
     world.AddInstance("c1", "pireas");
     world.WaitForLeader();
     world.Run(Millis(1000));
-    old = world.Leader();
+    old_leader = world.Leader();
     BOOST_REQUIRE(world.Submit(Plan()));
     world.Run(Millis(500));
     world.AddWorker("near", 8000);
@@ -37,44 +37,44 @@
   }
 
   static JobPlan Plan() {
-    JobPlan plan = MakePlan(kLastingJob, 1, 2, "");
+    JobPlan plan = MakePlan(kLongRunningJob, 1, 2, "");
     plan.steps[0].long_running = true;
     return plan;
   }
 
-  void CutOldLeader() const {
-    old->store_faults.silent = true;
-    old->cut_from_peers = true;
+  void PartitionOldLeader() const {
+    old_leader->store_faults.unresponsive = true;
+    old_leader->partitioned_from_peers = true;
     for (const auto& [name, instance] : world.instances()) {
-      if (instance != old) {
-        instance->cut_from.insert("near");
+      if (instance != old_leader) {
+        instance->unreachable_workers.insert("near");
       }
     }
   }
 
-  void Heal() const {
+  void HealPartition() const {
     for (const auto& [name, instance] : world.instances()) {
       instance->store_faults = {};
-      instance->cut_from_peers = false;
-      instance->cut_from.clear();
+      instance->partitioned_from_peers = false;
+      instance->unreachable_workers.clear();
     }
   }
 
   bool Runs(const std::string& task) const {
     const auto& workers = world.workers();
     return std::any_of(workers.begin(), workers.end(), [&](const auto& entry) {
-      return entry.second->model.Runs(task);
+      return entry.second->model.IsRunning(task);
     });
   }
 
-  void ExpectNothingBroken(const std::string& context) const {
-    for (const std::string& rule : world.broken()) {
+  void ExpectNoViolations(const std::string& context) const {
+    for (const std::string& rule : world.violations()) {
       BOOST_ERROR(context + ": " + rule);
     }
   }
 
   mutable CellWorld world;
-  WorldInstance* old = nullptr;
+  WorldInstance* old_leader = nullptr;
 };
 
 }  // namespace doorwood::fakes
--- a/src/libdoorwood/cell/lasting_walk_fixture.h
+++ b/src/libdoorwood/cell/lasting_walk_fixture.h
@@ -20,29 +20,29 @@
 
 inline constexpr int kWalkWorkers = 5;
 
-class LastingWalk {
+class LongRunningFaultWalk {
  public:
-  explicit LastingWalk(uint64_t seed) : world_(seed) {
+  explicit LongRunningFaultWalk(uint64_t seed) : world_(seed) {
     world_.SetTable({MakeQueue("queue", 1000)});
     for (int i = 0; i < kWalkWorkers; ++i) {
       world_.AddWorker("w" + std::to_string(++workers_made_), 4000);
     }
     for (const char* name : {"a1", "a2", "b1", "b2", "c1", "c2"}) {
-      world_.AddInstance(name, LeadTrial::CentreOf(name));
+      world_.AddInstance(name, LeaderSuccession::DataCentreOf(name));
     }
     world_.WaitForLeader();
     Submit();
   }
 
-  virtual ~LastingWalk() = default;
-  LastingWalk(const LastingWalk&) = delete;
-  LastingWalk& operator=(const LastingWalk&) = delete;
+  virtual ~LongRunningFaultWalk() = default;
+  LongRunningFaultWalk(const LongRunningFaultWalk&) = delete;
+  LongRunningFaultWalk& operator=(const LongRunningFaultWalk&) = delete;
 
   /// Makes `steps` steps, then removes all faults and lets the cell recover.
   void Run(int steps) {
     for (int i = 0; i < steps; ++i) {
-      Step();
-      world_.Run(Millis(100 + Pick(1400)));
+      InjectFaultOrSubmit();
+      world_.Run(Millis(100 + RandomBelow(1400)));
     }
     Heal();
     world_.Run(Millis(12'000));
@@ -52,24 +52,27 @@
 
  protected:
   /// Injects one fault, or submits a job.
-  virtual void Step() = 0;
+  virtual void InjectFaultOrSubmit() = 0;
 
-  uint64_t Pick(uint64_t count) { return world_.random()() % count; }
+  uint64_t RandomBelow(uint64_t count) { return world_.random()() % count; }
 
-  WorldInstance& AnInstance() {
+  WorldInstance& RandomInstance() {
     auto& all = world_.instances();
-    return *std::next(all.begin(), static_cast<long>(Pick(all.size())))->second;
+    return *std::next(all.begin(), static_cast<long>(RandomBelow(all.size())))
+                ->second;
   }
 
   /// The leader, if there is one, in half of the calls; otherwise any instance.
-  WorldInstance& LeaderOrOther() {
+  WorldInstance& LeaderOrRandomInstance() {
     auto* leader = world_.Leader();
-    return leader != nullptr && Pick(2) == 0 ? *leader : AnInstance();
+    return leader != nullptr && RandomBelow(2) == 0 ? *leader
+                                                    : RandomInstance();
   }
 
-  std::string AWorker() {
+  std::string RandomWorker() {
     auto& all = world_.workers();
-    return std::next(all.begin(), static_cast<long>(Pick(all.size())))->first;
+    return std::next(all.begin(), static_cast<long>(RandomBelow(all.size())))
+        ->first;
   }
 
   void Submit() {
@@ -77,24 +80,24 @@
     std::snprintf(id, sizeof(id), "%016x", ++jobs_made_);
     constexpr unsigned kMostJobs = 4;
     if (jobs_made_ <= kMostJobs) {
-      world_.Submit(LeadTrial::Plan(id, 3));
+      world_.Submit(LeaderSuccession::Plan(id, 3));
     }
   }
 
   /// Injects the fault of that number; submits a job for any other number.
-  void Play(uint64_t fault) {
+  void InjectFault(uint64_t fault) {
     switch (fault) {
       case 0:
         return ReplaceInstance();
       case 1:
         return FreezeInstance();
       case 2:
-        LeaderOrOther().executor->PauseAtNow(
-            static_cast<int>(1 + Pick(100)),
-            Millis(static_cast<int64_t>(500 + Pick(5500))));
+        LeaderOrRandomInstance().executor->PauseInNowCall(
+            static_cast<int>(1 + RandomBelow(100)),
+            Millis(static_cast<int64_t>(500 + RandomBelow(5500))));
         return;
       case 3:
-        LeaderOrOther().store_faults.silent = true;
+        LeaderOrRandomInstance().store_faults.unresponsive = true;
         return;
       case 4:
         return RestoreStoreOfOne();
@@ -109,7 +112,7 @@
       case 9:
         return RevokeLease();
       case 10:
-        LeaderOrOther().cut_from_peers = Pick(2) == 0;
+        LeaderOrRandomInstance().partitioned_from_peers = RandomBelow(2) == 0;
         return;
       case 11:
         return Heal();
@@ -125,23 +128,24 @@
 
  private:
   void ReplaceInstance() {
-    const std::string name = LeaderOrOther().name;
+    const std::string name = LeaderOrRandomInstance().name;
     world_.Kill(name);
     const std::string next =
         name.substr(0, 1) + "n" + std::to_string(++instances_made_);
-    world_.AddInstance(next, LeadTrial::CentreOf(name));
+    world_.AddInstance(next, LeaderSuccession::DataCentreOf(name));
   }
 
   void FreezeInstance() {
-    auto& instance = LeaderOrOther();
+    auto& instance = LeaderOrRandomInstance();
     instance.executor->Freeze();
-    world_.Run(Millis(static_cast<int64_t>(250 + Pick(8000))));
+    world_.Run(Millis(static_cast<int64_t>(250 + RandomBelow(8000))));
     instance.executor->Thaw();
   }
 
   void RestoreStoreOfOne() {
     for (const auto& [name, instance] : world_.instances()) {
-      if (instance->store_faults.silent || instance->store_faults.down) {
+      if (instance->store_faults.unresponsive ||
+          instance->store_faults.unavailable) {
         instance->store_faults = {};
         return;
       }
@@ -150,28 +154,28 @@
 
   void FailStoreForSome() {
     for (const auto& [name, instance] : world_.instances()) {
-      instance->store_faults.down = Pick(2) == 0;
+      instance->store_faults.unavailable = RandomBelow(2) == 0;
     }
   }
 
   void PartitionInstances() {
     for (const auto& [name, instance] : world_.instances()) {
-      instance->cut_from_instances.clear();
+      instance->unreachable_instances.clear();
       for (const auto& [other, ignored] : world_.instances()) {
-        if (other != name && Pick(3) == 0) {
-          instance->cut_from_instances.insert(other);
+        if (other != name && RandomBelow(3) == 0) {
+          instance->unreachable_instances.insert(other);
         }
       }
     }
   }
 
   void PartitionWorker() {
-    const std::string worker = AWorker();
+    const std::string worker = RandomWorker();
     for (const auto& [name, instance] : world_.instances()) {
-      if (Pick(2) == 0) {
-        instance->cut_from.insert(worker);
+      if (RandomBelow(2) == 0) {
+        instance->unreachable_workers.insert(worker);
       } else {
-        instance->cut_from.erase(worker);
+        instance->unreachable_workers.erase(worker);
       }
     }
   }
@@ -184,49 +188,49 @@
     if (leader == nullptr) {
       return;
     }
-    const bool store_refuses = Pick(2) == 0;
-    leader->store_faults.down = store_refuses;
-    leader->store_faults.silent = !store_refuses;
+    const bool store_refuses = RandomBelow(2) == 0;
+    leader->store_faults.unavailable = store_refuses;
+    leader->store_faults.unresponsive = !store_refuses;
     for (const auto& [id, worker] : world_.workers()) {
-      const bool leader_reaches = Pick(2) == 0;
+      const bool leader_reaches = RandomBelow(2) == 0;
       for (const auto& [name, instance] : world_.instances()) {
         if (leader_reaches == (instance == leader)) {
-          instance->cut_from.erase(id);
+          instance->unreachable_workers.erase(id);
         } else {
-          instance->cut_from.insert(id);
+          instance->unreachable_workers.insert(id);
         }
       }
     }
     for (const auto& [name, instance] : world_.instances()) {
-      const bool store_serves = Pick(2) == 0;
+      const bool store_serves = RandomBelow(2) == 0;
       if (instance != leader && store_serves) {
         instance->store_faults = {};
-        leader->cut_from_instances.insert(name);
+        leader->unreachable_instances.insert(name);
       } else if (instance != leader) {
-        instance->store_faults.down = store_refuses;
+        instance->store_faults.unavailable = store_refuses;
       }
     }
   }
 
   void ReplaceWorker() {
-    world_.CrashWorker(AWorker());
+    world_.CrashWorker(RandomWorker());
     world_.AddWorker("w" + std::to_string(++workers_made_), 4000);
   }
 
   void RevokeLease() {
-    auto& instance = LeaderOrOther();
+    auto& instance = LeaderOrRandomInstance();
     if (instance.live->lease()) {
-      world_.store().Revoke(*instance.live->lease());
+      world_.store().DropLeaseKeys(*instance.live->lease());
     }
   }
 
   void Heal() {
     for (const auto& [name, instance] : world_.instances()) {
       instance->store_faults = {};
-      instance->cut_from.clear();
-      instance->cut_from_peers = false;
-      instance->cut_from_instances.clear();
-      instance->late_orders = 0;
+      instance->unreachable_workers.clear();
+      instance->partitioned_from_peers = false;
+      instance->unreachable_instances.clear();
+      instance->delayed_order_share = 0;
     }
   }
 
--- a/src/libdoorwood/cell/lead_trial_fixture.h
+++ b/src/libdoorwood/cell/lead_trial_fixture.h
@@ -18,22 +18,22 @@
 
 namespace doorwood::fakes {
 
-inline constexpr char kTrialJob[] = "00112233aabbccdd";
-inline constexpr char kOtherTrialJob[] = "00112233aabbccd0";
-inline constexpr int kTrialTasks = 2;
+inline constexpr char kSuccessionJob[] = "00112233aabbccdd";
+inline constexpr char kOtherSuccessionJob[] = "00112233aabbccd0";
+inline constexpr int kSuccessionTasks = 2;
 
 /// Collects the cases that violated a rule and reports them once for a whole
 /// range of cases.
-class Tally {
+class ViolationReport {
  public:
-  void Take(const std::string& context, const CellWorld& world) {
+  void Add(const std::string& context, const CellWorld& world) {
     ++cases_;
-    if (!world.broken().empty()) {
-      broken_.push_back(context + ": " + world.broken().front());
+    if (!world.violations().empty()) {
+      broken_.push_back(context + ": " + world.violations().front());
     }
   }
 
-  ~Tally() {
+  ~ViolationReport() {
     constexpr size_t kShown = 12;
     std::string text = std::to_string(broken_.size()) + " of " +
                        std::to_string(cases_) + " cases violated a rule";
@@ -53,8 +53,9 @@
 
 /// Two tasks run on "both" and two on "old_only". Successors start tasks whose
 /// runs they consider ended on "new_only", which the old leader cannot reach.
-struct LeadTrial {
-  explicit LeadTrial(const std::vector<std::string>& more = {}) : world(7) {
+struct LeaderSuccession {
+  explicit LeaderSuccession(const std::vector<std::string>& more = {})
+      : world(7) {
     world.SetTable({MakeQueue("queue", 4)});
     // Has memory for only two tasks, so that the others go elsewhere.
     constexpr int64_t kMemoryOfTwoMib = 250;
@@ -64,27 +65,28 @@
     world.AddInstance("b1", "kerameikos");
     world.AddInstance("c1", "pireas");
     for (const std::string& name : more) {
-      world.AddInstance(name, CentreOf(name));
+      world.AddInstance(name, DataCentreOf(name));
     }
     world.WaitForLeader();
     world.Run(Millis(1000));
-    old = world.Leader();
-    BOOST_REQUIRE(world.Submit(Plan(kTrialJob, kTrialTasks)));
+    old_leader = world.Leader();
+    BOOST_REQUIRE(world.Submit(Plan(kSuccessionJob, kSuccessionTasks)));
     world.Run(Millis(500));
     world.AddWorker("both", 12'000);
     world.Run(Millis(1000));
-    BOOST_REQUIRE(world.Submit(Plan(kOtherTrialJob, kTrialTasks)));
+    BOOST_REQUIRE(world.Submit(Plan(kOtherSuccessionJob, kSuccessionTasks)));
     world.Run(Millis(500));
     for (const auto& [name, instance] : world.instances()) {
-      instance->cut_from.insert(instance == old ? "new_only" : "old_only");
+      instance->unreachable_workers.insert(instance == old_leader ? "new_only"
+                                                                  : "old_only");
     }
     world.AddWorker("new_only", 8000);
     world.Run(Millis(1500));
-    BOOST_REQUIRE(world.workers().at("old_only")->model.running() > 0);
-    BOOST_REQUIRE(world.workers().at("both")->model.running() > 0);
+    BOOST_REQUIRE(world.workers().at("old_only")->model.running_count() > 0);
+    BOOST_REQUIRE(world.workers().at("both")->model.running_count() > 0);
   }
 
-  static const char* CentreOf(const std::string& name) {
+  static const char* DataCentreOf(const std::string& name) {
     const char first = name.front();
     return first == 'a' ? "plaka" : first == 'b' ? "kerameikos" : "pireas";
   }
@@ -97,26 +99,26 @@
 
   /// Pauses the old leader's process.
   void Pause(Millis duration) const {
-    old->executor->Freeze();
+    old_leader->executor->Freeze();
     world.Run(duration);
-    old->executor->Thaw();
+    old_leader->executor->Thaw();
   }
 
   /// Optionally partitions the old leader from "both". It then shares no worker
   /// with its successors from which it could learn of a newer leader.
-  void PartWorkers(bool partition) const {
+  void SetWorkersPartitioned(bool partition) const {
     if (partition) {
-      old->cut_from.insert("both");
+      old_leader->unreachable_workers.insert("both");
     }
   }
 
-  void CutOldLeader() const {
-    old->store_faults.silent = true;
-    old->cut_from_peers = true;
+  void PartitionOldLeader() const {
+    old_leader->store_faults.unresponsive = true;
+    old_leader->partitioned_from_peers = true;
   }
 
   mutable CellWorld world;
-  WorldInstance* old = nullptr;
+  WorldInstance* old_leader = nullptr;
 };
 
 }  // namespace doorwood::fakes
--- a/src/libdoorwood/cell/quiet_listener.h
+++ b/src/libdoorwood/cell/quiet_listener.h
@@ -12,7 +12,7 @@
 
 namespace doorwood::fakes {
 
-struct QuietListener : public WorkerSessionListener {
+struct NullSessionListener : public WorkerSessionListener {
   void OnRunEnded(WorkerSession&, const Run&, RunEnd, bool) override {}
   void OnWorkerLost(WorkerSession&) override {}
   void OnPollFailed(WorkerSession&) override {}
--- a/src/libdoorwood/cell/worker_address_test.cpp
+++ b/src/libdoorwood/cell/worker_address_test.cpp
@@ -60,7 +60,7 @@
 
   template <typename Effect>
   std::error_code Answer(const WorkerIncarnation& worker, Effect effect) {
-    model.Advance(time_.millis());
+    model.Advance(time_.now_ms());
     ++calls[worker.address];
     const auto responder = responders.find(worker.address);
     if (responder == responders.end() ||
@@ -82,7 +82,7 @@
   Executor& executor_;
 };
 
-struct AddressFixture : public fakes::QuietListener {
+struct AddressFixture : public fakes::NullSessionListener {
   AddressFixture() : executor(time, 1), worker(time, executor) {
     session = std::make_shared<WorkerSession>(
         executor, worker, log, *this, WorkerSessionOptions{}, WorkerAt("a"), 5);
@@ -118,7 +118,7 @@
         session->UpdateFromDirectory(WorkerAt(listed));
       }
     }
-    worker.model.Advance(time.millis());
+    worker.model.Advance(time.now_ms());
   }
   void Start() {
     Run run;
@@ -155,7 +155,7 @@
   BOOST_TEST(!session->dead());
   BOOST_TEST(session->responsive());
   BOOST_TEST(session->incarnation().address == "a");
-  BOOST_TEST(worker.model.Runs("t"));
+  BOOST_TEST(worker.model.IsRunning("t"));
 }
 
 BOOST_FIXTURE_TEST_CASE(Update_NobodyAtNewAddress_OldAddressIsKept,
@@ -167,7 +167,7 @@
   Pass(kLongerThanLease);
   BOOST_TEST(ended == 0);
   BOOST_TEST(session->responsive());
-  BOOST_TEST(worker.model.Runs("t"));
+  BOOST_TEST(worker.model.IsRunning("t"));
   listed = "a";
   Pass(Millis(2000));
   const int before = worker.calls["b"];
@@ -187,7 +187,7 @@
   worker.responders["a"] = Responder::kOtherIncarnation;
   Pass(kLongerThanLease);
   BOOST_TEST(ended == 0);
-  BOOST_TEST(worker.model.Runs("t"));
+  BOOST_TEST(worker.model.IsRunning("t"));
   worker.responders["b"] = Responder::kOtherIncarnation;
   Pass(Millis(2000));
   BOOST_TEST(ended == 1);
@@ -204,7 +204,7 @@
   Pass(kLongerThanLease);
   BOOST_TEST(ended == 0);
   BOOST_TEST(session->responsive());
-  BOOST_TEST(worker.model.Runs("t"));
+  BOOST_TEST(worker.model.IsRunning("t"));
 }
 
 // An answer of another incarnation at the address where this one has answered
@@ -262,7 +262,7 @@
   Start();
   Pass(Millis(3000));
   BOOST_TEST(session->incarnation().address == "a");
-  BOOST_TEST(worker.model.Runs("t"));
+  BOOST_TEST(worker.model.IsRunning("t"));
   BOOST_TEST(ended == 0);
 }
 
--- a/src/libdoorwood/cell/worker_lease_clock_test.cpp
+++ b/src/libdoorwood/cell/worker_lease_clock_test.cpp
@@ -28,7 +28,7 @@
       : time_(time), executor_(executor) {}
 
   // Runs 2% slow.
-  int64_t Clock() const { return time_.millis() * 98 / 100; }
+  int64_t Clock() const { return time_.now_ms() * 98 / 100; }
 
   void Poll(const WorkerIncarnation&,
             const PollOrder& order,
@@ -87,7 +87,7 @@
     fakes::VirtualTime time;
     fakes::FakeExecutor executor(time, 1);
     SlowWorkers workers(time, executor);
-    fakes::QuietListener listener;
+    fakes::NullSessionListener listener;
     NoLog log;
     const WorkerSessionOptions options;
     WorkerIncarnation incarnation;
--- a/src/libdoorwood/cell/worker_overtaking_test.cpp
+++ b/src/libdoorwood/cell/worker_overtaking_test.cpp
@@ -51,7 +51,7 @@
     Add(
         [this, order] {
           const auto error = model.Start(order);
-          began = began || model.Runs(kTask);
+          began = began || model.IsRunning(kTask);
           return error;
         },
         std::move(done));
@@ -69,7 +69,7 @@
 
   /// The run is active, or may still begin.
   bool MayRun() const {
-    if (model.Runs(kTask)) {
+    if (model.IsRunning(kTask)) {
       return true;
     }
     for (const Pending& call : calls) {
@@ -97,7 +97,7 @@
   }
 };
 
-struct ExplorationFixture : public fakes::QuietListener {
+struct ExplorationFixture : public fakes::NullSessionListener {
   ExplorationFixture(Millis step, const std::string& payload)
       : step(step), executor(time, 1) {
     WorkerIncarnation incarnation;
@@ -107,7 +107,7 @@
     session->SetLeaseExtensionEnd(Instant::max());
     session->SetLeadConfirmedUntil(Instant::max());
     time.Run(Millis(1000));
-    workers.model.Advance(time.millis());
+    workers.model.Advance(time.now_ms());
     session->Open();
     workers.calls[0].carry_out();
     workers.calls[0].answer();
@@ -166,7 +166,7 @@
   }
   void Pass() {
     time.Run(step);
-    workers.model.Advance(time.millis());
+    workers.model.Advance(time.now_ms());
   }
 
   const Millis step;
--- a/src/libdoorwood/cell/worker_session_test.cpp
+++ b/src/libdoorwood/cell/worker_session_test.cpp
@@ -67,7 +67,7 @@
           [this, order] { return model.Pace(order); });
   }
 
-  void Advance() { model.Advance(time_.millis()); }
+  void Advance() { model.Advance(time_.now_ms()); }
 
   standin::RunWorkerModel model;
   Fault hold_fault = Fault::kNone;
@@ -127,7 +127,7 @@
                   bool reported) override {
     ends.push_back(run.task + " " + std::string(ToString(end)) +
                    (reported ? " reported" : " inferred"));
-    ended_at = time.millis();
+    ended_at = time.now_ms();
   }
   void OnWorkerLost(WorkerSession&) override {}
   void OnPollFailed(WorkerSession&) override {}
@@ -323,7 +323,7 @@
   Start("");
   Pass(Millis(1000));
   workers.hold_fault = Fault::kReplyLost;  // Requests still reach the worker.
-  const int64_t silent_at = time.millis();
+  const int64_t silent_at = time.now_ms();
   Pass(Millis(12'000));
   BOOST_REQUIRE(ends.size() == 1U);
   BOOST_TEST(ends[0] == "t lapsed inferred");
@@ -331,7 +331,7 @@
   // last answer. The worker itself must have ended the run before.
   BOOST_TEST(ended_at - silent_at < 9000);
   workers.Advance();
-  BOOST_TEST(!workers.model.Runs("t"));
+  BOOST_TEST(!workers.model.IsRunning("t"));
 }
 
 BOOST_FIXTURE_TEST_CASE(Poll_OtherIncarnationAnswers_AllRunsEndAtOnce,
--- a/src/libdoorwood/ingress/ingress_test.cpp
+++ b/src/libdoorwood/ingress/ingress_test.cpp
@@ -159,7 +159,7 @@
 // slow.
 BOOST_FIXTURE_TEST_CASE(State_StoreUnavailable_OnlyLeaderAnswers,
                         IngressFixture) {
-  self->store_faults.down = true;
+  self->store_faults.unavailable = true;
   QueryState();
   world.Run(Millis(50));
   BOOST_TEST(answered);
@@ -168,7 +168,7 @@
 
 BOOST_FIXTURE_TEST_CASE(Cancel_StoreUnavailable_OnlyLeaderAccepts,
                         IngressFixture) {
-  self->store_faults.down = true;
+  self->store_faults.unavailable = true;
   Cancel();
   world.Run(Millis(50));
   BOOST_TEST(answered);
@@ -196,7 +196,7 @@
       if (row.recorded) {
         fixture.RecordJob();
       }
-      fixture.self->store_faults.down = row.store_unavailable;
+      fixture.self->store_faults.unavailable = row.store_unavailable;
       if (cancel) {
         fixture.Cancel();
       } else {
--- a/src/libdoorwood/instance/instance_test.cpp
+++ b/src/libdoorwood/instance/instance_test.cpp
@@ -36,7 +36,7 @@
                      const std::string& payload,
                      const std::string& more = "") {
     std::string job = world.Submit("plaka-1", count, payload, more);
-    BOOST_REQUIRE_MESSAGE(!job.empty(), world.refusals().back());
+    BOOST_REQUIRE_MESSAGE(!job.empty(), world.rejections().back());
     return job;
   }
 
@@ -44,10 +44,10 @@
   std::string OwnerOf(const std::string& job) {
     const uint32_t index = std::stoul(job.substr(job.find('.') + 1));
     for (const char* id : {"plaka-1", "plaka-2"}) {
-      if (!world.Has(id)) {
+      if (!world.IsRunning(id)) {
         continue;
       }
-      for (const ShardId& shard : world.At(id).instance->owned_shards()) {
+      for (const ShardId& shard : world.EntryOf(id).instance->owned_shards()) {
         if (shard.index == index) {
           return id;
         }
@@ -62,13 +62,13 @@
 
   bool Finishes(const std::string& via, const std::string& job) {
     return world.RunUntil(
-        kTimeout, [&]() { return world.Phase(via, job) == "succeeded"; });
+        kTimeout, [&]() { return world.JobPhase(via, job) == "succeeded"; });
   }
 
   // Restarts killed instances, as the platform does.
   void StartMissing() {
     for (const char* id : {"plaka-1", "plaka-2"}) {
-      if (!world.Has(id)) {
+      if (!world.IsRunning(id)) {
         world.Start(id);
       }
     }
@@ -92,8 +92,8 @@
   BOOST_TEST(cluster.Finishes("plaka-2", job));
   for (int n = 0; n < 5; ++n) {
     const std::string task = "task-" + std::to_string(n);
-    BOOST_TEST(cluster.world.Starts(task) == 1);
-    BOOST_TEST(cluster.world.Successes(task) == 1);
+    BOOST_TEST(cluster.world.StartCount(task) == 1);
+    BOOST_TEST(cluster.world.SuccessCount(task) == 1);
   }
   cluster.CheckInvariants();
 }
@@ -104,7 +104,7 @@
   const std::string job =
       cluster.Submit(1, "run-ms=100", "    class: service\n");
   BOOST_TEST(cluster.world.RunUntil(
-      kTimeout, [&]() { return cluster.world.Starts("task") == 1; }));
+      kTimeout, [&]() { return cluster.world.StartCount("task") == 1; }));
   BOOST_TEST((cluster.world.time().now() - submitted <= Millis(2400)));
 }
 
@@ -124,7 +124,7 @@
 void KillOther(RunningCluster& cluster, const std::string& job) {
   const std::string other = RunningCluster::Other(cluster.OwnerOf(job));
   // An earlier fault may already have killed it.
-  if (cluster.world.Has(other)) {
+  if (cluster.world.IsRunning(other)) {
     cluster.world.Kill(other);
   }
 }
@@ -145,7 +145,7 @@
 
 void FreezeOtherPastLeases(RunningCluster& cluster, const std::string& job) {
   const std::string other = RunningCluster::Other(cluster.OwnerOf(job));
-  if (!cluster.world.Has(other)) {
+  if (!cluster.world.IsRunning(other)) {
     return;
   }
   cluster.world.Freeze(other);
@@ -154,7 +154,7 @@
 }
 
 void StoreDownPastLeases(RunningCluster& cluster, const std::string&) {
-  cluster.world.SetKvFault(Fault::kDown);
+  cluster.world.SetKvFault(Fault::kRefused);
   cluster.world.Run(Millis(20000));
   cluster.world.SetKvFault(Fault::kNone);
 }
@@ -166,23 +166,23 @@
 }
 
 void StoreDelaysWrites(RunningCluster& cluster, const std::string&) {
-  cluster.world.SetKvFault(Fault::kLate);
+  cluster.world.SetKvFault(Fault::kDelayed);
   cluster.world.Run(Millis(3000));
   cluster.world.SetKvFault(Fault::kNone);
 }
 
 void PeersPartitioned(RunningCluster& cluster, const std::string&) {
-  cluster.world.network().SetCut("peer:plaka-1", "peer:plaka-2", true);
+  cluster.world.network().SetPartitioned("peer:plaka-1", "peer:plaka-2", true);
   cluster.world.Run(Millis(8000));
-  cluster.world.network().SetCut("peer:plaka-1", "peer:plaka-2", false);
+  cluster.world.network().SetPartitioned("peer:plaka-1", "peer:plaka-2", false);
 }
 
 void RepliesLost(RunningCluster& cluster, const std::string&) {
-  cluster.world.network().LoseReplies(6);
+  cluster.world.network().DropReplies(6);
 }
 
 void WorkerUnreachablePastLeases(RunningCluster& cluster, const std::string&) {
-  cluster.world.SetWorkerFault("plaka-w1", Fault::kDown);
+  cluster.world.SetWorkerFault("plaka-w1", Fault::kRefused);
   cluster.world.Run(Millis(14000));
   cluster.world.SetWorkerFault("plaka-w1", Fault::kNone);
 }
@@ -194,21 +194,21 @@
 }
 
 void WorkerOrdersLate(RunningCluster& cluster, const std::string&) {
-  cluster.world.SetWorkerFault("plaka-w1", Fault::kLate);
+  cluster.world.SetWorkerFault("plaka-w1", Fault::kDelayed);
   cluster.world.Run(Millis(2000));
   cluster.world.SetWorkerFault("plaka-w1", Fault::kNone);
 }
 
 void WorkerRestarts(RunningCluster& cluster, const std::string&) {
-  cluster.world.worker("plaka-w1").Restart(cluster.world.time().millis());
+  cluster.world.worker("plaka-w1").Restart(cluster.world.time().now_ms());
 }
 
 void WorkerLeaves(RunningCluster& cluster, const std::string&) {
-  cluster.world.SetLeaving("plaka-w1");
+  cluster.world.MarkLeaving("plaka-w1");
 }
 
 void OwnerLeaves(RunningCluster& cluster, const std::string& job) {
-  World::Entry& entry = cluster.world.At(cluster.OwnerOf(job));
+  World::Entry& entry = cluster.world.EntryOf(cluster.OwnerOf(job));
   Instance* instance = entry.instance.get();
   entry.executor->Post(
       [instance]() { instance->BeginShutdown(Millis(5000), []() {}); });
@@ -251,13 +251,14 @@
   if (faults.size() > 1) {
     cluster.StartMissing();
   }
-  const std::string via = cluster.world.Has("plaka-1") ? "plaka-1" : "plaka-2";
+  const std::string via =
+      cluster.world.IsRunning("plaka-1") ? "plaka-1" : "plaka-2";
   BOOST_TEST(cluster.Finishes(via, job), "job does not finish");
   for (int n = 0; n < 5; ++n) {
     const std::string task = "task-" + std::to_string(n);
-    BOOST_TEST(cluster.world.Successes(task) == 1);
+    BOOST_TEST(cluster.world.SuccessCount(task) == 1);
     if (faults.size() == 1 && faults.front()->started_once) {
-      BOOST_TEST(cluster.world.Starts(task) == 1);
+      BOOST_TEST(cluster.world.StartCount(task) == 1);
     }
   }
   cluster.CheckInvariants();
@@ -350,7 +351,7 @@
       BOOST_TEST(cluster.Finishes("plaka-1", cluster.batch));
       for (int n = 0; n < 4; ++n) {
         const std::string task = "task-" + std::to_string(n);
-        BOOST_TEST(cluster.world.Successes(task) == 1);
+        BOOST_TEST(cluster.world.SuccessCount(task) == 1);
       }
       cluster.CheckResumes();
       cluster.CheckInvariants();
@@ -369,7 +370,7 @@
 
 BOOST_AUTO_TEST_CASE(evicted_task_with_holder_killed_at_every_step_resumes) {
   InjectAtEveryStep([](EvictingCluster& cluster) {
-    cluster.world.Kill(cluster.world.HolderOf("plaka-w1"));
+    cluster.world.Kill(cluster.world.LeaseHolderOf("plaka-w1"));
   });
 }
 
@@ -397,13 +398,13 @@
         row.inject(cluster, job);
         cluster.StartMissing();
         const bool ended = cluster.world.RunUntil(kTimeout, [&]() {
-          const std::string phase = cluster.world.Phase("plaka-1", job);
+          const std::string phase = cluster.world.JobPhase("plaka-1", job);
           return phase == "succeeded" || phase == "failed";
         });
         BOOST_TEST(ended, "no end of the job is reported");
         for (int n = 0; n < 5; ++n) {
           const std::string task = "task-" + std::to_string(n);
-          BOOST_TEST(cluster.world.Starts(task) <= 1);
+          BOOST_TEST(cluster.world.StartCount(task) <= 1);
         }
         cluster.CheckInvariants();
       }
@@ -414,8 +415,8 @@
 // --- Lost answers of the store ---
 
 BOOST_AUTO_TEST_CASE(submission_with_unknown_outcome_runs_once_when_logged) {
-  for (const Fault fault :
-       {Fault::kAnswerLost, Fault::kRequestLost, Fault::kLate, Fault::kDown}) {
+  for (const Fault fault : {Fault::kAnswerLost, Fault::kRequestLost,
+                            Fault::kDelayed, Fault::kRefused}) {
     BOOST_TEST_CONTEXT("fault " << static_cast<int>(fault)) {
       RunningCluster cluster;
       const Json body{{"token", "same"},
@@ -426,17 +427,18 @@
       const auto first = cluster.world.Operate("plaka-1", "submit", body);
       BOOST_TEST(first.status != 200);
       const std::string outcome = Json::parse(first.body).at("outcome");
-      BOOST_TEST(outcome == (fault == Fault::kDown ? "not-done" : "unknown"));
+      BOOST_TEST(outcome ==
+                 (fault == Fault::kRefused ? "not-done" : "unknown"));
       cluster.world.SetKvFault(Fault::kNone);
       cluster.world.Run(Millis(12000));
-      if (fault == Fault::kDown) {
-        BOOST_TEST(cluster.world.Starts("task") == 0);
+      if (fault == Fault::kRefused) {
+        BOOST_TEST(cluster.world.StartCount("task") == 0);
       }
       const auto again = cluster.world.Operate("plaka-2", "submit", body);
       BOOST_REQUIRE(again.status == 200);
       const std::string job = Json::parse(again.body).at("id");
       BOOST_TEST(cluster.Finishes("plaka-1", job));
-      BOOST_TEST(cluster.world.Starts("task") == 1);
+      BOOST_TEST(cluster.world.StartCount("task") == 1);
     }
   }
 }
@@ -449,7 +451,7 @@
     cluster.world.network().DelayPlacements(5);
     const std::string job = cluster.Submit(5, "run-ms=20000", more);
     BOOST_TEST(cluster.world.RunUntil(kTimeout, [&]() {
-      const std::string phase = cluster.world.Phase("plaka-1", job);
+      const std::string phase = cluster.world.JobPhase("plaka-1", job);
       return phase == "succeeded" || phase == "failed";
     }));
     cluster.CheckInvariants();
@@ -466,13 +468,16 @@
       cluster.world.Operate("plaka-2", "job.cancel", {{"id", job}});
   BOOST_TEST(reply.status == 200);
   BOOST_TEST(cluster.world.RunUntil(Millis(10000), [&]() {
-    return cluster.world.Phase("plaka-1", job) == "cancelled";
+    return cluster.world.JobPhase("plaka-1", job) == "cancelled";
   }));
   // The running tasks were stopped, and no queued task has started since: all
   // capacity is free.
   BOOST_TEST(
-      cluster.world.At("plaka-1").instance->holder().free().cpu_millis +
-          cluster.world.At("plaka-2").instance->holder().free().cpu_millis ==
+      cluster.world.EntryOf("plaka-1").instance->holder().free().cpu_millis +
+          cluster.world.EntryOf("plaka-2")
+              .instance->holder()
+              .free()
+              .cpu_millis ==
       4000);
 }
 
@@ -488,7 +493,7 @@
       cluster.world.Operate("plaka-1", "submit", {{"manifest", manifest}});
   const std::string giant = Json::parse(reply.body).at("id");
   cluster.world.Run(Millis(2000));
-  const Json task = cluster.world.Job("plaka-1", giant).at("tasks").at(0);
+  const Json task = cluster.world.JobStatus("plaka-1", giant).at("tasks").at(0);
   BOOST_TEST(task.at("reason").get<std::string>().starts_with("never: "));
   const std::string job = cluster.Submit(2, "run-ms=500");
   BOOST_TEST(cluster.Finishes("plaka-1", job));
@@ -498,19 +503,19 @@
   RunningCluster cluster;
   const std::string job = cluster.Submit(1, "fail");
   BOOST_TEST(cluster.world.RunUntil(kTimeout, [&]() {
-    return cluster.world.Phase("plaka-1", job) == "failed";
+    return cluster.world.JobPhase("plaka-1", job) == "failed";
   }));
-  BOOST_TEST(cluster.world.Starts("task") == 3);
+  BOOST_TEST(cluster.world.StartCount("task") == 3);
 }
 
 // --- Workers that do not refuse older epochs ---
 
 BOOST_AUTO_TEST_CASE(
     worker_without_fencing_and_killed_holder_keeps_the_invariants) {
-  RunningCluster cluster({.workers = 1, .fences = false});
+  RunningCluster cluster({.workers = 1, .workers_check_epoch = false});
   const std::string job = cluster.Submit(3, "run-ms=9000");
   cluster.world.Run(Millis(4000));
-  cluster.world.Kill(cluster.world.HolderOf("plaka-w1"));
+  cluster.world.Kill(cluster.world.LeaseHolderOf("plaka-w1"));
   cluster.StartMissing();
   BOOST_TEST(cluster.Finishes("plaka-1", job));
   cluster.CheckInvariants();
@@ -520,7 +525,7 @@
 
 BOOST_AUTO_TEST_CASE(leaving_worker_seen_in_the_list_gets_nothing_new) {
   RunningCluster cluster;
-  cluster.world.SetLeaving("plaka-w1");
+  cluster.world.MarkLeaving("plaka-w1");
   cluster.world.Run(Millis(2000));
   const size_t before = cluster.world.events().size();
   const std::string job = cluster.Submit(8, "run-ms=500");
@@ -536,9 +541,9 @@
   RunningCluster cluster;
   const std::string job = cluster.Submit(5, "run-ms=8000");
   cluster.world.Run(Millis(500));
-  Instance* instance = cluster.world.At("plaka-1").instance.get();
+  Instance* instance = cluster.world.EntryOf("plaka-1").instance.get();
   bool done = false;
-  cluster.world.At("plaka-1").executor->Post([instance, &done]() {
+  cluster.world.EntryOf("plaka-1").executor->Post([instance, &done]() {
     instance->BeginShutdown(Millis(10000), [&done]() { done = true; });
   });
   BOOST_TEST(cluster.world.RunUntil(Millis(5000), [&]() { return done; }));
@@ -546,7 +551,7 @@
   BOOST_TEST(instance->owned_shards().empty());
   cluster.world.Kill("plaka-1");
   BOOST_TEST(cluster.Finishes("plaka-2", job));
-  BOOST_TEST(cluster.world.Starts("task-0") == 1);
+  BOOST_TEST(cluster.world.StartCount("task-0") == 1);
   cluster.CheckInvariants();
 }
 
--- a/src/libdoorwood/instance/random_walk_test.cpp
+++ b/src/libdoorwood/instance/random_walk_test.cpp
@@ -52,7 +52,7 @@
     options.seed = seed;
     options.entries = 2 + static_cast<int>(random() % 2);
     options.workers = 1 + static_cast<int>(random() % 4);
-    options.fences = random() % 5 != 0;
+    options.workers_check_epoch = random() % 5 != 0;
     return options;
   }
 
@@ -67,22 +67,23 @@
   }
 
   Fault RandomFault() {
-    constexpr Fault kFaults[] = {Fault::kNone, Fault::kDown, Fault::kAnswerLost,
-                                 Fault::kRequestLost, Fault::kLate};
+    constexpr Fault kFaults[] = {Fault::kNone, Fault::kRefused,
+                                 Fault::kAnswerLost, Fault::kRequestLost,
+                                 Fault::kDelayed};
     return kFaults[Pick(5)];
   }
 
   void Step() {
     const std::string entry = RandomEntry();
     const bool usable =
-        world_.Has(entry) && !world_.At(entry).executor->frozen();
+        world_.IsRunning(entry) && !world_.EntryOf(entry).executor->frozen();
     const int kind = Pick(12);
     constexpr const char* kKinds[] = {
         "submit",         "submit",          "submit",
         "kill",           "start",           "freeze",
         "thaw",           "store",           "worker fault",
         "peer partition", "worker restarts", "late placements"};
-    world_.trace().push_back(std::to_string(world_.time().millis()) + " STEP " +
+    world_.trace().push_back(std::to_string(world_.time().now_ms()) + " STEP " +
                              kKinds[kind] + " " + entry);
     switch (kind) {
       case 0:
@@ -93,22 +94,22 @@
         }
         break;
       case 3:
-        if (world_.Has(entry)) {
+        if (world_.IsRunning(entry)) {
           world_.Kill(entry);
         }
         break;
       case 4:
-        if (!world_.Has(entry)) {
+        if (!world_.IsRunning(entry)) {
           world_.Start(entry);
         }
         break;
       case 5:
-        if (world_.Has(entry)) {
+        if (world_.IsRunning(entry)) {
           world_.Freeze(entry);
         }
         break;
       case 6:
-        if (world_.Has(entry)) {
+        if (world_.IsRunning(entry)) {
           world_.Thaw(entry);
         }
         break;
@@ -119,10 +120,11 @@
         SetWorkerFault();
         break;
       case 9:
-        world_.network().SetCut("peer:plaka-1", "peer:" + entry, Pick(2) == 0);
+        world_.network().SetPartitioned("peer:plaka-1", "peer:" + entry,
+                                        Pick(2) == 0);
         break;
       case 10:
-        world_.worker(RandomWorker()).Restart(world_.time().millis());
+        world_.worker(RandomWorker()).Restart(world_.time().now_ms());
         break;
       case 11:
         world_.network().DelayPlacements(Pick(4));
@@ -134,8 +136,9 @@
     const Fault fault = RandomFault();
     // A worker without fencing is safe only if no order is delayed for longer
     // than its lease; see docs/design/worker-lease.md.
-    const bool unsafe = !options_.fences && fault == Fault::kLate;
-    world_.SetWorkerFault(RandomWorker(), unsafe ? Fault::kDown : fault);
+    const bool unsafe =
+        !options_.workers_check_epoch && fault == Fault::kDelayed;
+    world_.SetWorkerFault(RandomWorker(), unsafe ? Fault::kRefused : fault);
   }
 
   void Submit(const std::string& entry) {
@@ -161,8 +164,8 @@
     }
     for (int n = 1; n <= options_.entries; ++n) {
       const std::string entry = "plaka-" + std::to_string(n);
-      world_.network().SetCut("peer:plaka-1", "peer:" + entry, false);
-      if (!world_.Has(entry)) {
+      world_.network().SetPartitioned("peer:plaka-1", "peer:" + entry, false);
+      if (!world_.IsRunning(entry)) {
         world_.Start(entry);
       }
       world_.Thaw(entry);
@@ -175,7 +178,7 @@
     const bool all = world_.RunUntil(Millis(120000), [&]() {
       open.clear();
       for (const std::string& job : jobs_) {
-        const std::string phase = world_.Phase("plaka-1", job);
+        const std::string phase = world_.JobPhase("plaka-1", job);
         if (phase != "succeeded" && phase != "failed") {
           open = job + " is " + phase;
           return false;
@@ -195,9 +198,9 @@
       BOOST_TEST_MESSAGE(line);
     }
     for (const std::string& job : jobs_) {
-      BOOST_TEST_MESSAGE(world_.Job("plaka-1", job).dump());
+      BOOST_TEST_MESSAGE(world_.JobStatus("plaka-1", job).dump());
     }
-    const int64_t now = world_.time().millis();
+    const int64_t now = world_.time().now_ms();
     for (const KvEntry& entry : world_.store().List("shard/", now)) {
       BOOST_TEST_MESSAGE(entry.key << " " << entry.value);
     }
--- a/src/libdoorwood/membership/membership_test.cpp
+++ b/src/libdoorwood/membership/membership_test.cpp
@@ -252,14 +252,14 @@
 }
 
 BOOST_AUTO_TEST_CASE(change_under_a_fault_is_made_once_when_asked_again) {
-  for (const Fault fault :
-       {Fault::kDown, Fault::kAnswerLost, Fault::kRequestLost, Fault::kLate}) {
+  for (const Fault fault : {Fault::kRefused, Fault::kAnswerLost,
+                            Fault::kRequestLost, Fault::kDelayed}) {
     for (const int writes : {1, -1}) {
       BOOST_TEST_CONTEXT("fault " << static_cast<int>(fault) << ", writes "
                                   << writes) {
         TwoKeepersFixture fixture;
         fixture.Apply(fixture.first, fixture.Change("a"));
-        fixture.first.kv.set_fault_writes(writes);
+        fixture.first.kv.set_faulty_writes(writes);
         fixture.first.kv.set_fault(fault);
         fixture.Apply(fixture.first, fixture.Change("b"));
         fixture.first.kv.set_fault(Fault::kNone);
--- a/src/libdoorwood/owner/shard_log_test.cpp
+++ b/src/libdoorwood/owner/shard_log_test.cpp
@@ -103,7 +103,7 @@
   BOOST_TEST(!pair.Open(pair.first));
   int64_t version = 0;
   pair.model.Write({.key = AliveKey("plaka", "first"), .value = "1"},
-                   pair.time.millis(), &version);
+                   pair.time.now_ms(), &version);
   BOOST_TEST(pair.Open(pair.second) == make_error_code(CoreErrc::kConflict));
   BOOST_TEST(pair.Append(pair.first, "a", true) == std::error_code());
 }
@@ -121,17 +121,18 @@
 
 BOOST_AUTO_TEST_CASE(append_under_a_fault_is_told_truly) {
   const std::vector<AppendRow> rows = {
-      {"down, refusable", Fault::kDown, true, CoreErrc::kStoreUnavailable,
+      {"down, refusable", Fault::kRefused, true, CoreErrc::kStoreUnavailable,
        false},
-      {"down, kept", Fault::kDown, false, std::nullopt, true},
+      {"down, kept", Fault::kRefused, false, std::nullopt, true},
       {"answer lost, refusable", Fault::kAnswerLost, true,
        CoreErrc::kOutcomeUnknown, true},
       {"answer lost, kept", Fault::kAnswerLost, false, std::nullopt, true},
       {"request lost, refusable", Fault::kRequestLost, true,
        CoreErrc::kOutcomeUnknown, true},
       {"request lost, kept", Fault::kRequestLost, false, std::nullopt, true},
-      {"late, refusable", Fault::kLate, true, CoreErrc::kOutcomeUnknown, true},
-      {"late, kept", Fault::kLate, false, std::nullopt, true},
+      {"late, refusable", Fault::kDelayed, true, CoreErrc::kOutcomeUnknown,
+       true},
+      {"late, kept", Fault::kDelayed, false, std::nullopt, true},
   };
   for (const AppendRow& row : rows) {
     BOOST_TEST_CONTEXT(row.name) {
@@ -163,7 +164,7 @@
 BOOST_AUTO_TEST_CASE(appends_while_failing_are_refused_at_once) {
   TwoOwners pair;
   BOOST_TEST(!pair.Open(pair.first));
-  pair.first.kv.set_fault(Fault::kDown);
+  pair.first.kv.set_fault(Fault::kRefused);
   pair.Append(pair.first, "a", false);
   BOOST_TEST(pair.first.log->failing());
   std::optional<std::error_code> reported;
@@ -175,8 +176,8 @@
 
 // Injects every fault of the store at every step of a takeover.
 BOOST_AUTO_TEST_CASE(takeover_under_a_fault_succeeds_later_and_loses_nothing) {
-  for (const Fault fault :
-       {Fault::kDown, Fault::kAnswerLost, Fault::kRequestLost, Fault::kLate}) {
+  for (const Fault fault : {Fault::kRefused, Fault::kAnswerLost,
+                            Fault::kRequestLost, Fault::kDelayed}) {
     for (int steps = 0; steps < 14; ++steps) {
       BOOST_TEST_CONTEXT("fault " << static_cast<int>(fault) << " after "
                                   << steps << " steps") {
@@ -220,7 +221,7 @@
       BOOST_TEST(!pair.Open(pair.second));
       int64_t version = 0;
       pair.model.Write({.key = AliveKey("plaka", "second"), .value = "1"},
-                       pair.time.millis(), &version);
+                       pair.time.now_ms(), &version);
       pair.first.executor.Thaw();
       pair.time.Run(kRunDuration);
       BOOST_TEST(pair.Append(pair.second, "a", true) == std::error_code());
@@ -244,7 +245,7 @@
   }
   // The seal that would have fenced the first owner has been truncated.
   const auto entries =
-      pair.model.List("shard/plaka/0/log/", pair.time.millis());
+      pair.model.List("shard/plaka/0/log/", pair.time.now_ms());
   BOOST_REQUIRE(!entries.empty());
   BOOST_REQUIRE(std::stoll(entries.front().key.substr(18)) > position);
   pair.first.lease_valid = false;
@@ -276,7 +277,7 @@
   BOOST_TEST(!pair.Open(pair.first));
   int64_t version = 0;
   pair.model.Write({.key = AliveKey("plaka", "first"), .value = "1"},
-                   pair.time.millis(), &version);
+                   pair.time.now_ms(), &version);
   bool closed = false;
   pair.first.log->Close([&](std::error_code error) { closed = !error; });
   pair.time.Run(kRunDuration);
@@ -287,7 +288,7 @@
 BOOST_AUTO_TEST_CASE(close_while_the_store_is_down_leaves_the_log_open) {
   TwoOwners pair;
   BOOST_TEST(!pair.Open(pair.first));
-  pair.first.kv.set_fault(Fault::kDown);
+  pair.first.kv.set_fault(Fault::kRefused);
   std::optional<std::error_code> reported;
   pair.first.log->Close([&](std::error_code error) { reported = error; });
   pair.time.Run(kRunDuration);
--- a/src/libdoorwood/pool/wave_keeper_test.cpp
+++ b/src/libdoorwood/pool/wave_keeper_test.cpp
@@ -20,14 +20,14 @@
     for (const char* id : {"w1", "w2", "w3", "w4", "w5", "w6"}) {
       world.AddWorker(id, 8000);
     }
-    world.MakeMachines();
+    world.AddMachines();
     world.AddInstance("a1", "plaka");
     world.AddInstance("b1", "kerameikos");
     world.WaitForLeader();
     world.Run(Millis(1000));
   }
   ~WaveFixture() {
-    for (const std::string& rule : world.broken()) {
+    for (const std::string& rule : world.violations()) {
       BOOST_ERROR(rule);
     }
   }
@@ -48,8 +48,9 @@
   int TakenDownOnce() {
     int once = 0;
     for (const auto& [id, machine] : world.machines()) {
-      const auto count = machine.upkeeps.find(1);
-      once += count != machine.upkeeps.end() && count->second == 1 ? 1 : 0;
+      const auto count = machine.upkeep_counts.find(1);
+      once +=
+          count != machine.upkeep_counts.end() && count->second == 1 ? 1 : 0;
     }
     return once;
   }
@@ -85,7 +86,7 @@
   RequestWave(2);
   world.Run(Millis(40'000));
   BOOST_TEST(TakenDownOnce() == 6);
-  BOOST_TEST(world.lost_runs() == 0);
+  BOOST_TEST(world.runs_lost_to_upkeep() == 0);
   BOOST_TEST((world.StateOf(kJob) == JobPhase::kCompleted));
 }
 
@@ -101,7 +102,7 @@
       const std::string task =
           std::string(kJob) + ".0.0." + std::to_string(index);
       for (const auto& [id, worker] : world.workers()) {
-        running += worker->model.Runs(task) ? 1 : 0;
+        running += worker->model.IsRunning(task) ? 1 : 0;
       }
     }
     fewest = std::min(fewest, running);
@@ -117,13 +118,13 @@
   RequestWave(2);
   world.Run(Millis(40'000));
   BOOST_TEST(TakenDownOnce() == 5);
-  BOOST_TEST(world.lost_runs() == 0);
+  BOOST_TEST(world.runs_lost_to_upkeep() == 0);
   BOOST_TEST(Status() == "running");
 }
 
 BOOST_FIXTURE_TEST_CASE(Wave_OrdersNotAnswered_LimitOfDownMachinesHolds,
                         WaveFixture) {
-  world.Leader()->machine_answers_lost = 4;
+  world.Leader()->machine_replies_to_lose = 4;
   RequestWave(1);
   world.Run(Millis(40'000));
   BOOST_TEST(TakenDownOnce() == 6);
--- a/src/soak/http_door.cpp
+++ b/src/soak/http_door.cpp
@@ -23,8 +23,9 @@
   return {text.data(), text.size()};
 }
 
-DoorRequest Decode(Message* message, const std::string& incarnation_header) {
-  DoorRequest decoded;
+HttpTestRequest Decode(Message* message,
+                       const std::string& incarnation_header) {
+  HttpTestRequest decoded;
   HttpRequest& request = decoded.request;
   request.method = ToNonEmptyString(message->method_string());
   const std::string target = ToNonEmptyString(message->target());
@@ -33,7 +34,8 @@
   if (mark != std::string::npos) {
     request.query = target.substr(mark + 1);
   }
-  decoded.expected_life = ToNonEmptyString((*message)[incarnation_header]);
+  decoded.expected_incarnation =
+      ToNonEmptyString((*message)[incarnation_header]);
   request.body = std::move(message->body());
   return decoded;
 }
@@ -41,9 +43,9 @@
 }  // namespace
 
 // One connection. Its outstanding operations and the pending responses own it.
-class HttpDoor::Session : public std::enable_shared_from_this<Session> {
+class HttpTestServer::Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(const HttpDoor& door, asio::ip::tcp::socket socket)
+  Session(const HttpTestServer& door, asio::ip::tcp::socket socket)
       : door_(door), socket_(std::move(socket)) {
     error_code ignored;
     socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -90,24 +92,24 @@
         });
   }
 
-  const HttpDoor& door_;
+  const HttpTestServer& door_;
   asio::ip::tcp::socket socket_;
   boost::beast::flat_buffer buffer_;
   Message message_;
   http::response<http::string_body> response_;
 };
 
-HttpDoor::HttpDoor(asio::io_context& context,
-                   const std::string& address,
-                   std::string incarnation_header,
-                   Handler handler)
+HttpTestServer::HttpTestServer(asio::io_context& context,
+                               const std::string& address,
+                               std::string incarnation_header,
+                               Handler handler)
     : acceptor_(context, ParseEndpoint(address)),
       incarnation_header_(std::move(incarnation_header)),
       handler_(std::move(handler)) {
   Accept();
 }
 
-void HttpDoor::Accept() {
+void HttpTestServer::Accept() {
   acceptor_.async_accept(
       [this](const error_code& error, asio::ip::tcp::socket socket) {
         if (error == asio::error::operation_aborted) {
--- a/src/soak/http_door.h
+++ b/src/soak/http_door.h
@@ -17,25 +17,25 @@
 
 namespace doorwood::soak {
 
-struct DoorRequest {
+struct HttpTestRequest {
   HttpRequest request;
   /// The worker incarnation that the caller expects; empty: any.
-  std::string expected_life;
+  std::string expected_incarnation;
 };
 
-class HttpDoor {
+class HttpTestServer {
  public:
   /// Without a response, the connection is reset.
   using Respond = std::function<void(std::optional<HttpResponse>)>;
-  using Handler = std::function<void(DoorRequest, Respond)>;
-
-  /// `incarnation_header` is the name of the header for `expected_life`.
-  HttpDoor(boost::asio::io_context& context,
-           const std::string& address,
-           std::string incarnation_header,
-           Handler handler);
-  HttpDoor(const HttpDoor&) = delete;
-  HttpDoor& operator=(const HttpDoor&) = delete;
+  using Handler = std::function<void(HttpTestRequest, Respond)>;
+
+  /// `incarnation_header` is the name of the header for `expected_incarnation`.
+  HttpTestServer(boost::asio::io_context& context,
+                 const std::string& address,
+                 std::string incarnation_header,
+                 Handler handler);
+  HttpTestServer(const HttpTestServer&) = delete;
+  HttpTestServer& operator=(const HttpTestServer&) = delete;
 
  private:
   class Session;
--- a/src/soak/task_watch.cpp
+++ b/src/soak/task_watch.cpp
@@ -69,7 +69,7 @@
 // run on the same worker.
 void TaskWatch::CheckCrashes(const StartOrder& order,
                              const ObservedRun& fresh) {
-  if (!standin::CrashesAfter(order)) {
+  if (!standin::CrashDelay(order)) {
     return;
   }
   const std::string& task = order.task;
@@ -130,7 +130,8 @@
   }
 }
 
-void TaskWatch::OnNoted(const std::string& incarnation, const EndedRun& end) {
+void TaskWatch::OnEndAcknowledged(const std::string& incarnation,
+                                  const EndedRun& end) {
   ObservedRun* run = Find(incarnation, end);
   if (run == nullptr || run->acknowledged || !run->can_be_acknowledged) {
     return;
@@ -147,7 +148,7 @@
   }
 }
 
-void TaskWatch::OnLapsed(const std::string& incarnation) {
+void TaskWatch::OnLeaseExpired(const std::string& incarnation) {
   for (auto& [task, runs] : runs_) {
     for (ObservedRun& run : runs) {
       if (run.incarnation == incarnation && !run.active) {
@@ -169,7 +170,7 @@
   }
 }
 
-void TaskWatch::OnLifeOver(const std::string& incarnation, int64_t at) {
+void TaskWatch::OnIncarnationEnded(const std::string& incarnation, int64_t at) {
   for (auto& [task, runs] : runs_) {
     for (ObservedRun& run : runs) {
       if (run.incarnation == incarnation && run.active) {
--- a/src/soak/task_watch.h
+++ b/src/soak/task_watch.h
@@ -51,13 +51,13 @@
                  const StartOrder& order,
                  int64_t at);
   void OnEnded(const std::string& incarnation, const EndedRun& end, int64_t at);
-  void OnNoted(const std::string& incarnation, const EndedRun& end);
+  void OnEndAcknowledged(const std::string& incarnation, const EndedRun& end);
   /// The lease of all runs on the worker has expired.
-  void OnLapsed(const std::string& incarnation);
+  void OnLeaseExpired(const std::string& incarnation);
   /// The worker is about to crash because of a task that it runs.
   void OnCrashed(const std::string& incarnation);
   /// This incarnation of the worker has ended, with all its runs.
-  void OnLifeOver(const std::string& incarnation, int64_t at);
+  void OnIncarnationEnded(const std::string& incarnation, int64_t at);
 
   // --- Injected faults ---
   /// An unplanned fault begins; it lasts until `OnFaultEnds`. Faults may
--- a/src/soak/task_watch_test.cpp
+++ b/src/soak/task_watch_test.cpp
@@ -32,7 +32,7 @@
   void Note(const std::string& incarnation,
             const std::string& task,
             uint32_t run) {
-    watch.OnNoted(incarnation, {1, task, run, RunEnd::kDone, ""});
+    watch.OnEndAcknowledged(incarnation, {1, task, run, RunEnd::kDone, ""});
   }
 
   // Ends a run of a long-running task at 10 s.
@@ -63,7 +63,7 @@
     const std::string incarnation = "w" + std::to_string(run);
     Start(incarnation, kTask, run, "crashes=");
     watch.OnCrashed(incarnation);
-    watch.OnLifeOver(incarnation, ++now);
+    watch.OnIncarnationEnded(incarnation, ++now);
   }
   BOOST_TEST(broken.empty());
   Start("w6", kTask, 6, "crashes=");
@@ -88,7 +88,7 @@
 
 BOOST_AUTO_TEST_CASE(Watch_WorkerOfTheFirstRunIsGone_IsFine) {
   Start("a", kTask, 1);
-  watch.OnLifeOver("a", ++now);
+  watch.OnIncarnationEnded("a", ++now);
   Start("b", kTask, 2);
   BOOST_TEST(broken.empty());
 }
@@ -114,7 +114,7 @@
   Start("a", kTask, 1);
   End("a", kTask, 1, RunEnd::kDone);
   Start("b", kTask, 2);
-  watch.OnLapsed("a");
+  watch.OnLeaseExpired("a");
   Note("a", kTask, 1);
   BOOST_TEST(broken.empty());
 }
@@ -192,7 +192,7 @@
   watch.OnLongRunning(kJob);
   Start("a", kTask, 1);
   CheckUntil(30'000);
-  watch.OnLifeOver("a", now);
+  watch.OnIncarnationEnded("a", now);
   CheckUntil(39'000);
   BOOST_TEST(broken.empty());
   CheckUntil(39'010);
--- a/src/standin/kv.cpp
+++ b/src/standin/kv.cpp
@@ -86,13 +86,13 @@
   Reply Grant(const Json& call) {
     const std::lock_guard<std::mutex> lock(mutex_);
     const int64_t lease =
-        model_.Grant(call.at("lifetime_ms"), MonotonicMillis());
+        model_.GrantLease(call.at("lifetime_ms"), MonotonicMillis());
     return {200, {{"lease", lease}}};
   }
 
   Reply Renew(const Json& call) {
     const std::lock_guard<std::mutex> lock(mutex_);
-    return ReplyOf(model_.Renew(call.at("lease"), MonotonicMillis()));
+    return ReplyOf(model_.RenewLease(call.at("lease"), MonotonicMillis()));
   }
 
   // Ends the blocked watches.
@@ -109,7 +109,7 @@
     const auto wait =
         std::chrono::milliseconds(call.at("wait_ms").get<int64_t>());
     changed_.wait_for(lock, wait, [&]() {
-      return stopping_ || model_.NewestUnder(prefix) > after;
+      return stopping_ || model_.HighestVersionUnder(prefix) > after;
     });
     return {200, ListJson(model_.List(prefix, MonotonicMillis()))};
   }
--- a/src/standin/kv_model.cpp
+++ b/src/standin/kv_model.cpp
@@ -61,12 +61,12 @@
   return {};
 }
 
-int64_t KvModel::Grant(int64_t lifetime_ms, int64_t now) {
+int64_t KvModel::GrantLease(int64_t lifetime_ms, int64_t now) {
   leases_[++last_lease_] = {lifetime_ms, now + lifetime_ms};
   return last_lease_;
 }
 
-std::error_code KvModel::Renew(int64_t lease, int64_t now) {
+std::error_code KvModel::RenewLease(int64_t lease, int64_t now) {
   ExpireLeases(now);
   const auto item = leases_.find(lease);
   if (item == leases_.end()) {
@@ -76,7 +76,7 @@
   return {};
 }
 
-int64_t KvModel::NewestUnder(const std::string& prefix) const {
+int64_t KvModel::HighestVersionUnder(const std::string& prefix) const {
   int64_t newest = 0;
   for (auto it = entries_.lower_bound(prefix);
        it != entries_.end() && it->first.starts_with(prefix); ++it) {
--- a/src/standin/kv_model.h
+++ b/src/standin/kv_model.h
@@ -28,10 +28,10 @@
                          int64_t expected_version,
                          int64_t now);
   /// Returns the id of a new lease.
-  int64_t Grant(int64_t lifetime_ms, int64_t now);
-  std::error_code Renew(int64_t lease, int64_t now);
+  int64_t GrantLease(int64_t lifetime_ms, int64_t now);
+  std::error_code RenewLease(int64_t lease, int64_t now);
   /// Highest version of the entries under `prefix`; 0 if there are none.
-  int64_t NewestUnder(const std::string& prefix) const;
+  int64_t HighestVersionUnder(const std::string& prefix) const;
   /// Increases with each write and removal. Expired leases do not change it.
   int64_t revision() const { return revision_; }
 
--- a/src/standin/record_store_model.cpp
+++ b/src/standin/record_store_model.cpp
@@ -16,7 +16,7 @@
     }
   }
   for (const int64_t id : expired) {
-    End(id);
+    RevokeLease(id);
   }
 }
 
@@ -40,9 +40,9 @@
   return items;
 }
 
-std::error_code RecordStoreModel::Changes(const std::string& prefix,
-                                          int64_t after,
-                                          StoreItems* events) const {
+std::error_code RecordStoreModel::ChangesAfter(const std::string& prefix,
+                                               int64_t after,
+                                               StoreItems* events) const {
   if (after < compacted_revision_) {
     return KvErrc::kCompacted;
   }
@@ -109,12 +109,12 @@
   history_.push_back(event);
 }
 
-int64_t RecordStoreModel::Grant(int64_t lifetime) {
+int64_t RecordStoreModel::GrantLease(int64_t lifetime) {
   leases_[++last_lease_] = {lifetime, now_ + lifetime};
   return last_lease_;
 }
 
-std::error_code RecordStoreModel::Keep(int64_t lease) {
+std::error_code RecordStoreModel::RenewLease(int64_t lease) {
   const auto found = leases_.find(lease);
   if (found == leases_.end()) {
     return KvErrc::kNotFound;
@@ -123,7 +123,7 @@
   return {};
 }
 
-std::error_code RecordStoreModel::End(int64_t lease) {
+std::error_code RecordStoreModel::RevokeLease(int64_t lease) {
   if (leases_.erase(lease) == 0) {
     return KvErrc::kNotFound;
   }
@@ -152,7 +152,7 @@
   history_.clear();
 }
 
-void RecordStoreModel::Revoke(int64_t lease) {
+void RecordStoreModel::DropLeaseKeys(int64_t lease) {
   RemoveKeysOfLease(lease);
 }
 
--- a/src/standin/record_store_model.h
+++ b/src/standin/record_store_model.h
@@ -28,24 +28,24 @@
   StoreItems List(const std::string& prefix) const;
   /// Changes under `prefix` after revision `after`; KvErrc::kCompacted if that
   /// part of the history has been compacted.
-  std::error_code Changes(const std::string& prefix,
-                          int64_t after,
-                          StoreItems* events) const;
+  std::error_code ChangesAfter(const std::string& prefix,
+                               int64_t after,
+                               StoreItems* events) const;
   /// Applies the transaction if all expected revisions match. On a conflict
   /// `commit->current` lists the expected keys that exist.
   std::error_code Commit(const StoreTransaction& transaction,
                          StoreCommit* commit);
   /// Grants a lease of `lifetime` milliseconds and returns its id.
-  int64_t Grant(int64_t lifetime);
+  int64_t GrantLease(int64_t lifetime);
   /// Renews the lease for its full lifetime.
-  std::error_code Keep(int64_t lease);
+  std::error_code RenewLease(int64_t lease);
   /// Ends the lease and removes its keys.
-  std::error_code End(int64_t lease);
+  std::error_code RevokeLease(int64_t lease);
 
   /// Fault: discards the history up to the current revision.
   void Compact();
   /// Fault: removes the keys of a lease while the lease itself stays valid.
-  void Revoke(int64_t lease);
+  void DropLeaseKeys(int64_t lease);
 
   int64_t revision() const { return revision_; }
 
--- a/src/standin/run_worker_model.cpp
+++ b/src/standin/run_worker_model.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-std::optional<Millis> CrashesAfter(const StartOrder& order) {
+std::optional<Millis> CrashDelay(const StartOrder& order) {
   constexpr std::string_view kWord = "crashes=";
   constexpr Millis kDefaultDelay{10};
   const size_t at = order.payload.find(kWord);
@@ -83,7 +83,7 @@
   }
 }
 
-int RunWorkerModel::lapsed_failures(const std::string& task) const {
+int RunWorkerModel::failures_at_lease_expiry(const std::string& task) const {
   const auto found = failures_at_lease_expiry_.find(task);
   return found == failures_at_lease_expiry_.end()
              ? 0
@@ -117,7 +117,7 @@
   std::erase_if(ended_, [&](const EndedRun& end) {
     const bool acknowledged = end.number <= last_seen;
     if (acknowledged && observer_ != nullptr) {
-      observer_->OnNoted(end);
+      observer_->OnEndAcknowledged(end);
     }
     return acknowledged;
   });
--- a/src/standin/run_worker_model.h
+++ b/src/standin/run_worker_model.h
@@ -9,7 +9,7 @@
 /// - "fails=2": its first two runs fail;
 /// - "crashes=0.0.3": it crashes its worker if the task's name ends in "0.0.3";
 ///   with an empty value, any task does;
-/// - "crash_delay=300": the crash comes 300 ms after the start instead of
+/// - "crashes_after=300": the crash comes 300 ms after the start instead of
 ///   10 ms.
 
 #ifndef DOORWOOD_STANDIN_RUN_WORKER_MODEL_H_
@@ -29,23 +29,23 @@
 
 /// Time from the start of a run until it crashes its worker; nullopt if it does
 /// not crash it.
-std::optional<Millis> CrashesAfter(const StartOrder& order);
+std::optional<Millis> CrashDelay(const StartOrder& order);
 
 /// Observer that is called synchronously when runs start and end.
-class RunWatcher {
+class RunObserver {
  public:
-  virtual ~RunWatcher() = default;
+  virtual ~RunObserver() = default;
   virtual void OnStarted(const StartOrder& order) = 0;
   virtual void OnEnded(const EndedRun& end) = 0;
   /// The worker's holder has acknowledged the end, and the worker drops it.
-  virtual void OnNoted(const EndedRun& end) = 0;
+  virtual void OnEndAcknowledged(const EndedRun& end) = 0;
 };
 
 class RunWorkerModel {
  public:
-  void SetWatcher(RunWatcher* watcher) { observer_ = watcher; }
+  void SetObserver(RunObserver* watcher) { observer_ = watcher; }
   /// Sets how long a run continues after a stop order.
-  void SetStopTakes(Millis time) { stop_duration_ms_ = time.count(); }
+  void SetStopDuration(Millis time) { stop_duration_ms_ = time.count(); }
 
   /// Sets the worker's steady clock in milliseconds, and ends the runs that are
   /// finished or stopped, or all runs if the worker's lease has expired.
@@ -58,16 +58,18 @@
 
   int64_t now() const { return now_; }
   int64_t lease_until() const { return lease_until_; }
-  bool Runs(const std::string& task) const { return runs_.contains(task); }
-  size_t running() const { return runs_.size(); }
+  bool IsRunning(const std::string& task) const { return runs_.contains(task); }
+  size_t running_count() const { return runs_.size(); }
   std::vector<std::string> running_tasks() const;
   /// Number of the newest end listed when the lease expired. Ends up to it do
   /// not count if they are acknowledged only later.
-  uint64_t lapsed_end() const { return last_end_at_lease_expiry_; }
+  uint64_t last_end_at_lease_expiry() const {
+    return last_end_at_lease_expiry_;
+  }
   /// Number of failed runs of the task that were still unacknowledged when the
   /// lease expired. The platform does not count them as attempts when they are
   /// acknowledged later.
-  int lapsed_failures(const std::string& task) const;
+  int failures_at_lease_expiry(const std::string& task) const;
 
  private:
   struct Active {
@@ -86,7 +88,7 @@
   void End(const std::string& task, RunEnd end);
   void RecordFailuresAtLeaseExpiry();
 
-  RunWatcher* observer_ = nullptr;
+  RunObserver* observer_ = nullptr;
   int64_t stop_duration_ms_ = 0;
   int64_t now_ = 0;
   int64_t lease_until_ = 0;
--- a/src/standin/worker.cpp
+++ b/src/standin/worker.cpp
@@ -64,7 +64,7 @@
                     [&recorder](const WorkerEvent& event) {
                       recorder.Write(EventJson(event));
                     });
-  model.set_boot(static_cast<uint64_t>(MonotonicMillis()));
+  model.set_incarnation(static_cast<uint64_t>(MonotonicMillis()));
   server.AddCall("/worker/acquire", [&](const Json& body) {
     const std::lock_guard<std::mutex> lock(mutex);
     WorkerInventory inventory;
@@ -78,7 +78,7 @@
     WorkerAnswer answer;
     const auto orders = body.value("orders", std::vector<WorkerOrder>());
     const auto error =
-        model.Obey(body.at("epoch"), orders, MonotonicMillis(), &answer);
+        model.ApplyOrders(body.at("epoch"), orders, MonotonicMillis(), &answer);
     return ReplyOf(error, Json(answer));
   });
   server.AddCall("/worker/release", [&](const Json& body) {
--- a/src/standin/worker_model.cpp
+++ b/src/standin/worker_model.cpp
@@ -56,10 +56,10 @@
   return {};
 }
 
-std::error_code WorkerModel::Obey(uint64_t epoch,
-                                  const std::vector<WorkerOrder>& orders,
-                                  int64_t now,
-                                  WorkerAnswer* out) {
+std::error_code WorkerModel::ApplyOrders(uint64_t epoch,
+                                         const std::vector<WorkerOrder>& orders,
+                                         int64_t now,
+                                         WorkerAnswer* out) {
   Tick(now);
   const bool stale = epoch != epoch_ || now >= control_lease_expiry_;
   if (fences_ && stale) {
--- a/src/standin/worker_model.h
+++ b/src/standin/worker_model.h
@@ -56,17 +56,17 @@
                           int64_t task_lease_ms,
                           int64_t now,
                           WorkerInventory* out);
-  std::error_code Obey(uint64_t epoch,
-                       const std::vector<WorkerOrder>& orders,
-                       int64_t now,
-                       WorkerAnswer* out);
+  std::error_code ApplyOrders(uint64_t epoch,
+                              const std::vector<WorkerOrder>& orders,
+                              int64_t now,
+                              WorkerAnswer* out);
   std::error_code Release(uint64_t epoch);
   /// Ends finished attempts, and all attempts if the task lease has expired.
   void Tick(int64_t now);
   /// Simulates a process restart, which loses all tasks but keeps the epoch.
   void Restart(int64_t now);
 
-  void set_boot(uint64_t boot) { boot_ = boot; }
+  void set_incarnation(uint64_t boot) { boot_ = boot; }
   void set_fail_starts(bool fail) { fail_starts_ = fail; }
   void set_refuse_starts(bool refuse) { refuse_starts_ = refuse; }
   const std::string& name() const { return name_; }
