--- a/src/libdoorwood/cell/cell_lasting_walk_test.cpp
+++ b/src/libdoorwood/cell/cell_lasting_walk_test.cpp
@@ -5,7 +5,7 @@
 // are detected, even much later. The store fails and recovers, or refuses some
 // instances and serves others, and instances are partitioned from each other
 // and from workers. This test checks only that no task runs twice at a time;
-// cell_walk_test checks that jobs end.
+// cell_random_faults_test checks that jobs end.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
--- a/src/libdoorwood/cell/cell_replacing_walk_test.cpp
+++ b/src/libdoorwood/cell/cell_random_replacement_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The random walk of cell_returning_walk_test with replacement of workers: one
+// The random walk of cell_random_restarts_test with replacement of workers: one
 // joins; another announces that it drains or does not, keeps running for a
 // while, and ends; its entry is removed later. Leaders succeed each other by
 // planned shutdown or not, sometimes twice in a row, and stops of tasks take
--- a/src/libdoorwood/cell/cell_restarted_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_restarted_leader_test.cpp
@@ -8,7 +8,7 @@
 // refuses them, so the leader assumes an outage for all and keeps extending
 // leases. The other instance becomes leader, waits for longer than any lease
 // that it must expect, and starts tasks that the old leader still runs. Found
-// in cell_returning_walk_test, seed 927: the old leader restarted at 1076.9 s,
+// in cell_random_restarts_test, seed 927: the old leader restarted at 1076.9 s,
 // asked one instance out of six, and extended leases until 1090.9 s; another
 // instance led from 1082.5 s. All in virtual time.
 
