--- a/src/bench/cell.cpp
+++ b/src/bench/cell.cpp
@@ -33,9 +33,9 @@
   for (StepPlan& step : plan.steps) {
     step.size = {static_cast<int64_t>(2000 + (*random)() % 4000), 6000, 0};
     step.estimate = Millis(millis);
-    step.fills = best_effort;
+    step.best_effort = best_effort;
     step.checkpoints = best_effort;
-    step.lasting = long_running;
+    step.long_running = long_running;
     step.latency_target = Millis(long_running ? 150 : 0);
     step.image = "image" + std::to_string((*random)() % 18);
   }
@@ -49,8 +49,8 @@
   world.SetTable({fakes::MakeQueue("queue", 3)});
   for (int n = 0; n < options.workers; ++n) {
     auto& worker = world.AddWorker("w" + std::to_string(n), kWorkerCores);
-    worker.life.capacity.memory_mib = 125 * 1024;
-    worker.life.labels = {"a", "r" + std::to_string(n / 8)};
+    worker.incarnation.capacity.memory_mib = 125 * 1024;
+    worker.incarnation.labels = {"a", "r" + std::to_string(n / 8)};
   }
   world.AddInstance("one", "plaka");
   world.WaitForLeader();
@@ -66,7 +66,7 @@
     jobs_due += jobs_per_step;
     for (; jobs_due >= 1; jobs_due -= 1) {
       JobPlan plan = DrawJob(&random, jobs++);
-      plan.accepted_at = world.time().millis();
+      plan.accepted_at = world.time().now_ms();
       world.Leader()->cell->Submit(plan, [](std::error_code, AcceptOutcome) {});
     }
     world.Run(kTimeStep);
--- a/src/fakes/contract_test.cpp
+++ b/src/fakes/contract_test.cpp
@@ -299,7 +299,8 @@
   const auto first = it.Acquire(true);
   BOOST_REQUIRE(!first.error);
   BOOST_TEST((first.value.capacity == kCapacity));
-  BOOST_TEST(it.Acquire(false).error == make_error_code(WorkerErrc::kHeld));
+  BOOST_TEST(it.Acquire(false).error ==
+             make_error_code(WorkerErrc::kHeldByOther));
   BOOST_TEST(!it.Release(true, first.value.epoch).error);
   const auto second = it.Acquire(false);
   BOOST_REQUIRE(!second.error);
@@ -325,7 +326,7 @@
   auto answer = it.Send(true, epoch, {start, start});
   BOOST_REQUIRE(answer.value.results.size() == 2u);
   BOOST_TEST(answer.value.results[1].accepted);
-  BOOST_TEST(answer.value.boot == lease.value.boot);
+  BOOST_TEST(answer.value.boot_id == lease.value.boot_id);
   auto stop = Contract::Order(OrderKind::kStop, 10);
   stop.take_checkpoint = true;
   answer = it.Send(true, epoch, {stop, stop});
--- a/src/libdoorwood/cell/cell_calls.cpp
+++ b/src/libdoorwood/cell/cell_calls.cpp
@@ -31,20 +31,20 @@
     return;
   }
   if (jobs_.Find(plan.id) != nullptr) {
-    done({}, AcceptOutcome::kKnownAlready);
+    done({}, AcceptOutcome::kAlreadyKnown);
     return;
   }
   // A job that may have been accepted already is never refused.
   if (!journal_.IsRecording(plan.id) &&
-      (IsClosedEverywhere(plan.queue) || !HasRoomToLast(plan))) {
-    done(CoreErrc::kNoRoom, {});
+      (AreAllWorkersClosed(plan.queue) || !HasLongRunningCapacity(plan))) {
+    done(CoreErrc::kNoCapacity, {});
     return;
   }
   journal_.Accept(std::move(plan), std::move(done));
 }
 
-bool CellLeader::HasRoomToLast(const JobPlan& plan) {
-  const int64_t requested = LastingCpu(plan);
+bool CellLeader::HasLongRunningCapacity(const JobPlan& plan) {
+  const int64_t requested = LongRunningCpu(plan);
   const auto queue = known_queues_.find(plan.queue);
   if (requested == 0 || queue == known_queues_.end() ||
       workers_read_ == Instant{}) {
@@ -52,20 +52,21 @@
   }
   const std::string& service = queue->second.service;
   int64_t capacity = 0;
-  for (const auto& [id, member] : members_) {
-    const WorkerLife& life = member.session->life();
-    const bool is_available =
-        member.listed && !life.draining && !IsClosed(member);
-    capacity +=
-        is_available && life.service == service ? life.capacity.cpu_millis : 0;
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    const WorkerIncarnation& incarnation = cell_worker.session->incarnation();
+    const bool is_available = cell_worker.listed && !incarnation.draining &&
+                              !IsInClosedDataCentre(cell_worker);
+    capacity += is_available && incarnation.service == service
+                    ? incarnation.capacity.cpu_millis
+                    : 0;
   }
   int64_t reserved = 0;
   for (const Job* job : jobs_.OpenJobs()) {
     const Queue* other = QueueOf(*job);
     const bool is_same_service = other != nullptr && other->service == service;
-    reserved += is_same_service ? LastingCpu(job->plan) : 0;
+    reserved += is_same_service ? LongRunningCpu(job->plan) : 0;
   }
-  const LastingRoom& room = LastingRoomOf(service);
+  const LongRunningAdmission& room = LongRunningAdmissionOf(service);
   const Instant now = executor_.Now();
   if (room.Allows(requested, reserved, capacity, now)) {
     return true;
@@ -75,40 +76,44 @@
               {"asked_cpu", requested},
               {"lasting_cpu", reserved},
               {"capacity_cpu", capacity},
-              {"use", room.use()},
-              {"proved", room.IsProved(now)}});
+              {"use", room.peak_use()},
+              {"proved", room.HasObservedLoad(now)}});
   return false;
 }
 
-LastingRoom& CellLeader::LastingRoomOf(const std::string& service) {
-  return lasting_rooms_.try_emplace(service, options_.policy.lasting_room)
+LongRunningAdmission& CellLeader::LongRunningAdmissionOf(
+    const std::string& service) {
+  return long_running_admission_
+      .try_emplace(service, options_.policy.long_running_admission)
       .first->second;
 }
 
 void CellLeader::ObserveLoads() {
   std::map<std::string, ServiceLoad> loads;
-  for (const auto& [id, member] : members_) {
-    const WorkerSession& session = *member.session;
-    if (!member.listed) {
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    const WorkerSession& session = *cell_worker.session;
+    if (!cell_worker.listed) {
       continue;
     }
-    ServiceLoad& load = loads[session.life().service];
+    ServiceLoad& load = loads[session.incarnation().service];
     const auto serving = static_cast<double>(session.serving_cpu());
-    load.left += static_cast<double>(session.life().capacity.cpu_millis) -
-                 options_.policy.serving_use * serving;
-    load.asked += static_cast<double>(session.reserved().cpu_millis +
-                                      session.fill_cpu()) -
-                  serving;
+    load.available +=
+        static_cast<double>(session.incarnation().capacity.cpu_millis) -
+        options_.policy.serving_cpu_use_ratio * serving;
+    load.requested += static_cast<double>(session.reserved().cpu_millis +
+                                          session.best_effort_cpu()) -
+                      serving;
   }
   const int64_t now = unix_millis_();
   for (const Job* job : jobs_.OpenJobs()) {
     const Queue* queue = QueueOf(*job);
     if (queue != nullptr) {
-      loads[queue->service].asked += static_cast<double>(WaitingCpu(*job, now));
+      loads[queue->service].requested +=
+          static_cast<double>(WaitingCpu(*job, now));
     }
   }
   for (const auto& [service, load] : loads) {
-    LastingRoomOf(service).Observe(load, executor_.Now());
+    LongRunningAdmissionOf(service).Observe(load, executor_.Now());
   }
 }
 
@@ -123,7 +128,7 @@
               {"queue", plan.queue},
               {"steps", plan.steps.size()},
               {"epoch", epoch_}});
-  WakeScheduler();
+  RequestSchedulingPass();
 }
 
 std::optional<JobPhase> CellLeader::Find(const std::string& id) const {
@@ -144,7 +149,7 @@
         break;
     }
   }
-  return job.begun ? JobPhase::kRunning : JobPhase::kQueued;
+  return job.started ? JobPhase::kRunning : JobPhase::kQueued;
 }
 
 void CellLeader::Cancel(const std::string& id, CancelCallback done) {
@@ -160,13 +165,14 @@
   }
   if (jobs_.Finish(job, JobOutcome::kCancelled)) {
     log_.Write("info", "cell", "job cancelled", {{"job", id}});
-    OnJobOver(job);
+    OnJobEnded(job);
   }
-  cancels_.emplace(id, CancelWait{std::move(done),
-                                  executor_.Now() + options_.journal.patience});
+  cancels_.emplace(
+      id, PendingCancel{std::move(done),
+                        executor_.Now() + options_.journal.caller_timeout});
 }
 
-void CellLeader::AnswerCancels() {
+void CellLeader::ExpireCancels() {
   const Instant now = executor_.Now();
   for (auto it = cancels_.begin(); it != cancels_.end();) {
     if (it->second.until <= now) {
@@ -187,24 +193,26 @@
     if (job->outcome != JobOutcome::kOpen) {
       continue;
     }
-    if (!job->begun) {
+    if (!job->started) {
       ++summary.pending[job->plan.queue];
     }
     for (size_t step = 0; step < job->plan.steps.size(); ++step) {
       const StepPlan& plan = job->plan.steps[step];
-      if (plan.lasting) {
+      if (plan.long_running) {
         continue;
       }
-      const int left = plan.count - job->times.front().steps[step].done;
+      const int left = plan.count - job->repetitions.front().steps[step].done;
       summary.waiting_work += left * static_cast<double>(plan.size.cpu_millis) /
                               1e3 * static_cast<double>(plan.estimate.count()) /
                               1e3;
     }
   }
-  for (const auto& [id, member] : members_) {
-    if (member.listed) {
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    if (cell_worker.listed) {
       summary.cores +=
-          static_cast<double>(member.session->life().capacity.cpu_millis) / 1e3;
+          static_cast<double>(
+              cell_worker.session->incarnation().capacity.cpu_millis) /
+          1e3;
     }
   }
   return summary;
--- a/src/libdoorwood/cell/cell_closed_test.cpp
+++ b/src/libdoorwood/cell/cell_closed_test.cpp
@@ -19,8 +19,8 @@
     world.SetTable({fakes::MakeQueue("queue", 3)});
     for (const char* centre : {"plaka", "kerameikos", "pireas"}) {
       for (const char* worker : {"1", "2"}) {
-        world.AddWorker(std::string(centre) + worker, 8000).life.data_centre =
-            centre;
+        world.AddWorker(std::string(centre) + worker, 8000)
+            .incarnation.data_centre = centre;
       }
       world.AddInstance(std::string("i-") + centre, centre);
     }
@@ -28,7 +28,7 @@
     world.Run(Millis(1000));
   }
   ~ClosedFixture() {
-    for (const std::string& rule : world.broken()) {
+    for (const std::string& rule : world.violations()) {
       BOOST_ERROR(rule);
     }
   }
@@ -39,14 +39,15 @@
     char id[17];
     std::snprintf(id, sizeof(id), "%016x", number);
     JobPlan plan = fakes::MakePlan(id, 1, count, payload);
-    plan.steps[0].lasting = payload.empty();
+    plan.steps[0].long_running = payload.empty();
     world.Submit(plan);
   }
   size_t RunningIn(const std::string& centre) const {
     size_t running = 0;
     for (const auto& [id, worker] : world.workers()) {
-      running +=
-          worker->life.data_centre == centre ? worker->model.running() : 0;
+      running += worker->incarnation.data_centre == centre
+                     ? worker->model.running_count()
+                     : 0;
     }
     return running;
   }
@@ -64,7 +65,7 @@
 
 BOOST_FIXTURE_TEST_CASE(DataCentre_Closed_GetsNoNewWorkAndTheOthersDo,
                         ClosedFixture) {
-  world.closed() = {"plaka"};
+  world.closed_data_centres() = {"plaka"};
   world.Run(kClosingTime);
   Submit(1, 24, "ms=60000");
   world.Run(Millis(1000));
@@ -76,7 +77,7 @@
   Submit(1, 6, "");
   world.Run(Millis(500));
   const size_t before = RunningIn("plaka");
-  world.closed() = {"plaka", "kerameikos", "pireas"};
+  world.closed_data_centres() = {"plaka", "kerameikos", "pireas"};
   world.Run(Millis(4000));
   BOOST_TEST(RunningIn("plaka") == before);
 }
@@ -88,36 +89,36 @@
   world.Run(Millis(500));
   const std::string centre = RunningIn("plaka") > 0 ? "plaka" : "pireas";
   BOOST_REQUIRE(RunningIn(centre) > 0U);
-  world.closed() = {centre};
+  world.closed_data_centres() = {centre};
   world.Run(kClosingTime);
   world.CrashWorker(centre + "1");
   world.CrashWorker(centre + "2");
-  world.AddWorker(centre + "3", 8000).life.data_centre = centre;
+  world.AddWorker(centre + "3", 8000).incarnation.data_centre = centre;
   world.Run(Millis(4000));
   BOOST_TEST(RunningIn(centre) == 0U);
   size_t running = 0;
   for (const auto& [id, worker] : world.workers()) {
-    running += worker->model.running();
+    running += worker->model.running_count();
   }
   BOOST_TEST(running == 28U);
 }
 
 BOOST_FIXTURE_TEST_CASE(DataCentre_Reopened_GetsWorkAgain, ClosedFixture) {
-  world.closed() = {"plaka"};
+  world.closed_data_centres() = {"plaka"};
   world.Run(Millis(3000));
   Submit(1, 48, "ms=60000");
   world.Run(Millis(500));
   BOOST_TEST(RunningIn("plaka") == 0U);
-  world.closed().clear();
+  world.closed_data_centres().clear();
   world.Run(Millis(2000));
   BOOST_TEST(RunningIn("plaka") == 16U);
 }
 
 BOOST_FIXTURE_TEST_CASE(DataCentre_ClosedAndReopenedWithinASecond_GetsWork,
                         ClosedFixture) {
-  world.closed() = {"plaka"};
+  world.closed_data_centres() = {"plaka"};
   world.Run(Millis(400));
-  world.closed().clear();
+  world.closed_data_centres().clear();
   world.Run(Millis(2000));
   Submit(1, 48, "ms=60000");
   world.Run(Millis(1000));
@@ -131,11 +132,11 @@
   Submit(2, 30, "ms=60000");
   world.Run(Millis(500));
   world.Kill(world.Leader()->name);
-  world.closed() = {"pireas"};
+  world.closed_data_centres() = {"pireas"};
   for (const char* worker : {"pireas1", "pireas2"}) {
     world.CrashWorker(worker);
   }
-  world.AddWorker("pireas3", 8000).life.data_centre = "pireas";
+  world.AddWorker("pireas3", 8000).incarnation.data_centre = "pireas";
   BOOST_REQUIRE(world.WaitForLeader() != nullptr);
   for (int i = 0; i < 100; ++i) {
     world.Run(Millis(100));
@@ -145,10 +146,10 @@
 
 BOOST_FIXTURE_TEST_CASE(DataCentres_AllClosed_JobsAreRefusedAtOnce,
                         ClosedFixture) {
-  world.closed() = {"plaka", "kerameikos", "pireas"};
+  world.closed_data_centres() = {"plaka", "kerameikos", "pireas"};
   world.Run(kClosingTime);
-  BOOST_TEST(Refusal(1) == make_error_code(CoreErrc::kNoRoom));
-  world.closed() = {"plaka", "kerameikos"};
+  BOOST_TEST(Refusal(1) == make_error_code(CoreErrc::kNoCapacity));
+  world.closed_data_centres() = {"plaka", "kerameikos"};
   world.Run(kClosingTime);
   BOOST_TEST(Refusal(2) == std::error_code());
 }
--- a/src/libdoorwood/cell/cell_crashes.cpp
+++ b/src/libdoorwood/cell/cell_crashes.cpp
@@ -22,29 +22,30 @@
 
 }  // namespace
 
-std::string CellLeader::MachineOf(const WorkerLife& life) {
-  return life.machine.empty() ? life.id : life.machine;
+std::string CellLeader::MachineOf(const WorkerIncarnation& incarnation) {
+  return incarnation.machine.empty() ? incarnation.id : incarnation.machine;
 }
 
-std::optional<CrashEvidence> CellLeader::EvidenceOfCrash(
+std::optional<CrashEvidence> CellLeader::DetectCrash(
     const WorkerSession& session) const {
-  const auto found = members_.find(session.life().id);
-  if (found == members_.end()) {
+  const auto found = cell_workers_.find(session.incarnation().id);
+  if (found == cell_workers_.end()) {
     return std::nullopt;
   }
-  const Member& member = found->second;
+  const CellWorker& cell_worker = found->second;
   const Instant now = executor_.Now();
-  const bool emptied = member.emptied_until != Instant{} &&
-                       now - member.emptied_until < kUpkeepStartWindow;
+  const bool emptied = cell_worker.evacuated_until != Instant{} &&
+                       now - cell_worker.evacuated_until < kUpkeepStartWindow;
   if (emptied) {
     return std::nullopt;
   }
-  const bool leaving = session.life().draining;
+  const bool leaving = session.incarnation().draining;
   if (session.dead()) {
-    return leaving ? CrashEvidence::kVanished : CrashEvidence::kOtherLife;
+    return leaving ? CrashEvidence::kVanished : CrashEvidence::kRestarted;
   }
-  const bool vanished = !leaving && !member.listed && !member.doubted &&
-                        member.unlisted_since != Instant{} &&
+  const bool vanished = !leaving && !cell_worker.listed &&
+                        !cell_worker.entry_rejected &&
+                        cell_worker.unlisted_since != Instant{} &&
                         now - workers_read_ < kMaxListAge;
   return vanished ? std::optional(CrashEvidence::kVanished) : std::nullopt;
 }
@@ -56,7 +57,7 @@
     // A worker that vanished may have become unreachable before it began the
     // run.
     const bool began =
-        !run.held && (session.dead() || run.confirmed != Instant{});
+        !run.start_deferred && (session.dead() || run.confirmed != Instant{});
     if (task != nullptr && began && task->job->outcome == JobOutcome::kOpen) {
       runs.push_back(&run);
     }
@@ -64,56 +65,57 @@
   return runs;
 }
 
-std::vector<CellLeader::CrashOfRun> CellLeader::BlameRuns(
+std::vector<CellLeader::TaskCrashNote> CellLeader::AttributeCrash(
     const WorkerSession& session,
     CrashEvidence evidence) {
-  const WorkerLife& life = session.life();
+  const WorkerIncarnation& incarnation = session.incarnation();
   const std::vector<const Run*> runs = RunsAtCrash(session);
   std::vector<RunAtCrash> at_crash;
   for (const Run* run : runs) {
     const bool tried_alone = run->confirmed != Instant{} && !run->adopted &&
-                             trials_.IsTrying(run->task, life.id);
-    at_crash.push_back({session.SeenAtWork(*run), tried_alone, run->adopted});
+                             trials_.IsInTrial(run->task, incarnation.id);
+    at_crash.push_back(
+        {session.ObservedRunTime(*run), tried_alone, run->adopted});
   }
-  const std::vector<Blame> blames =
-      BlameCrash(at_crash, options_.policy.crashes);
-  std::vector<CrashOfRun> notes;
+  const std::vector<CrashRole> blames =
+      ClassifyRuns(at_crash, options_.policy.crashes);
+  std::vector<TaskCrashNote> notes;
   for (size_t i = 0; i < runs.size(); ++i) {
-    if (blames[i] == Blame::kNone) {
+    if (blames[i] == CrashRole::kNone) {
       continue;
     }
     CrashNote note;
     note.run = runs[i]->number;
-    note.machine = MachineOf(life);
-    note.worker = life.id;
+    note.machine = MachineOf(incarnation);
+    note.worker = incarnation.id;
     note.evidence = evidence;
-    note.suspect = blames[i] == Blame::kSuspect;
-    note.alone = at_crash[i].tried;
-    note.at_work = at_crash[i].at_work;
+    note.suspect = blames[i] == CrashRole::kSuspect;
+    note.in_trial = at_crash[i].in_trial;
+    note.observed_running = at_crash[i].observed_running;
     notes.emplace_back(runs[i]->task, std::move(note));
   }
   return notes;
 }
 
 void CellLeader::OnWorkerLost(WorkerSession& session) {
-  const auto evidence = EvidenceOfCrash(session);
-  DropUntold(session);
+  const auto evidence = DetectCrash(session);
+  DropUnreportedCrashes(session);
   if (!evidence) {
     return;
   }
   ++counters_.worker_crashes;
-  std::vector<CrashOfRun> notes = BlameRuns(session, *evidence);
-  const bool in_trial =
-      std::any_of(notes.begin(), notes.end(),
-                  [](const CrashOfRun& note) { return note.second.alone; });
+  std::vector<TaskCrashNote> notes = AttributeCrash(session, *evidence);
+  const bool in_trial = std::any_of(
+      notes.begin(), notes.end(),
+      [](const TaskCrashNote& note) { return note.second.in_trial; });
   // Crashes in trial runs are expected, so they don't indicate a common cause
   // with other crashes.
-  const bool is_in_wave = !in_trial && JoinWave(notes);
-  TellCrash(session, notes, is_in_wave);
+  const bool is_in_wave = !in_trial && AddToCrashWave(notes);
+  LogCrash(session, notes, is_in_wave);
   for (auto& [name, note] : notes) {
     trials_.End(name);
-    note.one_of_many = is_in_wave;
-    if (note.suspect || evidence == CrashEvidence::kOtherLife) {
+    note.mass_crash = is_in_wave;
+    if (note.suspect || evidence == CrashEvidence::kRestarted) {
       NoteCrash(jobs_.FindTask(name), note);
     }
   }
@@ -122,11 +124,12 @@
 // A crash is proved only once another incarnation of the worker answers. The
 // leader may fail before that, so it records which runs were new on the worker
 // for its successor.
-void CellLeader::OnLookFailed(WorkerSession& session) {
-  if (session.life().draining) {
+void CellLeader::OnPollFailed(WorkerSession& session) {
+  if (session.incarnation().draining) {
     return;
   }
-  for (auto& [name, note] : BlameRuns(session, CrashEvidence::kUntold)) {
+  for (auto& [name, note] :
+       AttributeCrash(session, CrashEvidence::kUnconfirmed)) {
     Task* task = jobs_.FindTask(name);
     const bool is_trial = task->FindTrial(note.run) != nullptr;
     if (note.suspect && !is_trial &&
@@ -136,46 +139,48 @@
   }
 }
 
-void CellLeader::OnAnswersAgain(WorkerSession& session) {
-  DropUntold(session);
+void CellLeader::OnPollRecovered(WorkerSession& session) {
+  DropUnreportedCrashes(session);
 }
 
-void CellLeader::DropUntold(const WorkerSession& session) {
+void CellLeader::DropUnreportedCrashes(const WorkerSession& session) {
   for (const auto& [name, run] : session.runs()) {
     Task* task = jobs_.FindTask(name);
-    if (task != nullptr && JobTable::DropUntold(task, run.number)) {
+    if (task != nullptr && JobTable::RemoveUnconfirmed(task, run.number)) {
       MarkDirty(task->job, /*urgent=*/false);
     }
   }
 }
 
 // Must be called before any task that may have run there is started again.
-void CellLeader::NoteDeaths() {
+void CellLeader::HandleDeadWorkers() {
   std::vector<std::string> dead;
-  for (auto& [id, member] : members_) {
-    if (!member.death_noted && member.session->proved_dead()) {
-      member.death_noted = true;
+  for (auto& [id, cell_worker] : cell_workers_) {
+    if (!cell_worker.death_processed && cell_worker.session->confirmed_dead()) {
+      cell_worker.death_processed = true;
       dead.push_back(id);
     }
   }
   for (const std::string& worker : dead) {
-    ConfirmUntold(worker);
-    NoteUnheardDeath(worker, members_.at(worker));
+    ConfirmUnreportedCrashes(worker);
+    NoteCrashOfUncontactedWorker(worker, cell_workers_.at(worker));
   }
 }
 
-std::vector<Task*> CellLeader::FindTasksUnheardOn(const std::string& worker,
-                                                  const Member& member) {
+std::vector<Task*> CellLeader::FindTasksOnUncontactedWorker(
+    const std::string& worker,
+    const CellWorker& cell_worker) {
   std::vector<Task*> tasks;
   const int64_t now = unix_millis_();
-  UnheardWorkers unheard;
-  AddUnheard(worker, member, &unheard);
+  UncontactedWorkers unheard;
+  AddUncontacted(worker, cell_worker, &unheard);
   for (Job* job : std::vector<Job*>(jobs_.OpenJobs())) {
     ForEachTask(job, [&](Task* task) {
-      const bool may_run = task->unaccounted && !task->placed && !task->done &&
-                           IsDue(*job, task->time, now) &&
-                           JobTable::IsUnblocked(*job, task->time, task->step);
-      if (may_run && MayBeThere(*task, unheard)) {
+      const bool may_run =
+          task->may_still_run && !task->placed && !task->done &&
+          IsDue(*job, task->repetition, now) &&
+          JobTable::IsUnblocked(*job, task->repetition, task->step);
+      if (may_run && MayRunOn(*task, unheard)) {
         tasks.push_back(task);
       }
     });
@@ -187,13 +192,13 @@
 // known what ran on the worker. Every task that may have run there is noted as
 // a bystander; two such notes make it a suspect. A task is noted once for each
 // takeover, because each note refers to the task's newest run.
-void CellLeader::NoteUnheardDeath(const std::string& worker,
-                                  const Member& member) {
-  if (!member.from_takeover || member.session->fenced()) {
+void CellLeader::NoteCrashOfUncontactedWorker(const std::string& worker,
+                                              const CellWorker& cell_worker) {
+  if (!cell_worker.from_takeover || cell_worker.session->fenced()) {
     return;
   }
-  std::vector<CrashOfRun> notes;
-  for (const Task* task : FindTasksUnheardOn(worker, member)) {
+  std::vector<TaskCrashNote> notes;
+  for (const Task* task : FindTasksOnUncontactedWorker(worker, cell_worker)) {
     const bool known = std::any_of(
         task->crashes.begin(), task->crashes.end(),
         [&](const CrashNote& crash) { return crash.worker == worker; });
@@ -209,7 +214,7 @@
       "warn", "cell", "a worker crashed before this leader had contacted it",
       {{"worker", worker}, {"may_have_run", notes.size()}, {"epoch", epoch_}});
   // Notes no more tasks than could soon get a trial run as suspects.
-  if (notes.size() > members_.size()) {
+  if (notes.size() > cell_workers_.size()) {
     return;
   }
   for (const auto& [name, note] : notes) {
@@ -221,13 +226,14 @@
 
 // Confirms the crashes that an earlier leader noted as unreported, now that the
 // worker is known to have ended.
-void CellLeader::ConfirmUntold(const std::string& worker) {
+void CellLeader::ConfirmUnreportedCrashes(const std::string& worker) {
   for (Job* job : std::vector<Job*>(jobs_.OpenJobs())) {
     ForEachTask(job, [&](Task* task) {
       for (const CrashNote& note : std::vector<CrashNote>(task->crashes)) {
-        if (note.worker == worker && note.evidence == CrashEvidence::kUntold) {
+        if (note.worker == worker &&
+            note.evidence == CrashEvidence::kUnconfirmed) {
           CrashNote confirmed_note = note;
-          confirmed_note.evidence = CrashEvidence::kOtherLife;
+          confirmed_note.evidence = CrashEvidence::kRestarted;
           NoteCrash(task, confirmed_note);
         }
       }
@@ -235,45 +241,45 @@
   }
 }
 
-bool CellLeader::JoinWave(const std::vector<CrashOfRun>& notes) {
-  CrashWave::Crash crash;
+bool CellLeader::AddToCrashWave(const std::vector<TaskCrashNote>& notes) {
+  MassCrashDetector::Crash crash;
   crash.at = executor_.Now();
   for (const auto& [name, note] : notes) {
-    crash.blamed.emplace_back(name, note.run);
+    crash.suspects.emplace_back(name, note.run);
   }
   wave_.Add(std::move(crash));
-  if (!wave_.IsOneOfMany()) {
+  if (!wave_.IsMassCrash()) {
     return false;
   }
-  for (const CrashWave::Crash& earlier : wave_.crashes()) {
-    for (const auto& [name, run] : earlier.blamed) {
-      MarkOneOfMany(name, run);
+  for (const MassCrashDetector::Crash& earlier : wave_.crashes()) {
+    for (const auto& [name, run] : earlier.suspects) {
+      MarkCrashInWave(name, run);
     }
   }
   return true;
 }
 
-void CellLeader::MarkOneOfMany(const std::string& name, uint32_t run) {
+void CellLeader::MarkCrashInWave(const std::string& name, uint32_t run) {
   Task* task = jobs_.FindTask(name);
   if (task == nullptr) {
     return;
   }
   for (CrashNote& note : task->crashes) {
-    if (note.run == run && !note.one_of_many) {
-      note.one_of_many = true;
+    if (note.run == run && !note.mass_crash) {
+      note.mass_crash = true;
       task->job->dirty = true;
     }
   }
   if (!IsLikelyCulprit(task->crashes)) {
-    task->rests_until = Instant{};
+    task->no_start_before = Instant{};
     task->crash_unrecorded = false;
   }
   MarkDirty(task->job, /*urgent=*/false);
 }
 
-void CellLeader::TellCrash(const WorkerSession& session,
-                           const std::vector<CrashOfRun>& notes,
-                           bool many) const {
+void CellLeader::LogCrash(const WorkerSession& session,
+                          const std::vector<TaskCrashNote>& notes,
+                          bool many) const {
   Json suspects = Json::array();
   for (const auto& [name, note] : notes) {
     if (note.suspect && suspects.size() < kMaxSuspectsLogged) {
@@ -281,8 +287,8 @@
     }
   }
   log_.Write("warn", "cell", "a worker crashed",
-             {{"worker", session.life().id},
-              {"machine", session.life().machine},
+             {{"worker", session.incarnation().id},
+              {"machine", session.incarnation().machine},
               {"other_life", session.dead()},
               {"one_of_many", many},
               {"runs", session.runs().size()},
@@ -301,13 +307,13 @@
   if (job->outcome != JobOutcome::kOpen || !JobTable::NoteCrash(task, crash)) {
     return;
   }
-  const CrashVerdict verdict = JudgeCrashes(task->crashes);
+  const CrashVerdict verdict = AssessCrashes(task->crashes);
   const bool likely = IsLikelyCulprit(task->crashes);
   Millis pause{0};
   if (likely) {
-    pause = PauseAfterCrashes(task->crashes.size(), Jitter(),
-                              options_.policy.crashes);
-    task->rests_until = executor_.Now() + pause;
+    pause =
+        RestartDelay(task->crashes.size(), Jitter(), options_.policy.crashes);
+    task->no_start_before = executor_.Now() + pause;
   }
   if (likely || task->crashes.size() > 1) {
     task->crash_unrecorded = true;
@@ -318,20 +324,20 @@
               {"run", crash.run},
               {"machine", crash.machine},
               {"suspect", crash.suspect},
-              {"alone", crash.alone},
-              {"one_of_many", crash.one_of_many},
+              {"alone", crash.in_trial},
+              {"one_of_many", crash.mass_crash},
               {"crashes", task->crashes.size()},
               {"verdict", ToString(verdict)},
               {"pause_ms", pause.count()},
               {"epoch", epoch_}});
   if (verdict == CrashVerdict::kGivenUp) {
-    GiveUp(task);
+    FailJobOfCrashingTask(task);
   } else {
     MarkDirty(job, /*urgent=*/task->crash_unrecorded);
   }
 }
 
-void CellLeader::GiveUp(Task* task) {
+void CellLeader::FailJobOfCrashingTask(Task* task) {
   Job* job = task->job;
   if (!jobs_.Finish(job, JobOutcome::kFailed)) {
     return;
@@ -343,7 +349,7 @@
               {"reason", job->reason},
               {"crashes", task->crashes.size()},
               {"epoch", epoch_}});
-  OnJobOver(job);
+  OnJobEnded(job);
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/cell/cell_ends.cpp
+++ b/src/libdoorwood/cell/cell_ends.cpp
@@ -56,7 +56,7 @@
                 {"last_run", task->last_run},
                 {"placed", task->placed},
                 {"task_done", task->done},
-                {"worker", session.life().id},
+                {"worker", session.incarnation().id},
                 {"end", ToString(end)},
                 {"epoch", epoch_}});
     return;
@@ -64,24 +64,24 @@
   log_.Write("info", "cell", "run ended",
              {{"task", task->name()},
               {"run", run},
-              {"worker", session.life().id},
+              {"worker", session.incarnation().id},
               {"end", ToString(end)},
               {"failures", task->failed_runs.size()},
               {"epoch", epoch_}});
   if (end == RunEnd::kDone) {
     ++counters_.ends_done;
-    trust_.OnSuccess(session.life().id);
+    trust_.OnSuccess(session.incarnation().id);
   } else if (end == RunEnd::kFailed) {
     ++counters_.ends_failed;
-    trust_.OnFailure(session.life().id, job->plan.id, executor_.Now());
-    task->failed_on = session.life().id;
+    trust_.OnFailure(session.incarnation().id, job->plan.id, executor_.Now());
+    task->failed_on = session.incarnation().id;
   } else {
     ++counters_.ends_lost;
   }
   task->ready_since = executor_.Now();
   const bool job_ended = was_open && job->outcome != JobOutcome::kOpen;
   if (job_ended) {
-    OnJobOver(job);
+    OnJobEnded(job);
   } else {
     MarkDirty(job, /*urgent=*/false);
   }
@@ -90,63 +90,66 @@
 void CellLeader::OnRunEnded(WorkerSession& session,
                             const Run& run,
                             RunEnd end,
-                            bool told_by_worker) {
+                            bool reported_by_worker) {
   Task* task = jobs_.FindTask(run.task);
   if (task == nullptr) {
     return;
   }
   JobTable::SetPlaced(task, false);
-  JobTable::DropTrial(task);
-  held_starts_.erase(run.task);
-  unrecorded_places_.erase(run.task);
+  JobTable::RemoveTrial(task);
+  starts_awaiting_record_.erase(run.task);
+  unrecorded_placements_.erase(run.task);
   if (!run.checkpoint.empty() && !task->done) {
     task->checkpoint = run.checkpoint;
   }
-  if (run.called_old) {
+  if (run.refused_as_old) {
     task->last_run = std::max(task->last_run, run.number + kRunNumberIncrease);
   }
-  if (!told_by_worker) {
-    TellLost(session, run);
+  if (!reported_by_worker) {
+    LogLostRun(session, run);
   }
-  if (end == RunEnd::kDone && !run.odd_time) {
-    LearnRunTime(task, run);
+  if (end == RunEnd::kDone && !run.atypical_duration) {
+    RecordRunTime(task, run);
   }
   CountEnd(task, session, run.number, end, run.checkpoint);
-  WakeScheduler();
+  RequestSchedulingPass();
 }
 
-void CellLeader::TellLost(const WorkerSession& session, const Run& run) const {
-  const auto member = members_.find(session.life().id);
+void CellLeader::LogLostRun(const WorkerSession& session,
+                            const Run& run) const {
+  const auto cell_worker = cell_workers_.find(session.incarnation().id);
   log_.Write("warn", "cell", "run ended without a report from the worker",
              {{"task", run.task},
               {"run", run.number},
-              {"worker", session.life().id},
-              {"machine", session.life().machine},
+              {"worker", session.incarnation().id},
+              {"machine", session.incarnation().machine},
               {"worker_dead", session.dead()},
-              {"listed", member != members_.end() && member->second.listed},
-              {"leaving", session.life().draining},
+              {"listed", cell_worker != cell_workers_.end() &&
+                             cell_worker->second.listed},
+              {"leaving", session.incarnation().draining},
               {"runs_left", session.runs().size()},
               {"confirmed", run.confirmed != Instant{}},
-              {"seen_at_work_ms", session.SeenAtWork(run).count()}});
+              {"seen_at_work_ms", session.ObservedRunTime(run).count()}});
 }
 
-void CellLeader::LearnRunTime(Task* task, const Run& run) {
+void CellLeader::RecordRunTime(Task* task, const Run& run) {
   const auto taken =
       std::chrono::duration_cast<Millis>(executor_.Now() - run.ordered);
   const StepPlan& plan = task->plan();
-  StepState& step = task->job->times[task->time].steps[task->step];
-  step.taken += taken;
-  ++step.taken_of;
+  StepState& step = task->job->repetitions[task->repetition].steps[task->step];
+  step.total_run_time += taken;
+  ++step.run_time_samples;
   run_times_.Observe(task->job->plan.queue, plan.count, plan.estimate, taken);
 }
 
-std::vector<Millis> CellLeader::ExpectRunTimes(const Job& job, int time) const {
+std::vector<Millis> CellLeader::ExpectedRunTimes(const Job& job,
+                                                 int time) const {
   std::vector<Millis> expected;
   for (size_t step = 0; step < job.plan.steps.size(); ++step) {
-    const StepState& state = job.times[time].steps[step];
+    const StepState& state = job.repetitions[time].steps[step];
     expected.push_back(
-        state.taken_of > 0
-            ? state.taken / state.taken_of
+        state.run_time_samples > 0
+            ? state.total_run_time / state.run_time_samples
             : run_times_.Expect(job.plan.queue, job.plan.steps[step].estimate));
   }
   return expected;
@@ -162,18 +165,20 @@
   const auto placed = task->placed ? NumberOfPlacedRun(end.task) : std::nullopt;
   const uint32_t number = placed && end.run >= *placed ? *placed - 1 : end.run;
   CountLateEnd(end.end);
-  task->crash_untold = false;
-  JobTable::DropUntold(task, end.run);
+  task->crash_unconfirmed = false;
+  JobTable::RemoveUnconfirmed(task, end.run);
   CountEnd(task, session, number, end.end, end.checkpoint);
-  auto& reported_runs = task->told_runs;
-  if (!accounted_ && std::find(reported_runs.begin(), reported_runs.end(),
-                               end.run) == reported_runs.end()) {
+  auto& reported_runs = task->reported_runs;
+  if (!all_runs_accounted_ &&
+      std::find(reported_runs.begin(), reported_runs.end(), end.run) ==
+          reported_runs.end()) {
     reported_runs.push_back(end.run);
   }
   if (task->done) {
-    StopRunsOfDone(*task);  // An earlier run has already completed the task.
+    StopRunsOfCompletedTask(
+        *task);  // An earlier run has already completed the task.
   }
-  WakeScheduler();
+  RequestSchedulingPass();
 }
 
 void CellLeader::CountLateEnd(RunEnd end) {
@@ -191,8 +196,8 @@
 
 std::optional<uint32_t> CellLeader::NumberOfPlacedRun(
     const std::string& task) const {
-  for (const auto& [id, member] : members_) {
-    const Run* run = member.session->FindRun(task);
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    const Run* run = cell_worker.session->FindRun(task);
     if (run != nullptr) {
       return run->number;
     }
@@ -210,34 +215,34 @@
   log_.Write("info", "cell", wanted ? "run adopted" : "unwanted run stopped",
              {{"task", active_run.task},
               {"run", active_run.run},
-              {"worker", session.life().id},
+              {"worker", session.incarnation().id},
               {"epoch", epoch_}});
   if (!wanted) {
     ++counters_.stops;
     return std::nullopt;
   }
   JobTable::SetPlaced(task, true);
-  if (task->plan().lasting) {
-    NotePlace(task, session.life().id);
+  if (task->plan().long_running) {
+    RecordAdoptedPlacement(task, session.incarnation().id);
   }
-  task->unaccounted = false;
-  task->adopted_run = accounted_ ? 0 : active_run.run;
-  task->crash_untold = false;
-  JobTable::DropUntold(task, active_run.run);
+  task->may_still_run = false;
+  task->adopted_run = all_runs_accounted_ ? 0 : active_run.run;
+  task->crash_unconfirmed = false;
+  JobTable::RemoveUnconfirmed(task, active_run.run);
   task->last_run = std::max(task->last_run, active_run.run);
   task->counted_run = std::min(task->counted_run, active_run.run - 1);
-  if (!task->job->begun) {
-    task->job->begun = true;
+  if (!task->job->started) {
+    task->job->started = true;
     task->job->dirty = true;
   }
   if (IsSuspect(*task)) {
-    BeginTrial(*task, members_.at(session.life().id).session);
+    BeginTrial(*task, cell_workers_.at(session.incarnation().id).session);
   }
   Run run = MakeRun(*task, active_run.run);
-  run.image = interference_.Intern(task->plan().image);
+  run.image_id = interference_.Intern(task->plan().image);
   run.phase = RunPhase::kRunning;
   run.ordered = executor_.Now();
-  run.odd_time = true;
+  run.atypical_duration = true;
   run.adopted = true;
   run.checkpoint = active_run.checkpoint;
   // An earlier leader may have slowed it down, so the pace is sent again.
@@ -252,12 +257,12 @@
   log_.Write("warn", "cell", "start refused",
              {{"task", run.task},
               {"run", run.number},
-              {"worker", session.life().id},
+              {"worker", session.incarnation().id},
               {"error", error.message()}});
-  const auto member = members_.find(session.life().id);
-  if (member != members_.end()) {
+  const auto cell_worker = cell_workers_.find(session.incarnation().id);
+  if (cell_worker != cell_workers_.end()) {
     const bool busy = error == make_error_code(RunErrc::kBusy);
-    member->second.rests_until =
+    cell_worker->second.backoff_until =
         executor_.Now() + (busy ? kBusyPause : kRefusalPause);
   }
   Task* task = jobs_.FindTask(run.task);
@@ -265,40 +270,42 @@
     return;
   }
   JobTable::SetPlaced(task, false);
-  unrecorded_places_.erase(run.task);
-  task->failed_on = session.life().id;
-  WakeScheduler();
+  unrecorded_placements_.erase(run.task);
+  task->failed_on = session.incarnation().id;
+  RequestSchedulingPass();
 }
 
 void CellLeader::OnReport(WorkerSession& session) {
-  PaceWorker(session);
-  const auto member = members_.find(session.life().id);
-  if (member != members_.end() && member->second.told_unheard &&
-      !member->second.heard_recorded) {
-    member->second.heard_recorded = true;
-    RecordMembers();
-  } else if (member != members_.end() && member->second.told_tasks &&
-             HasNewsToRecord(member->second)) {
-    RecordTasks();
+  UpdatePaces(session);
+  const auto cell_worker = cell_workers_.find(session.incarnation().id);
+  if (cell_worker != cell_workers_.end() &&
+      cell_worker->second.renewals_blocked &&
+      !cell_worker->second.contact_record_pending) {
+    cell_worker->second.contact_record_pending = true;
+    RecordWorkers();
+  } else if (cell_worker != cell_workers_.end() &&
+             cell_worker->second.starts_blocked &&
+             HasUnrecordedTaskChanges(cell_worker->second)) {
+    RecordTasksOfClosedWorkers();
   }
   // With no write pending, ends that changed no state need no record.
   if (journal_.idle()) {
-    OnEndsRecorded(ListedEnds());
+    OnEndsRecorded(HighestUnrecordedEnds());
   }
 }
 
 // --- Jobs that have ended ---
 
-void CellLeader::OnJobOver(Job* job) {
+void CellLeader::OnJobEnded(Job* job) {
   job->finished_at = unix_millis_();
-  StopRunsOf(*job);
+  StopRunsOfJob(*job);
   MarkDirty(job, /*urgent=*/true);
 }
 
-void CellLeader::StopRunsOf(const Job& job) {
+void CellLeader::StopRunsOfJob(const Job& job) {
   const std::string prefix = job.plan.id + ".";
-  for (const auto& [id, member] : members_) {
-    const auto session = member.session;
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    const auto session = cell_worker.session;
     std::vector<std::string> tasks;
     for (const auto& [task, run] : session->runs()) {
       if (task.starts_with(prefix)) {
@@ -314,10 +321,11 @@
 
 // --- Records ---
 
-void CellLeader::StopRunsOfDone(const Task& task) {
+void CellLeader::StopRunsOfCompletedTask(const Task& task) {
   // The completion of one task of a gang completes all of its tasks.
   std::vector<std::string> placed;
-  for (const Task& member : task.job->times[task.time].steps[task.step].tasks) {
+  for (const Task& member :
+       task.job->repetitions[task.repetition].steps[task.step].tasks) {
     if (member.done && member.placed &&
         (&member == &task || task.plan().gang)) {
       placed.push_back(member.name());
@@ -329,8 +337,8 @@
 }
 
 void CellLeader::StopRunsOfTask(const std::string& task) {
-  for (const auto& [id, member] : members_) {
-    const auto session = member.session;
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    const auto session = cell_worker.session;
     if (session->FindRun(task) != nullptr) {
       ++counters_.stops;
       session->Stop(task);
@@ -345,18 +353,18 @@
   }
   job->dirty = false;
   ForEachTask(job, [](Task* task) {
-    if (task->place_record == PlaceRecord::kChanged) {
-      task->place_record = PlaceRecord::kWritten;
+    if (task->assignment_record == AssignmentRecord::kChanged) {
+      task->assignment_record = AssignmentRecord::kInFlight;
     }
   });
   return EncodeJobState(*job);
 }
 
-std::map<std::string, uint64_t> CellLeader::ListedEnds() {
+std::map<std::string, uint64_t> CellLeader::HighestUnrecordedEnds() {
   std::map<std::string, uint64_t> ends;
-  for (const auto& [id, member] : members_) {
-    if (member.session->has_unrecorded_ends()) {
-      ends[id] = member.session->last_end();
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    if (cell_worker.session->has_unrecorded_ends()) {
+      ends[id] = cell_worker.session->last_end();
     }
   }
   return ends;
@@ -364,8 +372,8 @@
 
 void CellLeader::OnEndsRecorded(const std::map<std::string, uint64_t>& ends) {
   for (const auto& [id, number] : ends) {
-    const auto found = members_.find(id);
-    if (found != members_.end()) {
+    const auto found = cell_workers_.find(id);
+    if (found != cell_workers_.end()) {
       found->second.session->MarkRecorded(number);
     }
   }
--- a/src/libdoorwood/cell/cell_journal_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_test.cpp
@@ -66,13 +66,15 @@
 
 struct JournalFixture : public JournalOwner {
   JournalFixture() : executor(time, 1), store(executor) {
-    journal.Open(store.TakeLead("all", "me"), {});
+    journal.Open(store.WriteLeaderKey("all", "me"), {});
   }
 
   std::string EncodeState(const std::string&) override { return state; }
-  std::map<std::string, uint64_t> ListedEnds() override { return {{"w", 7}}; }
+  std::map<std::string, uint64_t> HighestUnrecordedEnds() override {
+    return {{"w", 7}};
+  }
   void OnAccepted(const JobPlan& plan) override { accepted.push_back(plan.id); }
-  int64_t PlacesHoldTo() override { return 0; }
+  int64_t PlacementsValidTo() override { return 0; }
   void OnStateWritten(const std::string&) override {}
   void OnStateRecorded(const std::string& job) override {
     recorded.push_back(job);
@@ -81,7 +83,7 @@
     ends_recorded = ends;
   }
   void OnWorkersRecorded(const std::vector<KnownWorker>&) override {}
-  void OnLeadShown(Instant) override {}
+  void OnLeadConfirmed(Instant) override {}
   void OnLeadLost(std::string_view) override {
     lost = true;
     journal.Close();
@@ -292,7 +294,7 @@
 
 BOOST_FIXTURE_TEST_CASE(Commit_AnotherInstanceLeads_LeadIsLost,
                         JournalFixture) {
-  store.TakeLead("all", "other");
+  store.WriteLeaderKey("all", "other");
   Accept();
   time.Run(Millis(100));
   BOOST_TEST(lost);
--- a/src/libdoorwood/cell/cell_large_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_large_takeover_test.cpp
@@ -44,25 +44,26 @@
   world.Run(Millis(3000));
   int count = 0;
   for (const auto& [id, worker] : world.workers()) {
-    worker->life.draining = ++count % 3 != 0;
+    worker->incarnation.draining = ++count % 3 != 0;
   }
   world.Run(Millis(3000));
   BOOST_REQUIRE(world.Submit(fakes::MakePlan(kJob, 1, 1, "ms=1")));
-  const char* release_message = "tasks that unheard workers can't run are free";
-  const int before = world.logged(release_message);
+  const char* release_message =
+      "released tasks that cannot run on workers not yet contacted";
+  const int before = world.log_count(release_message);
   world.Kill(world.Leader()->name);
   for (const auto& [id, worker] : world.workers()) {
-    if (worker->life.draining) {
-      world.TakeAway(id);
+    if (worker->incarnation.draining) {
+      world.ShutDownWorker(id);
     }
   }
   BOOST_REQUIRE(world.WaitForLeader() != nullptr);
   int released_ms = 0;
-  while (world.logged(release_message) == before && released_ms < 20'000) {
+  while (world.log_count(release_message) == before && released_ms < 20'000) {
     world.Run(Millis(50));
     released_ms += 50;
   }
-  BOOST_TEST(world.broken().empty());
+  BOOST_TEST(world.violations().empty());
   return released_ms;
 }
 
--- a/src/libdoorwood/cell/cell_lasting_walk_test.cpp
+++ b/src/libdoorwood/cell/cell_lasting_walk_test.cpp
@@ -5,7 +5,7 @@
 // are detected, even much later. The store fails and recovers, or refuses some
 // instances and serves others, and instances are partitioned from each other
 // and from workers. This test checks only that no task runs twice at a time;
-// cell_walk_test checks that jobs end.
+// cell_random_faults_test checks that jobs end.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -19,23 +19,23 @@
 constexpr int kSeeds = 400;
 constexpr int kSteps = 70;
 
-class BasicFaultWalk : public fakes::LastingWalk {
+class BasicFaultWalk : public fakes::LongRunningFaultWalk {
  public:
-  using LastingWalk::LastingWalk;
+  using LongRunningFaultWalk::LongRunningFaultWalk;
 
  private:
-  void Step() override { Play(Pick(16)); }
+  void InjectFaultOrSubmit() override { InjectFault(RandomBelow(16)); }
 };
 
 BOOST_AUTO_TEST_CASE(Cells_LongRunningTasksAndRandomFaults_NothingRunsTwice) {
   const char* only = std::getenv("DOORWOOD_SEED");
   const int first = only == nullptr ? 1 : std::atoi(only);
   const int last = only == nullptr ? kSeeds : first;
-  fakes::Tally tally;
+  fakes::ViolationReport violation_report;
   for (int seed = first; seed <= last; ++seed) {
     BasicFaultWalk walk(static_cast<uint64_t>(seed));
     walk.Run(kSteps);
-    tally.Take("seed " + std::to_string(seed), walk.world());
+    violation_report.Add("seed " + std::to_string(seed), walk.world());
   }
 }
 
--- a/src/libdoorwood/cell/cell_leaving_test.cpp
+++ b/src/libdoorwood/cell/cell_leaving_test.cpp
@@ -92,7 +92,7 @@
     BOOST_REQUIRE(old_leader != nullptr);
     bool left = false;
     old_leader->live->AnnounceLeaving();
-    old_leader->cell->Leave([&left] { left = true; });
+    old_leader->cell->ShutDown([&left] { left = true; });
     Millis taken{0};
     for (; taken < Millis(5000) && !left; taken += kStep) {
       fixture.Run(kStep);
@@ -108,7 +108,7 @@
       BOOST_TEST(taken.count() <= kMaxHandOverTime.count());
       BOOST_TEST(fixture.unknown_outcomes == 0);
       BOOST_TEST(accepted > 0);
-      BOOST_TEST(world.broken().empty());
+      BOOST_TEST(world.violations().empty());
       for (const auto& [id, answer] : fixture.answers) {
         if (answer == "accepted") {
           const auto state = world.StateOf(id);
--- a/src/libdoorwood/cell/cell_places.cpp
+++ b/src/libdoorwood/cell/cell_places.cpp
@@ -20,124 +20,133 @@
 // once more, which must stay a small part of the cost of scheduling passes.
 constexpr Millis kMinPauseBetweenWaitLogs{50};
 
-std::string_view RackOf(const WorkerLife& life) {
-  return life.labels.empty() ? std::string_view() : life.labels.back();
+std::string_view RackOf(const WorkerIncarnation& incarnation) {
+  return incarnation.labels.empty() ? std::string_view()
+                                    : incarnation.labels.back();
 }
 
 }  // namespace
 
-void CellLeader::RefreshRoom(const std::string& id, Member* member) {
-  const WorkerSession& session = *member->session;
+void CellLeader::RefreshCandidate(const std::string& id,
+                                  CellWorker* cell_worker) {
+  const WorkerSession& session = *cell_worker->session;
   const Instant now = executor_.Now();
-  if (member->room_version == session.version() &&
-      now - member->room_at < kMaxRoomAge) {
+  if (cell_worker->candidate_version == session.version() &&
+      now - cell_worker->candidate_at < kMaxRoomAge) {
     return;
   }
-  const WorkerLife& life = session.life();
-  WorkerRoom& room = member->room;
-  room.id = id;
-  room.service = life.service;
-  room.rack = RackOf(life);
-  room.labels = life.labels;
-  room.capacity = life.capacity;
-  room.reserved = session.reserved();
-  room.fill_cpu = session.fill_cpu();
-  room.serving = session.serving();
-  room.serving_cpu = session.serving_cpu();
-  room.strains = CollectStrains(session);
-  room.changed_in = pass_;
-  member->room_version = session.version();
-  member->room_at = now;
+  const WorkerIncarnation& incarnation = session.incarnation();
+  CandidateWorker& candidate = cell_worker->candidate;
+  candidate.id = id;
+  candidate.service = incarnation.service;
+  candidate.rack = RackOf(incarnation);
+  candidate.labels = incarnation.labels;
+  candidate.capacity = incarnation.capacity;
+  candidate.reserved = session.reserved();
+  candidate.best_effort_cpu = session.best_effort_cpu();
+  candidate.serving = session.serving_runs();
+  candidate.serving_cpu = session.serving_cpu();
+  candidate.serving_utilizations = CollectUtilizations(session);
+  candidate.last_changed_pass = pass_;
+  cell_worker->candidate_version = session.version();
+  cell_worker->candidate_at = now;
 }
 
-bool CellLeader::IsServing(const Member& member) const {
-  const WorkerSession& session = *member.session;
-  return IsRecorded(member) && !member.told_unheard && !member.told_tasks &&
-         member.listed && session.responsive() && !session.life().draining &&
-         executor_.Now() >= member.emptied_until && !IsClosed(member);
+bool CellLeader::MayReceiveOrders(const CellWorker& cell_worker) const {
+  const WorkerSession& session = *cell_worker.session;
+  return IsAddressRecorded(cell_worker) && !cell_worker.renewals_blocked &&
+         !cell_worker.starts_blocked && cell_worker.listed &&
+         session.responsive() && !session.incarnation().draining &&
+         executor_.Now() >= cell_worker.evacuated_until &&
+         !IsInClosedDataCentre(cell_worker);
 }
 
-bool CellLeader::IsOpen(const std::string& id, const Member& member) const {
+bool CellLeader::MayReceiveNewWork(const std::string& id,
+                                   const CellWorker& cell_worker) const {
   const Instant now = executor_.Now();
-  return IsServing(member) && !member.session->has_unwanted() &&
-         now >= member.rests_until && trust_.Allows(id, now);
+  return MayReceiveOrders(cell_worker) &&
+         !cell_worker.session->has_unwanted_runs() &&
+         now >= cell_worker.backoff_until && trust_.AllowsStart(id, now);
 }
 
-std::vector<WorkerRoom*> CellLeader::CollectRooms() {
-  std::vector<WorkerRoom*> rooms;
-  rooms.reserve(members_.size());
-  for (auto& [id, member] : members_) {
-    RefreshRoom(id, &member);
-    const bool open = IsOpen(id, member) && !trials_.Keeps(id);
-    if (open != member.room.open) {
-      member.room.open = open;
-      member.room.changed_in = pass_;
+std::vector<CandidateWorker*> CellLeader::CollectCandidates() {
+  std::vector<CandidateWorker*> candidates;
+  candidates.reserve(cell_workers_.size());
+  for (auto& [id, cell_worker] : cell_workers_) {
+    RefreshCandidate(id, &cell_worker);
+    const bool open =
+        MayReceiveNewWork(id, cell_worker) && !trials_.IsReserved(id);
+    if (open != cell_worker.candidate.accepts_work) {
+      cell_worker.candidate.accepts_work = open;
+      cell_worker.candidate.last_changed_pass = pass_;
     }
-    rooms.push_back(&member.room);
+    candidates.push_back(&cell_worker.candidate);
   }
-  return rooms;
+  return candidates;
 }
 
 std::string CellLeader::RackOfStep(const Job& job, int time, int step) const {
   const std::string name = StepName(job, time, step);
-  for (const auto& [id, member] : members_) {
-    if (member.session->CountOfStep(name) > 0) {
-      return std::string(RackOf(member.session->life()));
+  for (const auto& [id, cell_worker] : cell_workers_) {
+    if (cell_worker.session->CountOfStep(name) > 0) {
+      return std::string(RackOf(cell_worker.session->incarnation()));
     }
   }
   return "";
 }
 
-void CellLeader::JudgePlace(const ReadyStep& ready,
-                            const TaskNeed& need,
-                            const WorkerRoom& room,
-                            size_t place,
-                            int planned,
-                            StepPlaces* places) const {
-  places->Judge(place, need, planned);
+void CellLeader::EvaluatePlace(const ReadyStep& ready,
+                               const TaskRequirements& need,
+                               const CandidateWorker& candidate,
+                               size_t place,
+                               int planned,
+                               StepCandidates* places) const {
+  places->Evaluate(place, need, planned);
   const StepPlan& plan = ready.job->plan.steps[ready.step];
-  if (plan.most_per_worker == 0 || !places->IsGood(place)) {
+  if (plan.max_per_worker == 0 || !places->IsSuitable(place)) {
     return;
   }
-  const auto member = members_.find(std::string(room.id));
-  const std::string step = StepName(*ready.job, ready.time, ready.step);
-  const int on_worker = member->second.session->CountOfStep(step);
+  const auto cell_worker = cell_workers_.find(std::string(candidate.id));
+  const std::string step = StepName(*ready.job, ready.repetition, ready.step);
+  const int on_worker = cell_worker->second.session->CountOfStep(step);
   if (on_worker > 0) {
-    places->Judge(place, need, on_worker + planned);
+    places->Evaluate(place, need, on_worker + planned);
   }
 }
 
-void CellLeader::JudgeChanged(const ReadyStep& ready,
-                              const TaskNeed& need,
-                              const std::vector<WorkerRoom*>& rooms,
-                              uint64_t pass,
-                              StepPlaces* places) const {
-  for (size_t place = 0; place < rooms.size(); ++place) {
-    if (rooms[place]->changed_in > pass) {
-      JudgePlace(ready, need, *rooms[place], place, /*planned=*/0, places);
+void CellLeader::EvaluateChangedPlaces(
+    const ReadyStep& ready,
+    const TaskRequirements& need,
+    const std::vector<CandidateWorker*>& candidates,
+    uint64_t pass,
+    StepCandidates* places) const {
+  for (size_t place = 0; place < candidates.size(); ++place) {
+    if (candidates[place]->last_changed_pass > pass) {
+      EvaluatePlace(ready, need, *candidates[place], place, /*planned=*/0,
+                    places);
     }
   }
 }
 
-bool CellLeader::IsTimeToTell(const ReadyStep& ready) {
+bool CellLeader::ShouldLogWaitingStep(const ReadyStep& ready) {
   ++waiting_steps_;
   const Instant now = executor_.Now();
-  StepState& step = ready.job->times[ready.time].steps[ready.step];
-  if (now - step.waiting_told < kWaitLogInterval ||
-      now - waiting_told_ < kMinPauseBetweenWaitLogs) {
+  StepState& step = ready.job->repetitions[ready.repetition].steps[ready.step];
+  if (now - step.waiting_logged_at < kWaitLogInterval ||
+      now - waiting_logged_ < kMinPauseBetweenWaitLogs) {
     return false;
   }
-  const bool first = step.waiting_told == Instant{};
-  step.waiting_told = now;
+  const bool first = step.waiting_logged_at == Instant{};
+  step.waiting_logged_at = now;
   if (!first) {
-    waiting_told_ = now;
+    waiting_logged_ = now;
   }
   return !first;  // The first time, the step has only just begun to wait.
 }
 
-void CellLeader::TellWaiting(const Task& task,
-                             const StepRank& rank,
-                             const ProblemCounts& problems) {
+void CellLeader::LogWaitingStep(const Task& task,
+                                const StepRank& rank,
+                                const ProblemCounts& problems) {
   const StepPlan& plan = task.plan();
   Json counts = Json::object();
   for (const auto& [problem, count] : problems) {
@@ -145,14 +154,14 @@
   }
   log_.Write("info", "cell", "step is waiting for a worker with free capacity",
              {{"task", task.name()},
-              {"rank", rank.group},
+              {"rank", rank.urgency_class},
               {"steps_ahead", waiting_steps_ - 1},
               {"waited_ms", std::chrono::duration_cast<Millis>(executor_.Now() -
                                                                task.ready_since)
                                 .count()},
               {"cpu", plan.size.cpu_millis},
               {"memory", plan.size.memory_mib},
-              {"most_per_worker", plan.most_per_worker},
+              {"most_per_worker", plan.max_per_worker},
               {"workers", std::move(counts)}});
 }
 
--- a/src/libdoorwood/cell/cell_scheduling.cpp
+++ b/src/libdoorwood/cell/cell_scheduling.cpp
@@ -19,27 +19,29 @@
 constexpr int kPauseToPassRatio = 4;
 constexpr Millis kLongestPause{80};
 
-std::vector<WorkerRoom> CopyRooms(const std::vector<WorkerRoom*>& rooms) {
-  std::vector<WorkerRoom> copies;
-  copies.reserve(rooms.size());
-  for (const WorkerRoom* room : rooms) {
-    copies.push_back(*room);
+std::vector<CandidateWorker> CopyCandidates(
+    const std::vector<CandidateWorker*>& candidates) {
+  std::vector<CandidateWorker> copies;
+  copies.reserve(candidates.size());
+  for (const CandidateWorker* candidate : candidates) {
+    copies.push_back(*candidate);
   }
   return copies;
 }
 
-std::vector<WorkerRoom*> PointersTo(std::vector<WorkerRoom>* rooms) {
-  std::vector<WorkerRoom*> pointers;
-  pointers.reserve(rooms->size());
-  for (WorkerRoom& room : *rooms) {
-    pointers.push_back(&room);
+std::vector<CandidateWorker*> PointersTo(
+    std::vector<CandidateWorker>* candidates) {
+  std::vector<CandidateWorker*> pointers;
+  pointers.reserve(candidates->size());
+  for (CandidateWorker& candidate : *candidates) {
+    pointers.push_back(&candidate);
   }
   return pointers;
 }
 
 }  // namespace
 
-void CellLeader::WakeScheduler() {
+void CellLeader::RequestSchedulingPass() {
   if (schedule_posted_ || !leading()) {
     return;
   }
@@ -47,11 +49,11 @@
   const auto pause = std::chrono::ceil<Millis>(next_pass_ - executor_.Now());
   executor_.Schedule(std::max(kScheduleDelay, pause), [this] {
     schedule_posted_ = false;
-    if (!MayOrder() || closed_read_ == Instant{} || IsHandingOver()) {
+    if (!MaySendOrders() || closed_read_ == Instant{} || IsHandingOver()) {
       return;
     }
     const Instant begin = executor_.Now();
-    Schedule();
+    RunSchedulingPass();
     const Instant end = executor_.Now();
     next_pass_ = end + std::min<Instant::duration>(
                            (end - begin) * kPauseToPassRatio, kLongestPause);
@@ -59,8 +61,8 @@
 }
 
 bool CellLeader::IsReady(const Task& task) const {
-  return !task.done && !task.placed && !task.unaccounted &&
-         !task.crash_unrecorded && executor_.Now() >= task.rests_until &&
+  return !task.done && !task.placed && !task.may_still_run &&
+         !task.crash_unrecorded && executor_.Now() >= task.no_start_before &&
          !MayBeAtLastAttempt(task);
 }
 
@@ -69,19 +71,21 @@
 // as a failure until the successor has contacted the worker, the worker's
 // leases have expired, or the worker's record does not name the task.
 bool CellLeader::MayBeAtLastAttempt(const Task& task) const {
-  const uint32_t unreported_ends = MayRunUnheard(task) ? task.UnheardEnds() : 0;
-  if (unreported_ends == 0 || task.plan().lasting) {
+  const uint32_t unreported_ends =
+      MayRunOnUncontacted(task) ? task.CountUnreportedEnds() : 0;
+  if (unreported_ends == 0 || task.plan().long_running) {
     return false;
   }
-  const Task& counting_task =
-      task.plan().gang
-          ? task.job->times[task.time].steps[task.step].tasks.front()
-          : task;
+  const Task& counting_task = task.plan().gang
+                                  ? task.job->repetitions[task.repetition]
+                                        .steps[task.step]
+                                        .tasks.front()
+                                  : task;
   return counting_task.failed_runs.size() + unreported_ends >=
          static_cast<size_t>(MaxAttempts(*task.job));
 }
 
-std::vector<CellLeader::ReadyStep> CellLeader::CollectReady() {
+std::vector<CellLeader::ReadyStep> CellLeader::CollectReadySteps() {
   std::vector<ReadyStep> ready;
   const int64_t now = unix_millis_();
   for (Job* job : jobs_.OpenJobs()) {
@@ -91,7 +95,7 @@
       }
       for (int step = 0; step < static_cast<int>(job->plan.steps.size());
            ++step) {
-        const StepState& state = job->times[time].steps[step];
+        const StepState& state = job->repetitions[time].steps[step];
         if (state.idle == 0 || !JobTable::IsUnblocked(*job, time, step)) {
           continue;
         }
@@ -106,15 +110,15 @@
   return ready;
 }
 
-void CellLeader::RankReady(std::vector<ReadyStep>* ready) const {
+void CellLeader::SortReadySteps(std::vector<ReadyStep>* ready) const {
   const int64_t now = unix_millis_();
   for (ReadyStep& step : *ready) {
     const Queue* queue = QueueOf(*step.job);
     if (queue != nullptr) {
-      const auto run_times = ExpectRunTimes(*step.job, step.time);
+      const auto run_times = ExpectedRunTimes(*step.job, step.repetition);
       step.rank = RankStep(step.job->plan, *queue, step.step,
-                           DueAt(*step.job, step.time), run_times,
-                           WorkLeft(*step.job, step.time, run_times), now,
+                           DueAt(*step.job, step.repetition), run_times,
+                           WorkLeft(*step.job, step.repetition, run_times), now,
                            options_.policy);
     }
   }
@@ -127,10 +131,11 @@
             });
 }
 
-void CellLeader::NoteReadySince(const std::vector<ReadyStep>& ready) {
+void CellLeader::RecordReadySince(const std::vector<ReadyStep>& ready) {
   const Instant now = executor_.Now();
   for (const ReadyStep& step : ready) {
-    for (Task& task : step.job->times[step.time].steps[step.step].tasks) {
+    for (Task& task :
+         step.job->repetitions[step.repetition].steps[step.step].tasks) {
       if (task.ready_since == Instant{}) {
         task.ready_since = now;
       }
@@ -138,66 +143,68 @@
   }
 }
 
-void CellLeader::Schedule() {
-  std::vector<ReadyStep> ready = CollectReady();
+void CellLeader::RunSchedulingPass() {
+  std::vector<ReadyStep> ready = CollectReadySteps();
   if (ready.empty()) {
     return;
   }
   ++pass_;
-  NoteReadySince(ready);
-  RankReady(&ready);
+  RecordReadySince(ready);
+  SortReadySteps(&ready);
   waiting_steps_ = 0;
-  const std::vector<WorkerRoom*> rooms = CollectRooms();
+  const std::vector<CandidateWorker*> candidates = CollectCandidates();
   for (const ReadyStep& step : ready) {
     if (step.job->plan.steps[step.step].gang) {
-      PlaceGang(step, rooms);
+      PlaceGang(step, candidates);
     } else {
-      PlaceStep(step, rooms);
+      PlaceStep(step, candidates);
     }
   }
 }
 
-std::vector<WorkerRoom> CellLeader::PermittedRooms(
+std::vector<CandidateWorker> CellLeader::CandidatesWithTickets(
     const ReadyStep& ready,
-    const std::vector<WorkerRoom*>& rooms) {
-  const std::string step = StepName(*ready.job, ready.time, ready.step);
-  std::vector<WorkerRoom> permitted = CopyRooms(rooms);
+    const std::vector<CandidateWorker*>& candidates) {
+  const std::string step = StepName(*ready.job, ready.repetition, ready.step);
+  std::vector<CandidateWorker> permitted = CopyCandidates(candidates);
   std::vector<std::string> without_ticket;
-  for (WorkerRoom& room : permitted) {
-    const std::string worker(room.id);
-    if (room.open && tickets_.Find(step, worker).empty()) {
-      room.open = false;
+  for (CandidateWorker& candidate : permitted) {
+    const std::string worker(candidate.id);
+    if (candidate.accepts_work && tickets_.Find(step, worker).empty()) {
+      candidate.accepts_work = false;
       without_ticket.push_back(worker);
     }
   }
-  tickets_.Want(step, without_ticket);
+  tickets_.RequestTickets(step, without_ticket);
   return permitted;
 }
 
 void CellLeader::PlaceStep(const ReadyStep& ready,
-                           const std::vector<WorkerRoom*>& rooms) {
+                           const std::vector<CandidateWorker*>& candidates) {
   const Queue* queue = QueueOf(*ready.job);
   const StepPlan& plan = ready.job->plan.steps[ready.step];
-  auto& tasks = ready.job->times[ready.time].steps[ready.step].tasks;
+  auto& tasks =
+      ready.job->repetitions[ready.repetition].steps[ready.step].tasks;
   if (queue == nullptr) {
     return;
   }
   const bool advised = queue->advice.has_value();
   const uint64_t last_failed_pass =
-      advised ? 0 : hopeless_.TriedIn(plan, queue->service);
-  std::vector<WorkerRoom> permitted;
+      advised ? 0 : hopeless_.LastFailedPass(plan, queue->service);
+  std::vector<CandidateWorker> permitted;
   if (advised) {
-    permitted = PermittedRooms(ready, rooms);
+    permitted = CandidatesWithTickets(ready, candidates);
   }
-  const std::vector<WorkerRoom*> permitted_rooms = PointersTo(&permitted);
-  const std::vector<WorkerRoom*>& usable_rooms =
-      advised ? permitted_rooms : rooms;
-  std::string rack =
-      plan.same_rack ? RackOfStep(*ready.job, ready.time, ready.step) : "";
-  TaskNeed need{queue->service, interference_.Intern(plan.image), rack};
-  StepPlaces places(plan, usable_rooms, interference_, options_.policy);
-  JudgeChanged(ready, need, usable_rooms, last_failed_pass, &places);
-  const std::string step = StepName(*ready.job, ready.time, ready.step);
+  const std::vector<CandidateWorker*> permitted_rooms = PointersTo(&permitted);
+  const std::vector<CandidateWorker*>& usable_rooms =
+      advised ? permitted_rooms : candidates;
+  std::string rack = plan.same_rack
+                         ? RackOfStep(*ready.job, ready.repetition, ready.step)
+                         : "";
+  TaskRequirements need{queue->service, interference_.Intern(plan.image), rack};
+  StepCandidates places(plan, usable_rooms, interference_, options_.policy);
+  EvaluateChangedPlaces(ready, need, usable_rooms, last_failed_pass, &places);
+  const std::string step = StepName(*ready.job, ready.repetition, ready.step);
   for (Task& task : tasks) {
     if (!IsReady(task)) {
       continue;
@@ -214,44 +221,45 @@
       if (!advised) {
         hopeless_.Add(plan, queue->service, pass_);
       }
-      if (IsTimeToTell(ready)) {
+      if (ShouldLogWaitingStep(ready)) {
         // Unchanged workers have not been evaluated in this pass, but the log
         // line counts the problems of all workers.
-        JudgeChanged(ready, need, usable_rooms, /*pass=*/0, &places);
-        TellWaiting(task, ready.rank, places.CountProblems());
+        EvaluateChangedPlaces(ready, need, usable_rooms, /*pass=*/0, &places);
+        LogWaitingStep(task, ready.rank, places.CountProblems());
       }
       return;  // The step's other tasks have the same size.
     }
-    WorkerRoom* room = rooms[place];
+    CandidateWorker* candidate = candidates[place];
     const std::string ticket =
-        advised ? tickets_.Find(step, std::string(room->id)) : "";
+        advised ? tickets_.Find(step, std::string(candidate->id)) : "";
     if (advised && ticket.empty()) {
       // The ticket expired while the worker was reserved.
       trials_.End(task.name());
       continue;
     }
-    StartTask(&task, task.last_run + 1, room, ticket);
+    StartTask(&task, task.last_run + 1, candidate, ticket);
     if (suspect) {
-      BeginTrial(task, members_.at(std::string(room->id)).session);
-      room->open = false;
+      BeginTrial(task, cell_workers_.at(std::string(candidate->id)).session);
+      candidate->accepts_work = false;
     }
     if (advised) {
-      permitted[place] = *room;
+      permitted[place] = *candidate;
     }
     if (plan.same_rack && rack.empty()) {
-      rack = room->rack;
+      rack = candidate->rack;
       need.rack = rack;
-      JudgeChanged(ready, need, usable_rooms, /*pass=*/0, &places);
+      EvaluateChangedPlaces(ready, need, usable_rooms, /*pass=*/0, &places);
     }
-    JudgePlace(ready, need, *room, place, /*planned=*/0, &places);
+    EvaluatePlace(ready, need, *candidate, place, /*planned=*/0, &places);
   }
 }
 
 void CellLeader::PlaceGang(const ReadyStep& ready,
-                           const std::vector<WorkerRoom*>& rooms) {
+                           const std::vector<CandidateWorker*>& candidates) {
   const Queue* queue = QueueOf(*ready.job);
   const StepPlan& plan = ready.job->plan.steps[ready.step];
-  auto& tasks = ready.job->times[ready.time].steps[ready.step].tasks;
+  auto& tasks =
+      ready.job->repetitions[ready.repetition].steps[ready.step].tasks;
   const bool all_ready =
       std::all_of(tasks.begin(), tasks.end(),
                   [this](const Task& task) { return IsReady(task); });
@@ -261,23 +269,27 @@
   // A gang is started as a whole or not at all, so its tasks are first placed
   // on a copy. All of them share one run number and one checkpoint.
   const bool advised = queue->advice.has_value();
-  std::vector<WorkerRoom> planned_rooms =
-      advised ? PermittedRooms(ready, rooms) : CopyRooms(rooms);
-  const std::vector<WorkerRoom*> room_pointers = PointersTo(&planned_rooms);
+  std::vector<CandidateWorker> planned_rooms =
+      advised ? CandidatesWithTickets(ready, candidates)
+              : CopyCandidates(candidates);
+  const std::vector<CandidateWorker*> room_pointers =
+      PointersTo(&planned_rooms);
   const std::string rack =
-      plan.same_rack ? RackOfStep(*ready.job, ready.time, ready.step) : "";
-  const TaskNeed need{queue->service, interference_.Intern(plan.image), rack};
-  StepPlaces places(plan, room_pointers, interference_, options_.policy);
+      plan.same_rack ? RackOfStep(*ready.job, ready.repetition, ready.step)
+                     : "";
+  const TaskRequirements need{queue->service, interference_.Intern(plan.image),
+                              rack};
+  StepCandidates places(plan, room_pointers, interference_, options_.policy);
   std::vector<int> planned_counts(planned_rooms.size(), 0);
   const auto judge = [&](size_t place) {
-    JudgePlace(ready, need, planned_rooms[place], place, planned_counts[place],
-               &places);
+    EvaluatePlace(ready, need, planned_rooms[place], place,
+                  planned_counts[place], &places);
   };
   for (size_t place = 0; place < planned_rooms.size(); ++place) {
     judge(place);
   }
   const bool suspect = std::any_of(tasks.begin(), tasks.end(), IsSuspect);
-  if (suspect && !KeepNewRunsApart(&tasks, &planned_rooms)) {
+  if (suspect && !CloseWorkersWithNewRuns(&tasks, &planned_rooms)) {
     return;
   }
   for (size_t place = 0; suspect && place < planned_rooms.size(); ++place) {
@@ -289,8 +301,8 @@
   for (Task& task : tasks) {
     const int place = places.Best(task.failed_on);
     if (place == kNoWorker) {
-      if (IsTimeToTell(ready)) {
-        TellWaiting(task, ready.rank, places.CountProblems());
+      if (ShouldLogWaitingStep(ready)) {
+        LogWaitingStep(task, ready.rank, places.CountProblems());
       }
       return;
     }
@@ -303,23 +315,25 @@
       checkpoint = task.checkpoint;
     }
   }
-  const std::string step = StepName(*ready.job, ready.time, ready.step);
+  const std::string step = StepName(*ready.job, ready.repetition, ready.step);
   for (size_t i = 0; i < tasks.size(); ++i) {
     tasks[i].checkpoint = checkpoint;
-    WorkerRoom* room = rooms[chosen[i]];
-    StartTask(&tasks[i], run + 1, room,
-              advised ? tickets_.Find(step, std::string(room->id)) : "");
+    CandidateWorker* candidate = candidates[chosen[i]];
+    StartTask(&tasks[i], run + 1, candidate,
+              advised ? tickets_.Find(step, std::string(candidate->id)) : "");
     if (suspect) {
-      BeginTrial(tasks[i], members_.at(std::string(room->id)).session);
-      room->open = false;
+      BeginTrial(tasks[i],
+                 cell_workers_.at(std::string(candidate->id)).session);
+      candidate->accepts_work = false;
     }
   }
 }
 
-bool CellLeader::KeepNewRunsApart(std::vector<Task>* gang,
-                                  std::vector<WorkerRoom>* rooms) {
+bool CellLeader::CloseWorkersWithNewRuns(
+    std::vector<Task>* gang,
+    std::vector<CandidateWorker>* candidates) {
   for (Task& task : *gang) {
-    if (NoteUntold(&task)) {
+    if (NoteUnreportedCrash(&task)) {
       return false;
     }
   }
@@ -327,51 +341,55 @@
   const bool likely = std::any_of(
       gang->begin(), gang->end(),
       [](const Task& task) { return IsLikelyCulprit(task.crashes); });
-  if (!trials_.HasPlace(service, CountWorkersOf(service), likely)) {
+  if (!trials_.HasFreeSlot(service, CountWorkersOfService(service), likely)) {
     return false;
   }
-  for (WorkerRoom& room : *rooms) {
-    const auto member = members_.find(std::string(room.id));
-    room.open = room.open && !HasNewRuns(*member->second.session);
+  for (CandidateWorker& candidate : *candidates) {
+    const auto cell_worker = cell_workers_.find(std::string(candidate.id));
+    candidate.accepts_work =
+        candidate.accepts_work && !HasNewRuns(*cell_worker->second.session);
   }
   return true;
 }
 
 void CellLeader::StartTask(Task* task,
                            uint32_t number,
-                           WorkerRoom* room,
+                           CandidateWorker* candidate,
                            const std::string& ticket) {
-  const auto member = members_.find(std::string(room->id));
-  const auto session = member->second.session;
+  const auto cell_worker = cell_workers_.find(std::string(candidate->id));
+  const auto session = cell_worker->second.session;
   Run run = MakeRun(*task, number);
-  run.image = interference_.Intern(task->plan().image);
+  run.image_id = interference_.Intern(task->plan().image);
   run.checkpoint = task->checkpoint;
-  run.odd_time = !task->checkpoint.empty();
-  run.held = run.lasting && !ClaimPlace(task, member->first);
+  run.atypical_duration = !task->checkpoint.empty();
+  run.start_deferred =
+      run.long_running && !RequestPlacementRecord(task, cell_worker->first);
   task->last_run = number;
   JobTable::SetPlaced(task, true);
-  task->job->begun = true;
+  task->job->started = true;
   ++counters_.starts;
-  trust_.OnStart(std::string(room->id), executor_.Now());
-  room->open = trust_.Allows(std::string(room->id), executor_.Now());
+  trust_.OnStart(std::string(candidate->id), executor_.Now());
+  candidate->accepts_work =
+      trust_.AllowsStart(std::string(candidate->id), executor_.Now());
   const auto waited =
       std::chrono::duration_cast<Millis>(executor_.Now() - task->ready_since);
   log_.Write("info", "cell", "start ordered",
              {{"task", run.task},
               {"run", number},
-              {"worker", room->id},
+              {"worker", candidate->id},
               {"epoch", epoch_},
-              {"free_cpu", room->capacity.cpu_millis -
-                               room->reserved.cpu_millis - room->fill_cpu},
-              {"serving", room->serving},
-              {"held", run.held},
+              {"free_cpu", candidate->capacity.cpu_millis -
+                               candidate->reserved.cpu_millis -
+                               candidate->best_effort_cpu},
+              {"serving", candidate->serving},
+              {"held", run.start_deferred},
               {"waited_ms", waited.count()}});
   session->Start(std::move(run), task->job->plan.payload, ticket);
-  room->reserved = session->reserved();
-  room->fill_cpu = session->fill_cpu();
-  room->serving = session->serving();
-  room->serving_cpu = session->serving_cpu();
-  room->strains = CollectStrains(*session);
+  candidate->reserved = session->reserved();
+  candidate->best_effort_cpu = session->best_effort_cpu();
+  candidate->serving = session->serving_runs();
+  candidate->serving_cpu = session->serving_cpu();
+  candidate->serving_utilizations = CollectUtilizations(*session);
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/cell/cell_suspects.cpp
+++ b/src/libdoorwood/cell/cell_suspects.cpp
@@ -27,55 +27,58 @@
 
 bool CellLeader::IsSuspect(const Task& task) {
   return !task.crashes.empty() &&
-         JudgeCrashes(task.crashes) == CrashVerdict::kSuspect;
+         AssessCrashes(task.crashes) == CrashVerdict::kSuspect;
 }
 
 bool CellLeader::HasNewRuns(const WorkerSession& session) const {
   return std::any_of(session.runs().begin(), session.runs().end(),
                      [&](const auto& entry) {
-                       return session.SeenAtWork(entry.second) <
-                              options_.policy.crashes.at_work;
+                       return session.ObservedRunTime(entry.second) <
+                              options_.policy.crashes.unsuspected_after;
                      });
 }
 
 // The cost of a crash of the worker, in runs that would be lost.
-int CellLeader::LossOn(const WorkerSession& session) {
+int CellLeader::CrashCost(const WorkerSession& session) {
   int loss = 0;
   for (const auto& [name, run] : session.runs()) {
-    loss += run.lasting ? kLongRunningWeight : 1;
+    loss += run.long_running ? kLongRunningWeight : 1;
   }
   return loss;
 }
 
-int CellLeader::CountWorkersOf(std::string_view service) const {
-  return static_cast<int>(
-      std::count_if(members_.begin(), members_.end(), [&](const auto& entry) {
+int CellLeader::CountWorkersOfService(std::string_view service) const {
+  return static_cast<int>(std::count_if(
+      cell_workers_.begin(), cell_workers_.end(), [&](const auto& entry) {
         return entry.second.listed &&
-               entry.second.session->life().service == service;
+               entry.second.session->incarnation().service == service;
       }));
 }
 
 // Returns the suitable worker with the lowest cost of a crash. Workers with new
 // runs, and even more so machines on which the task has crashed before, are
 // chosen only if there is no other.
-int CellLeader::ChooseForTrial(const Task& task,
-                               const StepPlaces& places,
-                               const std::vector<WorkerRoom*>& rooms) const {
+int CellLeader::ChooseTrialWorker(
+    const Task& task,
+    const StepCandidates& places,
+    const std::vector<CandidateWorker*>& candidates) const {
   int best = kNoWorker;
   int lowest_loss = std::numeric_limits<int>::max();
-  for (size_t place = 0; place < rooms.size(); ++place) {
-    if (!places.IsGood(place)) {
+  for (size_t place = 0; place < candidates.size(); ++place) {
+    if (!places.IsSuitable(place)) {
       continue;
     }
-    const auto member = members_.find(std::string(rooms[place]->id));
-    const WorkerSession& session = *member->second.session;
+    const auto cell_worker =
+        cell_workers_.find(std::string(candidates[place]->id));
+    const WorkerSession& session = *cell_worker->second.session;
     constexpr int kCrashedThereCost = 100'000;
     constexpr int kNewRunsCost = 1000;
-    const std::string machine = MachineOf(session.life());
+    const std::string machine = MachineOf(session.incarnation());
     const bool crashed_there = std::any_of(
         task.crashes.begin(), task.crashes.end(),
         [&](const CrashNote& crash) { return crash.machine == machine; });
-    const int loss = LossOn(session) + (crashed_there ? kCrashedThereCost : 0) +
+    const int loss = CrashCost(session) +
+                     (crashed_there ? kCrashedThereCost : 0) +
                      (HasNewRuns(session) ? kNewRunsCost : 0);
     if (loss < lowest_loss) {
       best = static_cast<int>(place);
@@ -85,21 +88,21 @@
   return best;
 }
 
-bool CellLeader::MayHaveCrashedUntold(const Task& task) {
+bool CellLeader::MayHaveUnreportedCrash(const Task& task) {
   return !task.done && IsSuspect(task) &&
-         task.crashes.back().evidence != CrashEvidence::kUntold;
+         task.crashes.back().evidence != CrashEvidence::kUnconfirmed;
 }
 
 // An earlier leader may have ordered a start after the last crash that it
 // recorded, and the result of that start is unknown. It is noted as an
 // unreported crash, and recorded, before the next start.
-bool CellLeader::NoteUntold(Task* task) {
-  if (!std::exchange(task->crash_untold, false)) {
+bool CellLeader::NoteUnreportedCrash(Task* task) {
+  if (!std::exchange(task->crash_unconfirmed, false)) {
     return false;
   }
   CrashNote note;
   note.run = task->last_run;
-  note.evidence = CrashEvidence::kUntold;
+  note.evidence = CrashEvidence::kUnconfirmed;
   note.suspect = true;
   NoteCrash(task, note);
   return true;
@@ -110,71 +113,77 @@
 std::optional<int> CellLeader::PlaceSuspect(
     const ReadyStep& ready,
     Task* task,
-    const TaskNeed& need,
-    const std::vector<WorkerRoom*>& rooms,
-    StepPlaces* places) {
-  if (NoteUntold(task)) {
+    const TaskRequirements& need,
+    const std::vector<CandidateWorker*>& candidates,
+    StepCandidates* places) {
+  if (NoteUnreportedCrash(task)) {
     return std::nullopt;
   }
   const std::string name = task->name();
   const std::string service(need.service);
   if (trials_.Find(name) == nullptr) {
     const bool likely = IsLikelyCulprit(task->crashes);
-    if (!trials_.HasPlace(service, CountWorkersOf(service), likely)) {
+    if (!trials_.HasFreeSlot(service, CountWorkersOfService(service), likely)) {
       return std::nullopt;
     }
-    const int chosen = ChooseForTrial(*task, *places, rooms);
+    const int chosen = ChooseTrialWorker(*task, *places, candidates);
     if (chosen == kNoWorker) {
       return std::nullopt;
     }
-    const std::string id(rooms[chosen]->id);
-    trials_.Keep(name, {id, service, executor_.Now(), likely,
-                        TrialOf(task->crashes, options_.policy.crashes)});
-    rooms[chosen]->open = false;
-    rooms[chosen]->changed_in = pass_;
+    const std::string id(candidates[chosen]->id);
+    trials_.Reserve(name,
+                    {id, service, executor_.Now(), likely,
+                     TrialDuration(task->crashes, options_.policy.crashes)});
+    candidates[chosen]->accepts_work = false;
+    candidates[chosen]->last_changed_pass = pass_;
     // The worker is closed to the step's other tasks as well.
-    JudgePlace(ready, need, *rooms[chosen], chosen, /*planned=*/0, places);
-    LookLater(members_.at(id).session, options_.policy.crashes.at_work);
+    EvaluatePlace(ready, need, *candidates[chosen], chosen, /*planned=*/0,
+                  places);
+    ScheduleTrialPoll(cell_workers_.at(id).session,
+                      options_.policy.crashes.unsuspected_after);
   }
   const std::string worker = trials_.Find(name)->worker;
-  const auto member = members_.find(worker);
-  if (member == members_.end() || !IsOpen(worker, member->second)) {
+  const auto cell_worker = cell_workers_.find(worker);
+  if (cell_worker == cell_workers_.end() ||
+      !MayReceiveNewWork(worker, cell_worker->second)) {
     trials_.End(name);
     return std::nullopt;
   }
-  WorkerRoom reserved_room = member->second.room;
-  reserved_room.open = true;
+  CandidateWorker reserved_room = cell_worker->second.candidate;
+  reserved_room.accepts_work = true;
   const StepPlan& plan = task->plan();
-  const int tasks_on_worker = member->second.session->CountOfStep(
-      StepName(*ready.job, ready.time, ready.step));
+  const int tasks_on_worker = cell_worker->second.session->CountOfStep(
+      StepName(*ready.job, ready.repetition, ready.step));
   const bool fits =
       FindPlaceProblem(plan, need, reserved_room,
-                       plan.most_per_worker > 0 ? tasks_on_worker : 0,
+                       plan.max_per_worker > 0 ? tasks_on_worker : 0,
                        interference_, options_.policy) == PlaceProblem::kNone;
-  if (!fits || HasNewRuns(*member->second.session) ||
-      !RecordTrial(task, member->second.session->life())) {
+  if (!fits || HasNewRuns(*cell_worker->second.session) ||
+      !RecordTrial(task, cell_worker->second.session->incarnation())) {
     return std::nullopt;
   }
-  const auto place =
-      std::find_if(rooms.begin(), rooms.end(),
-                   [&](const WorkerRoom* room) { return room->id == worker; });
-  return static_cast<int>(place - rooms.begin());
+  const auto place = std::find_if(candidates.begin(), candidates.end(),
+                                  [&](const CandidateWorker* candidate) {
+                                    return candidate->id == worker;
+                                  });
+  return static_cast<int>(place - candidates.begin());
 }
 
-bool CellLeader::RecordTrial(Task* task, const WorkerLife& life) {
+bool CellLeader::RecordTrial(Task* task, const WorkerIncarnation& incarnation) {
   const uint32_t run = task->last_run + 1;
   const CrashNote* previous = task->FindTrial(run);
-  const bool is_recorded = previous != nullptr && previous->worker == life.id;
+  const bool is_recorded =
+      previous != nullptr && previous->worker == incarnation.id;
   if (is_recorded || task->crashes.size() < kMinCrashesToRecordTrial) {
     return true;
   }
   CrashNote trial;
   trial.run = run;
-  trial.machine = MachineOf(life);
-  trial.worker = life.id;
+  trial.machine = MachineOf(incarnation);
+  trial.worker = incarnation.id;
   trial.evidence = CrashEvidence::kTrial;
   trial.suspect = true;
-  trial.alone = true;
+  trial.in_trial = true;
   JobTable::NoteTrial(task, std::move(trial));
   task->crash_unrecorded = true;
   task->job->crash_unrecorded = true;
@@ -184,34 +193,35 @@
 
 void CellLeader::BeginTrial(const Task& task,
                             const std::shared_ptr<WorkerSession>& session) {
-  const WorkerLife& life = session->life();
-  const Millis length = TrialOf(task.crashes, options_.policy.crashes);
-  trials_.Keep(task.name(),
-               {life.id, life.service, executor_.Now(),
-                IsLikelyCulprit(task.crashes), length, /*started=*/true});
+  const WorkerIncarnation& incarnation = session->incarnation();
+  const Millis length = TrialDuration(task.crashes, options_.policy.crashes);
+  trials_.Reserve(task.name(),
+                  {incarnation.id, incarnation.service, executor_.Now(),
+                   IsLikelyCulprit(task.crashes), length, /*started=*/true});
   log_.Write("info", "cell", "trial run of a suspect begins",
              {{"task", task.name()},
-              {"worker", life.id},
+              {"worker", incarnation.id},
               {"crashes", task.crashes.size()},
               {"runs_beside", session->runs().size()}});
-  LookLater(session, length);
+  ScheduleTrialPoll(session, length);
 }
 
 // The worker may hold its answer to a regular look for much longer than its
 // newest runs take to count as seen at work.
-void CellLeader::LookLater(const std::shared_ptr<WorkerSession>& session,
-                           Millis at_work) {
+void CellLeader::ScheduleTrialPoll(
+    const std::shared_ptr<WorkerSession>& session,
+    Millis at_work) {
   executor_.Schedule(at_work + kTrialCheckDelay,
-                     [session] { session->LookNow(); });
+                     [session] { session->PollNow(); });
 }
 
-void CellLeader::FollowTrials() {
+void CellLeader::UpdateTrials() {
   trials_.Expire(executor_.Now());
   std::vector<std::string> ended;
   for (const auto& [name, trial] : trials_.trials()) {
     Task* task = jobs_.FindTask(name);
-    const auto member = members_.find(trial.worker);
-    const bool gone = task == nullptr || member == members_.end() ||
+    const auto cell_worker = cell_workers_.find(trial.worker);
+    const bool gone = task == nullptr || cell_worker == cell_workers_.end() ||
                       task->job->outcome != JobOutcome::kOpen || task->done;
     if (gone) {
       ended.push_back(name);
@@ -220,18 +230,18 @@
     if (!trial.started) {
       continue;
     }
-    const Run* run = member->second.session->FindRun(name);
+    const Run* run = cell_worker->second.session->FindRun(name);
     if (run == nullptr) {
       ended.push_back(name);
       continue;
     }
-    const Millis at_work = member->second.session->SeenAtWork(*run);
-    if (at_work >= options_.policy.crashes.cleared) {
+    const Millis at_work = cell_worker->second.session->ObservedRunTime(*run);
+    if (at_work >= options_.policy.crashes.unrelated_after) {
       ClearCrashes(task);
       ended.push_back(name);
-    } else if (at_work >= trial.length && !trial.settled) {
-      trials_.Settle(name);
-      JobTable::DropTrial(task);
+    } else if (at_work >= trial.duration && !trial.passed) {
+      trials_.MarkPassed(name);
+      JobTable::RemoveTrial(task);
       MarkDirty(task->job, /*urgent=*/false);
     }
   }
@@ -253,7 +263,7 @@
     return;
   }
   ForEachTask(job, [](Task* task) { task->crash_unrecorded = false; });
-  WakeScheduler();
+  RequestSchedulingPass();
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/cell/cell_worker_loss_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_loss_test.cpp
@@ -15,22 +15,22 @@
 
 using fakes::CellFixture;
 
-constexpr auto& kJob = fakes::kCellJob;
+constexpr auto& kJob = fakes::kFixtureJob;
 
 BOOST_FIXTURE_TEST_CASE(Worker_UnresponsiveAtTakeover_ItsTaskWaitsForProof,
                         CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 1, "");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   world.Submit(plan);
   world.Run(Millis(500));
   std::string host;
   for (const auto& [id, worker] : world.workers()) {
-    if (worker->model.running() > 0) {
+    if (worker->model.running_count() > 0) {
       host = id;
     }
   }
   for (const auto& [name, instance] : world.instances()) {
-    instance->cut_from.insert(host);
+    instance->unreachable_workers.insert(host);
   }
   world.Kill(world.Leader()->name);
   BOOST_REQUIRE(world.WaitForLeader() != nullptr);
@@ -42,18 +42,18 @@
 
 BOOST_FIXTURE_TEST_CASE(Worker_Draining_LongRunningTaskMovesAway, CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 1, "");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   world.Submit(plan);
   world.Run(Millis(500));
   std::string host;
   for (auto& [id, worker] : world.workers()) {
-    if (worker->model.running() > 0) {
+    if (worker->model.running_count() > 0) {
       host = id;
-      worker->life.draining = true;
+      worker->incarnation.draining = true;
     }
   }
   world.Run(Millis(2500));
-  BOOST_TEST(world.workers().at(host)->model.running() == 0U);
+  BOOST_TEST(world.workers().at(host)->model.running_count() == 0U);
   BOOST_TEST(world.starts(std::string(kJob) + ".0.0.0") == 2);
 }
 
@@ -64,13 +64,13 @@
     Worker_EntryRemovedWithoutNotice_LongRunningTaskMovesInTime,
     CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 1, "");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   world.Submit(plan);
   world.Run(Millis(500));
   const std::string task = std::string(kJob) + ".0.0.0";
   const auto runner = [&] {
     for (const auto& [id, worker] : world.workers()) {
-      if (worker->model.Runs(task)) {
+      if (worker->model.IsRunning(task)) {
         return id;
       }
     }
@@ -88,7 +88,7 @@
 
 BOOST_FIXTURE_TEST_CASE(Worker_EntryComesBack_NothingMoves, CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 1, "");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   world.Submit(plan);
   world.Run(Millis(500));
   for (const auto& [id, worker] : world.workers()) {
@@ -107,12 +107,12 @@
 BOOST_FIXTURE_TEST_CASE(Worker_PartitionedForMostOfItsLease_ItsRunsContinue,
                         CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 6, "");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   BOOST_REQUIRE(world.Submit(plan));
   world.Run(Millis(3000));
-  CutAllWorkers();
+  PartitionAllWorkers();
   world.Run(Millis(4000));
-  HealAllWorkers();
+  ReconnectAllWorkers();
   world.Run(Millis(4000));
   ExpectStartedOnce(6);
 }
@@ -123,16 +123,16 @@
 BOOST_FIXTURE_TEST_CASE(Worker_PartitionedAndEntryBackLater_NothingMoves,
                         CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 6, "");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   BOOST_REQUIRE(world.Submit(plan));
   world.Run(Millis(500));
-  CutAllWorkers();
+  PartitionAllWorkers();
   world.Run(Millis(1500));
   for (const auto& [id, worker] : world.workers()) {
     worker->listed = false;
   }
   world.Run(Millis(2500));
-  HealAllWorkers();
+  ReconnectAllWorkers();
   world.Run(Millis(1500));
   for (const auto& [id, worker] : world.workers()) {
     worker->listed = true;
--- a/src/libdoorwood/cell/cell_replaced_workers_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_replacement_test.cpp
@@ -87,7 +87,7 @@
  private:
   void AddWorker() {
     world_.AddWorker("w" + std::to_string(++workers_added_), 8000)
-        .model.SetStopTakes(kStopDuration);
+        .model.SetStopDuration(kStopDuration);
   }
 
   std::string NextJob() {
@@ -98,8 +98,8 @@
 
   void SubmitLongRunningJob() {
     JobPlan plan = fakes::MakePlan(NextJob(), 1, kTasksPerJob, "");
-    plan.steps[0].lasting = true;
-    plan.steps[0].most_per_worker = 1;
+    plan.steps[0].long_running = true;
+    plan.steps[0].max_per_worker = 1;
     BOOST_REQUIRE(world_.Submit(plan));
     for (int index = 0; index < kTasksPerJob; ++index) {
       downtimes_[plan.id + ".0.0." + std::to_string(index)] = Millis(0);
@@ -116,7 +116,7 @@
     AddWorker();
     const std::string draining_worker =
         "w" + std::to_string(++workers_drained_);
-    world_.workers().at(draining_worker)->life.draining = true;
+    world_.workers().at(draining_worker)->incarnation.draining = true;
     ends_at_[draining_worker] = world_.time().now() + kDrainTime;
   }
 
@@ -125,7 +125,7 @@
     for (auto it = ends_at_.begin(); it != ends_at_.end();) {
       auto& worker = *world_.workers().at(it->first);
       if (worker.up && now >= it->second) {
-        world_.TakeAway(it->first);
+        world_.ShutDownWorker(it->first);
         worker.listed = true;
       }
       if (now >= it->second + kEntryRemovalDelay) {
@@ -139,7 +139,7 @@
 
   void UpdateDowntimes() {
     for (auto& [task, downtime] : downtimes_) {
-      const bool runs = !fakes::RunnerOf(world_, task).empty();
+      const bool runs = !fakes::WorkerRunning(world_, task).empty();
       downtime = runs ? Millis(0) : downtime + kStep;
       longest_downtime_ = std::max(longest_downtime_, downtime);
     }
@@ -167,7 +167,7 @@
     return;
   }
   leader->live->AnnounceLeaving();
-  leader->cell->Leave([] {});
+  leader->cell->ShutDown([] {});
   world.Run(Millis(600));
   ReplaceInstance(world, leader);
 }
@@ -187,7 +187,7 @@
     BOOST_TEST_CONTEXT("seed " << seed << ", leaders change every "
                                << interval.count() << " ms") {
       BOOST_TEST(scenario.longest_downtime().count() <= kDowntimeBound.count());
-      BOOST_TEST(scenario.world().broken().empty());
+      BOOST_TEST(scenario.world().violations().empty());
     }
   }
 }
--- a/src/libdoorwood/cell/cell_known_workers_test.cpp
+++ b/src/libdoorwood/cell/cell_workers_record_test.cpp
@@ -30,7 +30,7 @@
   KnownWorker worker;
   worker.id = id;
   worker.address = "http://" + id + ":80";
-  worker.unheard = unheard;
+  worker.not_contacted_for = unheard;
   worker.tasks = std::move(task_names);
   return worker;
 }
@@ -50,8 +50,8 @@
   std::string text;
   for (const KnownWorker& worker : workers) {
     text += worker.id + " " + worker.address + " " +
-            std::to_string(worker.unheard.count()) + " " + Show(worker.tasks) +
-            "\n";
+            std::to_string(worker.not_contacted_for.count()) + " " +
+            Show(worker.tasks) + "\n";
   }
   return text;
 }
@@ -172,7 +172,7 @@
 struct LargeCell {
   explicit LargeCell(const std::vector<int>& tasks) : world(5) {
     world.SetTable({fakes::MakeQueue("queue", 4)});
-    world.options().most_name_bytes = kNameBytesLimit;
+    world.options().max_name_bytes = kNameBytesLimit;
     world.AddInstance("a1", "plaka");
     world.WaitForLeader();
     world.Run(Millis(1000));
@@ -180,15 +180,15 @@
       const int count = tasks[i];
       auto& worker =
           world.AddWorker("w" + std::to_string(i), int64_t{1000} * count);
-      worker.life.capacity.memory_mib = int64_t{100} * count;
+      worker.incarnation.capacity.memory_mib = int64_t{100} * count;
       world.Run(Millis(1000));
       BOOST_REQUIRE(world.Submit(fakes::MakePlan(
           "00000000000000a" + std::to_string(i), 1, count, "")));
       world.Run(Millis(1000));
-      BOOST_REQUIRE(worker.model.running() == static_cast<size_t>(count));
+      BOOST_REQUIRE(worker.model.running_count() == static_cast<size_t>(count));
     }
     for (const auto& [id, worker] : world.workers()) {
-      worker->life.draining = true;
+      worker->incarnation.draining = true;
     }
     world.Run(Millis(4000));
   }
--- a/src/libdoorwood/job/job_table_test.cpp
+++ b/src/libdoorwood/job/job_table_test.cpp
@@ -48,7 +48,9 @@
        3,
        JobOutcome::kFailed},
       {"lost ends do not use up attempts",
-       {{1, RunEnd::kLapsed}, {2, RunEnd::kLapsed}, {3, RunEnd::kLapsed}},
+       {{1, RunEnd::kLeaseExpired},
+        {2, RunEnd::kLeaseExpired},
+        {3, RunEnd::kLeaseExpired}},
        false,
        0,
        JobOutcome::kOpen},
@@ -60,22 +62,24 @@
       // The worker's report arrives after the leader's own conclusion and is
       // more accurate.
       {"done, reported after its lease had expired",
-       {{1, RunEnd::kLapsed}, {1, RunEnd::kDone}},
+       {{1, RunEnd::kLeaseExpired}, {1, RunEnd::kDone}},
        true,
        0,
        JobOutcome::kCompleted},
       {"done, reported after a later run had lapsed as well",
-       {{1, RunEnd::kLapsed}, {2, RunEnd::kLapsed}, {1, RunEnd::kDone}},
+       {{1, RunEnd::kLeaseExpired},
+        {2, RunEnd::kLeaseExpired},
+        {1, RunEnd::kDone}},
        true,
        0,
        JobOutcome::kCompleted},
       {"done, reported after a later run had failed",
-       {{1, RunEnd::kLapsed}, {2, RunEnd::kFailed}, {1, RunEnd::kDone}},
+       {{1, RunEnd::kLeaseExpired}, {2, RunEnd::kFailed}, {1, RunEnd::kDone}},
        true,
        1,
        JobOutcome::kCompleted},
       {"done, reported after the attempts were used up",
-       {{1, RunEnd::kLapsed},
+       {{1, RunEnd::kLeaseExpired},
         {2, RunEnd::kFailed},
         {3, RunEnd::kFailed},
         {4, RunEnd::kFailed},
@@ -84,7 +88,7 @@
        3,
        JobOutcome::kFailed},
       {"stopped, reported after its lease had expired",
-       {{1, RunEnd::kLapsed}, {1, RunEnd::kStopped}},
+       {{1, RunEnd::kLeaseExpired}, {1, RunEnd::kStopped}},
        false,
        0,
        JobOutcome::kOpen},
@@ -126,10 +130,10 @@
     table.Add(fakes::MakePlan(kId, 1, 1, ""));
     Task* task = table.FindTask(std::string(kId) + ".0.0.0");
     for (const uint32_t run : row.lapsed) {
-      table.CountEnd(task, run, RunEnd::kLapsed, "earlier", kAttempts);
+      table.CountEnd(task, run, RunEnd::kLeaseExpired, "earlier", kAttempts);
     }
     JobTable::SetPlaced(task, row.placed);
-    table.CountEnd(task, 1, RunEnd::kLapsed, "later", kAttempts);
+    table.CountEnd(task, 1, RunEnd::kLeaseExpired, "later", kAttempts);
     BOOST_TEST_CONTEXT(row.name) {
       BOOST_TEST(task->checkpoint == row.checkpoint);
     }
@@ -139,9 +143,9 @@
 BOOST_AUTO_TEST_CASE(CountEnd_LastingTaskFails_HasNoLimit) {
   JobTable table;
   JobPlan plan = fakes::MakePlan(kId, 1, 1, "");
-  plan.steps[0].lasting = true;
+  plan.steps[0].long_running = true;
   Job* job = table.Add(plan);
-  Task* task = &job->times[0].steps[0].tasks[0];
+  Task* task = &job->repetitions[0].steps[0].tasks[0];
   for (uint32_t run = 1; run < 10; ++run) {
     table.CountEnd(task, run, RunEnd::kFailed, "", 1);
   }
@@ -154,7 +158,8 @@
   JobPlan plan = fakes::MakePlan(kId, 1, 4, "");
   plan.steps[0].gang = true;
   Job* job = table.Add(plan);
-  table.CountEnd(&job->times[0].steps[0].tasks[2], 1, RunEnd::kDone, "", 2);
+  table.CountEnd(&job->repetitions[0].steps[0].tasks[2], 1, RunEnd::kDone, "",
+                 2);
   BOOST_TEST(static_cast<int>(job->outcome) ==
              static_cast<int>(JobOutcome::kCompleted));
 }
@@ -164,7 +169,7 @@
   JobPlan plan = fakes::MakePlan(kId, 1, 2, "");
   plan.steps[0].gang = true;
   Job* job = table.Add(plan);
-  auto& tasks = job->times[0].steps[0].tasks;
+  auto& tasks = job->repetitions[0].steps[0].tasks;
   table.CountEnd(&tasks[0], 1, RunEnd::kFailed, "", 2);
   table.CountEnd(&tasks[1], 1, RunEnd::kFailed, "", 2);
   BOOST_TEST(static_cast<int>(job->outcome) ==
@@ -178,7 +183,7 @@
   JobTable table;
   Job* job = table.Add(fakes::MakePlan(kId, 2, 2, ""));
   BOOST_TEST(JobTable::IsUnblocked(*job, 0, 0));
-  auto& first = job->times[0].steps[0].tasks;
+  auto& first = job->repetitions[0].steps[0].tasks;
   table.CountEnd(&first[0], 1, RunEnd::kDone, "", 1);
   BOOST_TEST(!JobTable::IsUnblocked(*job, 0, 1));
   table.CountEnd(&first[1], 1, RunEnd::kDone, "", 1);
@@ -189,20 +194,20 @@
   JobTable before;
   const JobPlan plan = fakes::MakePlan(kId, 2, 2, "");
   Job* job = before.Add(plan);
-  auto& tasks = job->times[0].steps[0].tasks;
+  auto& tasks = job->repetitions[0].steps[0].tasks;
   before.CountEnd(&tasks[0], 4, RunEnd::kDone, "", 3);
   before.CountEnd(&tasks[1], 2, RunEnd::kFailed, "saved", 3);
-  job->begun = true;
+  job->started = true;
   JobTable after;
   Job* read = after.Add(plan);
   BOOST_TEST(DecodeJobState(EncodeJobState(*job), read));
-  const auto& restored = read->times[0].steps[0];
+  const auto& restored = read->repetitions[0].steps[0];
   BOOST_TEST(restored.done == 1);
   BOOST_TEST(restored.tasks[0].done);
   BOOST_TEST(restored.tasks[1].failed_runs.size() == 1U);
   BOOST_TEST(restored.tasks[1].checkpoint == "saved");
   BOOST_TEST(restored.tasks[1].counted_run == 2U);
-  BOOST_TEST(read->begun);
+  BOOST_TEST(read->started);
 }
 
 BOOST_AUTO_TEST_CASE(DecodeJobState_MalformedText_IsRejected) {
@@ -222,7 +227,7 @@
       !DecodeJobState(R"({"outcome":"o","finished_at":0,"begun":true,)"
                       R"("tasks":[[0,0,0,4,4,[],"",1],[0,0,"x",1,1,[],"",0]]})",
                       job));
-  const StepState& step = job->times[0].steps[0];
+  const StepState& step = job->repetitions[0].steps[0];
   BOOST_TEST(step.tasks[0].done);
   BOOST_TEST(step.done == 1);
   BOOST_TEST(step.idle == 1);
@@ -239,32 +244,32 @@
 BOOST_AUTO_TEST_CASE(EncodeJobState_CrashesAndReason_AreRestored) {
   JobTable table;
   Job* job = table.Add(fakes::MakePlan(kId, 1, 2, ""));
-  Task* task = &job->times[0].steps[0].tasks[1];
+  Task* task = &job->repetitions[0].steps[0].tasks[1];
   task->last_run = 3;
   BOOST_TEST(JobTable::NoteCrash(
-      task, {2, "m-1", "w1", CrashEvidence::kOtherLife, true, true, false}));
+      task, {2, "m-1", "w1", CrashEvidence::kRestarted, true, true, false}));
   BOOST_TEST(JobTable::NoteCrash(
-      task, {3, "m-2", "w2", CrashEvidence::kUntold, true, false, true}));
+      task, {3, "m-2", "w2", CrashEvidence::kUnconfirmed, true, false, true}));
   BOOST_TEST(JobTable::NoteCrash(
       task, {3, "m-2", "w2", CrashEvidence::kVanished, true, false, true}));
   BOOST_TEST(!JobTable::NoteCrash(task, {3, "m-3"}));
-  BOOST_TEST(!JobTable::DropUntold(task, 3));
+  BOOST_TEST(!JobTable::RemoveUnconfirmed(task, 3));
   job->reason = "why";
   JobTable successor;
   Job* read = successor.Add(fakes::MakePlan(kId, 1, 2, ""));
   BOOST_REQUIRE(DecodeJobState(EncodeJobState(*job), read));
   const std::vector<CrashNote>& crashes =
-      read->times[0].steps[0].tasks[1].crashes;
+      read->repetitions[0].steps[0].tasks[1].crashes;
   BOOST_REQUIRE(crashes.size() == 2U);
   BOOST_TEST(crashes[0].run == 2U);
   BOOST_TEST(crashes[0].machine == "m-1");
-  BOOST_TEST((crashes[0].evidence == CrashEvidence::kOtherLife));
-  BOOST_TEST(crashes[0].alone);
+  BOOST_TEST((crashes[0].evidence == CrashEvidence::kRestarted));
+  BOOST_TEST(crashes[0].in_trial);
   BOOST_TEST((crashes[1].evidence == CrashEvidence::kVanished));
   BOOST_TEST(crashes[1].suspect);
-  BOOST_TEST(crashes[1].one_of_many);
+  BOOST_TEST(crashes[1].mass_crash);
   BOOST_TEST(read->reason == "why");
-  BOOST_TEST(read->times[0].steps[0].tasks[0].crashes.empty());
+  BOOST_TEST(read->repetitions[0].steps[0].tasks[0].crashes.empty());
 }
 
 // Guards against rejecting records of an older version.
@@ -274,7 +279,7 @@
   BOOST_TEST(DecodeJobState(R"({"outcome":"o","finished_at":0,"begun":true,)"
                             R"("tasks":[[0,0,0,4,3,[],"",0]]})",
                             job));
-  BOOST_TEST(job->times[0].steps[0].tasks[0].last_run == 4U);
+  BOOST_TEST(job->repetitions[0].steps[0].tasks[0].last_run == 4U);
 }
 
 }  // namespace
--- a/src/soak/task_watch.h
+++ b/src/soak/task_watch.h
@@ -28,7 +28,7 @@
   int64_t from = 0;
   int64_t until = 0;
   bool active = true;
-  RunEnd end = RunEnd::kLapsed;
+  RunEnd end = RunEnd::kLeaseExpired;
   /// The end can still be acknowledged: the lease has not expired since.
   bool can_be_acknowledged = true;
   bool acknowledged = false;
@@ -51,13 +51,13 @@
                  const StartOrder& order,
                  int64_t at);
   void OnEnded(const std::string& incarnation, const EndedRun& end, int64_t at);
-  void OnNoted(const std::string& incarnation, const EndedRun& end);
+  void OnEndAcknowledged(const std::string& incarnation, const EndedRun& end);
   /// The lease of all runs on the worker has expired.
-  void OnLapsed(const std::string& incarnation);
+  void OnLeaseExpired(const std::string& incarnation);
   /// The worker is about to crash because of a task that it runs.
   void OnCrashed(const std::string& incarnation);
   /// This incarnation of the worker has ended, with all its runs.
-  void OnLifeOver(const std::string& incarnation, int64_t at);
+  void OnIncarnationEnded(const std::string& incarnation, int64_t at);
 
   // --- Injected faults ---
   /// An unplanned fault begins; it lasts until `OnFaultEnds`. Faults may
--- a/src/standin/worker_model.cpp
+++ b/src/standin/worker_model.cpp
@@ -38,7 +38,7 @@
   Tick(now);
   const bool held = now < control_lease_expiry_ && holder != holder_;
   if (held) {
-    return WorkerErrc::kHeld;
+    return WorkerErrc::kHeldByOther;
   }
   holder_ = holder;
   ++epoch_;
@@ -56,16 +56,16 @@
   return {};
 }
 
-std::error_code WorkerModel::Obey(uint64_t epoch,
-                                  const std::vector<WorkerOrder>& orders,
-                                  int64_t now,
-                                  WorkerAnswer* out) {
+std::error_code WorkerModel::ApplyOrders(uint64_t epoch,
+                                         const std::vector<WorkerOrder>& orders,
+                                         int64_t now,
+                                         WorkerAnswer* out) {
   Tick(now);
   const bool stale = epoch != epoch_ || now >= control_lease_expiry_;
   if (fences_ && stale) {
     return WorkerErrc::kStaleEpoch;
   }
-  out->boot = boot_;
+  out->boot_id = boot_;
   control_lease_expiry_ = now + control_lease_;
   task_lease_expiry_ = now + task_lease_;
   for (const WorkerOrder& order : orders) {
