--- a/src/soak/callers.cpp
+++ b/src/soak/callers.cpp
@@ -213,7 +213,7 @@
   if (!known.accepted) {
     return true;
   }
-  const size_t active = world_.watch().ActiveTasks(known.job.id);
+  const size_t active = world_.watch().CountActiveTasks(known.job.id);
   if (known.cancelled) {
     return active == 0;
   }
@@ -240,7 +240,7 @@
     if (!IsSettled(known)) {
       world_.ReportViolation(
           "job " + id + " is not as it must be: " +
-          std::to_string(world_.watch().ActiveTasks(id)) + " tasks run" +
+          std::to_string(world_.watch().CountActiveTasks(id)) + " tasks run" +
           (known.job.is_long_running() ? " of a lasting job" : ""));
     }
   }
--- a/src/soak/callers.h
+++ b/src/soak/callers.h
@@ -25,15 +25,15 @@
   /// Submits `jobs` long-running jobs with `tasks` tasks each; `cpu` is the
   /// CPU demand of a task.
   void AddLongRunning(int jobs, int tasks, int cpu);
-  /// Submits a job with an end every `pause` until `Stop`.
+  /// Submits a finite job (not long-running) every `pause` until `Stop`.
   void Start(Millis pause) { SubmitPeriodically(pause); }
   /// Submits a job whose tasks crash their workers every `pause` until `Stop`.
   void StartCrashing(Millis pause) { SubmitCrashingPeriodically(pause); }
   void Stop() { stopped_ = true; }
-  /// From now on, reports a call whose connection is lost without an answer as
-  /// a violation. For periods whose only faults are planned stops.
+  /// After this call, reports a call whose connection is lost without an answer
+  /// as a violation. For periods whose only faults are planned stops.
   void ExpectAnswers() { expects_answers_ = true; }
-  /// Waits until every accepted job is in its expected state; reports those
+  /// Waits until every accepted job is in its expected state; reports jobs
   /// that are not within the time-out as violations.
   void AwaitAll(Millis timeout, std::function<void()> done);
   /// True if every long-running task runs.
@@ -51,7 +51,7 @@
     /// whether it cancels the job once it is accepted.
     bool gives_up = false;
     bool cancels = false;
-    /// At least one attempt was not rejected.
+    /// At least one submission was not rejected.
     bool may_be_accepted = false;
     bool finished = false;
   };
@@ -86,7 +86,8 @@
   World& world_;
   HttpClient client_;
   std::mt19937_64 random_;
-  // Separate generator: crashing jobs do not change the other jobs of a seed.
+  // Separate generator, so that crashing jobs do not change which other jobs a
+  // seed produces.
   std::mt19937_64 crashing_random_;
   std::map<std::string, TrackedJob> jobs_;
   bool stopped_ = false;
--- a/src/soak/config_watch.h
+++ b/src/soak/config_watch.h
@@ -14,23 +14,24 @@
 
 namespace doorwood::soak {
 
-/// Each version adds one route to the one before. Checks that a process never
-/// forgets a route that it has served.
+/// Each version adds one route to the previous version. Checks that a process
+/// that has served a route continues to serve it.
 class ConfigWatch {
  public:
   explicit ConfigWatch(World& world);
 
   void Start();
   /// Waits until every instance serves the newest route; reports a violation if
-  /// some do not within the time-out.
+  /// some instances do not within the time-out.
   void AwaitNewest(Millis timeout, std::function<void()> done);
 
  private:
-  /// What the present process of the instance has served.
+  /// Configuration that the current process of the instance has served.
   struct Served {
     int restarts = 0;
     int version = 0;
-    /// Time of that answer: answers to earlier probes may arrive later.
+    /// Time at which the answer arrived: answers to earlier probes may arrive
+    /// later.
     int64_t confirmed_at = 0;
   };
   struct Probe {
--- a/src/soak/fault_plan.h
+++ b/src/soak/fault_plan.h
@@ -36,7 +36,8 @@
   kCrashWorker,
   kWorkerLeaves,
   kDropEntry,
-  /// The kinds from here on are not part of MakeFaultPlan; see MakeChangePlan.
+  /// This kind and the following ones are not part of MakeFaultPlan; see
+  /// MakeChangePlan.
   kConfigure,
   kReloadSettings,
   /// See MakeReplacePlan.
@@ -45,7 +46,7 @@
 };
 
 std::string_view ToString(FaultKind kind);
-/// True for faults, false for what operators do on purpose.
+/// True for faults, false for actions of operators.
 bool IsUnplanned(FaultKind kind);
 
 struct Fault {
@@ -57,7 +58,7 @@
   /// it.
   bool leader = false;
   uint32_t pick = 0;
-  Way way = Way::kBoth;
+  Direction direction = Direction::kBoth;
   /// See `Link::Heal`.
   Millis resume_delay{0};
 };
@@ -69,7 +70,7 @@
 /// played alongside the faults.
 std::vector<Fault> MakeChangePlan(uint64_t seed, Millis length);
 
-/// Workers replaced one by one from about `from` on, together with either
+/// Workers replaced one by one starting at about `from`, together with either
 /// planned stops of all instances in turn, planned stops of the leader, or
 /// kills of the leader. Sorted by time; all have ended after `until`.
 std::vector<Fault> MakeReplacePlan(uint64_t seed, Millis from, Millis until);
--- a/src/soak/fault_player.cpp
+++ b/src/soak/fault_player.cpp
@@ -20,7 +20,7 @@
 // How long the entry of a worker that left as planned stays in the store.
 constexpr Millis kEntryTimeAfterLeave{600};
 
-bool IsAtWorker(FaultKind kind) {
+bool IsWorkerFault(FaultKind kind) {
   return kind == FaultKind::kCrashWorker || kind == FaultKind::kWorkerLeaves ||
          kind == FaultKind::kDropEntry;
 }
@@ -49,10 +49,10 @@
     world_.After(fault.at, [this, fault] {
       if (fault.kind == FaultKind::kReplaceWorker) {
         Replace(fault);
-      } else if (IsAtWorker(fault.kind)) {
-        PlayAtWorker(fault);
+      } else if (IsWorkerFault(fault.kind)) {
+        InjectWorkerFault(fault);
       } else {
-        PlayOne(fault);
+        InjectInstanceFault(fault);
       }
     });
   }
@@ -70,14 +70,15 @@
   return fault.leader ? world_.Leader().value_or(picked) : picked;
 }
 
-void FaultPlayer::PlayOne(const Fault& fault) {
+void FaultPlayer::InjectInstanceFault(const Fault& fault) {
   const size_t instance = InstanceOf(fault);
   const std::string what = std::string(ToString(fault.kind)) + ", " +
                            world_.NameOf(instance) +
                            (world_.Leader() == instance ? " (leads)" : "");
   world_.Log("fault begins: " + what + ", " +
-             std::to_string(fault.duration.count()) + " ms, way " +
-             std::to_string(static_cast<int>(fault.way)) + ", old after " +
+             std::to_string(fault.duration.count()) + " ms, direction " +
+             std::to_string(static_cast<int>(fault.direction)) +
+             ", old connections resume after " +
              std::to_string(fault.resume_delay.count()));
   if (fault.kind == FaultKind::kCutCentreInSteps) {
     CutInSteps(world_, World::DataCentreOf(instance), RecoveryOf(fault),
@@ -86,7 +87,7 @@
   }
   const Undo undo = Begin(fault, instance);
   if (IsUnplanned(fault.kind)) {
-    // A fault without an undo takes no time.
+    // A fault that needs no undo has no duration.
     const Millis held = IsCut(fault.kind) ? fault.resume_delay : Millis(0);
     world_.watch().OnFaultBegins();
     world_.After(undo ? fault.duration + held : Millis(0),
@@ -106,9 +107,10 @@
     case FaultKind::kCutStore:
       return world_.StoreLinks(instance);
     case FaultKind::kCutWorkersElsewhere:
-      return world_.LinksToWorkersElsewhere(World::DataCentreOf(instance));
+      return world_.LinksToWorkersInOtherDataCentres(
+          World::DataCentreOf(instance));
     case FaultKind::kCutCentre:
-      return world_.BorderLinks(World::DataCentreOf(instance));
+      return world_.LinksAcrossDataCentre(World::DataCentreOf(instance));
     case FaultKind::kCutPeers:
       return world_.PeerLinks(instance);
     default:
@@ -118,11 +120,11 @@
 
 FaultPlayer::Undo FaultPlayer::Cut(const Fault& fault, Links links) {
   for (Link* link : links) {
-    link->Cut(fault.way);
+    link->Cut(fault.direction);
   }
   return [links = std::move(links), fault] {
     for (Link* link : links) {
-      link->Heal(fault.way, fault.resume_delay);
+      link->Heal(fault.direction, fault.resume_delay);
     }
   };
 }
@@ -158,14 +160,14 @@
     case FaultKind::kPause:
     case FaultKind::kPlannedStop:
     case FaultKind::kReloadSettings:
-      return BeginAtProcess(fault, instance);
+      return BeginProcessFault(fault, instance);
     default:
-      return BeginAtStore(fault, instance);
+      return BeginStoreFault(fault, instance);
   }
 }
 
-FaultPlayer::Undo FaultPlayer::BeginAtStore(const Fault& fault,
-                                            size_t instance) {
+FaultPlayer::Undo FaultPlayer::BeginStoreFault(const Fault& fault,
+                                               size_t instance) {
   platform::SoakStore& store = world_.store();
   Link* const link = world_.StoreLinks(instance).front();
   switch (fault.kind) {
@@ -200,8 +202,8 @@
   }
 }
 
-FaultPlayer::Undo FaultPlayer::BeginAtProcess(const Fault& fault,
-                                              size_t instance) {
+FaultPlayer::Undo FaultPlayer::BeginProcessFault(const Fault& fault,
+                                                 size_t instance) {
   if (fault.kind == FaultKind::kKill) {
     world_.Kill(instance);
     return nullptr;
@@ -220,7 +222,7 @@
   return [this, instance] { world_.Resume(instance); };
 }
 
-void FaultPlayer::PlayAtWorker(const Fault& fault) {
+void FaultPlayer::InjectWorkerFault(const Fault& fault) {
   const size_t worker =
       (replaced_ + fault.pick % world_.serving()) % world_.workers();
   if (!busy_workers_.insert(worker).second) {
@@ -233,7 +235,7 @@
     world_.watch().OnFaultBegins();
   }
   if (fault.kind == FaultKind::kCrashWorker) {
-    TakeWorkerDown(fault, worker);
+    CrashAndRestartWorker(fault, worker);
     return;
   }
   if (fault.kind == FaultKind::kWorkerLeaves) {
@@ -242,20 +244,20 @@
     world_.RemoveEntry(id);
   }
   world_.After(kMinDrainTime + fault.duration / 2,
-               [this, fault, worker] { TakeWorkerDown(fault, worker); });
+               [this, fault, worker] { CrashAndRestartWorker(fault, worker); });
 }
 
 // The worker restarts as another incarnation; the entry of the old one is
 // removed some time later.
-void FaultPlayer::TakeWorkerDown(const Fault& fault, size_t worker) {
+void FaultPlayer::CrashAndRestartWorker(const Fault& fault, size_t worker) {
   const std::string id = world_.WorkerId(worker);
-  world_.Log(id + " is gone");
+  world_.Log(id + " has ended");
   world_.CrashWorker(worker);
   if (IsUnplanned(fault.kind)) {
     world_.watch().OnFaultEnds(world_.Now());
   }
   const Millis back = fault.duration / 4;
-  world_.After(back, [this, worker] { world_.BootWorker(worker); });
+  world_.After(back, [this, worker] { world_.StartWorker(worker); });
   const bool crashed = fault.kind == FaultKind::kCrashWorker;
   world_.After(crashed ? kEntryTimeAfterCrash : back, [this, worker, id] {
     world_.RemoveEntry(id);
@@ -274,12 +276,12 @@
   }
   ++replaced_;
   const std::string id = world_.WorkerId(old);
-  world_.BootWorker(fresh);
+  world_.StartWorker(fresh);
   world_.Log(world_.WorkerId(fresh) + " joins, " + id + " leaves");
   world_.After(kLeaveAnnounceDelay,
                [this, old] { world_.AnnounceLeaving(old); });
   world_.After(fault.duration, [this, old, id] {
-    world_.Log(id + " is gone");
+    world_.Log(id + " has ended");
     world_.CrashWorker(old);
   });
   world_.After(fault.duration + kEntryTimeAfterLeave, [this, old, id] {
--- a/src/soak/fault_player.h
+++ b/src/soak/fault_player.h
@@ -27,18 +27,18 @@
   /// Ends a fault.
   using Undo = std::function<void()>;
 
-  void PlayOne(const Fault& fault);
+  void InjectInstanceFault(const Fault& fault);
   void OnFinished();
   size_t InstanceOf(const Fault& fault) const;
   /// Returns null if nothing has to be undone.
   Undo Begin(const Fault& fault, size_t instance);
-  Undo BeginAtStore(const Fault& fault, size_t instance);
-  Undo BeginAtProcess(const Fault& fault, size_t instance);
+  Undo BeginStoreFault(const Fault& fault, size_t instance);
+  Undo BeginProcessFault(const Fault& fault, size_t instance);
   Undo Cut(const Fault& fault, Links links);
   Links CutLinks(const Fault& fault, size_t instance) const;
-  void PlayAtWorker(const Fault& fault);
+  void InjectWorkerFault(const Fault& fault);
   void Replace(const Fault& fault);
-  void TakeWorkerDown(const Fault& fault, size_t worker);
+  void CrashAndRestartWorker(const Fault& fault, size_t worker);
 
   World& world_;
   std::set<size_t> busy_workers_;
--- a/src/soak/link.cpp
+++ b/src/soak/link.cpp
@@ -74,18 +74,18 @@
 
 // --- Faults ---
 
-void Link::Cut(Way way) {
+void Link::Cut(Direction direction) {
   if (!IsCut()) {
     acceptor_.cancel();
     FillAcceptQueue();
   }
-  cuts_there_ += way == Way::kBack ? 0 : 1;
-  cuts_back_ += way == Way::kThere ? 0 : 1;
+  cuts_to_server_ += direction == Direction::kToCaller ? 0 : 1;
+  cuts_to_caller_ += direction == Direction::kToServer ? 0 : 1;
 }
 
-void Link::Heal(Way way, Millis resume_delay) {
-  cuts_there_ -= way == Way::kBack ? 0 : 1;
-  cuts_back_ -= way == Way::kThere ? 0 : 1;
+void Link::Heal(Direction direction, Millis resume_delay) {
+  cuts_to_server_ -= direction == Direction::kToCaller ? 0 : 1;
+  cuts_to_caller_ -= direction == Direction::kToServer ? 0 : 1;
   for (const auto& weak : relays_) {
     if (const auto relay = weak.lock()) {
       relay->resumes_at = std::max(relay->resumes_at, Now() + resume_delay);
@@ -100,8 +100,9 @@
 }
 
 // A listening socket with a backlog of 0 still queues one connection. This
-// takes that place unless a caller was faster; then the library's connect would
-// block, so the non-blocking system call is used.
+// function takes that place unless a caller's connection already has it. In
+// that case the library's connect would block, so the non-blocking system call
+// is used.
 void Link::FillAcceptQueue() {
   acceptor_.listen(0);
   filler_.emplace(context_, tcp::v4());
@@ -143,19 +144,21 @@
 }
 
 void Link::Connect(const std::shared_ptr<Relay>& relay) {
-  WhenOpen(relay, cuts_there_, [this, relay] {
-    relay->server.async_connect(target_, [this,
-                                          relay](const error_code& error) {
-      if (error || !relay->caller.is_open()) {
-        relay->Break();
-        return;
-      }
-      error_code ignored;
-      relay->caller.set_option(tcp::no_delay(true), ignored);
-      relay->server.set_option(tcp::no_delay(true), ignored);
-      Read(FlowPtr(new Flow{relay, relay->caller, relay->server, cuts_there_}));
-      Read(FlowPtr(new Flow{relay, relay->server, relay->caller, cuts_back_}));
-    });
+  WhenOpen(relay, cuts_to_server_, [this, relay] {
+    relay->server.async_connect(
+        target_, [this, relay](const error_code& error) {
+          if (error || !relay->caller.is_open()) {
+            relay->Break();
+            return;
+          }
+          error_code ignored;
+          relay->caller.set_option(tcp::no_delay(true), ignored);
+          relay->server.set_option(tcp::no_delay(true), ignored);
+          Read(FlowPtr(
+              new Flow{relay, relay->caller, relay->server, cuts_to_server_}));
+          Read(FlowPtr(
+              new Flow{relay, relay->server, relay->caller, cuts_to_caller_}));
+        });
   });
 }
 
--- a/src/soak/link.h
+++ b/src/soak/link.h
@@ -20,13 +20,14 @@
 
 namespace doorwood::soak {
 
-enum class Way { kThere, kBack, kBoth };
+/// Direction of the traffic on a link.
+enum class Direction { kToServer, kToCaller, kBoth };
 
 boost::asio::ip::tcp::endpoint ParseEndpoint(const std::string& address);
 /// Closes a connection with a reset.
 void ResetConnection(boost::asio::ip::tcp::socket* socket);
 
-/// Cuts of one link nest: it is open again once each of them is healed. Bytes
+/// Cuts of one link nest: the link is open again once each cut is healed. Bytes
 /// in flight during a cut are held and arrive once it is healed, unless their
 /// sender resets the connection. New connections hang meanwhile: the accept
 /// queue of the listening socket is kept full, so that their SYN packets are
@@ -39,11 +40,11 @@
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
 
-  void Cut(Way way);
+  void Cut(Direction direction);
   /// Connections that are open now transfer bytes again only after
   /// `resume_delay`, as if their lost packets were retransmitted then; new
   /// connections transfer at once.
-  void Heal(Way way, Millis resume_delay);
+  void Heal(Direction direction, Millis resume_delay);
   /// Resets every connection.
   void Reset();
   /// New connections are reset at once while this is set.
@@ -68,7 +69,7 @@
                 const int& cuts,
                 std::function<void()> function);
   void After(Instant time, std::function<void()> function);
-  bool IsCut() const { return cuts_there_ > 0 || cuts_back_ > 0; }
+  bool IsCut() const { return cuts_to_server_ > 0 || cuts_to_caller_ > 0; }
   void FillAcceptQueue();
   void ResumeWaiting();
 
@@ -76,8 +77,8 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::ip::tcp::endpoint target_;
   bool accepting_ = false;
-  int cuts_there_ = 0;
-  int cuts_back_ = 0;
+  int cuts_to_server_ = 0;
+  int cuts_to_caller_ = 0;
   bool refuse_ = false;
   Millis delay_{0};
   std::list<std::weak_ptr<Relay>> relays_;
--- a/src/soak/link_test.cpp
+++ b/src/soak/link_test.cpp
@@ -65,10 +65,10 @@
 
 BOOST_AUTO_TEST_CASE(Link_Cut_HoldsRequestsUntilHealed) {
   BOOST_TEST(Call(kLong) == kOk);
-  link->Cut(Way::kBoth);
+  link->Cut(Direction::kBoth);
   BOOST_TEST(Call(kShort) == 0);
   BOOST_TEST(arrived == 1);
-  link->Heal(Way::kBoth, Millis(0));
+  link->Heal(Direction::kBoth, Millis(0));
   Run(kShort);
   BOOST_TEST(arrived == 2);
   BOOST_TEST(Call(kLong) == kOk);
@@ -76,23 +76,23 @@
 
 BOOST_AUTO_TEST_CASE(Link_CutTwice_OpensWithTheSecondHeal) {
   BOOST_TEST(Call(kLong) == kOk);
-  link->Cut(Way::kBoth);
-  link->Cut(Way::kThere);
-  link->Heal(Way::kBoth, Millis(0));
+  link->Cut(Direction::kBoth);
+  link->Cut(Direction::kToServer);
+  link->Heal(Direction::kBoth, Millis(0));
   BOOST_TEST(Call(kShort) == 0);
-  link->Heal(Way::kThere, Millis(0));
+  link->Heal(Direction::kToServer, Millis(0));
   BOOST_TEST(Call(kLong) == kOk);
 }
 
-BOOST_AUTO_TEST_CASE(Link_CutBack_RequestsArriveAndAnswersDoNot) {
+BOOST_AUTO_TEST_CASE(Link_CutToCaller_RequestsArriveAndAnswersDoNot) {
   BOOST_TEST(Call(kLong) == kOk);
-  link->Cut(Way::kBack);
+  link->Cut(Direction::kToCaller);
   BOOST_TEST(Call(kShort) == 0);
   BOOST_TEST(arrived == 2);
 }
 
 BOOST_AUTO_TEST_CASE(Link_Cut_NewConnectionsHang) {
-  link->Cut(Way::kBoth);
+  link->Cut(Direction::kBoth);
   BOOST_TEST(Call(kShort) == 0);
   Run(kShort);
   BOOST_TEST(arrived == 0);
@@ -104,14 +104,14 @@
   boost::asio::ip::tcp::socket caller(context);
   caller.connect(ParseEndpoint(kThroughLink));
   const Instant began = BootClock::now();
-  link->Cut(Way::kBoth);
+  link->Cut(Direction::kBoth);
   BOOST_TEST((BootClock::now() - began < kLong));
 }
 
 BOOST_AUTO_TEST_CASE(Link_OldConnectionsResumeLate_NewOnesAtOnce) {
   BOOST_TEST(Call(kLong) == kOk);
-  link->Cut(Way::kBoth);
-  link->Heal(Way::kBoth, kLong);
+  link->Cut(Direction::kBoth);
+  link->Heal(Direction::kBoth, kLong);
   BOOST_TEST(Call(kShort) == 0);
   BOOST_TEST(Call(kShort) == kOk);
 }
--- a/src/soak/scenario.cpp
+++ b/src/soak/scenario.cpp
@@ -14,13 +14,13 @@
 
 void CutAll(const Links& links) {
   for (Link* link : links) {
-    link->Cut(Way::kBoth);
+    link->Cut(Direction::kBoth);
   }
 }
 
 void HealAll(const Links& links, Millis resume_delay) {
   for (Link* link : links) {
-    link->Heal(Way::kBoth, resume_delay);
+    link->Heal(Direction::kBoth, resume_delay);
   }
 }
 
@@ -55,8 +55,8 @@
                 size_t centre,
                 StepwiseRecovery recovery,
                 std::function<void()> done) {
-  const Links silent = world.LinksToWorkersElsewhere(centre);
-  const Links border = world.BorderLinks(centre);
+  const Links silent = world.LinksToWorkersInOtherDataCentres(centre);
+  const Links border = world.LinksAcrossDataCentre(centre);
   Links stores;
   for (size_t i = centre; i < world.instances(); i += kDataCentres) {
     stores.push_back(world.StoreLinks(i).front());
@@ -68,7 +68,7 @@
     }
   }
   const std::string who = "data centre " + std::to_string(centre + 1);
-  world.Log("workers elsewhere become unreachable for " + who);
+  world.Log("workers in other data centres become unreachable for " + who);
   CutAll(silent);
   world.watch().OnFaultBegins();
   Millis at = recovery.worker_partition_time;
@@ -78,12 +78,12 @@
   });
   at += recovery.cut;
   world.After(at, [&world, who, stores, recovery] {
-    world.Log("reaches the store again: " + who);
+    world.Log("reconnected to the store: " + who);
     HealAll(stores, recovery.resume_delay);
   });
   at += recovery.workers_delay;
   world.After(at, [&world, who, others, silent, recovery, done] {
-    world.Log("reaches all again: " + who);
+    world.Log("fully reconnected: " + who);
     HealAll(others, recovery.resume_delay);
     HealAll(silent, recovery.resume_delay);
     world.After(recovery.resume_delay,
--- a/src/soak/scenario.h
+++ b/src/soak/scenario.h
@@ -14,13 +14,13 @@
 namespace doorwood::soak {
 
 /// A data centre loses the workers in other data centres, then everything
-/// outside, and reaches the store again before the rest.
+/// outside, and reconnects to the store before the rest.
 struct StepwiseRecovery {
-  /// From the loss of the workers elsewhere to the full partition.
+  /// From the loss of the workers in other data centres to the full partition.
   Millis worker_partition_time{2000};
-  /// From there until the store is reached again.
+  /// From the full partition until the store is reachable again.
   Millis cut{4000};
-  /// From there until everything is reached again.
+  /// From then until everything else is reachable again.
   Millis workers_delay{2000};
   /// Connections that survived the partition transfer again this much later.
   Millis resume_delay{0};
@@ -32,8 +32,9 @@
                 StepwiseRecovery recovery,
                 std::function<void()> done);
 
-/// The same with the leader's data centre, from a steady state until some time
-/// after the recovery; `violations` is their number meanwhile.
+/// Partitions the leader's data centre in these steps, from a steady state
+/// until some time after the recovery; `violations` is the number of violations
+/// during this time.
 void Play(World& world,
           const Callers& callers,
           StepwiseRecovery recovery,
--- a/src/soak/task_watch.cpp
+++ b/src/soak/task_watch.cpp
@@ -13,7 +13,7 @@
 // A task's name is JOB.TIME.STEP.INDEX.
 constexpr char kFirstStep[] = ".0.0.";
 constexpr char kSecondStep[] = ".0.1.";
-// ms; see CheckLasting.
+// ms; see CheckLongRunning.
 constexpr int64_t kMaxDowntime = 6000;
 constexpr int64_t kLostGrace = 3000;
 constexpr int64_t kFaultFreeBefore = 4000;
@@ -75,8 +75,8 @@
   const std::string& task = order.task;
   constexpr int kCrashes = 3;
   constexpr int kStartsMore = 3;
-  const auto crashed = crashes_under_.find(task);
-  if (crashed != crashes_under_.end() && crashed->second >= kCrashes &&
+  const auto crashed = worker_crashes_.find(task);
+  if (crashed != worker_crashes_.end() && crashed->second >= kCrashes &&
       ++starts_since_third_[task] == kStartsMore) {
     ReportViolation(
         "started three times more after three workers had crashed under " +
@@ -90,7 +90,7 @@
   if (!task.starts_with(job + kSecondStep) || needed == first_tasks_.end()) {
     return;
   }
-  const size_t done = DoneTasks(job + kFirstStep);
+  const size_t done = CountDoneTasks(job + kFirstStep);
   if (done < static_cast<size_t>(needed->second)) {
     ReportViolation("started before its turn: " + task + ": " +
                     Describe(fresh) + "; of the step before, " +
@@ -98,7 +98,7 @@
   }
 }
 
-size_t TaskWatch::DoneTasks(const std::string& prefix) const {
+size_t TaskWatch::CountDoneTasks(const std::string& prefix) const {
   const auto is_done = [](const ObservedRun& run) {
     return !run.active && run.end == RunEnd::kDone;
   };
@@ -165,7 +165,7 @@
           return run.incarnation == incarnation && run.active;
         });
     if (there) {
-      ++crashes_under_[task];
+      ++worker_crashes_[task];
     }
   }
 }
@@ -186,7 +186,7 @@
 }
 
 void TaskWatch::OnCompleted(const std::string& job, size_t tasks) {
-  const size_t done = DoneTasks(job + ".");
+  const size_t done = CountDoneTasks(job + ".");
   if (done < tasks) {
     ReportViolation("shown as completed: " + job + ", of whose " +
                     std::to_string(tasks) + " tasks " + std::to_string(done) +
@@ -244,7 +244,7 @@
   }
 }
 
-size_t TaskWatch::ActiveTasks(const std::string& job) const {
+size_t TaskWatch::CountActiveTasks(const std::string& job) const {
   size_t active = 0;
   for (auto it = runs_.lower_bound(job);
        it != runs_.end() && JobOf(it->first) == job; ++it) {
--- a/src/soak/task_watch.h
+++ b/src/soak/task_watch.h
@@ -29,7 +29,8 @@
   int64_t until = 0;
   bool active = true;
   RunEnd end = RunEnd::kLeaseExpired;
-  /// The end can still be acknowledged: the lease has not expired since.
+  /// The end of the run can still be acknowledged: the lease has not expired
+  /// since then.
   bool can_be_acknowledged = true;
   bool acknowledged = false;
   /// A violation was reported because the task ran nowhere for too long after
@@ -66,7 +67,8 @@
   void OnFaultEnds(int64_t at);
 
   // --- Observed by callers ---
-  /// An attempt to submit the job ended, rejected or not.
+  /// A call that submits the job was answered or failed; `rejected` if the
+  /// answer excludes that the job was accepted.
   void OnSubmitAttempt(const std::string& job, bool rejected);
   /// The second step of the job, if there is one, depends on `first_tasks`
   /// tasks.
@@ -80,9 +82,9 @@
   void OnLongRunning(const std::string& job) { long_running_.insert(job); }
 
   // --- Called periodically ---
-  /// A long-running task must run again within 6 s of its last run and counts
-  /// as lost 3 s later. It is checked only if these 3 s and the 4 s before them
-  /// were free of unplanned faults.
+  /// A long-running task must run again within 6 s of its last run; a violation
+  /// is reported 3 s later. It is checked only if these 3 s and the 4 s before
+  /// them were free of unplanned faults.
   void CheckLongRunning(int64_t now);
 
   // --- Called at the end ---
@@ -92,7 +94,7 @@
   size_t starts() const { return starts_; }
   /// Longest time in ms without a run of a long-running task while checked.
   int64_t longest_downtime() const { return longest_downtime_; }
-  size_t ActiveTasks(const std::string& job) const;
+  size_t CountActiveTasks(const std::string& job) const;
   const std::map<std::string, std::vector<ObservedRun>>& runs() const {
     return runs_;
   }
@@ -103,19 +105,19 @@
   void CheckOrder(const std::string& task, const ObservedRun& fresh);
   void CheckCrashes(const StartOrder& order, const ObservedRun& fresh);
   /// Number of completed tasks whose names begin with `prefix`.
-  size_t DoneTasks(const std::string& prefix) const;
+  size_t CountDoneTasks(const std::string& prefix) const;
   ObservedRun* Find(const std::string& incarnation, const EndedRun& end);
 
   Report report_;
   /// By task, in the order of their starts.
   std::map<std::string, std::vector<ObservedRun>> runs_;
-  /// By job: whether an attempt was not rejected.
+  /// By job: whether any submission of it was not rejected.
   std::map<std::string, bool> may_be_accepted_;
   std::map<std::string, int> first_tasks_;
   std::set<std::string> long_running_;
   /// By task: workers that crashed while running it, and starts after the third
   /// crash.
-  std::map<std::string, int> crashes_under_;
+  std::map<std::string, int> worker_crashes_;
   std::map<std::string, int> starts_since_third_;
   size_t starts_ = 0;
   /// Active unplanned faults, and the last time at which one was active.
--- a/src/soak/task_watch_test.cpp
+++ b/src/soak/task_watch_test.cpp
@@ -29,9 +29,9 @@
     watch.OnEnded(incarnation, {1, task, run, how, ""}, ++now);
   }
 
-  void Note(const std::string& incarnation,
-            const std::string& task,
-            uint32_t run) {
+  void AcknowledgeEnd(const std::string& incarnation,
+                      const std::string& task,
+                      uint32_t run) {
     watch.OnEndAcknowledged(incarnation, {1, task, run, RunEnd::kDone, ""});
   }
 
@@ -50,9 +50,9 @@
     }
   }
 
-  std::vector<std::string> broken;
+  std::vector<std::string> violations;
   TaskWatch watch{
-      [this](const std::string& sentence) { broken.push_back(sentence); }};
+      [this](const std::string& sentence) { violations.push_back(sentence); }};
   int64_t now = 0;
 };
 
@@ -65,118 +65,119 @@
     watch.OnCrashed(incarnation);
     watch.OnIncarnationEnded(incarnation, ++now);
   }
-  BOOST_TEST(broken.empty());
+  BOOST_TEST(violations.empty());
   Start("w6", kTask, 6, "crashes=");
-  BOOST_REQUIRE_EQUAL(broken.size(), 1U);
-  BOOST_TEST(broken[0].find("run 6 on w6") != std::string::npos);
+  BOOST_REQUIRE_EQUAL(violations.size(), 1U);
+  BOOST_TEST(violations[0].find("run 6 on w6") != std::string::npos);
 }
 
 BOOST_AUTO_TEST_CASE(Watch_TwoRunsAtOnce_ReportsBoth) {
   Start("a", kTask, 1);
   Start("b", kTask, 2);
-  BOOST_REQUIRE_EQUAL(broken.size(), 1U);
-  BOOST_TEST(broken[0].find("run 1 on a") != std::string::npos);
-  BOOST_TEST(broken[0].find("run 2 on b") != std::string::npos);
+  BOOST_REQUIRE_EQUAL(violations.size(), 1U);
+  BOOST_TEST(violations[0].find("run 1 on a") != std::string::npos);
+  BOOST_TEST(violations[0].find("run 2 on b") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(Watch_SecondRunAfterTheFirst_IsFine) {
+BOOST_AUTO_TEST_CASE(Watch_SecondRunAfterTheFirst_IsNotReported) {
   Start("a", kTask, 1);
   End("a", kTask, 1, RunEnd::kLeaseExpired);
   Start("b", kTask, 2);
-  BOOST_TEST(broken.empty());
+  BOOST_TEST(violations.empty());
 }
 
-BOOST_AUTO_TEST_CASE(Watch_WorkerOfTheFirstRunIsGone_IsFine) {
+BOOST_AUTO_TEST_CASE(Watch_WorkerOfTheFirstRunEnded_IsNotReported) {
   Start("a", kTask, 1);
   watch.OnIncarnationEnded("a", ++now);
   Start("b", kTask, 2);
-  BOOST_TEST(broken.empty());
+  BOOST_TEST(violations.empty());
 }
 
-BOOST_AUTO_TEST_CASE(Watch_StartAfterNotedEnd_IsBroken) {
+BOOST_AUTO_TEST_CASE(Watch_StartAfterAcknowledgedEnd_IsReported) {
   Start("a", kTask, 1);
   End("a", kTask, 1, RunEnd::kDone);
-  Note("a", kTask, 1);
+  AcknowledgeEnd("a", kTask, 1);
   Start("b", kTask, 2);
-  BOOST_TEST(broken.size() == 1U);
+  BOOST_TEST(violations.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Watch_StartBeforeTheEndIsNoted_IsBrokenOnceItIs) {
+BOOST_AUTO_TEST_CASE(Watch_StartBeforeAcknowledgement_IsReportedUponIt) {
   Start("a", kTask, 1);
   End("a", kTask, 1, RunEnd::kDone);
   Start("b", kTask, 2);
-  BOOST_TEST(broken.empty());
-  Note("a", kTask, 1);
-  BOOST_TEST(broken.size() == 1U);
+  BOOST_TEST(violations.empty());
+  AcknowledgeEnd("a", kTask, 1);
+  BOOST_TEST(violations.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Watch_LeaseLapsedBetweenEndAndNote_DoesNotCount) {
+BOOST_AUTO_TEST_CASE(Watch_LeaseExpiredBeforeAcknowledgement_IsNotReported) {
   Start("a", kTask, 1);
   End("a", kTask, 1, RunEnd::kDone);
   Start("b", kTask, 2);
   watch.OnLeaseExpired("a");
-  Note("a", kTask, 1);
-  BOOST_TEST(broken.empty());
+  AcknowledgeEnd("a", kTask, 1);
+  BOOST_TEST(violations.empty());
 }
 
-BOOST_AUTO_TEST_CASE(Watch_EarlierRunsDone_DoNotBreakTheRunItself) {
+BOOST_AUTO_TEST_CASE(Watch_RunAfterFailedRunIsDone_IsNotReported) {
   Start("a", kTask, 1);
   End("a", kTask, 1, RunEnd::kFailed);
   Start("a", kTask, 2);
   End("a", kTask, 2, RunEnd::kDone);
-  Note("a", kTask, 2);
-  BOOST_TEST(broken.empty());
+  AcknowledgeEnd("a", kTask, 2);
+  BOOST_TEST(violations.empty());
 }
 
-BOOST_AUTO_TEST_CASE(Watch_SecondStepBeforeAllOfTheFirst_IsBroken) {
+BOOST_AUTO_TEST_CASE(Watch_SecondStepBeforeAllOfTheFirst_IsReported) {
   watch.OnSubmitted(kJob, 2);
   Start("a", std::string(kJob) + ".0.0.0", 1);
   End("a", std::string(kJob) + ".0.0.0", 1, RunEnd::kDone);
   Start("a", std::string(kJob) + ".0.1.0", 1);
-  BOOST_TEST(broken.size() == 1U);
+  BOOST_TEST(violations.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Watch_CompletedWithATaskMissing_IsBroken) {
+BOOST_AUTO_TEST_CASE(Watch_CompletedWithATaskMissing_IsReported) {
   Start("a", std::string(kJob) + ".0.0.0", 1);
   End("a", std::string(kJob) + ".0.0.0", 1, RunEnd::kDone);
   watch.OnCompleted(kJob, 1);
-  BOOST_TEST(broken.empty());
+  BOOST_TEST(violations.empty());
   watch.OnCompleted(kJob, 2);
-  BOOST_TEST(broken.size() == 1U);
+  BOOST_TEST(violations.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Watch_StartOfARejectedJob_IsBroken) {
+BOOST_AUTO_TEST_CASE(Watch_StartOfARejectedJob_IsReported) {
   watch.OnSubmitAttempt(kJob, /*rejected=*/true);
   Start("a", kTask, 1);
   watch.CheckRejected();
-  BOOST_TEST(broken.size() == 1U);
+  BOOST_TEST(violations.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Watch_StartOfAJobWithoutAnswer_IsFine) {
+BOOST_AUTO_TEST_CASE(Watch_StartOfAJobWithoutAnswer_IsNotReported) {
   watch.OnSubmitAttempt(kJob, /*rejected=*/false);
   watch.OnSubmitAttempt(kJob, /*rejected=*/true);
   Start("a", kTask, 1);
   watch.CheckRejected();
-  BOOST_TEST(broken.empty());
+  BOOST_TEST(violations.empty());
 }
 
-BOOST_AUTO_TEST_CASE(LongRunning_RestartedWithinNineSeconds_IsFine) {
+BOOST_AUTO_TEST_CASE(LongRunning_RestartedWithinNineSeconds_IsNotReported) {
   EndLongRunning(RunEnd::kStopped);
   CheckUntil(19'000);
   Start("b", kTask, 2);
   CheckUntil(60'000);
-  BOOST_TEST(broken.empty());
+  BOOST_TEST(violations.empty());
   BOOST_TEST(watch.longest_downtime() == 8'999);
 }
 
 BOOST_AUTO_TEST_CASE(LongRunning_DownForLonger_IsReportedOnce) {
   EndLongRunning(RunEnd::kStopped);
   CheckUntil(19'001);
-  BOOST_TEST(broken.empty());
+  BOOST_TEST(violations.empty());
   CheckUntil(60'000);
-  BOOST_REQUIRE_EQUAL(broken.size(), 1U);
-  BOOST_TEST(broken[0].find("runs nowhere for 9001 ms") != std::string::npos);
-  BOOST_TEST(broken[0].find("run 1 on a") != std::string::npos);
+  BOOST_REQUIRE_EQUAL(violations.size(), 1U);
+  BOOST_TEST(violations[0].find("runs nowhere for 9001 ms") !=
+             std::string::npos);
+  BOOST_TEST(violations[0].find("run 1 on a") != std::string::npos);
 }
 
 BOOST_AUTO_TEST_CASE(LongRunning_DownTwice_IsReportedTwice) {
@@ -185,33 +186,33 @@
   Start("b", kTask, 2);
   End("b", kTask, 2, RunEnd::kStopped);
   CheckUntil(40'000);
-  BOOST_TEST(broken.size() == 2U);
+  BOOST_TEST(violations.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(LongRunning_WorkerGone_CountsFromThere) {
+BOOST_AUTO_TEST_CASE(LongRunning_WorkerEnded_DowntimeBeginsThen) {
   watch.OnLongRunning(kJob);
   Start("a", kTask, 1);
   CheckUntil(30'000);
   watch.OnIncarnationEnded("a", now);
   CheckUntil(39'000);
-  BOOST_TEST(broken.empty());
+  BOOST_TEST(violations.empty());
   CheckUntil(39'010);
-  BOOST_TEST(broken.size() == 1U);
+  BOOST_TEST(violations.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(LongRunning_SeveralRuns_LatestEndCounts) {
+BOOST_AUTO_TEST_CASE(LongRunning_SeveralRuns_DowntimeBeginsAtLatestEnd) {
   watch.OnLongRunning(kJob);
   Start("a", kTask, 1);
   Start("b", kTask, 2);
-  broken.clear();
+  violations.clear();
   now = 9'000;
   End("b", kTask, 2, RunEnd::kStopped);
   now = 9'999;
   End("a", kTask, 1, RunEnd::kStopped);
   CheckUntil(19'001);
-  BOOST_TEST(broken.empty());
+  BOOST_TEST(violations.empty());
   CheckUntil(19'010);
-  BOOST_TEST(broken.size() == 1U);
+  BOOST_TEST(violations.size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(LongRunning_FaultWithinSevenSeconds_IsNotChecked) {
@@ -220,9 +221,9 @@
   watch.OnFaultBegins();
   watch.OnFaultEnds(now);
   CheckUntil(19'501);
-  BOOST_TEST(broken.empty());
+  BOOST_TEST(violations.empty());
   CheckUntil(19'510);
-  BOOST_TEST(broken.size() == 1U);
+  BOOST_TEST(violations.size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(LongRunning_FaultsActive_IsNotCheckedBeforeAllEnd) {
@@ -234,16 +235,16 @@
   CheckUntil(40'000);
   watch.OnFaultEnds(now);
   CheckUntil(47'001);
-  BOOST_TEST(broken.empty());
+  BOOST_TEST(violations.empty());
   CheckUntil(47'010);
-  BOOST_TEST(broken.size() == 1U);
+  BOOST_TEST(violations.size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(LongRunning_JobsThatEnd_AreNotChecked) {
   Start("a", kTask, 1);
   End("a", kTask, 1, RunEnd::kDone);
   CheckUntil(60'000);
-  BOOST_TEST(broken.empty());
+  BOOST_TEST(violations.empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/soak/world.cpp
+++ b/src/soak/world.cpp
@@ -123,7 +123,7 @@
         CrashForTask(worker, incarnation, after);
       }));
   if (worker < options_.workers) {
-    BootWorker(worker);
+    StartWorker(worker);
   } else {
     workers_.back()->Crash();
   }
@@ -243,16 +243,16 @@
   for (size_t i = 0; i < instances(); ++i) {
     Stop(i);
   }
-  AwaitEnds(done);
+  AwaitProcessExits(done);
 }
 
-void World::AwaitEnds(const std::function<void()>& done) {
+void World::AwaitProcessExits(const std::function<void()>& done) {
   const auto runs = [](const auto& instance) { return instance->child.runs(); };
   if (std::none_of(instances_.begin(), instances_.end(), runs)) {
     done();
     return;
   }
-  After(kTick, [this, done] { AwaitEnds(done); });
+  After(kTick, [this, done] { AwaitProcessExits(done); });
 }
 
 // --- Faults ---
@@ -293,7 +293,7 @@
   return links;
 }
 
-Links World::LinksToWorkersElsewhere(size_t centre) const {
+Links World::LinksToWorkersInOtherDataCentres(size_t centre) const {
   Links links;
   for (size_t i = 0; i < instances(); ++i) {
     for (size_t worker = 0; worker < workers(); ++worker) {
@@ -305,7 +305,7 @@
   return links;
 }
 
-Links World::BorderLinks(size_t centre) const {
+Links World::LinksAcrossDataCentre(size_t centre) const {
   Links links;
   for (size_t i = 0; i < instances(); ++i) {
     const bool inside = DataCentreOf(i) == centre;
@@ -399,7 +399,7 @@
   ResetLinksTo(worker);
 }
 
-void World::BootWorker(size_t worker) {
+void World::StartWorker(size_t worker) {
   if (!workers_[worker]->up()) {
     workers_[worker]->Boot();
   }
@@ -426,7 +426,7 @@
           [this, incarnation] { RemoveEntry(incarnation); });
     After(kWorkerRestartDelay, [this, worker, incarnation] {
       if (!workers_[worker]->up() && WorkerId(worker) == incarnation) {
-        BootWorker(worker);
+        StartWorker(worker);
       }
     });
   });
--- a/src/soak/world.h
+++ b/src/soak/world.h
@@ -58,7 +58,7 @@
   size_t violations() const { return violations_; }
 
   size_t instances() const { return instances_.size(); }
-  /// All workers, including those that do not serve now.
+  /// All workers, including spare ones that do not serve at present.
   size_t workers() const { return workers_.size(); }
   size_t serving() const { return options_.workers; }
   static size_t DataCentreOf(size_t index) { return index % kDataCentres; }
@@ -73,19 +73,20 @@
   // --- Links ---
   Links StoreLinks(size_t instance) const;
   Links WorkerLinks(size_t instance, size_t worker) const;
-  /// From the instances of a data centre to workers outside.
-  Links LinksToWorkersElsewhere(size_t centre) const;
+  /// From the instances of a data centre to workers in other ones.
+  Links LinksToWorkersInOtherDataCentres(size_t centre) const;
   /// Between two instances, both directions.
   Links PeerLinks(size_t a, size_t b) const;
   /// Between an instance and all others.
   Links PeerLinks(size_t instance) const;
-  /// All links that cross the data centre's border; the store lies outside.
-  Links BorderLinks(size_t centre) const;
+  /// All links between the data centre and the rest, which includes the store.
+  Links LinksAcrossDataCentre(size_t centre) const;
   /// All links of an instance.
   Links AllLinks(size_t instance) const;
 
   // --- Processes ---
-  /// False if a planned stop or another fault of the process is under way.
+  /// Kill, Stop and Pause return false if the process does not run, or if a
+  /// planned stop or another fault of it is under way.
   bool Kill(size_t instance);
   bool Stop(size_t instance);
   bool Pause(size_t instance);
@@ -105,9 +106,10 @@
 
   // --- Workers ---
   void CrashWorker(size_t worker);
-  void BootWorker(size_t worker);
-  /// Crashes the worker `after` a delay if `incarnation` still runs, as a task
-  /// would; the machine starts another incarnation some seconds later.
+  void StartWorker(size_t worker);
+  /// After the delay `after`, crashes the worker if `incarnation` still runs,
+  /// as a task would; the machine starts another incarnation some seconds
+  /// later.
   void CrashForTask(size_t worker,
                     const std::string& incarnation,
                     Millis after);
@@ -136,7 +138,7 @@
 
     Child child;
     int restarts = 0;
-    /// The process was told to end, so that its end is expected.
+    /// The process was signalled to exit, so its exit is expected.
     bool is_ending = false;
     bool paused = false;
     /// Start of a planned stop; 0: none.
@@ -156,7 +158,7 @@
   void Tick();
   void Supervise(size_t instance);
   void Restart(size_t instance);
-  void AwaitEnds(const std::function<void()>& done);
+  void AwaitProcessExits(const std::function<void()>& done);
 
   boost::asio::io_context& context_;
   Executor& executor_;
