--- a/src/fakes/contract_test.cpp
+++ b/src/fakes/contract_test.cpp
@@ -31,7 +31,7 @@
   return options;
 }
 
-// The ports, fake or real, and the passage of time.
+// The ports under test, fake or real, and a way to advance the time.
 class Ports {
  public:
   virtual ~Ports() = default;
@@ -246,7 +246,7 @@
   BOOST_TEST(!it.Write("r/a", "again", 0).error);
 }
 
-BOOST_AUTO_TEST_CASE(key_with_lease_goes_when_the_lease_lapses) {
+BOOST_AUTO_TEST_CASE(key_with_lease_is_removed_when_the_lease_expires) {
   Contract it;
   const auto lease = it.Await<int64_t>(
       [&](auto done) { it.ports->kv().GrantLease(Millis(400), done); });
@@ -282,7 +282,7 @@
   BOOST_TEST(seen);
 }
 
-BOOST_AUTO_TEST_CASE(value_of_many_bytes_comes_back_the_same) {
+BOOST_AUTO_TEST_CASE(long_value_is_read_back_unchanged) {
   Contract it;
   std::string value = "\"quotes\" \\ \n \t \xc3\xa9 ";
   value.resize(900'000, 'x');
@@ -317,7 +317,7 @@
   it.Release(true, third.value.epoch);
 }
 
-BOOST_AUTO_TEST_CASE(orders_are_idempotent_and_ends_stay_until_forgotten) {
+BOOST_AUTO_TEST_CASE(orders_are_idempotent_and_ends_are_kept_until_forgotten) {
   Contract it;
   const auto lease = it.Acquire(true);
   BOOST_REQUIRE(!lease.error);
--- a/src/fakes/fakes.cpp
+++ b/src/fakes/fakes.cpp
@@ -70,7 +70,7 @@
 }
 
 void FakeExecutor::Run(std::function<void()> function) {
-  if (dead_) {
+  if (killed_) {
     return;
   }
   if (frozen_) {
@@ -98,7 +98,7 @@
 void FakeExecutor::DeliverAnswer(Millis delay, std::function<void()> function) {
   time_.RunAt(time_.now() + delay,
               [this, function = std::move(function)]() mutable {
-                if (frozen_ && !dead_) {
+                if (frozen_ && !killed_) {
                   deferred_answers_.push_back(std::move(function));
                 } else {
                   Run(std::move(function));
@@ -357,22 +357,22 @@
   return cuts_.contains(std::minmax(a, b));
 }
 
-bool FakeNetwork::ConsumeLostReply() {
-  if (lose_replies_ == 0) {
+bool FakeNetwork::ConsumeDroppedReply() {
+  if (replies_to_drop_ == 0) {
     return false;
   }
-  --lose_replies_;
+  --replies_to_drop_;
   return true;
 }
 
 bool FakeNetwork::ConsumeDelayedPlacement(const PeerRequest& request) {
   const bool take =
-      delay_placements_ > 0 && std::holds_alternative<PlaceRequest>(request);
-  delay_placements_ -= take ? 1 : 0;
+      placements_to_delay_ > 0 && std::holds_alternative<PlaceRequest>(request);
+  placements_to_delay_ -= take ? 1 : 0;
   return take;
 }
 
-FakeNetwork::Node* FakeNetwork::Find(const std::string& address) {
+FakeNetwork::Node* FakeNetwork::FindNode(const std::string& address) {
   const auto node = nodes_.find(address);
   return node == nodes_.end() ? nullptr : &node->second;
 }
@@ -392,8 +392,8 @@
       }
     });
   };
-  const FakeNetwork::Node* found = network_.Find(address);
-  const bool reachable = found != nullptr && !found->executor->dead() &&
+  const FakeNetwork::Node* found = network_.FindNode(address);
+  const bool reachable = found != nullptr && !found->executor->killed() &&
                          !network_.IsPartitioned(address_, address);
   if (!reachable) {
     time_.RunAt(time_.now() + kLatency,
@@ -405,11 +405,11 @@
   time_.RunAt(time_.now() + timeout,
               [answer]() { answer(PeerErrc::kNoAnswer, PeerReply()); });
   const bool lose = !std::holds_alternative<Heartbeat>(request) &&
-                    network_.ConsumeLostReply();
-  const Millis way =
+                    network_.ConsumeDroppedReply();
+  const Millis delay =
       network_.ConsumeDelayedPlacement(request) ? kLate : kLatency;
-  time_.RunAt(time_.now() + way, [this, node, answer, lose, address,
-                                  request = std::move(request)]() {
+  time_.RunAt(time_.now() + delay, [this, node, answer, lose, address,
+                                    request = std::move(request)]() {
     node.executor->Post([this, node, answer, lose, address, request]() {
       node.service->Handle(
           request, [this, answer, lose, address](PeerReply reply) {
--- a/src/fakes/fakes.h
+++ b/src/fakes/fakes.h
@@ -71,13 +71,13 @@
   void DeliverAnswer(Millis delay, std::function<void()> function);
   /// Defers all functions until `Thaw`.
   void Freeze() { frozen_ = true; }
-  /// Pauses the process for `pause` within its `call`th call of `Now` from here
-  /// on, in the middle of a function. Other processes run meanwhile.
+  /// Pauses the process for `pause` within its `call`th call of `Now` after
+  /// this one, in the middle of a function. Other processes run meanwhile.
   void PauseInNowCall(int call, Millis pause);
   void Thaw();
   /// Drops all pending and future functions.
-  void Kill() { dead_ = true; }
-  bool dead() const { return dead_; }
+  void Kill() { killed_ = true; }
+  bool killed() const { return killed_; }
   bool frozen() const { return frozen_; }
 
  private:
@@ -94,7 +94,7 @@
   mutable int calls_to_pause_ = 0;
   Millis pause_{0};
   bool frozen_ = false;
-  bool dead_ = false;
+  bool killed_ = false;
 };
 
 /// Fault injected into calls through one fake.
@@ -104,7 +104,7 @@
   kRefused,
   /// Takes effect; the answer is lost.
   kAnswerLost,
-  /// Does not arrive; the caller cannot tell.
+  /// Does not arrive; the caller cannot distinguish this from kAnswerLost.
   kRequestLost,
   /// Arrives long after the caller timed out.
   kDelayed,
@@ -208,18 +208,18 @@
   void SetPartitioned(const std::string& a, const std::string& b, bool cut);
   bool IsPartitioned(const std::string& a, const std::string& b) const;
   /// Drops the next `count` replies.
-  void DropReplies(int count) { lose_replies_ = count; }
-  bool ConsumeLostReply();
+  void DropReplies(int count) { replies_to_drop_ = count; }
+  bool ConsumeDroppedReply();
   /// Delays the next `count` placement requests far beyond their time-out.
-  void DelayPlacements(int count) { delay_placements_ = count; }
+  void DelayPlacements(int count) { placements_to_delay_ = count; }
   bool ConsumeDelayedPlacement(const PeerRequest& request);
-  Node* Find(const std::string& address);
+  Node* FindNode(const std::string& address);
 
  private:
   std::map<std::string, Node> nodes_;
   std::set<std::pair<std::string, std::string>> cuts_;
-  int lose_replies_ = 0;
-  int delay_placements_ = 0;
+  int replies_to_drop_ = 0;
+  int placements_to_delay_ = 0;
 };
 
 /// One instance's access to its peers.
--- a/src/fakes/mutate.h
+++ b/src/fakes/mutate.h
@@ -20,24 +20,27 @@
  public:
   explicit Mutator(uint64_t seed) : random_(seed) {}
 
-  size_t Below(size_t bound) { return bound == 0 ? 0 : random_() % bound; }
+  size_t RandomBelow(size_t bound) {
+    return bound == 0 ? 0 : random_() % bound;
+  }
 
   /// Applies one to three mutations to the bytes of `good` or, if it is JSON,
   /// to its values.
   std::string Change(const std::string& good) {
     std::string text = good;
-    const size_t changes = 1 + Below(3);
+    const size_t changes = 1 + RandomBelow(3);
     for (size_t change = 0; change < changes; ++change) {
       const auto json = Json::parse(text, nullptr, false);
-      const bool by_value = !json.is_discarded() && Below(3) != 0;
-      text = by_value ? ChangeValue(json) : ChangeBytes(text);
+      const bool by_value = !json.is_discarded() && RandomBelow(3) != 0;
+      text = by_value ? MutateValue(json) : MutateBytes(text);
     }
     return text;
   }
 
  private:
-  // Returns JSON text, since some of these have no representation as `Json`.
-  std::string OddValue() {
+  // Returns JSON text, since some of these values have no representation as
+  // `Json`.
+  std::string RandomUnusualValue() {
     static const std::array<std::string, 30> values = {
         "null",
         "true",
@@ -69,7 +72,7 @@
         "\"\\ud800\"",
         "{\"a\":1,\"a\":2}",
         "\"0\""};
-    const size_t which = Below(values.size() + 1);
+    const size_t which = RandomBelow(values.size() + 1);
     if (which < values.size()) {
       return values[which];
     }
@@ -78,18 +81,18 @@
   }
 
   // Replaces a random value by an unusual one, or removes a field.
-  std::string ChangeValue(const Json& json) {
+  std::string MutateValue(const Json& json) {
     static const std::string placeholder = "@odd@";
     Json changed = json;
     Json* at = &changed;
-    while (at->is_structured() && !at->empty() && Below(4) != 0) {
+    while (at->is_structured() && !at->empty() && RandomBelow(4) != 0) {
       auto inner = at->begin();
-      std::advance(inner, static_cast<std::ptrdiff_t>(Below(at->size())));
+      std::advance(inner, static_cast<std::ptrdiff_t>(RandomBelow(at->size())));
       at = &*inner;
     }
-    if (at->is_object() && !at->empty() && Below(3) == 0) {
+    if (at->is_object() && !at->empty() && RandomBelow(3) == 0) {
       auto inner = at->begin();
-      std::advance(inner, static_cast<std::ptrdiff_t>(Below(at->size())));
+      std::advance(inner, static_cast<std::ptrdiff_t>(RandomBelow(at->size())));
       at->erase(inner);
       return Write(changed);
     }
@@ -98,29 +101,31 @@
     const size_t place = text.find("\"" + placeholder + "\"");
     return place == std::string::npos
                ? text
-               : text.replace(place, placeholder.size() + 2, OddValue());
+               : text.replace(place, placeholder.size() + 2,
+                              RandomUnusualValue());
   }
 
   static std::string Write(const Json& json) {
     return json.dump(-1, ' ', false, Json::error_handler_t::replace);
   }
 
-  std::string ChangeBytes(std::string text) {
-    const size_t place = Below(text.size());
-    switch (Below(5)) {
+  std::string MutateBytes(std::string text) {
+    const size_t place = RandomBelow(text.size());
+    switch (RandomBelow(5)) {
       case 0:
         return text.substr(0, place);
       case 1:
         if (!text.empty()) {
-          text[place] = static_cast<char>(Below(256));
+          text[place] = static_cast<char>(RandomBelow(256));
         }
         return text;
       case 2:
-        return text.insert(place, 1, static_cast<char>(Below(256)));
+        return text.insert(place, 1, static_cast<char>(RandomBelow(256)));
       case 3:
-        return text.erase(place, 1 + Below(8));
+        return text.erase(place, 1 + RandomBelow(8));
       default:
-        return text.insert(place, text.substr(Below(text.size()), Below(40)));
+        return text.insert(
+            place, text.substr(RandomBelow(text.size()), RandomBelow(40)));
     }
   }
 
--- a/src/fakes/world.cpp
+++ b/src/fakes/world.cpp
@@ -188,7 +188,8 @@
       violations_.push_back("overcommitted: " + event.worker + " by " + what);
     }
     // A worker model expires its leases only when it is called: update the
-    // others first, or a run whose lease has expired counts as running.
+    // others first, or a run whose lease has expired would be taken for
+    // running.
     for (auto& [name, model] : fleet_) {
       if (name != event.worker) {
         model->Tick(time_.now_ms());
