--- a/src/standin/main.cpp
+++ b/src/standin/main.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// doorwood-standin: stand-ins for the platform's services, one role a process.
+// doorwood-standin: stand-ins for the platform's services, one role per
+// process.
 
 #include <CLI/CLI.hpp>
 
--- a/src/standin/run_worker_model.h
+++ b/src/standin/run_worker_model.h
@@ -37,7 +37,8 @@
   virtual ~RunObserver() = default;
   virtual void OnStarted(const StartOrder& order) = 0;
   virtual void OnEnded(const EndedRun& end) = 0;
-  /// The worker's holder has acknowledged the end, and the worker drops it.
+  /// The worker's holder has acknowledged the end of a run, and the worker
+  /// removes the run from its report.
   virtual void OnEndAcknowledged(const EndedRun& end) = 0;
 };
 
@@ -61,8 +62,9 @@
   bool IsRunning(const std::string& task) const { return runs_.contains(task); }
   size_t running_count() const { return runs_.size(); }
   std::vector<std::string> running_tasks() const;
-  /// Number of the newest end listed when the lease expired. Ends up to it do
-  /// not count if they are acknowledged only later.
+  /// Sequence number of the last ended run that was listed when the lease
+  /// expired. Checks of completed tasks ignore acknowledgements of runs up to
+  /// it that arrive only later.
   uint64_t last_end_at_lease_expiry() const {
     return last_end_at_lease_expiry_;
   }
--- a/src/standin/standin.h
+++ b/src/standin/standin.h
@@ -25,7 +25,7 @@
   std::string listen = "127.0.0.1:0";
   /// Seconds after which the process exits, so that none outlives its test.
   int lifetime_s = 900;
-  /// File for the recorded events, one JSON object a line; empty: none.
+  /// File for the recorded events, one JSON object per line; empty: none.
   std::string record;
   /// Threads that handle calls.
   size_t threads = 64;
