--- a/src/bench/cell.cpp
+++ b/src/bench/cell.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Cost of a cell's leader: simulates a fleet of fake workers in virtual time,
-// under a load like that of the enlarged sites, and measures the real time.
+// under the job mix of large production sites, and measures the real time.
 
 #include <chrono>
 #include <iostream>
@@ -18,8 +18,8 @@
 constexpr int kMeanTaskMillis = 1'000;
 constexpr Millis kTimeStep{50};
 
-// Draws a job with the mix of the enlarged sites: 55% short ordinary jobs, 43%
-// longer best-effort jobs, and 2% long-running jobs with a latency target.
+// Draws a job with the mix of large production sites: 55% short ordinary jobs,
+// 43% longer best-effort jobs, and 2% long-running jobs with a latency target.
 JobPlan DrawJob(std::mt19937_64* random, int number) {
   const auto kind = (*random)() % 100;
   const bool long_running = kind < 2;
