--- a/src/doorwood/client.cpp
+++ b/src/doorwood/client.cpp
@@ -58,7 +58,7 @@
   return kUnknown;
 }
 
-std::string FormatCell(const Json& row, const std::string& column) {
+std::string FormatTableCell(const Json& row, const std::string& column) {
   const auto value = row.find(column);
   if (value == row.end() || value->is_null()) {
     return "-";
@@ -79,7 +79,7 @@
   for (const Json& row : rows) {
     std::vector<std::string> line;
     for (const std::string& column : columns) {
-      line.push_back(FormatCell(row, column));
+      line.push_back(FormatTableCell(row, column));
     }
     lines.push_back(std::move(line));
   }
--- a/src/doorwood/main.cpp
+++ b/src/doorwood/main.cpp
@@ -86,8 +86,8 @@
 // --- Configuration ----------------------------------------------------------
 
 // Returns kDone once `revision` is in force on every instance that the called
-// one knows of, in all data centres. `lowest_revision` covers the peers
-// that each listed instance hears from.
+// one knows of, in all data centres. `lowest_revision` is the lowest
+// revision among the peers whose heartbeats each listed instance receives.
 std::optional<int> CheckRevisionInForce(const CommandContext& context,
                                         uint64_t revision) {
   const Answer answer = Call(context.connection, "GET", "/v1/status", Json());
