--- a/src/http.adapter/http_sender.cpp
+++ b/src/http.adapter/http_sender.cpp
@@ -60,7 +60,7 @@
   return answer;
 }
 
-AttemptOutcome FateOfFailure(httplib::Error error) {
+AttemptOutcome OutcomeOfFailure(httplib::Error error) {
   return IsNotSent(error) ? AttemptOutcome::kNotSent : AttemptOutcome::kUnknown;
 }
 
@@ -98,7 +98,7 @@
   const httplib::Result result = Exchange(target.address, request.path, request,
                                           HeadersOf(request), timeout);
   if (!result) {
-    return {.outcome = FateOfFailure(result.error())};
+    return {.outcome = OutcomeOfFailure(result.error())};
   }
   const bool refused =
       result->status == kUnavailable && result->has_header(kRefusedHeader);
@@ -123,7 +123,7 @@
       Exchange(target.address, "/svc/" + request.service + request.path,
                request, headers, timeout);
   if (!result) {
-    return {.outcome = FateOfFailure(result.error())};
+    return {.outcome = OutcomeOfFailure(result.error())};
   }
   const std::string outcome = result->get_header_value(kOutcomeHeader);
   if (outcome == ToString(RequestOutcome::kNotRun)) {
