--- a/src/loop.adapter/http_client.cpp
+++ b/src/loop.adapter/http_client.cpp
@@ -132,7 +132,7 @@
     ++pool_->connects;
     connection_ = std::make_shared<Connection>(pool_->context);
     connection_->stream.expires_after(
-        std::min<Instant::duration>(TimeLeft(), kConnectTimeout));
+        std::min<Instant::duration>(RemainingTime(), kConnectTimeout));
     connection_->stream.async_connect(*endpoint, [self = shared_from_this()](
                                                      const error_code& error) {
       if (error) {
@@ -165,7 +165,7 @@
     }
     request_.body() = call_.body;
     request_.prepare_payload();
-    connection_->stream.expires_after(TimeLeft());
+    connection_->stream.expires_after(RemainingTime());
     sent_ = true;
     http::async_write(
         connection_->stream, request_,
@@ -195,7 +195,7 @@
   // The server may have closed a pooled connection before this call was sent
   // on it, so a repeatable call is sent once more on a new connection.
   void OnConnectionError() {
-    const bool in_time = TimeLeft() > Instant::duration::zero();
+    const bool in_time = RemainingTime() > Instant::duration::zero();
     if (reused_ && call_.repeatable && in_time) {
       sent_before_ = true;
       Connect();
@@ -218,7 +218,9 @@
 
   // Uses the time since boot: the stream's timer does not advance while the
   // machine is suspended.
-  Instant::duration TimeLeft() const { return deadline_ - BootClock::now(); }
+  Instant::duration RemainingTime() const {
+    return deadline_ - BootClock::now();
+  }
 
   void Finish(std::error_code error) { done_(error, {}); }
 
--- a/src/loop.adapter/http_client.h
+++ b/src/loop.adapter/http_client.h
@@ -38,7 +38,7 @@
   std::string body;
   /// The call was sent once before, on a pooled connection that failed. The
   /// server may have processed that first request or may still do so, so a
-  /// refusal of the second one tells nothing about the first.
+  /// refusal of the second one does not show the outcome of the first.
   bool sent_before = false;
 };
 
--- a/src/loop.adapter/http_peers.cpp
+++ b/src/loop.adapter/http_peers.cpp
@@ -71,7 +71,7 @@
 }
 
 // "/cell/CELL" or "/cell/CELL/JOB".
-std::string Target(const CellLead& lead, std::string_view job) {
+std::string CellPath(const CellLead& lead, std::string_view job) {
   std::string target = "/cell/" + lead.cell;
   if (!job.empty()) {
     target += '/';
@@ -87,7 +87,7 @@
   HttpCall call;
   call.address = lead.address;
   call.method = std::move(method);
-  call.target = Target(lead, job);
+  call.target = CellPath(lead, job);
   call.timeout = timeout;
   return call;
 }
@@ -281,7 +281,7 @@
   });
 }
 
-CellLeader* CellPeerService::Find(const std::string& cell) const {
+CellLeader* CellPeerService::FindLeader(const std::string& cell) const {
   for (CellLeader* leader : cells_) {
     if (leader->cell() == cell && leader->leading()) {
       return leader;
@@ -325,7 +325,7 @@
   const size_t slash = rest.find('/');
   const std::string job =
       slash == std::string::npos ? "" : rest.substr(slash + 1);
-  CellLeader* leader = Find(rest.substr(0, slash));
+  CellLeader* leader = FindLeader(rest.substr(0, slash));
   if (leader == nullptr) {
     answer(CoreErrc::kNoOwner, "");
     return;
--- a/src/loop.adapter/http_peers.h
+++ b/src/loop.adapter/http_peers.h
@@ -52,7 +52,7 @@
   void Handle(const HttpRequest& request, HttpServer::Respond respond);
 
  private:
-  CellLeader* Find(const std::string& cell) const;
+  CellLeader* FindLeader(const std::string& cell) const;
   std::optional<Millis> TimeSinceStoreContact() const;
   bool AgreeToUnrecordedStarts();
   /// `rest` has the form "CELL/EPOCH"; returns false if it cannot be parsed.
--- a/src/loop.adapter/http_server.cpp
+++ b/src/loop.adapter/http_server.cpp
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-struct HttpServer::Shared {
-  Shared(asio::io_context& io, Handler request_handler)
+struct HttpServer::ServerState {
+  ServerState(asio::io_context& io, Handler request_handler)
       : acceptor(io),
         accept_retry_timer(io),
         handler(std::move(request_handler)) {}
@@ -49,7 +49,7 @@
 // are still outstanding keep the object alive.
 class HttpServer::Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(std::shared_ptr<Shared> shared, asio::ip::tcp::socket socket)
+  Session(std::shared_ptr<ServerState> shared, asio::ip::tcp::socket socket)
       : shared_(std::move(shared)), stream_(std::move(socket)) {
     ++shared_->connections;
   }
@@ -165,7 +165,7 @@
         });
   }
 
-  std::shared_ptr<Shared> shared_;
+  std::shared_ptr<ServerState> shared_;
   beast::tcp_stream stream_;
   beast::flat_buffer buffer_;
   std::optional<http::request_parser<http::string_body>> parser_;
@@ -175,7 +175,7 @@
 };
 
 HttpServer::HttpServer(asio::io_context& context, Handler handler)
-    : shared_(std::make_shared<Shared>(context, std::move(handler))) {}
+    : shared_(std::make_shared<ServerState>(context, std::move(handler))) {}
 
 HttpServer::~HttpServer() {
   Close();
--- a/src/loop.adapter/http_server.h
+++ b/src/loop.adapter/http_server.h
@@ -58,7 +58,7 @@
   /// boost::system::system_error if the address cannot be used.
   void Listen(const std::string& address);
   void SetLimits(const HttpServerLimits& limits);
-  /// From now on, closes each connection after its next response.
+  /// After this call, each connection is closed after its next response.
   void Drain();
   void Close();
 
@@ -66,12 +66,12 @@
   size_t connections() const;
 
  private:
-  struct Shared;
+  struct ServerState;
   class Session;
 
   void Accept();
 
-  std::shared_ptr<Shared> shared_;
+  std::shared_ptr<ServerState> shared_;
 };
 
 }  // namespace doorwood
