--- a/src/peer.adapter/peer_codec.cpp
+++ b/src/peer.adapter/peer_codec.cpp
@@ -334,15 +334,15 @@
 
 }  // namespace
 
-void Build(const PeerRequest& request, wire::Request::Builder out) {
+void EncodeMessage(const PeerRequest& request, wire::Request::Builder out) {
   std::visit(RequestBuilder{out}, request);
 }
 
-void Build(const PeerReply& reply, wire::Reply::Builder out) {
+void EncodeMessage(const PeerReply& reply, wire::Reply::Builder out) {
   std::visit(ReplyBuilder{out}, reply);
 }
 
-PeerRequest Parse(wire::Request::Reader in) {
+PeerRequest DecodeMessage(wire::Request::Reader in) {
   switch (in.which()) {
     case wire::Request::HEARTBEAT:
       return Decode(in.getHeartbeat());
@@ -362,7 +362,7 @@
   return Heartbeat();
 }
 
-PeerReply Parse(wire::Reply::Reader in) {
+PeerReply DecodeMessage(wire::Reply::Reader in) {
   switch (in.which()) {
     case wire::Reply::HEARTBEAT:
       return Decode(in.getHeartbeat());
--- a/src/peer.adapter/peer_codec.h
+++ b/src/peer.adapter/peer_codec.h
@@ -12,12 +12,12 @@
 
 namespace doorwood {
 
-void Build(const PeerRequest& request, wire::Request::Builder out);
-void Build(const PeerReply& reply, wire::Reply::Builder out);
+void EncodeMessage(const PeerRequest& request, wire::Request::Builder out);
+void EncodeMessage(const PeerReply& reply, wire::Reply::Builder out);
 /// Messages of an unknown kind, for example from a newer instance, become an
 /// empty heartbeat, which receivers ignore.
-PeerRequest Parse(wire::Request::Reader in);
-PeerReply Parse(wire::Reply::Reader in);
+PeerRequest DecodeMessage(wire::Request::Reader in);
+PeerReply DecodeMessage(wire::Reply::Reader in);
 
 /// Short name of the kind of a message, for metrics.
 std::string_view KindOf(const PeerRequest& request);
--- a/src/peer.adapter/peer_network.cpp
+++ b/src/peer.adapter/peer_network.cpp
@@ -57,7 +57,7 @@
       : executor_(executor), service_(service), counter_(counter) {}
 
   kj::Promise<void> call(CallContext context) override {
-    PeerRequest request = Parse(context.getParams().getRequest());
+    PeerRequest request = DecodeMessage(context.getParams().getRequest());
     const std::string kind(KindOf(request));
     const uint64_t bytes = BytesOf(context.getParams().totalSize());
     auto paf = kj::newPromiseAndCrossThreadFulfiller<PeerReply>();
@@ -78,7 +78,7 @@
     return paf.promise.then(
         [this, context, kind, bytes](PeerReply reply) mutable {
           auto out = context.getResults().initReply();
-          Build(reply, out);
+          EncodeMessage(reply, out);
           counter_.Add(kind, 1, bytes + BytesOf(out.asReader().totalSize()));
         });
   }
@@ -90,9 +90,9 @@
 };
 
 // Grants access to the peer interface to clients with the right token.
-class GateServer final : public wire::Gate::Server {
+class LoginServer final : public wire::Gate::Server {
  public:
-  GateServer(std::string token, wire::Peer::Client peer)
+  LoginServer(std::string token, wire::Peer::Client peer)
       : token_(std::move(token)), peer_(kj::mv(peer)) {}
 
   kj::Promise<void> login(LoginContext context) override {
@@ -179,14 +179,14 @@
                          .parseAddress(options_.listen.c_str())
                          .wait(io.waitScope);
       auto listener = address->listen();
-      capnp::TwoPartyServer server(kj::heap<GateServer>(
+      capnp::TwoPartyServer server(kj::heap<LoginServer>(
           options_.token, wire::Peer::Client(kj::heap<PeerServer>(
                               executor_, service_, counter_))));
       auto stop = kj::newPromiseAndFulfiller<void>();
       stop_ = kj::mv(stop.fulfiller);
       port.set_value(static_cast<int>(listener->getPort()));
       tasks.add(server.listen(*listener));
-      tasks.add(RunPosted());
+      tasks.add(RunPostedFunctions());
       stop.promise.wait(io.waitScope);
       connections_.clear();
     } catch (const kj::Exception& e) {
@@ -196,7 +196,7 @@
   }
 
   // Runs the functions that other threads have posted, then waits for more.
-  kj::Promise<void> RunPosted() {
+  kj::Promise<void> RunPostedFunctions() {
     std::vector<std::function<void()>> functions;
     kj::Promise<void> woken = kj::READY_NOW;
     {
@@ -209,7 +209,7 @@
     for (auto& function : functions) {
       function();
     }
-    return woken.then([this]() { return RunPosted(); });
+    return woken.then([this]() { return RunPostedFunctions(); });
   }
 
   void StartCall(const std::string& address,
@@ -242,12 +242,12 @@
                          const std::shared_ptr<Callback>& done) {
     const std::string kind(KindOf(request));
     auto call = KJ_ASSERT_NONNULL(connection->peer).callRequest();
-    Build(request, call.initRequest());
+    EncodeMessage(request, call.initRequest());
     const uint64_t bytes = BytesOf(call.asReader().totalSize());
     return call.send().then([this, connection, kind, bytes, done](
                                 capnp::Response<wire::Peer::CallResults>&& r) {
       counter_.Add(kind, 1, bytes + BytesOf(r.totalSize()));
-      executor_.Post([done, reply = Parse(r.getReply())]() {
+      executor_.Post([done, reply = DecodeMessage(r.getReply())]() {
         (*done)(std::error_code(), reply);
       });
     });
--- a/src/peer.adapter/peer_network_test.cpp
+++ b/src/peer.adapter/peer_network_test.cpp
@@ -132,13 +132,13 @@
 
 std::string Bytes(const PeerRequest& request) {
   capnp::MallocMessageBuilder message;
-  Build(request, message.initRoot<wire::Request>());
+  EncodeMessage(request, message.initRoot<wire::Request>());
   const auto words = capnp::messageToFlatArray(message);
   const auto bytes = words.asBytes();
   return {reinterpret_cast<const char*>(bytes.begin()), bytes.size()};
 }
 
-std::vector<PeerRequest> Corpus() {
+std::vector<PeerRequest> SampleRequests() {
   Heartbeat heartbeat;
   heartbeat.instance = "a";
   heartbeat.shards = {{{"plaka", 3}, 7}};
@@ -170,11 +170,11 @@
 }
 
 BOOST_AUTO_TEST_CASE(request_of_each_kind_survives_encoding_and_decoding) {
-  for (const PeerRequest& request : Corpus()) {
+  for (const PeerRequest& request : SampleRequests()) {
     capnp::MallocMessageBuilder message;
-    Build(request, message.initRoot<wire::Request>());
+    EncodeMessage(request, message.initRoot<wire::Request>());
     const PeerRequest parsed =
-        Parse(message.getRoot<wire::Request>().asReader());
+        DecodeMessage(message.getRoot<wire::Request>().asReader());
     BOOST_TEST(parsed.index() == request.index());
     BOOST_TEST((Bytes(parsed) == Bytes(request)));
   }
@@ -182,7 +182,7 @@
 
 BOOST_AUTO_TEST_CASE(request_with_corrupted_bytes_is_parsed_or_rejected) {
   std::mt19937_64 random(5);
-  const std::vector<PeerRequest> corpus = Corpus();
+  const std::vector<PeerRequest> corpus = SampleRequests();
   constexpr int kRounds = 20000;
   int parsed = 0;
   for (int round = 0; round < kRounds; ++round) {
@@ -197,7 +197,7 @@
     }
     try {
       capnp::FlatArrayMessageReader reader(words);
-      Parse(reader.getRoot<wire::Request>());
+      DecodeMessage(reader.getRoot<wire::Request>());
       ++parsed;
     } catch (const kj::Exception&) {
       // Rejected; the connection that delivered it would be closed.
