--- a/src/include/doorwood/cell_policy.h
+++ b/src/include/doorwood/cell_policy.h
@@ -28,7 +28,7 @@
 struct PolicyOptions {
   /// Best-effort work may request up to this multiple of the processors that
   /// the other work of a worker is expected to leave unused. From simulated
-  /// runs of the standard days; see docs/POLICY.md.
+  /// runs of standard workloads; see docs/POLICY.md.
   double best_effort_cpu_share = 1.2;
   /// A job that finishes later than this multiple of its objective has no
   /// value.
@@ -106,10 +106,10 @@
                   const PolicyOptions& options);
 
 /// Expected time from the start of `step` to the end of the job, along the
-/// longest chain of dependent steps.
-Millis RemainingChain(const JobPlan& plan,
-                      int step,
-                      std::span<const Millis> run_times);
+/// longest path of dependent steps.
+Millis RemainingCriticalPathLength(const JobPlan& plan,
+                                   int step,
+                                   std::span<const Millis> run_times);
 
 /// The serving tasks of one image on a worker: the modelled utilization of the
 /// most loaded one, including best-effort work that was started too recently to
--- a/src/include/doorwood/crash_guard.h
+++ b/src/include/doorwood/crash_guard.h
@@ -59,7 +59,7 @@
   Millis observed_running{0};
   /// The run was alone on the worker, as a trial, since its confirmed start.
   bool in_trial = false;
-  /// The run had been going for some time before this leader learned of it.
+  /// The run had been active for some time before this leader learned of it.
   bool adopted = false;
 };
 
@@ -90,7 +90,7 @@
 /// A task is given up after crashes in trials on different machines: two with a
 /// confirmed process restart, or three observed in any way. It is also given up
 /// after five crashes as a suspect, two of them confirmed. Crashes while many
-/// workers crashed do not count.
+/// workers crashed are ignored.
 CrashVerdict AssessCrashes(std::span<const CrashNote> crashes);
 
 /// The task crashed a worker in a trial. Such a task is restarted with a delay,
@@ -107,7 +107,7 @@
 /// lies between 0 and 1.
 Millis RestartDelay(size_t crashes, double jitter, const CrashOptions& options);
 
-/// Tells isolated crashes from simultaneous crashes of many workers.
+/// Distinguishes isolated crashes from simultaneous crashes of many workers.
 class MassCrashDetector {
  public:
   struct Crash {
@@ -119,7 +119,7 @@
   explicit MassCrashDetector(const CrashOptions& options) : options_(options) {}
 
   /// Records a crash outside of trials. Calls must be in order of time;
-  /// IsMassCrash then tells whether the newest one belongs to a mass crash.
+  /// IsMassCrash then returns whether the newest one belongs to a mass crash.
   void Add(Crash crash);
   bool IsMassCrash() const {
     return crashes_.size() >= options_.mass_crash_size;
@@ -135,7 +135,8 @@
 };
 
 /// The workers reserved for trials of suspects: one per task, from its
-/// selection until the suspect was observed running for long enough or is gone.
+/// selection until the suspect was observed running for long enough or has
+/// ended.
 class CrashTrials {
  public:
   struct Trial {
--- a/src/include/doorwood/interference.h
+++ b/src/include/doorwood/interference.h
@@ -32,8 +32,8 @@
   double default_interference = 0.025;
   /// Share of an error that one report corrects. The factor of a pair is
   /// constant over hours, and reports scatter by a tenth. Over 27 days of three
-  /// sites, simulated twice, the total value for callers was 0.9% and 0.8%
-  /// higher at 0.15 than at 0.25.
+  /// deployments, simulated twice, the total value for callers was 0.9% and
+  /// 0.8% higher at 0.15 than at 0.25.
   double learning_rate = 0.15;
   /// Upper bound of a pair's factor, in utilization per core. On simulated days
   /// most pairs had 0.00 to 0.02, and disturbing ones 0.03 to 0.11.
@@ -74,9 +74,10 @@
   /// Returns the image's number and assigns one to an unknown image.
   ImageId Intern(std::string_view image);
 
-  /// Utilization of a task of `image` whose tail latency is `figure`
-  /// milliseconds.
-  double Utilization(ImageId image, int64_t figure, Millis target) const;
+  /// Utilization of a task of `image` whose tail latency is `tail_latency_ms`.
+  double Utilization(ImageId image,
+                     int64_t tail_latency_ms,
+                     Millis target) const;
   /// Utilization at which the tail latency equals `share` of the target.
   double UtilizationAtShare(ImageId image, Millis target, double share) const;
   /// Utilization that a core of `best_effort_image` adds to tasks of `serving`.
@@ -85,10 +86,10 @@
   }
 
   /// Updates the model from one report of a serving task and the best-effort
-  /// work beside it. `load` is the task's own utilization so far, negative if
-  /// it is not known yet. Returns the new one.
+  /// work beside it. `load` is the current estimate of the task's own
+  /// utilization, negative if there is none yet. Returns the new estimate.
   double Observe(ImageId serving,
-                 int64_t figure,
+                 int64_t tail_latency_ms,
                  Millis target,
                  std::span<const BestEffortLoad> best_effort,
                  double load);
--- a/src/include/doorwood/lasting_room.h
+++ b/src/include/doorwood/lasting_room.h
@@ -28,9 +28,9 @@
   /// thousands: 20.1 at 0.9, 21.0 at 0.8, 20.9 at 0.7, 20.6 at 0.6).
   double raised_share = 0.8;
   /// No more long-running work is admitted while other work uses more than this
-  /// share of what serving work leaves. On quiet days the use was 0.4 to 0.97,
-  /// briefly 1.13, while other work was in time; it rose from 1.15 to 1.68
-  /// where other work was late.
+  /// share of what serving work leaves. On days with light load the use was 0.4
+  /// to 0.97, briefly 1.13, while other work met its objectives; it rose from
+  /// 1.15 to 1.68 where other work was late.
   double max_use = 0.85;
   /// Below this use more long-running work may be admitted.
   double low_use = 0.65;
@@ -47,8 +47,7 @@
 struct ServiceLoad {
   /// Processors that serving work leaves to other work.
   double available = 0;
-  /// Processors requested by other work that runs, or that lacks only a
-  /// placement.
+  /// Processors requested by other work that runs or is ready but unplaced.
   double requested = 0;
 };
 
@@ -76,7 +75,7 @@
   const LongRunningAdmissionOptions options_;
   double peak_use_ = 0;
   Instant observed_{};
-  /// Since when other work is present; zero: it has not been seen yet.
+  /// Since when other work is present; zero: none was observed yet.
   Instant present_since_{};
 };
 
--- a/src/include/doorwood/run_times.h
+++ b/src/include/doorwood/run_times.h
@@ -34,8 +34,8 @@
  public:
   explicit RunTimeModel(const RunTimeOptions& options) : options_(options) {}
 
-  /// Records that a task of a step of `count` equal tasks ran for `taken` at
-  /// full speed.
+  /// Records that a task of a step of `count` equal tasks ran for `run_time`
+  /// at full speed.
   void Observe(std::string_view queue,
                int count,
                Millis estimate,
--- a/src/libdoorwood/policy/cell_policy.cpp
+++ b/src/libdoorwood/policy/cell_policy.cpp
@@ -107,7 +107,8 @@
   const auto chain = static_cast<double>(LongestChain(plan, run_times).count());
   const double objective = queue.max_slowdown * chain +
                            static_cast<double>(queue.latency_target.count());
-  const int64_t left = RemainingChain(plan, step, run_times).count();
+  const int64_t left =
+      RemainingCriticalPathLength(plan, step, run_times).count();
   const int64_t latest_on_time =
       due_at + static_cast<int64_t>(objective) - left;
   if (now <= latest_on_time) {
@@ -132,9 +133,9 @@
   return cpu;
 }
 
-Millis RemainingChain(const JobPlan& plan,
-                      int step,
-                      std::span<const Millis> run_times) {
+Millis RemainingCriticalPathLength(const JobPlan& plan,
+                                   int step,
+                                   std::span<const Millis> run_times) {
   // Longest path from `step` to any end, computed from the last step backwards.
   const size_t count = plan.steps.size();
   std::vector<Millis> remaining(count, Millis(0));
@@ -192,10 +193,10 @@
   const double best_effort_share =
       ShareUsed(worker.best_effort_cpu, worker.capacity.cpu_millis);
   if (step.latency_target > Millis(0)) {
-    // Serving tasks fill one worker after another, which leaves whole workers
-    // to best-effort work. Among equally full workers, tasks of one image stay
-    // together, so that more kinds of best-effort work find a worker on which
-    // they disturb no serving task.
+    // Serving tasks are packed on one worker after another, which leaves whole
+    // workers to best-effort work. Among equally full workers, tasks of one
+    // image stay together, so that more kinds of best-effort work find a worker
+    // on which they disturb no serving task.
     score += kStrongWeight * reserved;
     score += ShareOfImage(worker, need.image);
     score -= best_effort_share;
--- a/src/libdoorwood/policy/cell_policy_test.cpp
+++ b/src/libdoorwood/policy/cell_policy_test.cpp
@@ -13,8 +13,8 @@
 
 struct PolicyFixture {
   PolicyFixture() {
-    // Round shares instead of the defaults, so that rows count in whole
-    // workers.
+    // Round shares instead of the defaults, so that the limits are easy to
+    // compute.
     options.best_effort_cpu_share = 1.0;
     options.serving_cpu_use_ratio = 0.5;
     worker.id = "w1";
@@ -128,8 +128,8 @@
 }
 
 // Twenty jobs of one size where ten fit in time: ordered by the latest start,
-// all progress together and all are late; ordered by remaining work, ten are in
-// time.
+// all progress together and all are late; ordered by remaining work, ten
+// finish in time.
 BOOST_AUTO_TEST_CASE(RankStep_MoreThanCapacity_LeastWorkLeftGoesFirst) {
   JobPlan plan = fakes::MakePlan(kId, 2, 10, "");
   const std::vector<Millis> run_times{Millis(300), Millis(300)};
@@ -145,7 +145,7 @@
     return RankStep(job.plan, queue, step, due, run_times,
                     WorkLeft(job, 0, run_times), 1000, PolicyOptions{});
   };
-  // Although the other job was due earlier and has more steps to go.
+  // Although the other job was due earlier and has more remaining steps.
   BOOST_TEST((rank(*begun, 1, 500) < rank(*fresh, 0, 0)));
   // A late job comes after all that are on time.
   BOOST_TEST((rank(*fresh, 0, 0) < rank(*begun, 1, -2000)));
@@ -166,11 +166,12 @@
   BOOST_TEST(full > PlaceScore(step, need, worker, model));
 }
 
-BOOST_AUTO_TEST_CASE(RemainingChain_MiddleStep_LeavesOutEarlierOnes) {
+BOOST_AUTO_TEST_CASE(
+    RemainingCriticalPathLength_MiddleStep_LeavesOutEarlierOnes) {
   const JobPlan plan = fakes::MakePlan(kId, 3, 1, "");
   const std::vector<Millis> run_times{Millis(300), Millis(300), Millis(300)};
-  BOOST_TEST(RemainingChain(plan, 0, run_times).count() == 900);
-  BOOST_TEST(RemainingChain(plan, 2, run_times).count() == 300);
+  BOOST_TEST(RemainingCriticalPathLength(plan, 0, run_times).count() == 900);
+  BOOST_TEST(RemainingCriticalPathLength(plan, 2, run_times).count() == 300);
 }
 
 BOOST_AUTO_TEST_CASE(WorkerQuarantine_ThreeJobsFail_ClosesThenProbes) {
@@ -182,8 +183,8 @@
   BOOST_TEST(quarantine.AllowsStart("w", start));
   quarantine.OnFailure("w", "c", start);
   BOOST_TEST(!quarantine.AllowsStart("w", start + Millis(3999)));
-  // This also holds beside long-running tasks that never end: in day scale-1 of
-  // site kgs such a worker stayed closed for good.
+  // This also holds for a worker with long-running tasks, which never end: in a
+  // simulated day such a worker once stayed quarantined permanently.
   const Instant reopened = start + Millis(4000);
   BOOST_TEST(quarantine.AllowsStart("w", reopened));
   quarantine.OnStart("w", reopened);
--- a/src/libdoorwood/policy/crash_guard.cpp
+++ b/src/libdoorwood/policy/crash_guard.cpp
@@ -9,12 +9,12 @@
 namespace doorwood {
 namespace {
 
-// Number of different machines that crashed in trials of a task after which it
-// is given up: with a confirmed process restart, and in total.
+// A task is given up once this many different machines crashed in its trials:
+// with a confirmed process restart, and in total.
 constexpr size_t kConfirmedTrialCrashesToGiveUp = 2;
 constexpr size_t kTrialCrashesToGiveUp = 3;
-// Number of crashes as a suspect, which may have another cause, after which the
-// task is given up, and how many of them must be confirmed.
+// A task is given up after this many crashes as a suspect, which may have
+// another cause, if at least `kMinConfirmedCrashes` of them are confirmed.
 constexpr size_t kSuspectCrashesToGiveUp = 5;
 constexpr size_t kMinConfirmedCrashes = 2;
 
--- a/src/libdoorwood/policy/crash_guard_test.cpp
+++ b/src/libdoorwood/policy/crash_guard_test.cpp
@@ -12,23 +12,23 @@
 constexpr CrashOptions kOptions;
 constexpr Instant kNow(Millis(1'000'000));
 
-CrashNote Alone(uint32_t run, const std::string& machine) {
+CrashNote AloneCrash(uint32_t run, const std::string& machine) {
   return {run, machine, machine + "+", CrashEvidence::kRestarted, true, true};
 }
 
-CrashNote Beside(uint32_t run, const std::string& machine) {
+CrashNote CrashBesideOthers(uint32_t run, const std::string& machine) {
   return {run, machine, machine + "+", CrashEvidence::kRestarted, true, false};
 }
 
-CrashNote Vanished(uint32_t run, const std::string& machine) {
+CrashNote VanishedCrash(uint32_t run, const std::string& machine) {
   return {run, machine, machine + "+", CrashEvidence::kVanished, true, true};
 }
 
-CrashNote Unconfirmed(uint32_t run) {
+CrashNote UnconfirmedCrash(uint32_t run) {
   return {run, "", "", CrashEvidence::kUnconfirmed, true, false};
 }
 
-CrashNote Bystander(uint32_t run, const std::string& machine) {
+CrashNote BystanderCrash(uint32_t run, const std::string& machine) {
   return {run, machine, machine + "+", CrashEvidence::kRestarted, false, false};
 }
 
@@ -37,7 +37,7 @@
           true, false,   true};
 }
 
-BOOST_AUTO_TEST_CASE(JudgeCrashes_Notes_GiveUpOnlyOnProof) {
+BOOST_AUTO_TEST_CASE(AssessCrashes_Notes_GiveUpOnlyOnProof) {
   using enum CrashVerdict;
   const struct {
     const char* name;
@@ -46,56 +46,62 @@
     bool likely;
   } rows[] = {
       {"none", {}, kSound, false},
-      {"once beside others", {Beside(1, "a")}, kSuspect, false},
-      {"once alone", {Alone(1, "a")}, kSuspect, true},
-      {"alone on two machines", {Alone(1, "a"), Alone(2, "b")}, kGivenUp, true},
+      {"once beside others", {CrashBesideOthers(1, "a")}, kSuspect, false},
+      {"once alone", {AloneCrash(1, "a")}, kSuspect, true},
+      {"alone on two machines",
+       {AloneCrash(1, "a"), AloneCrash(2, "b")},
+       kGivenUp,
+       true},
       {"alone on one machine twice",
-       {Alone(1, "a"), Alone(2, "a")},
+       {AloneCrash(1, "a"), AloneCrash(2, "a")},
        kSuspect,
        true},
       {"beside others, then alone",
-       {Beside(1, "a"), Alone(2, "b")},
+       {CrashBesideOthers(1, "a"), AloneCrash(2, "b")},
        kSuspect,
        true},
       {"three beside others",
-       {Beside(1, "a"), Beside(2, "b"), Beside(3, "c")},
+       {CrashBesideOthers(1, "a"), CrashBesideOthers(2, "b"),
+        CrashBesideOthers(3, "c")},
        kSuspect,
        false},
       {"four beside others",
-       {Beside(1, "a"), Beside(2, "b"), Beside(3, "c"), Beside(4, "d")},
+       {CrashBesideOthers(1, "a"), CrashBesideOthers(2, "b"),
+        CrashBesideOthers(3, "c"), CrashBesideOthers(4, "d")},
        kSuspect,
        false},
       {"five beside others",
-       {Beside(1, "a"), Beside(2, "b"), Beside(3, "c"), Beside(4, "d"),
-        Beside(5, "e")},
+       {CrashBesideOthers(1, "a"), CrashBesideOthers(2, "b"),
+        CrashBesideOthers(3, "c"), CrashBesideOthers(4, "d"),
+        CrashBesideOthers(5, "e")},
        kGivenUp,
        false},
       {"alone on two workers that vanished",
-       {Vanished(1, "a"), Vanished(2, "b")},
+       {VanishedCrash(1, "a"), VanishedCrash(2, "b")},
        kSuspect,
        true},
       {"alone on three workers that vanished",
-       {Vanished(1, "a"), Vanished(2, "b"), Vanished(3, "c")},
+       {VanishedCrash(1, "a"), VanishedCrash(2, "b"), VanishedCrash(3, "c")},
        kGivenUp,
        true},
       {"unconfirmed starts prove nothing",
-       {Alone(1, "a"), Unconfirmed(2), Unconfirmed(3), Unconfirmed(4),
-        Unconfirmed(5)},
+       {AloneCrash(1, "a"), UnconfirmedCrash(2), UnconfirmedCrash(3),
+        UnconfirmedCrash(4), UnconfirmedCrash(5)},
        kSuspect,
        true},
       {"unconfirmed starts count beside two crashes",
-       {Beside(1, "a"), Beside(2, "b"), Unconfirmed(3), Unconfirmed(4),
-        Unconfirmed(5)},
+       {CrashBesideOthers(1, "a"), CrashBesideOthers(2, "b"),
+        UnconfirmedCrash(3), UnconfirmedCrash(4), UnconfirmedCrash(5)},
        kGivenUp,
        false},
       {"many times a bystander",
-       {Bystander(1, "a"), Bystander(2, "b"), Bystander(3, "c"),
-        Bystander(4, "d"), Bystander(5, "e"), Bystander(6, "f")},
+       {BystanderCrash(1, "a"), BystanderCrash(2, "b"), BystanderCrash(3, "c"),
+        BystanderCrash(4, "d"), BystanderCrash(5, "e"), BystanderCrash(6, "f")},
        kSuspect,
        false},
-      {"once a bystander", {Bystander(1, "a")}, kSound, false},
+      {"once a bystander", {BystanderCrash(1, "a")}, kSound, false},
       {"twice a bystander",
-       {Bystander(1, "a"), Bystander(2, "b")},
+       {BystanderCrash(1, "a"), BystanderCrash(2, "b")},
        kSuspect,
        false},
       {"repeated mass crashes",
@@ -145,7 +151,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(TrialDuration_CrashesAtAnAge_IsTwiceTheLongest) {
-  CrashNote crash = Beside(1, "a");
+  CrashNote crash = CrashBesideOthers(1, "a");
   const auto trial = [&](int at_work, bool mass_crash) {
     crash.observed_running = Millis(at_work);
     crash.mass_crash = mass_crash;
@@ -209,15 +215,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(MassCrashDetector_ThreeWithinWindow_IsMassCrash) {
-  MassCrashDetector wave(kOptions);
-  wave.Add({kNow, {}});
-  wave.Add({kNow + kOptions.mass_crash_window, {}});
-  BOOST_TEST(!wave.IsMassCrash());
-  wave.Add({kNow + kOptions.mass_crash_window + Millis(1), {}});
-  BOOST_TEST(!wave.IsMassCrash());  // the first crash is outside the window
-  wave.Add({kNow + kOptions.mass_crash_window + Millis(2), {}});
-  BOOST_TEST(wave.IsMassCrash());
-  BOOST_TEST(wave.crashes().size() == 3U);
+  MassCrashDetector detector(kOptions);
+  detector.Add({kNow, {}});
+  detector.Add({kNow + kOptions.mass_crash_window, {}});
+  BOOST_TEST(!detector.IsMassCrash());
+  detector.Add({kNow + kOptions.mass_crash_window + Millis(1), {}});
+  BOOST_TEST(!detector.IsMassCrash());  // the first crash is outside the window
+  detector.Add({kNow + kOptions.mass_crash_window + Millis(2), {}});
+  BOOST_TEST(detector.IsMassCrash());
+  BOOST_TEST(detector.crashes().size() == 3U);
 }
 
 }  // namespace
--- a/src/libdoorwood/policy/interference.cpp
+++ b/src/libdoorwood/policy/interference.cpp
@@ -36,10 +36,10 @@
 }
 
 double InterferenceModel::Utilization(ImageId image,
-                                      int64_t figure,
+                                      int64_t tail_latency_ms,
                                       Millis target) const {
   const double base = BaseLatency(image, target);
-  const double tail = std::max(base, static_cast<double>(figure));
+  const double tail = std::max(base, static_cast<double>(tail_latency_ms));
   return 1.0 - base / tail;
 }
 
@@ -65,17 +65,17 @@
 }
 
 double InterferenceModel::Observe(ImageId serving,
-                                  int64_t figure,
+                                  int64_t tail_latency_ms,
                                   Millis target,
                                   std::span<const BestEffortLoad> best_effort,
                                   double load) {
-  if (figure <= 0 || target <= Millis(0)) {
+  if (tail_latency_ms <= 0 || target <= Millis(0)) {
     return load;
   }
-  const auto tail = static_cast<double>(figure);
+  const auto tail = static_cast<double>(tail_latency_ms);
   double& base = base_latency_[serving];
   base = base > 0 ? std::min(base, tail) : tail;
-  const double utilization = Utilization(serving, figure, target);
+  const double utilization = Utilization(serving, tail_latency_ms, target);
   double added = 0;
   double squares = 0;
   for (const BestEffortLoad& item : best_effort) {
--- a/src/libdoorwood/policy/lasting_room_test.cpp
+++ b/src/libdoorwood/policy/lasting_room_test.cpp
@@ -69,8 +69,9 @@
   BOOST_TEST(Share() == 80);
 }
 
-// Load of a deployment that is full on a quiet day: other work came to use 0.77
-// of what a share of 0.6 left, and requested 1.68 of what a share of 0.8 left.
+// Load of a deployment that is full even under light load: other work used 0.77
+// of the capacity that a share of 0.6 left, and requested 1.68 of the capacity
+// that a share of 0.8 left.
 BOOST_FIXTURE_TEST_CASE(Allows_RisingLoad_KeepsInitialShareThenAdmitsNone,
                         AdmissionFixture) {
   for (const double use : {0.25, 0.31, 0.54, 0.77, 0.78, 0.87}) {
--- a/src/libdoorwood/policy/pacing.cpp
+++ b/src/libdoorwood/policy/pacing.cpp
@@ -15,7 +15,8 @@
          static_cast<double>(std::max<int64_t>(1, task.target.count()));
 }
 
-// Utilization left up to the wanted one, for the serving task with the least.
+// Smallest difference between wanted and current utilization, over all serving
+// tasks.
 double Headroom(const std::vector<PacedServingTask>& serving,
                 const InterferenceModel& model,
                 const PolicyOptions& options) {
@@ -50,8 +51,8 @@
               return model.InterferencePerCore(worst.image, a.image) * a.cores >
                      model.InterferencePerCore(worst.image, b.image) * b.cores;
             });
-  // Far above the target, or over it for long, the model is unreliable, so
-  // everything stops.
+  // If a tail latency is far above its target, or above it for long, the model
+  // is unreliable, so all best-effort tasks stop.
   const bool stop_all = ShareOfTarget(worst) > options.stop_tail_share ||
                         worst.over_target_for >= options.max_over_target_time;
   double excess =
@@ -69,8 +70,8 @@
     const double relief =
         model.InterferencePerCore(worst.image, best_effort_task.image) *
         best_effort_task.cores;
-    // Share of the pace that remains if only the excess is removed; 0 if
-    // stopping the task does not remove all of it.
+    // Share of the pace that remains if only the excess utilization is removed;
+    // 0 if stopping the task does not remove all of the excess.
     const double remaining =
         !stop_all && relief > excess ? 1.0 - excess / relief : 0.0;
     decisions.push_back({best_effort_task.task,
--- a/src/libdoorwood/policy/pacing_test.cpp
+++ b/src/libdoorwood/policy/pacing_test.cpp
@@ -17,14 +17,14 @@
     for (int i = 0; i < 200; ++i) {
       const BestEffortLoad heavy_load[] = {{heavy, 4.0}};
       const BestEffortLoad light_load[] = {{light, 4.0}};
-      load = model.Observe(serving, TailAt(0.30 + 0.24), kTarget, heavy_load,
-                           load);
-      load = model.Observe(serving, TailAt(0.30 + 0.02), kTarget, light_load,
-                           load);
+      load = model.Observe(serving, TailLatencyAt(0.30 + 0.24), kTarget,
+                           heavy_load, load);
+      load = model.Observe(serving, TailLatencyAt(0.30 + 0.02), kTarget,
+                           light_load, load);
     }
   }
 
-  static int64_t TailAt(double strain) {
+  static int64_t TailLatencyAt(double strain) {
     return static_cast<int64_t>(30.0 / (1.0 - strain));
   }
 
@@ -64,8 +64,8 @@
   }
 }
 
-// The model considers both best-effort tasks harmless enough, and the last
-// reported latency happens to be low.
+// The model expects little interference from both best-effort tasks, and the
+// last reported latency is low.
 BOOST_FIXTURE_TEST_CASE(DecidePaces_OverTargetForLong_StopsAll, PacingFixture) {
   const std::vector<PacedServingTask> tasks{
       {serving, 120, kTarget, options.max_over_target_time},
@@ -97,9 +97,9 @@
 // Guards against best-effort work starving when it is paused beside serving
 // tasks. A task that does not save its progress was paused for up to 20 s at
 // 90% progress, while newer best-effort work was started on the same worker at
-// full speed and ended: the paused task added no interference, so its
-// processors looked free, and the newer work used up the headroom it waited
-// for.
+// full speed and ended. The paused task added no interference, so its
+// processors were considered free, and the newer work used up the headroom that
+// the paused task needed.
 //
 // In the log, the run was reported as overdue with pace 0, paced_ms 20,129 and
 // progress 90, while ten other runs started and ended on that worker.
--- a/src/libdoorwood/policy/place_search.cpp
+++ b/src/libdoorwood/policy/place_search.cpp
@@ -10,8 +10,8 @@
 
 constexpr double kNoScore = -std::numeric_limits<double>::infinity();
 // Maximum number of entries; the one with the oldest pass is evicted first.
-// Bounds the comparisons per step and pass: a day with 490 workers needs about
-// 20.
+// Bounds the comparisons per step and pass: a simulated day with 490 workers
+// needs about 20 entries.
 constexpr size_t kMaxEntries = 128;
 
 bool IsAtLeast(const Resources& size, const Resources& least) {
--- a/src/libdoorwood/policy/run_times_test.cpp
+++ b/src/libdoorwood/policy/run_times_test.cpp
@@ -9,12 +9,12 @@
 
 constexpr char kQueue[] = "queue";
 
-BOOST_AUTO_TEST_CASE(Expect_NothingObserved_IsTheEstimate) {
+BOOST_AUTO_TEST_CASE(ExpectedRunTime_NothingObserved_IsTheEstimate) {
   const RunTimeModel model{RunTimeOptions{}};
   BOOST_TEST(model.Expect(kQueue, Millis(700)).count() == 700);
 }
 
-BOOST_AUTO_TEST_CASE(Expect_UninformativeEstimates_IsTheUsualTime) {
+BOOST_AUTO_TEST_CASE(ExpectedRunTime_UninformativeEstimates_IsTheUsualTime) {
   RunTimeModel model{RunTimeOptions{}};
   const int64_t estimates[] = {100, 300, 1000, 3000, 9000};
   for (int i = 0; i < 200; ++i) {
@@ -24,7 +24,7 @@
   BOOST_TEST(model.Expect(kQueue, Millis(9000)).count() < 1900);
 }
 
-BOOST_AUTO_TEST_CASE(Expect_EstimatesHalfTheTime_DoublesThem) {
+BOOST_AUTO_TEST_CASE(ExpectedRunTime_EstimatesHalfTheTime_DoublesThem) {
   RunTimeModel model{RunTimeOptions{}};
   for (int i = 0; i < 200; ++i) {
     const Millis estimate(100 + 150 * (i % 20));
@@ -35,7 +35,7 @@
   BOOST_TEST(expected < 2100);
 }
 
-BOOST_AUTO_TEST_CASE(Expect_OtherQueue_LearnsNothing) {
+BOOST_AUTO_TEST_CASE(ExpectedRunTime_OtherQueue_LearnsNothing) {
   RunTimeModel model{RunTimeOptions{}};
   model.Observe(kQueue, 1, Millis(100), Millis(5000));
   BOOST_TEST(model.Expect("other", Millis(100)).count() == 100);
