--- a/src/include/doorwood/wave_keeper.h
+++ b/src/include/doorwood/wave_keeper.h
@@ -2,7 +2,8 @@
 
 /// \file
 /// Carries out the operators' upkeep waves: evacuates machines and takes them
-/// down, a few at a time, and reports to the operators when all were down.
+/// down, a few at a time, and reports to the operators once every machine was
+/// down.
 
 #ifndef DOORWOOD_WAVE_KEEPER_H_
 #define DOORWOOD_WAVE_KEEPER_H_
@@ -46,7 +47,7 @@
   kMustNotStop,
 };
 
-/// The cell's part in a wave: evacuating workers.
+/// Interface to the cell's evacuation of workers.
 class WorkerEvacuator {
  public:
   virtual ~WorkerEvacuator() = default;
@@ -110,7 +111,7 @@
   void Advance(Wave* wave);
   void StartEvacuations(Wave* wave);
   void Evacuate(Wave* wave, const std::string& machine, Progress* progress);
-  void Order(int64_t number, const std::string& machine);
+  void OrderUpkeepOf(int64_t number, const std::string& machine);
   void OnOrdered(int64_t number,
                  const std::string& machine,
                  std::error_code error);
@@ -121,7 +122,8 @@
                        std::error_code error,
                        const StoreCommit& commit);
   bool HasOpenWave() const;
-  static int CountIn(const Wave& wave, std::initializer_list<Stage> stages);
+  static int CountInStages(const Wave& wave,
+                           std::initializer_list<Stage> stages);
 
   Executor& executor_;
   RecordStore& store_;
--- a/src/libdoorwood/pool/wave_keeper.cpp
+++ b/src/libdoorwood/pool/wave_keeper.cpp
@@ -11,14 +11,15 @@
 namespace doorwood {
 namespace {
 
-// A machine that is missing from this many consecutive lists is gone for good.
+// A machine that is missing from this many consecutive lists is treated as
+// permanently removed.
 constexpr int kMissedListsUntilGone = 3;
 
 std::string WaveKey(std::string_view cell, int64_t wave) {
   return CellPrefix(cell) + "wave/" + std::to_string(wave);
 }
 
-std::set<std::string> DecodeDone(std::string_view text) {
+std::set<std::string> DecodeFinishedMachines(std::string_view text) {
   std::set<std::string> done;
   const auto json = ParseJson(text);
   if (json && json->is_array()) {
@@ -74,8 +75,8 @@
   });
 }
 
-int UpkeepWaveController::CountIn(const Wave& wave,
-                                  std::initializer_list<Stage> stages) {
+int UpkeepWaveController::CountInStages(const Wave& wave,
+                                        std::initializer_list<Stage> stages) {
   return static_cast<int>(std::count_if(
       wave.machines.begin(), wave.machines.end(), [&](const auto& entry) {
         return std::find(stages.begin(), stages.end(), entry.second.stage) !=
@@ -160,7 +161,8 @@
                if (error && error != make_error_code(KvErrc::kNotFound)) {
                  return;  // read again with the next list of waves
                }
-               const auto done = DecodeDone(error ? "" : item.value);
+               const auto done =
+                   DecodeFinishedMachines(error ? "" : item.value);
                Wave& wave = waves_[plan.number];
                wave.plan = plan;
                for (const std::string& machine : plan.machines) {
@@ -235,7 +237,7 @@
       Evacuate(wave, machine, &progress);
     } else if (progress.stage == Stage::kOrdered && !progress.order_in_flight &&
                executor_.Now() >= progress.retry_at) {
-      Order(wave->plan.number, machine);
+      OrderUpkeepOf(wave->plan.number, machine);
     }
     all_down = all_down && (progress.stage == Stage::kDown ||
                             progress.stage == Stage::kDone);
@@ -248,8 +250,9 @@
 
 void UpkeepWaveController::StartEvacuations(Wave* wave) {
   // As many machines are evacuated as may be down at a time, so that the next
-  // ones are ready when the current ones are back.
-  int free_slots = wave->plan.max_down - CountIn(*wave, {Stage::kEvacuating});
+  // ones are empty when the current ones are up again.
+  int free_slots =
+      wave->plan.max_down - CountInStages(*wave, {Stage::kEvacuating});
   for (auto& [machine, progress] : wave->machines) {
     const auto listed = machines_.find(machine);
     if (free_slots <= 0) {
@@ -280,8 +283,9 @@
       executor_.Now() - progress->since < options_.evacuation_grace;
   const bool may_stop = occupancy == Occupancy::kEmpty ||
                         (occupancy == Occupancy::kRestartable && !in_grace);
-  // A machine of the wave that is down for another reason counts as well.
-  int down = CountIn(*wave, {Stage::kOrdered, Stage::kDown});
+  // A machine of the wave that is down for another reason also counts towards
+  // the wave's limit.
+  int down = CountInStages(*wave, {Stage::kOrdered, Stage::kDown});
   for (const auto& [id, other] : wave->machines) {
     const auto seen = machines_.find(id);
     const bool counted =
@@ -294,11 +298,12 @@
   if (may_stop && down < wave->plan.max_down &&
       listed->second.state == MachineState::kUp) {
     progress->stage = Stage::kOrdered;
-    Order(wave->plan.number, machine);
+    OrderUpkeepOf(wave->plan.number, machine);
   }
 }
 
-void UpkeepWaveController::Order(int64_t number, const std::string& machine) {
+void UpkeepWaveController::OrderUpkeepOf(int64_t number,
+                                         const std::string& machine) {
   waves_.at(number).machines.at(machine).order_in_flight = true;
   platform_->OrderUpkeep(
       {machine, number, holder_, static_cast<uint64_t>(epoch_)},
--- a/src/libdoorwood/pool/wave_keeper_test.cpp
+++ b/src/libdoorwood/pool/wave_keeper_test.cpp
@@ -45,7 +45,7 @@
     world.waves().push_back(wave);
   }
   // Number of machines that were taken down for the wave exactly once.
-  int TakenDownOnce() {
+  int CountTakenDownOnce() {
     int once = 0;
     for (const auto& [id, machine] : world.machines()) {
       const auto count = machine.upkeep_counts.find(1);
@@ -77,7 +77,7 @@
   world.Run(Millis(2500));
   BOOST_TEST(Status() == "running");
   world.Run(Millis(25'000));
-  BOOST_TEST(TakenDownOnce() == 6);
+  BOOST_TEST(CountTakenDownOnce() == 6);
   BOOST_TEST(Status() == "completed");
 }
 
@@ -85,7 +85,7 @@
   world.Submit(fakes::MakePlan(kJob, 4, 12, "ms=1500"));
   RequestWave(2);
   world.Run(Millis(40'000));
-  BOOST_TEST(TakenDownOnce() == 6);
+  BOOST_TEST(CountTakenDownOnce() == 6);
   BOOST_TEST(world.runs_lost_to_upkeep() == 0);
   BOOST_TEST((world.StateOf(kJob) == JobPhase::kCompleted));
 }
@@ -108,7 +108,7 @@
     fewest = std::min(fewest, running);
   }
   BOOST_TEST(fewest >= 2);
-  BOOST_TEST(TakenDownOnce() == 6);
+  BOOST_TEST(CountTakenDownOnce() == 6);
   BOOST_TEST(Status() == "completed");
 }
 
@@ -117,7 +117,7 @@
   SubmitLongRunning(1, 0);
   RequestWave(2);
   world.Run(Millis(40'000));
-  BOOST_TEST(TakenDownOnce() == 5);
+  BOOST_TEST(CountTakenDownOnce() == 5);
   BOOST_TEST(world.runs_lost_to_upkeep() == 0);
   BOOST_TEST(Status() == "running");
 }
@@ -127,17 +127,17 @@
   world.Leader()->machine_replies_to_lose = 4;
   RequestWave(1);
   world.Run(Millis(40'000));
-  BOOST_TEST(TakenDownOnce() == 6);
+  BOOST_TEST(CountTakenDownOnce() == 6);
   BOOST_TEST(Status() == "completed");
 }
 
 BOOST_FIXTURE_TEST_CASE(Wave_LeaderDies_SuccessorCompletesIt, WaveFixture) {
   RequestWave(1);
   world.Run(Millis(9000));
-  BOOST_TEST(TakenDownOnce() > 0);
+  BOOST_TEST(CountTakenDownOnce() > 0);
   world.Kill(world.Leader()->name);
   world.Run(Millis(45'000));
-  BOOST_TEST(TakenDownOnce() == 6);
+  BOOST_TEST(CountTakenDownOnce() == 6);
   BOOST_TEST(Status() == "completed");
 }
 
@@ -146,7 +146,7 @@
   world.machines().erase("m-w3");
   world.CrashWorker("w3");
   world.Run(Millis(30'000));
-  BOOST_TEST(TakenDownOnce() == 5);
+  BOOST_TEST(CountTakenDownOnce() == 5);
   BOOST_TEST(Status() == "completed");
 }
 
