--- a/src/include/doorwood/job_table.h
+++ b/src/include/doorwood/job_table.h
@@ -2,7 +2,7 @@
 
 /// \file
 /// State of each job and task of a cell. A pure data structure: events change
-/// its state; it keeps no time and makes no calls.
+/// its state; it reads no clock and makes no calls.
 
 #ifndef DOORWOOD_JOB_TABLE_H_
 #define DOORWOOD_JOB_TABLE_H_
@@ -25,7 +25,7 @@
 
 struct Job;
 
-/// Evidence for a crash of a worker while a task was there.
+/// Evidence for a crash of a worker while a run of a task was there.
 enum class CrashEvidence {
   /// Another incarnation of the worker answered in its place.
   kRestarted,
@@ -61,12 +61,14 @@
   friend bool operator==(const CrashNote&, const CrashNote&) = default;
 };
 
-/// To what extent `Task::place` is recorded in the store.
+/// To what extent `Task::assigned_worker` is recorded in the store.
 enum class AssignmentRecord {
-  /// The newest record of the job holds it.
+  /// The newest record of the job contains the task's assigned worker.
   kRecorded,
-  /// A batch whose outcome is not known yet holds it.
+  /// A batch of records whose outcome is not known yet contains the task's
+  /// assigned worker.
   kInFlight,
+  /// The store does not have the assigned worker, and no batch contains it.
   kChanged,
 };
 
@@ -82,13 +84,13 @@
   /// Highest run number assigned or reported.
   uint32_t last_run = 0;
   /// Highest run whose end is counted. An end at or below it is a duplicate, or
-  /// arrives after the run was given up. Of such an end only these still count:
-  /// `done`, a failure that is not counted yet, and the checkpoint of the
-  /// newest run.
+  /// arrives after the run was given up. Of such an end only these still have
+  /// an effect: `done`, a failure that is not counted yet, and the checkpoint
+  /// of the newest run.
   uint32_t counted_run = 0;
   /// Runs that failed, each once, in the order of their reports: after a
   /// takeover the end of an earlier run may be reported later. For a gang, the
-  /// first task holds the failures of all.
+  /// first task records the failures of all.
   std::vector<uint32_t> failed_runs;
   std::string checkpoint;
   /// Crashes since the task was last observed running for long, one per run.
@@ -100,7 +102,7 @@
   std::string assigned_worker;
   AssignmentRecord assignment_record = AssignmentRecord::kRecorded;
 
-  /// The store does not hold the newest crash yet.
+  /// The newest crash is not recorded in the store yet.
   bool crash_unrecorded = false;
   /// A crash of kind CrashEvidence::kUnconfirmed is possible but not noted yet.
   bool crash_unconfirmed = false;
@@ -169,7 +171,7 @@
   /// A task of the job has started.
   bool started = false;
   int repetitions_done = 0;
-  /// The store does not hold the newest state yet.
+  /// The newest state is not recorded in the store yet.
   bool dirty = false;
   /// A task of the job waits until its newest crash is recorded in the store.
   bool crash_unrecorded = false;
@@ -183,8 +185,8 @@
 int64_t DueAt(const Job& job, int repetition);
 bool IsDue(const Job& job, int repetition, int64_t now);
 
-/// Processors, in thousandths, of the job's tasks that lack only a placement
-/// and are not long-running. `now` is in milliseconds since 1970.
+/// Processors, in thousandths, that the job's ready but unplaced tasks request,
+/// without long-running tasks. `now` is in milliseconds since 1970.
 int64_t WaitingCpu(const Job& job, int64_t now);
 
 /// Calls `each` with every task of every repetition of the job.
@@ -229,9 +231,9 @@
   /// Whether all steps that `step` depends on are done in the given repetition.
   static bool IsUnblocked(const Job& job, int repetition, int step);
 
-  /// Counts the end of a run, including one that was given up before its worker
-  /// reported. `max_attempts` is the queue's limit; long-running tasks have
-  /// none. The end of a gang's run counts once for all of its tasks.
+  /// Applies the end of a run to its task, even if the run was given up before
+  /// its worker reported. `max_attempts` is the queue's limit; long-running
+  /// tasks have none. The end of a gang's run counts once for all of its tasks.
   EndEffect CountEnd(Task* task,
                      uint32_t run,
                      RunEnd end,
@@ -247,8 +249,8 @@
   /// Removes the note of a trial that ended without a crash or did not start.
   /// Returns whether there was one.
   static bool RemoveTrial(Task* task);
-  /// Changes where the task may run. Returns false if the store already holds
-  /// this value.
+  /// Changes where the task may run. Returns false if `worker` is already
+  /// recorded in the store as the assigned worker.
   static bool SetAssignedWorker(Task* task, const std::string& worker);
   /// Finishes the job. Returns false if it is already finished.
   bool Finish(Job* job, JobOutcome outcome);
--- a/src/include/doorwood/types.h
+++ b/src/include/doorwood/types.h
@@ -97,8 +97,8 @@
   std::string on;
   /// Tasks with a higher number are evicted first; 0 to 100.
   int yields = 50;
-  /// If false, the task is started at most once, unless it is proved that the
-  /// earlier start never took place.
+  /// If false, the task is started again only if it is proved that the earlier
+  /// start never took effect.
   bool repeatable = true;
   /// Highest number of starts that may end in failure.
   int max_attempts = 3;
@@ -147,7 +147,7 @@
 /// Role of an instance in the platform's directory.
 enum class InstanceRole { kEntry, kWorker, kBackend };
 
-/// One entry of the platform's directory of instances, which lags behind.
+/// One entry of the platform's directory of instances, which may be outdated.
 struct InstanceInfo {
   std::string id;
   InstanceRole role = InstanceRole::kWorker;
--- a/src/libdoorwood/job/job_plan.cpp
+++ b/src/libdoorwood/job/job_plan.cpp
@@ -206,7 +206,7 @@
   auto plan =
       DecodeObject(text, [](const Json& json) { return json.get<JobPlan>(); });
   // Every accepted plan was validated before it was recorded. An invalid one
-  // was written by something else and is not used.
+  // was written by another program and is ignored.
   return plan && !FindProblem(*plan) ? plan : std::nullopt;
 }
 
--- a/src/libdoorwood/job/job_table.cpp
+++ b/src/libdoorwood/job/job_table.cpp
@@ -283,10 +283,10 @@
   const bool given_up = run <= task->counted_run;
   task->counted_run = std::max(task->counted_run, run);
   // This includes a run that was given up without a report: its worker
-  // completed it within its lease, and the result stands, whatever was ordered
-  // since. Without this rule 3,400 to 4,681 tasks were started again within 80
-  // s of an overload with unreachable workers (five simulated runs, counted in
-  // the leader's log).
+  // completed it within its lease, so the result is valid even if further runs
+  // were ordered since. Without this rule 3,400 to 4,681 tasks were started
+  // again within 80 s of an overload with unreachable workers (five simulated
+  // runs, counted in the leader's log).
   if (end == RunEnd::kDone && !task->plan().long_running) {
     job->dirty = true;
     MarkDone(task);
@@ -381,7 +381,8 @@
 constexpr size_t kCrashesColumn = 8;
 constexpr size_t kPlaceColumn = 9;
 
-// [run, machine, worker, evidence, suspect, alone, one of many, at work]
+// [run, machine, worker, evidence, suspect, in trial, mass crash, observed
+// running (ms)]
 Json EncodeCrash(const CrashNote& crash) {
   return Json::array({crash.run, crash.machine, crash.worker,
                       static_cast<int>(crash.evidence), crash.suspect ? 1 : 0,
@@ -410,8 +411,8 @@
 }
 
 // [time, step, index, last run, counted run, failed runs, checkpoint, done],
-// followed by the crashes and the place where there are any. Older versions
-// ignore these extra columns.
+// followed by the crashes and the assigned worker if there are any. Older
+// versions ignore these extra columns.
 Json EncodeTask(const Task& task) {
   Json row = Json::array({task.repetition, task.step, task.index, task.last_run,
                           task.counted_run, task.failed_runs, task.checkpoint,
--- a/src/libdoorwood/job/job_table_test.cpp
+++ b/src/libdoorwood/job/job_table_test.cpp
@@ -40,8 +40,8 @@
        false,
        3,
        JobOutcome::kFailed},
-      // A new leader gets the workers' reports in any order: day trouble-1 of
-      // site kgs, seed 134162069050, started a task after three failed runs.
+      // A new leader gets the workers' reports in any order. In a simulated day
+      // (seed 134162069050) a task was started again after three failed runs.
       {"attempts used up, reported in reverse order",
        {{3, RunEnd::kFailed}, {2, RunEnd::kFailed}, {1, RunEnd::kFailed}},
        false,
@@ -140,7 +140,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(CountEnd_LastingTaskFails_HasNoLimit) {
+BOOST_AUTO_TEST_CASE(CountEnd_LongRunningTaskFails_HasNoLimit) {
   JobTable table;
   JobPlan plan = fakes::MakePlan(kId, 1, 1, "");
   plan.steps[0].long_running = true;
@@ -240,7 +240,7 @@
   }
 }
 
-// Guards against a successor that loses count of a task's crashes.
+// Guards against a successor that does not know of a task's earlier crashes.
 BOOST_AUTO_TEST_CASE(EncodeJobState_CrashesAndReason_AreRestored) {
   JobTable table;
   Job* job = table.Add(fakes::MakePlan(kId, 1, 2, ""));
