--- a/src/include/doorwood/live_directory.h
+++ b/src/include/doorwood/live_directory.h
@@ -25,8 +25,9 @@
 /// Prefix of the directory's keys in the store.
 inline constexpr std::string_view kLivePrefix = "doorwood/live/";
 std::string InstanceKey(std::string_view instance);
-/// Key without a lease: it stays when the instance's own key expires.
-std::string SeenKey(std::string_view instance);
+/// Key that records that the instance has registered. It has no lease, so it
+/// stays in the store when the instance's own key expires.
+std::string KnownInstanceKey(std::string_view instance);
 std::string LeadKey(std::string_view cell);
 /// Key that changes with each record of workers not yet contacted, so that all
 /// instances learn the age of that record.
@@ -51,7 +52,7 @@
   /// Store revision at which the lead was taken; serves as epoch and as fencing
   /// token.
   int64_t epoch = 0;
-  /// Random number that the winner drew for this one attempt.
+  /// Random number that the leader chose for this one attempt to take the lead.
   uint64_t nonce = 0;
 };
 
@@ -86,19 +87,19 @@
   Millis lease_ttl{2000};
   Millis lease_renewal_interval{500};
   Millis watch_wait{5000};
-  /// Interval of full reads, which find what a watch has missed.
+  /// Interval of full reads, which find changes that a watch has missed.
   Millis list_interval{2500};
   Millis retry_pause{150};
   /// Once the store has not answered for `store_silence_threshold`, the other
-  /// instances are queried every `ask_interval` whether they reach it.
+  /// instances are queried every `query_interval` whether they reach it.
   Millis store_silence_threshold{800};
-  Millis ask_interval{400};
+  Millis query_interval{400};
   /// How long an answer of another instance is valid, from the time of the
   /// query.
   Millis answer_validity{1500};
-  /// How long an instance whose key is gone is still queried, because the store
-  /// may serve it again and let it lead. As long as an instance that is
-  /// permanently gone is queried, an outage of the store cannot be confirmed
+  /// How long an instance whose key has disappeared is still queried, because
+  /// the store may serve it again and let it lead. As long as an instance that
+  /// never returns is queried, an outage of the store cannot be confirmed
   /// for all instances.
   Millis gone_retention{60'000};
   /// The store counts as refusing this instance but serving others if it has
@@ -139,10 +140,12 @@
   /// When the store confirmed this instance's key; empty while the key is not
   /// known to be in the store.
   std::optional<Instant> registered_since() const { return registered_since_; }
-  /// Revision of the registration from which on this process knows whether it
-  /// has agreed to unrecorded starts; every leader that has read the directory
-  /// up to there asks this process. 0 if there is none.
-  int64_t agreement_known_since() const { return agreeing_since_; }
+  /// Store revision of the registration since which this process has not agreed
+  /// to unrecorded starts and was never unregistered for so long that leaders
+  /// may no longer query it. Every leader that has read the directory up to
+  /// this revision asks this process. 0: not registered yet, or it has agreed
+  /// since.
+  int64_t agreement_known_since() const { return agreement_known_since_; }
   /// Agrees to unrecorded starts for as long as this instance cannot reach the
   /// store. Returns false, without agreeing, if it can.
   bool AgreeToUnrecordedStarts();
@@ -152,7 +155,7 @@
   /// considers is valid; zero if one of them has not agreed.
   Instant UnrecordedStartsAgreedUntil() const;
   /// Store revision up to which the directory is complete.
-  int64_t revision() const { return at_; }
+  int64_t revision() const { return revision_; }
   /// Earliest time in the kept history by which the store had reached the
   /// revision; empty if none is known.
   std::optional<Instant> RevisionReachedBy(int64_t revision) const;
@@ -179,7 +182,7 @@
   /// instances are queried.
   bool IsStoreSilent(Instant now) const;
   /// When the store last answered this process.
-  Instant last_store_answer_at() const { return store_heard_at_; }
+  Instant last_store_answer_at() const { return last_store_answer_at_; }
 
   const LiveInstance& self() const { return self_; }
   const std::map<std::string, LiveInstance>& instances() const {
@@ -187,16 +190,16 @@
   }
   const std::map<std::string, CellLead>& leads() const { return leads_; }
   /// True once the directory has been read.
-  bool loaded() const { return known_; }
+  bool loaded() const { return loaded_; }
   /// Starts a full read of the directory unless one is running.
   void Refresh();
-  /// Enters a lead that this process has just won.
+  /// Adds a lead that this process has just taken.
   void SetLead(const CellLead& lead);
   /// Removes a lead that this process has just released.
   void RemoveLead(const std::string& cell);
 
  private:
-  /// An instance whose key is gone, and since when.
+  /// An instance whose key has disappeared from the store, and since when.
   struct GoneInstance {
     LiveInstance instance;
     Instant since{};
@@ -224,10 +227,11 @@
   /// before.
   Instant AnswersValidUntil(Instant asked) const;
   void MarkGone(const LiveInstance& instance);
-  void ApplySeen(const std::string& name, const StoreItem& item);
-  /// True if the instance went so recently that it may return and take a lead.
+  void ApplyKnownInstance(const std::string& name, const StoreItem& item);
+  /// True if the instance's key disappeared so recently that the instance may
+  /// return and take a lead.
   bool MayReturn(const GoneInstance& gone) const;
-  void RemoveOneStaleSeenKey();
+  void RemoveOneStaleKnownInstanceKey();
   /// Number of leads that this instance holds according to the directory.
   size_t CountOwnLeads() const;
 
@@ -242,22 +246,22 @@
   bool stopped_ = false;
   std::optional<int64_t> lease_;
   Instant lease_valid_until_{};
-  Instant store_heard_at_{};
+  Instant last_store_answer_at_{};
   std::optional<Instant> registered_since_;
-  bool known_ = false;
+  bool loaded_ = false;
   bool listing_ = false;
-  int64_t at_ = 0;
-  /// Revisions that the store had reached and when this process learned of
-  /// them; both in ascending order.
+  int64_t revision_ = 0;
+  /// Store revisions, each with the time at which this process learned that the
+  /// store had reached it; both in ascending order.
   std::deque<std::pair<int64_t, Instant>> revision_times_;
   std::map<std::string, LiveInstance> instances_;
   std::map<std::string, GoneInstance> gone_;
-  /// By instance that has ever registered and is not permanently gone: the
-  /// revision of its key under `SeenKey`.
-  std::map<std::string, int64_t> seen_;
-  bool seen_removal_pending_ = false;
+  /// By instance that has ever registered and was not removed as permanently
+  /// gone: the revision of its `KnownInstanceKey`.
+  std::map<std::string, int64_t> known_instances_;
+  bool known_instance_removal_pending_ = false;
   std::map<std::string, CellLead> leads_;
-  /// By cell; kept when the lead is gone.
+  /// Epoch of the newest known lead, by cell; kept after the lead has ended.
   std::map<std::string, int64_t> last_epochs_;
   /// By instance: when the query was sent to which it last answered that it
   /// cannot reach the store.
@@ -266,7 +270,7 @@
   /// `RequestAgreement`.
   std::map<std::string, Instant> agreed_at_;
   bool needs_agreement_ = false;
-  int64_t agreeing_since_ = 0;
+  int64_t agreement_known_since_ = 0;
   /// Number of times that this instance has agreed to unrecorded starts.
   uint64_t agreement_count_ = 0;
   /// When the store was last known to have this instance's key.
--- a/src/include/doorwood/membership.h
+++ b/src/include/doorwood/membership.h
@@ -25,15 +25,16 @@
   /// heartbeat.
   Millis heartbeat_timeout{2000};
   /// An instance becomes a candidate holder and owner only this long after its
-  /// first heartbeat, so that one that keeps appearing and disappearing does
-  /// not move workers and shards.
+  /// first heartbeat, so that an instance that repeatedly appears and
+  /// disappears does not cause reassignments of workers and shards.
   Millis settle_time{1000};
   /// How long a worker is kept after it left the platform's list.
   Millis worker_retention{20000};
 };
 
 /// Returns the candidate that `key` is assigned to by rendezvous (highest
-/// random weight) hashing. When a candidate is removed, only its own keys move.
+/// random weight) hashing. When a candidate is removed, only its own keys are
+/// reassigned.
 /// Empty if there are no candidates.
 std::string Rendezvous(std::string_view key,
                        std::span<const std::string> candidates);
--- a/src/libdoorwood/membership/live_directory.cpp
+++ b/src/libdoorwood/membership/live_directory.cpp
@@ -15,13 +15,14 @@
 // Each instance that registers also writes a key here that has no lease. From
 // these keys a process that starts later learns which instances the store may
 // serve again.
-constexpr std::string_view kSeenFolder = "seen/";
+constexpr std::string_view kKnownInstanceFolder = "seen/";
 // Longer than any leader waits for a worker that is not yet contacted.
 constexpr Millis kRevisionTimesMaxAge{30'000};
 constexpr size_t kRevisionTimesMaxCount = 256;
-// An instance assumes that the others have forgotten it after `gone_retention`
-// divided by this number, which is earlier than they do.
-constexpr int kForgottenDivisor = 2;
+// An instance assumes that the others no longer query it once its key has been
+// missing for `gone_retention` divided by this number, which is earlier than
+// they stop.
+constexpr int kGoneRetentionDivisor = 2;
 
 std::string EncodeInstance(const LiveInstance& instance) {
   return Json{{"data_centre", instance.data_centre},
@@ -73,8 +74,8 @@
 
 }  // namespace
 
-std::string SeenKey(std::string_view instance) {
-  return std::string(kLivePrefix) + std::string(kSeenFolder) +
+std::string KnownInstanceKey(std::string_view instance) {
+  return std::string(kLivePrefix) + std::string(kKnownInstanceFolder) +
          std::string(instance);
 }
 
@@ -133,7 +134,7 @@
 }
 
 bool LiveDirectory::IsStoreSilent(Instant now) const {
-  return now - store_heard_at_ >= options_.store_silence_threshold;
+  return now - last_store_answer_at_ >= options_.store_silence_threshold;
 }
 
 // --- Lease of this process ---
@@ -154,7 +155,7 @@
         }
         lease_ = lease;
         failing_since_ = Instant{};
-        store_heard_at_ = executor_.Now();
+        last_store_answer_at_ = executor_.Now();
         lease_valid_until_ = sent + options_.lease_ttl;
         log_.Write("info", "live", "lease granted",
                    {{"lease", lease}, {"own_leads", CountOwnLeads()}});
@@ -167,16 +168,17 @@
 
 void LiveDirectory::Register() {
   StoreTransaction transaction;
-  self_.agreement_known_since = agreeing_since_;
+  self_.agreement_known_since = agreement_known_since_;
   transaction.puts.push_back(
       {InstanceKey(self_.name), EncodeInstance(self_), *lease_});
-  transaction.puts.push_back({SeenKey(self_.name), EncodeInstance(self_), 0});
+  transaction.puts.push_back(
+      {KnownInstanceKey(self_.name), EncodeInstance(self_), 0});
   const int64_t lease = *lease_;
   store_.Commit(
       transaction, [this, lease, agreements = agreement_count_](
                        std::error_code error, const StoreCommit& commit) {
         // A registration that was sent before this instance agreed to an
-        // unrecorded start does not tell leaders of that agreement.
+        // unrecorded start does not inform leaders of that agreement.
         if (stopped_ || lease_ != lease || agreements != agreement_count_) {
           return;
         }
@@ -192,14 +194,15 @@
       });
 }
 
-// Leaders forget an instance whose key was missing for long and no longer ask
-// it to agree. After such a time `agreeing_since_` starts anew.
+// Leaders no longer ask an instance to agree once its key has been missing for
+// `gone_retention`. After such an absence, `agreement_known_since_` is set to
+// the revision of the new registration.
 void LiveDirectory::OnRegistered(int64_t revision) {
   const Instant now = executor_.Now();
-  const bool was_forgotten =
-      now - registered_at_ > options_.gone_retention / kForgottenDivisor;
-  if (agreeing_since_ == 0 || was_forgotten) {
-    agreeing_since_ = revision;
+  const bool was_unregistered_for_long =
+      now - registered_at_ > options_.gone_retention / kGoneRetentionDivisor;
+  if (agreement_known_since_ == 0 || was_unregistered_for_long) {
+    agreement_known_since_ = revision;
   }
   registered_at_ = now;
   if (!registered_since_) {
@@ -213,7 +216,7 @@
     return false;
   }
   ++agreement_count_;
-  agreeing_since_ = 0;
+  agreement_known_since_ = 0;
   registered_since_.reset();  // registers again once the store answers
   return true;
 }
@@ -242,7 +245,7 @@
       return;
     }
     if (error == make_error_code(KvErrc::kNotFound)) {
-      store_heard_at_ = executor_.Now();
+      last_store_answer_at_ = executor_.Now();
       OnLeaseLost("the store does not know the lease");
       return;
     }
@@ -251,8 +254,8 @@
     }
     if (!error) {
       failing_since_ = Instant{};
-      reported_contact_at_.clear();  // answers from a failure that has ended
-      store_heard_at_ = executor_.Now();
+      reported_contact_at_.clear();  // answers given during an earlier failure
+      last_store_answer_at_ = executor_.Now();
       lease_valid_until_ = sent + options_.lease_ttl;
     }
     if (!error && registered_since_) {
@@ -321,7 +324,7 @@
                   return;
                 }
                 if (!error) {
-                  store_heard_at_ = executor_.Now();
+                  last_store_answer_at_ = executor_.Now();
                   Replace(items);
                 }
               });
@@ -331,13 +334,13 @@
   if (stopped_) {
     return;
   }
-  if (!known_) {
+  if (!loaded_) {
     List();
     executor_.Schedule(options_.retry_pause, [this] { Watch(); });
     return;
   }
   const Instant sent = executor_.Now();
-  store_.Watch(std::string(kLivePrefix), at_, options_.watch_wait,
+  store_.Watch(std::string(kLivePrefix), revision_, options_.watch_wait,
                [this, sent](std::error_code error, const StoreItems& events) {
                  if (stopped_) {
                    return;
@@ -348,10 +351,10 @@
                                       [this] { Watch(); });
                    return;
                  }
-                 store_heard_at_ = executor_.Now();
+                 last_store_answer_at_ = executor_.Now();
                  RecordRevisionTime(events.revision);
-                 if (events.revision > at_) {
-                   at_ = events.revision;
+                 if (events.revision > revision_) {
+                   revision_ = events.revision;
                    for (const StoreItem& item : events.items) {
                      Apply(item);
                    }
@@ -383,8 +386,9 @@
     }
     return;
   }
-  if (rest.starts_with(kSeenFolder)) {
-    ApplySeen(std::string(rest.substr(kSeenFolder.size())), item);
+  if (rest.starts_with(kKnownInstanceFolder)) {
+    ApplyKnownInstance(std::string(rest.substr(kKnownInstanceFolder.size())),
+                       item);
     return;
   }
   if (rest.starts_with(kLeadFolder)) {
@@ -402,20 +406,21 @@
   }
 }
 
-void LiveDirectory::ApplySeen(const std::string& name, const StoreItem& item) {
+void LiveDirectory::ApplyKnownInstance(const std::string& name,
+                                       const StoreItem& item) {
   const auto instance = DecodeInstance(name, item);
   if (!instance) {
-    seen_.erase(name);
+    known_instances_.erase(name);
     return;
   }
-  seen_[name] = item.revision;
+  known_instances_[name] = item.revision;
   if (!instances_.contains(name)) {
     MarkGone(*instance);
   }
 }
 
-// The store may serve the instance again at any time and let it lead, without
-// this process learning of it.
+// The instance is kept in `gone_`, because the store may serve it again at any
+// time and let it lead, without this process learning of it.
 void LiveDirectory::MarkGone(const LiveInstance& instance) {
   if (instance.name != self_.name) {
     gone_.try_emplace(instance.name, GoneInstance{instance, executor_.Now()});
@@ -423,19 +428,20 @@
 }
 
 void LiveDirectory::Replace(const StoreItems& items) {
-  // The list was read before a lead was taken that this process already knows.
+  // A list is outdated if it was read before a lead was taken that this process
+  // already knows.
   const bool too_old = std::any_of(
       leads_.begin(), leads_.end(),
       [&](const auto& entry) { return items.revision < entry.second.epoch; });
-  if (items.revision < at_ || too_old) {
+  if (items.revision < revision_ || too_old) {
     return;
   }
   RecordRevisionTime(items.revision);
-  at_ = items.revision;
+  revision_ = items.revision;
   const auto before = std::move(instances_);
   instances_.clear();
   leads_.clear();
-  seen_.clear();
+  known_instances_.clear();
   for (const StoreItem& item : items.items) {
     Apply(item);
   }
@@ -444,7 +450,7 @@
       MarkGone(instance);
     }
   }
-  known_ = true;
+  loaded_ = true;
   ReregisterIfMissing();
   on_change_();
 }
--- a/src/libdoorwood/membership/live_outage.cpp
+++ b/src/libdoorwood/membership/live_outage.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Determines whether the store is unreachable for this instance only, for some
-// instances or for all: which instances are queried, and how their answers
-// count.
+// instances or for all: which instances are queried, and what follows from
+// their answers.
 
 #include <algorithm>
 
@@ -39,7 +39,7 @@
 
 Instant LiveDirectory::AnswersValidUntil(Instant asked) const {
   const bool contact_too_recent =
-      store_heard_at_ + options_.store_silence_threshold > asked;
+      last_store_answer_at_ + options_.store_silence_threshold > asked;
   return contact_too_recent ? Instant{} : asked + options_.answer_validity;
 }
 
@@ -54,7 +54,7 @@
 const LiveInstance* LiveDirectory::FindInstanceWithStoreContact() const {
   const Instant now = executor_.Now();
   if (failing_since_ == Instant{} ||
-      now - store_heard_at_ < options_.isolation_threshold) {
+      now - last_store_answer_at_ < options_.isolation_threshold) {
     return nullptr;
   }
   const LiveInstance* best = nullptr;
@@ -75,11 +75,11 @@
   if (stopped_) {
     return;
   }
-  executor_.Schedule(options_.ask_interval, [this] { QueryOthers(); });
+  executor_.Schedule(options_.query_interval, [this] { QueryOthers(); });
   const Instant now = executor_.Now();
-  RemoveOneStaleSeenKey();
+  RemoveOneStaleKnownInstanceKey();
   if (failing_since_ == Instant{} &&
-      now - store_heard_at_ < options_.store_silence_threshold) {
+      now - last_store_answer_at_ < options_.store_silence_threshold) {
     return;
   }
   for (const auto& [name, instance] : instances_) {
@@ -94,13 +94,13 @@
   }
 }
 
-// Removes the `SeenKey` of one instance that is permanently gone. Only an
-// instance that leads a cell does this.
-void LiveDirectory::RemoveOneStaleSeenKey() {
+// Removes the `KnownInstanceKey` of one instance that is permanently gone. Only
+// an instance that leads a cell does this.
+void LiveDirectory::RemoveOneStaleKnownInstanceKey() {
   std::erase_if(gone_, [this](const auto& entry) {
-    return !MayReturn(entry.second) && !seen_.contains(entry.first);
+    return !MayReturn(entry.second) && !known_instances_.contains(entry.first);
   });
-  if (seen_removal_pending_ || CountOwnLeads() == 0 ||
+  if (known_instance_removal_pending_ || CountOwnLeads() == 0 ||
       IsStoreSilent(executor_.Now())) {
     return;
   }
@@ -110,20 +110,21 @@
   if (old == gone_.end()) {
     return;
   }
-  seen_removal_pending_ = true;
+  known_instance_removal_pending_ = true;
   StoreTransaction transaction;
   // If the instance has registered since, its key has a newer revision and the
   // transaction fails.
-  transaction.expected.push_back({SeenKey(old->first), seen_.at(old->first)});
-  transaction.removes.push_back(SeenKey(old->first));
+  transaction.expected.push_back(
+      {KnownInstanceKey(old->first), known_instances_.at(old->first)});
+  transaction.removes.push_back(KnownInstanceKey(old->first));
   store_.Commit(transaction, [this, name = old->first](std::error_code error,
                                                        const StoreCommit&) {
-    seen_removal_pending_ = false;
+    known_instance_removal_pending_ = false;
     log_.Write("info", "live",
                "removed the record of a permanently gone instance",
                {{"instance", name}, {"forgotten", !error}});
     if (!error) {
-      seen_.erase(name);
+      known_instances_.erase(name);
     }
   });
 }
@@ -158,8 +159,8 @@
         } else {
           reported_contact_at_.erase(name);
         }
-        // Counts from the time of the query: the answer may have been queued
-        // while this process was paused.
+        // The answer is valid from the time of the query, because it may have
+        // been queued while this process was paused.
         if (age >= options_.store_silence_threshold) {
           reported_no_contact_at_[name] = sent;
         } else {
--- a/src/libdoorwood/membership/membership.cpp
+++ b/src/libdoorwood/membership/membership.cpp
@@ -58,8 +58,9 @@
   });
 }
 
-// An instance has gone once it neither sends heartbeats nor is listed. Both
-// events update the time of the last departure; this handles the list.
+// An instance counts as departed once it neither sends heartbeats nor is
+// listed. Both events update the time of the last departure; this function
+// handles the list.
 void Membership::UpdateLastDeparture(const std::vector<InstanceInfo>& list,
                                      Instant now) {
   for (const InstanceInfo& old : list_) {
@@ -108,8 +109,9 @@
 
 std::vector<std::string> Membership::Candidates(Instant now) const {
   std::vector<std::string> candidates;
-  // Instances that start at the same time settle before this instance counts
-  // itself. Otherwise it would first take all workers and shards.
+  // This instance becomes a candidate only after the settle time of instances
+  // that started at the same time. Otherwise it would first take all workers
+  // and shards.
   if (!leaving_ && now >= started_ + 2 * options_.settle_time) {
     candidates.push_back(self_.id);
   }
--- a/src/libdoorwood/membership/membership_test.cpp
+++ b/src/libdoorwood/membership/membership_test.cpp
@@ -99,7 +99,7 @@
              1u);
 }
 
-BOOST_AUTO_TEST_CASE(worker_told_as_leaving_by_a_peer_is_leaving) {
+BOOST_AUTO_TEST_CASE(worker_reported_as_leaving_by_a_peer_is_leaving) {
   MembershipFixture fixture;
   InstanceInfo worker;
   worker.id = "w1";
@@ -131,7 +131,7 @@
 
 BOOST_AUTO_TEST_SUITE(kv_budget)
 
-BOOST_AUTO_TEST_CASE(calls_past_the_rate_wait_in_order_of_importance) {
+BOOST_AUTO_TEST_CASE(calls_over_the_rate_wait_in_priority_order) {
   BudgetFixture fixture;
   std::vector<std::string> order;
   const auto write = [&](const std::string& key, KvPriority priority) {
@@ -150,7 +150,8 @@
   BOOST_TEST(order == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(calls_past_the_queue_are_refused_but_leases_never) {
+BOOST_AUTO_TEST_CASE(
+    calls_over_the_queue_limit_are_refused_except_lease_calls) {
   BudgetFixture fixture;
   int refused = 0;
   int leases = 0;
@@ -215,7 +216,7 @@
     return *outcome;
   }
 
-  static ConfigChange Change(const std::string& name) {
+  static ConfigChange MakeChange(const std::string& name) {
     return {.text = "services: [{name: " + name + "}]", .operation = name};
   }
 
@@ -227,19 +228,20 @@
 
 BOOST_AUTO_TEST_SUITE(config_keeper)
 
-BOOST_AUTO_TEST_CASE(change_applied_at_one_comes_into_force_at_the_other) {
+BOOST_AUTO_TEST_CASE(change_applied_at_one_takes_effect_at_the_other) {
   TwoKeepersFixture fixture;
-  BOOST_TEST(fixture.Apply(fixture.first, fixture.Change("a")).revision == 1u);
+  BOOST_TEST(fixture.Apply(fixture.first, fixture.MakeChange("a")).revision ==
+             1u);
   BOOST_TEST(fixture.second.keeper->revision() == 1u);
   BOOST_TEST(fixture.second.keeper->configuration().services[0].name == "a");
 }
 
 BOOST_AUTO_TEST_CASE(two_changes_on_one_base_have_one_winner) {
   TwoKeepersFixture fixture;
-  fixture.Apply(fixture.first, fixture.Change("a"));
+  fixture.Apply(fixture.first, fixture.MakeChange("a"));
   int won = 0;
   for (KeeperInstance* at : {&fixture.first, &fixture.second}) {
-    ConfigChange change = fixture.Change(at == &fixture.first ? "b" : "c");
+    ConfigChange change = fixture.MakeChange(at == &fixture.first ? "b" : "c");
     change.base = 1;
     at->keeper->Apply(change, [&](const ConfigOutcome& outcome) {
       won += outcome.error ? 0 : 1;
@@ -251,20 +253,20 @@
   BOOST_TEST(fixture.first.keeper->text() == fixture.second.keeper->text());
 }
 
-BOOST_AUTO_TEST_CASE(change_under_a_fault_is_made_once_when_asked_again) {
+BOOST_AUTO_TEST_CASE(change_repeated_after_a_fault_is_applied_once) {
   for (const Fault fault : {Fault::kRefused, Fault::kAnswerLost,
                             Fault::kRequestLost, Fault::kDelayed}) {
     for (const int writes : {1, -1}) {
       BOOST_TEST_CONTEXT("fault " << static_cast<int>(fault) << ", writes "
                                   << writes) {
         TwoKeepersFixture fixture;
-        fixture.Apply(fixture.first, fixture.Change("a"));
+        fixture.Apply(fixture.first, fixture.MakeChange("a"));
         fixture.first.kv.set_faulty_writes(writes);
         fixture.first.kv.set_fault(fault);
-        fixture.Apply(fixture.first, fixture.Change("b"));
+        fixture.Apply(fixture.first, fixture.MakeChange("b"));
         fixture.first.kv.set_fault(Fault::kNone);
         const ConfigOutcome again =
-            fixture.Apply(fixture.first, fixture.Change("b"));
+            fixture.Apply(fixture.first, fixture.MakeChange("b"));
         BOOST_TEST(!again.error);
         BOOST_TEST(again.revision == 2u);
         BOOST_TEST(fixture.second.keeper->revision() == 2u);
@@ -273,11 +275,11 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(older_or_malformed_values_never_come_into_force) {
+BOOST_AUTO_TEST_CASE(older_or_malformed_values_never_take_effect) {
   TwoKeepersFixture fixture;
-  fixture.Apply(fixture.first, fixture.Change("a"));
+  fixture.Apply(fixture.first, fixture.MakeChange("a"));
   const std::string old = fixture.first.keeper->stored_value();
-  fixture.Apply(fixture.first, fixture.Change("b"));
+  fixture.Apply(fixture.first, fixture.MakeChange("b"));
   const int changes = fixture.second.changes;
   for (const std::string& value :
        {old, std::string("{}"), std::string("nonsense"),
@@ -288,12 +290,12 @@
   BOOST_TEST(fixture.second.changes == changes);
 }
 
-BOOST_AUTO_TEST_CASE(store_that_went_back_is_not_built_upon) {
+BOOST_AUTO_TEST_CASE(store_with_an_older_revision_refuses_changes) {
   TwoKeepersFixture fixture;
-  fixture.Apply(fixture.first, fixture.Change("a"));
-  fixture.Apply(fixture.first, fixture.Change("b"));
+  fixture.Apply(fixture.first, fixture.MakeChange("a"));
+  fixture.Apply(fixture.first, fixture.MakeChange("b"));
   fixture.model = standin::KvModel();
-  BOOST_TEST(fixture.Apply(fixture.first, fixture.Change("c")).error ==
+  BOOST_TEST(fixture.Apply(fixture.first, fixture.MakeChange("c")).error ==
              make_error_code(CoreErrc::kConflict));
   BOOST_TEST(fixture.first.keeper->revision() == 2u);
 }
