--- a/src/include/doorwood/shard_log.h
+++ b/src/include/doorwood/shard_log.h
@@ -76,9 +76,9 @@
 
   /// `lease_valid` returns whether this instance's registration is certain not
   /// to have lapsed, by its own clock. While it may have lapsed, a successful
-  /// append counts only after a read of the head confirms the owner: a newer
-  /// owner may have truncated the log, and then an old position can be created
-  /// again.
+  /// append is reported only after a read of the head confirms the owner: a
+  /// newer owner may have truncated the log, and then an old position can be
+  /// created again.
   void set_lease_valid(std::function<bool()> lease_valid);
 
   uint64_t epoch() const { return epoch_; }
--- a/src/include/doorwood/shard_owner.h
+++ b/src/include/doorwood/shard_owner.h
@@ -29,15 +29,15 @@
   Millis task_lease{10000};
   Millis drift{300};
   Millis call_timeout{2000};
-  /// Initial and maximum pause before placement of a task is retried for which
+  /// Initial and maximum delay before placement is retried for a task for which
   /// no free capacity was found.
   Millis retry_first{100};
   Millis retry_longest{2000};
-  /// Pause before placement of a task that fits no worker is retried.
+  /// Delay before placement of a task that fits no worker is retried.
   Millis unplaceable_retry{10000};
-  /// Pause after a failed attempt, doubled with each failure.
+  /// Delay after a failed attempt, doubled with each failure.
   Millis failure_backoff{200};
-  /// Pause before the next round of an incomplete census.
+  /// Delay before the next round of an incomplete census.
   Millis census_retry{500};
   /// Interval of periodic censuses while nothing else triggers one.
   Millis census_interval{60000};
@@ -67,7 +67,7 @@
   /// Every instance of the data centre that may be running: its heartbeats are
   /// received, or it is still in the platform's list.
   virtual std::vector<std::string> PossibleHolders() const = 0;
-  /// When an instance was last observed to have gone, or when this instance
+  /// When an instance was last observed to have departed, or when this instance
   /// began to observe. No instance other than the possible holders has renewed
   /// a worker's lease later than this.
   virtual Instant LastDeparture() const = 0;
@@ -144,8 +144,8 @@
   /// Withdraws a claim; the caller knows that the request did not run.
   void ReleaseIdempotencyKey(const std::string& key,
                              const std::string& request);
-  /// Handles attempts that a holder reports as ended. `reply` is called once
-  /// the log has answered for all of them, with those that are logged.
+  /// Handles attempts that a holder reports as ended. `reply` is called with
+  /// the ends that are logged, once the outcome is known for all of them.
   void OnEndReport(const EndReport& report,
                    std::function<void(EndReply)> reply);
   /// Must be called when holders appear, disappear or change the workers that
@@ -193,8 +193,8 @@
   };
 
   // An attempt and the instance that reported it in a census round.
-  struct HolderSighting {
-    Sighting sighting;
+  struct HolderAttemptReport {
+    Sighting report;
     std::string holder;
   };
 
@@ -205,7 +205,7 @@
     size_t outstanding = 0;
     // False once a call to an instance that may be running has failed.
     bool all_reached = true;
-    std::map<AttemptId, HolderSighting> sighted;
+    std::map<AttemptId, HolderAttemptReport> reports;
     // Workers held by the instances that answered.
     std::set<std::string> held;
     // By worker: latest time at which a former holder can have renewed its
@@ -244,7 +244,7 @@
               AttemptEnd end,
               const std::string& checkpoint,
               std::function<void(bool)> done);
-  void AfterEnd(const TaskId& id, AttemptEnd end);
+  void HandleAttemptEnd(const TaskId& id, AttemptEnd end);
   void StopTask(Task& task);
   void StopCancelled();
 
@@ -260,9 +260,9 @@
   bool IsAccountedFor(const std::string& worker,
                       const CensusRound& round) const;
   bool AllWorkersAccountedFor(const CensusRound& round) const;
-  void ApplySighting(Task& task, const HolderSighting& sighted);
-  const HolderSighting* FindSighting(const Task& task,
-                                     const CensusRound& round) const;
+  void ApplyAttemptReport(Task& task, const HolderAttemptReport& reported);
+  const HolderAttemptReport* FindAttemptReport(const Task& task,
+                                               const CensusRound& round) const;
 
   void Record(const TaskId& task, std::string what, std::string detail);
   Json TaskJson(const JobState& job, const TaskState& task) const;
--- a/src/libdoorwood/owner/shard_census.cpp
+++ b/src/libdoorwood/owner/shard_census.cpp
@@ -76,8 +76,8 @@
   if (error || census == nullptr) {
     round->all_reached = false;
   } else {
-    for (const Sighting& sighting : census->sightings) {
-      round->sighted[sighting.attempt] = {sighting, instance};
+    for (const Sighting& report : census->sightings) {
+      round->reports[report.attempt] = {report, instance};
     }
     round->held.insert(census->held.begin(), census->held.end());
     const Instant now = executor_.Now();
@@ -126,33 +126,33 @@
 // Stops attempts whose task has ended, and attempts other than the current one
 // of a running task.
 void ShardOwner::StopOrphans(const CensusRound& round) {
-  for (const auto& [attempt, sighted] : round.sighted) {
-    const Task* task = Find(sighted.sighting.task);
+  for (const auto& [attempt, reported] : round.reports) {
+    const Task* task = Find(reported.report.task);
     const bool wanted = task != nullptr && (task->stage != Stage::kRunning ||
                                             task->attempt == attempt);
-    if (wanted || sighted.sighting.state == RunState::kEnded) {
+    if (wanted || reported.report.state == RunState::kEnded) {
       continue;
     }
-    Record(sighted.sighting.task, "stop",
+    Record(reported.report.task, "stop",
            "attempt " + ToString(attempt) + " is not wanted any more");
     environment_.CallInstance(
-        sighted.holder, StopRequest{shard_, attempt, false},
+        reported.holder, StopRequest{shard_, attempt, false},
         options_.call_timeout, [](std::error_code, const PeerReply&) {});
   }
 }
 
 // Returns true if the state of the task's attempt is now known.
 bool ShardOwner::ResolveTask(Task& task, const CensusRound& round) {
-  const HolderSighting* sighted = FindSighting(task, round);
-  if (sighted != nullptr) {
-    const Sighting& sighting = sighted->sighting;
-    const bool runs_again = sighting.state == RunState::kEnded &&
-                            sighting.end != AttemptEnd::kSucceeded;
+  const HolderAttemptReport* reported = FindAttemptReport(task, round);
+  if (reported != nullptr) {
+    const Sighting& report = reported->report;
+    const bool runs_again = report.state == RunState::kEnded &&
+                            report.end != AttemptEnd::kSucceeded;
     const bool newer_possible = task.attempt.counter == 0 && runs_again;
     if (newer_possible && !AllWorkersAccountedFor(round)) {
       return false;
     }
-    ApplySighting(task, *sighted);
+    ApplyAttemptReport(task, *reported);
     return true;
   }
   const bool accounted_for = task.worker.empty()
@@ -161,8 +161,8 @@
   if (!accounted_for) {
     return false;
   }
-  // No worker runs it, and no earlier request to start it can take effect any
-  // more.
+  // No worker runs the attempt, and no earlier request to start the attempt can
+  // take effect any more.
   const TaskState& state = *log_->state().FindTask(task.id);
   const bool may_have_run = state.intent || task.attempt.counter != 0;
   if (!may_have_run) {
@@ -177,44 +177,45 @@
   return true;
 }
 
-const ShardOwner::HolderSighting* ShardOwner::FindSighting(
+const ShardOwner::HolderAttemptReport* ShardOwner::FindAttemptReport(
     const Task& task,
     const CensusRound& round) const {
-  const auto exact = round.sighted.find(task.attempt);
-  if (exact != round.sighted.end() && exact->second.sighting.task == task.id) {
+  const auto exact = round.reports.find(task.attempt);
+  if (exact != round.reports.end() && exact->second.report.task == task.id) {
     return &exact->second;
   }
   if (task.attempt.counter != 0) {
     return nullptr;
   }
-  // After a takeover the newest attempt is not known. It is the one that runs,
-  // or else the newest of those after the last logged end.
+  // After a takeover the newest attempt is not known. It is the reported
+  // attempt that runs, or else the newest one after the last logged end.
   const TaskState& state = *log_->state().FindTask(task.id);
-  const HolderSighting* newest = nullptr;
-  for (const auto& [attempt, sighted] : round.sighted) {
+  const HolderAttemptReport* newest = nullptr;
+  for (const auto& [attempt, reported] : round.reports) {
     const bool candidate =
-        sighted.sighting.task == task.id && attempt > state.last_ended;
+        reported.report.task == task.id && attempt > state.last_ended;
     const bool other_runs = newest != nullptr &&
-                            newest->sighting.state == RunState::kRunning &&
-                            sighted.sighting.state == RunState::kEnded;
+                            newest->report.state == RunState::kRunning &&
+                            reported.report.state == RunState::kEnded;
     if (candidate && !other_runs) {
-      newest = &sighted;
+      newest = &reported;
     }
   }
   return newest;
 }
 
-void ShardOwner::ApplySighting(Task& task, const HolderSighting& sighted) {
-  const Sighting& sighting = sighted.sighting;
-  task.attempt = sighting.attempt;
-  task.worker = sighting.worker;
-  task.holder = sighted.holder;
-  if (sighting.state == RunState::kEnded) {
-    LogEnd(task, sighting.attempt, sighting.end, sighting.checkpoint, nullptr);
+void ShardOwner::ApplyAttemptReport(Task& task,
+                                    const HolderAttemptReport& reported) {
+  const Sighting& report = reported.report;
+  task.attempt = report.attempt;
+  task.worker = report.worker;
+  task.holder = reported.holder;
+  if (report.state == RunState::kEnded) {
+    LogEnd(task, report.attempt, report.end, report.checkpoint, nullptr);
     return;
   }
   if (task.stage == Stage::kUnresolved) {
-    Record(task.id, "found running", "on worker " + sighting.worker);
+    Record(task.id, "found running", "on worker " + report.worker);
   }
   task.stage = Stage::kRunning;
   if (IsCancelled(task)) {
@@ -230,9 +231,9 @@
   if (!round.all_reached || !environment_.IsViewComplete()) {
     return false;
   }
-  // No instance holds it. The worker ends its tasks by its own clock once the
-  // task lease has expired after the latest renewal that any instance can have
-  // sent.
+  // No instance holds the worker. The worker ends its tasks by its own clock
+  // once the task lease has expired after the latest renewal that any instance
+  // can have sent.
   Instant last = std::max(environment_.LastDeparture(), round.last_start);
   const auto renewal = round.last_renewal.find(worker);
   if (renewal != round.last_renewal.end()) {
--- a/src/libdoorwood/owner/shard_log.cpp
+++ b/src/libdoorwood/owner/shard_log.cpp
@@ -258,13 +258,13 @@
 
 void ShardLog::RetryLater() {
   retry_ = std::clamp(retry_ * 2, options_.retry_first, options_.retry_longest);
-  // Half of the pause is random, so that instances do not retry at the same
+  // Half of the back-off is random, so that instances do not retry at the same
   // time.
   const auto half = static_cast<uint64_t>(retry_.count() / 2 + 1);
   const Millis pause =
       retry_ / 2 + Millis(static_cast<int64_t>(executor_.Random() % half));
   if (batch_.empty() && queue_.empty()) {
-    // Nothing is left to write. The next append shows whether the store
+    // There is nothing left to write. The next append shows whether the store
     // answers again.
     executor_.Schedule(
         pause, [self = shared_from_this()]() { self->failing_ = false; });
--- a/src/libdoorwood/owner/shard_log_test.cpp
+++ b/src/libdoorwood/owner/shard_log_test.cpp
@@ -119,7 +119,7 @@
   bool written;
 };
 
-BOOST_AUTO_TEST_CASE(append_under_a_fault_is_told_truly) {
+BOOST_AUTO_TEST_CASE(append_under_a_fault_reports_its_true_outcome) {
   const std::vector<AppendRow> rows = {
       {"down, refusable", Fault::kRefused, true, CoreErrc::kStoreUnavailable,
        false},
@@ -209,7 +209,8 @@
 // Guards against two owners: a candidate is paused at each step of its
 // takeover while another one takes over the shard. After the pause the first
 // candidate must not seal the log of the second.
-BOOST_AUTO_TEST_CASE(candidate_held_up_in_a_takeover_gives_way_to_a_newer) {
+BOOST_AUTO_TEST_CASE(
+    candidate_delayed_in_a_takeover_does_not_fence_a_newer_owner) {
   for (int steps = 0; steps < 24; ++steps) {
     BOOST_TEST_CONTEXT("after " << steps << " steps") {
       TwoOwners pair;
@@ -233,7 +234,7 @@
 // Guards against a lost append: an owner resumes after a pause in which a new
 // owner truncated the log. Its next position no longer exists, so its write
 // succeeds although the shard has another owner.
-BOOST_AUTO_TEST_CASE(append_into_a_truncated_log_is_not_believed) {
+BOOST_AUTO_TEST_CASE(append_into_a_truncated_log_is_not_confirmed) {
   TwoOwners pair;
   BOOST_TEST(!pair.Open(pair.first));
   BOOST_TEST(pair.Append(pair.first, "a", true) == std::error_code());
--- a/src/libdoorwood/owner/shard_owner.cpp
+++ b/src/libdoorwood/owner/shard_owner.cpp
@@ -167,8 +167,8 @@
     done(CoreErrc::kConflict);
     return;
   }
-  // Two claims of one key can be in the same batch. The first one in the log
-  // wins, so the winner is looked up after the append.
+  // Two claims of one key can be in the same batch. Only the first one in the
+  // log is valid, so the state is checked after the append.
   log_->Append(
       ClaimRecord{key, request}, /*refusable=*/true,
       [self = shared_from_this(), key, request, done](std::error_code error) {
@@ -246,7 +246,7 @@
       EndRecord{id, attempt, end, checkpoint}, /*refusable=*/false,
       [self = shared_from_this(), id, end, done](std::error_code error) {
         if (!error) {
-          self->AfterEnd(id, end);
+          self->HandleAttemptEnd(id, end);
         }
         if (done) {
           done(!error);
@@ -254,7 +254,7 @@
       });
 }
 
-void ShardOwner::AfterEnd(const TaskId& id, AttemptEnd end) {
+void ShardOwner::HandleAttemptEnd(const TaskId& id, AttemptEnd end) {
   ++counters_.ended;
   Task* task = Find(id);
   const TaskState* state = log_->state().FindTask(id);
@@ -267,13 +267,13 @@
     tasks_.erase(id);
     return;
   }
-  Millis pause(0);
+  Millis backoff(0);
   if (end == AttemptEnd::kFailed) {
-    pause = options_.failure_backoff * (1 << std::min(state->failures, 6));
-    const auto spread = static_cast<uint64_t>(pause.count() / 2 + 1);
-    pause += Millis(static_cast<int64_t>(executor_.Random() % spread));
+    backoff = options_.failure_backoff * (1 << std::min(state->failures, 6));
+    const auto spread = static_cast<uint64_t>(backoff.count() / 2 + 1);
+    backoff += Millis(static_cast<int64_t>(executor_.Random() % spread));
   }
-  Requeue(*task, pause, "runs again after: " + std::string(ToString(end)));
+  Requeue(*task, backoff, "runs again after: " + std::string(ToString(end)));
 }
 
 void ShardOwner::OnEndReport(const EndReport& report,
--- a/src/libdoorwood/owner/shard_state.cpp
+++ b/src/libdoorwood/owner/shard_state.cpp
@@ -135,7 +135,7 @@
     for (const TaskSpec& spec : accept->job.tasks) {
       job.tasks[spec.name].spec = spec;
     }
-    // Accepting a job again under the same id has no effect.
+    // A repeated record for the same job id has no effect.
     jobs_.try_emplace(accept->job.id, std::move(job));
   } else if (const auto* intent = std::get_if<IntentRecord>(&record)) {
     const auto job = jobs_.find(intent->task.job);
@@ -157,7 +157,7 @@
 }
 
 void ShardState::ApplyClaim(const ClaimRecord& record) {
-  // The first claim of a key wins.
+  // Only the first claim of a key is valid.
   if (!claims_.try_emplace(record.key, record.request).second) {
     return;
   }
