--- a/src/include/doorwood/holder.h
+++ b/src/include/doorwood/holder.h
@@ -42,7 +42,7 @@
   virtual ~HolderListener() = default;
 
   /// An attempt ended or will definitely never start. Called repeatedly until
-  /// `WorkerHolder::Logged` is called for the attempt.
+  /// `WorkerHolder::AcknowledgeEnds` is called for the attempt.
   virtual void OnAttemptEnded(const ShardId& shard, const Sighting& ended) = 0;
   /// The set of held workers has changed.
   virtual void OnHeldWorkersChanged() = 0;
@@ -89,8 +89,8 @@
   /// Fences the shard at the request's floor and returns the shard's attempts
   /// on the held workers.
   CensusReply Census(const CensusRequest& request);
-  /// The owner has logged the ends of these attempts; the workers may forget
-  /// them.
+  /// The owner has logged the ends of these attempts; the workers may delete
+  /// their records of them.
   void AcknowledgeEnds(const ShardId& shard,
                        std::span<const AttemptId> attempts);
   /// Refuses all later placements of `shard` whose attempt is below `floor`.
@@ -190,7 +190,8 @@
                 Millis delay,
                 void (WorkerHolder::*step)(const std::shared_ptr<HeldWorker>&));
   std::shared_ptr<HeldWorker> FindAttempt(const AttemptKey& key) const;
-  Sighting MakeSighting(const HeldWorker& held, const Attempt& attempt) const;
+  Sighting MakeAttemptReport(const HeldWorker& held,
+                             const Attempt& attempt) const;
 
   HolderOptions options_;
   Executor& executor_;
--- a/src/libdoorwood/holder/holder.cpp
+++ b/src/libdoorwood/holder/holder.cpp
@@ -447,8 +447,8 @@
   return has_attempt ? held->second : nullptr;
 }
 
-Sighting WorkerHolder::MakeSighting(const HeldWorker& held,
-                                    const Attempt& attempt) const {
+Sighting WorkerHolder::MakeAttemptReport(const HeldWorker& held,
+                                         const Attempt& attempt) const {
   return {.attempt = attempt.id,
           .task = attempt.task,
           .worker = held.info.id,
--- a/src/libdoorwood/holder/holder_attempts.cpp
+++ b/src/libdoorwood/holder/holder_attempts.cpp
@@ -120,7 +120,7 @@
     reply.held.push_back(name);
     for (const auto& [key, attempt] : held->attempts) {
       if (key.shard == request.shard) {
-        reply.sightings.push_back(MakeSighting(*held, attempt));
+        reply.sightings.push_back(MakeAttemptReport(*held, attempt));
       }
     }
   }
@@ -183,7 +183,7 @@
   std::vector<std::pair<ShardId, Sighting>> ended;
   for (const auto& [key, attempt] : held.attempts) {
     if (attempt.state == RunState::kEnded) {
-      ended.emplace_back(key.shard, MakeSighting(held, attempt));
+      ended.emplace_back(key.shard, MakeAttemptReport(held, attempt));
     }
   }
   for (const auto& [shard, sighting] : ended) {
