--- a/src/include/doorwood/ingress.h
+++ b/src/include/doorwood/ingress.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Routes calls about jobs from any entry instance: an existing job's calls go
-/// to the cell that has it, a new job goes to the cell with the least load.
+/// Routes calls about jobs from any entry instance: calls about an existing
+/// job are sent to the cell that has the job, a new job to the cell with the
+/// least load.
 
 #ifndef DOORWOOD_INGRESS_H_
 #define DOORWOOD_INGRESS_H_
@@ -53,13 +54,15 @@
 struct IngressOptions {
   /// How often the leaders of other cells are asked for their summaries.
   Millis summary_interval{600};
-  /// A job goes to another cell only if the work waiting there is less than
-  /// here by this amount, in seconds of work per processor core.
+  /// A job is submitted to another cell only if less work waits there than in
+  /// the local cell, by at least this amount, in seconds of work per processor
+  /// core.
   double local_cell_bonus = 0.8;
-  /// A leader gets no calls from this instance if it has not answered for this
-  /// long, counted from its last answer or from the first request to it.
-  /// Callers are refused immediately and go to an instance that can reach the
-  /// leader. The value allows for two requests and the time of one answer.
+  /// This instance sends no calls to a leader that has not answered for this
+  /// long, counted from the leader's last answer or from the first request to
+  /// it.
+  /// Callers are refused immediately and can call an instance that can reach
+  /// the leader. The value allows for two requests and the time of one answer.
   Millis leader_answer_timeout{1500};
   /// Maximum number of jobs whose cell is cached.
   size_t max_cached_jobs = 20'000;
--- a/src/libdoorwood/ingress/ingress.cpp
+++ b/src/libdoorwood/ingress/ingress.cpp
@@ -131,7 +131,7 @@
 
 void Ingress::Submit(JobPlan plan, SubmitCallback done) {
   std::vector<std::string> cells = CellsByLoad();
-  // A repeated submission goes to the cell that has the job.
+  // A repeated submission is sent to the cell that has the job.
   const auto known = cell_of_job_.find(plan.id);
   if (known != cell_of_job_.end()) {
     cells = {known->second};
@@ -342,8 +342,8 @@
     peers_.Summary(lead,
                    [this, cell = cell, epoch = lead.epoch](
                        std::error_code error, const CellSummary& summary) {
-                     // Ignore the late answer of an earlier leader; it says
-                     // nothing about the current one.
+                     // Ignore the late answer of an earlier leader; it does
+                     // not show that the current one answers.
                      if (!error && cells_[cell].polled_epoch == epoch) {
                        OnSummary(cell, summary);
                      }
