--- a/src/include/doorwood/router.h
+++ b/src/include/doorwood/router.h
@@ -78,7 +78,7 @@
   kUnknown,
 };
 
-std::string_view ToString(RequestOutcome fate);
+std::string_view ToString(RequestOutcome outcome);
 
 /// HTTP status for a request whose idempotency key was already used.
 inline constexpr int kStatusKeyUsed = 409;
--- a/src/libdoorwood/routing/router.cpp
+++ b/src/libdoorwood/routing/router.cpp
@@ -76,8 +76,8 @@
 
 }  // namespace
 
-std::string_view ToString(RequestOutcome fate) {
-  switch (fate) {
+std::string_view ToString(RequestOutcome outcome) {
+  switch (outcome) {
     case RequestOutcome::kAnswered:
       return "answered";
     case RequestOutcome::kNotRun:
--- a/src/libdoorwood/routing/router_test.cpp
+++ b/src/libdoorwood/routing/router_test.cpp
@@ -43,13 +43,13 @@
   std::vector<std::string> passed_to;
 
  private:
-  static AttemptResult Next(std::deque<AttemptOutcome>* fates) {
-    const AttemptOutcome fate = fates->front();
-    if (fates->size() > 1) {
-      fates->pop_front();
+  static AttemptResult Next(std::deque<AttemptOutcome>* outcomes) {
+    const AttemptOutcome outcome = outcomes->front();
+    if (outcomes->size() > 1) {
+      outcomes->pop_front();
     }
-    AttemptResult result{.outcome = fate};
-    if (fate == kAnswered) {
+    AttemptResult result{.outcome = outcome};
+    if (outcome == kAnswered) {
       result.response.outcome = RequestOutcome::kAnswered;
       result.response.status = 200;
     }
