--- a/src/fakes/cell_world.cpp
+++ b/src/fakes/cell_world.cpp
@@ -19,7 +19,7 @@
 
 void CompletionRecorder::OnEndAcknowledged(const EndedRun& end) {
   if (end.end == RunEnd::kDone) {
-    // An acknowledgement after the worker's lease expired does not count.
+    // An acknowledgement after the worker's lease has expired is ignored.
     if (end.number > model_.last_end_at_lease_expiry()) {
       acknowledged_->insert(end.task);
     }
@@ -347,7 +347,7 @@
 }
 
 // A worker whose lease has expired and that has not been contacted since may
-// have been declared lost, so its unacknowledged completions do not count.
+// have been declared lost, so its unacknowledged completions are ignored.
 void CellWorld::CheckNotCompleted(const std::string& task) {
   const bool reported =
       std::any_of(workers_.begin(), workers_.end(), [&](const auto& entry) {
--- a/src/fakes/cell_world.h
+++ b/src/fakes/cell_world.h
@@ -97,7 +97,8 @@
   standin::RunWorkerModel model;
   std::unique_ptr<CompletionRecorder> completions;
   bool up = true;
-  /// Not up, and its machine refuses calls at once instead of timing out.
+  /// The worker is down, and its machine refuses calls at once instead of
+  /// letting them time out.
   bool refuses_calls = false;
   /// The worker directory has an entry for it.
   bool listed = true;
--- a/src/fakes/cell_world_ports.cpp
+++ b/src/fakes/cell_world_ports.cpp
@@ -14,7 +14,8 @@
 constexpr Millis kExecutionDelay{6000};
 constexpr Millis kPollInterval{20};
 
-// The store as one instance reaches it.
+// The store client of one instance; applies that instance's faults and
+// partitions.
 class WorldStore : public RecordStore {
  public:
   WorldStore(CellWorld& world, WorldInstance& self)
@@ -124,7 +125,8 @@
   WorldInstance& self_;
 };
 
-// The workers as one instance reaches them.
+// The worker client of one instance; applies that instance's faults and
+// partitions.
 class WorldWorkers : public RunWorkers {
  public:
   WorldWorkers(CellWorld& world, WorldInstance& self)
@@ -133,7 +135,7 @@
   void Poll(const WorkerIncarnation& worker,
             const PollOrder& order,
             Callback<WorkerReport> done) override {
-    WorldWorker* target = Reach(worker);
+    WorldWorker* target = FindReachableWorker(worker);
     if (target == nullptr) {
       Fail<WorkerReport>(worker, std::move(done));
       return;
@@ -186,7 +188,7 @@
   }
 
  private:
-  WorldWorker* Reach(const WorkerIncarnation& worker) {
+  WorldWorker* FindReachableWorker(const WorkerIncarnation& worker) {
     if (IsMisdirected(worker)) {
       world_.CountMisdirectedCall();
       return nullptr;
@@ -222,20 +224,20 @@
   void Order(const WorkerIncarnation& worker,
              Callback<int64_t> done,
              Effect effect) {
-    WorldWorker* target = Reach(worker);
+    WorldWorker* target = FindReachableWorker(worker);
     if (target == nullptr) {
       Fail<int64_t>(worker, std::move(done));
       return;
     }
     const double draw = world_.Chance();
     if (draw < self_.delayed_order_share) {
-      world_.time().RunAt(world_.time().now() + self_.order_delay,
-                          [this, worker, effect] {
-                            if (WorldWorker* later = Reach(worker)) {
-                              world_.AdvanceAll();
-                              effect(*later, /*late=*/true);
-                            }
-                          });
+      world_.time().RunAt(
+          world_.time().now() + self_.order_delay, [this, worker, effect] {
+            if (WorldWorker* later = FindReachableWorker(worker)) {
+              world_.AdvanceAll();
+              effect(*later, /*late=*/true);
+            }
+          });
       self_.executor->DeliverAnswer(
           kNoAnswer, [done = std::move(done)] { done(RunErrc::kNoAnswer, 0); });
       return;
@@ -303,12 +305,13 @@
 
   void QueryStoreContact(const LiveInstance& instance, Callback done) override {
     const auto found = world_.instances().find(instance.name);
-    const bool there =
+    const bool reachable =
         found != world_.instances().end() && found->second->alive &&
-        !found->second->executor->frozen() && Reaches(*found->second);
+        !found->second->executor->frozen() && CanReach(*found->second);
     const auto age =
-        there ? found->second->cell->TimeSinceStoreAnswer(world_.time().now())
-              : std::nullopt;
+        reachable
+            ? found->second->cell->TimeSinceStoreAnswer(world_.time().now())
+            : std::nullopt;
     const std::error_code error =
         age ? std::error_code() : make_error_code(PeerErrc::kNotSent);
     self_.executor->DeliverAnswer(kWorkerDelay,
@@ -322,7 +325,7 @@
     const auto found = world_.instances().find(instance.name);
     const bool agrees = found != world_.instances().end() &&
                         !found->second->executor->frozen() &&
-                        Reaches(*found->second) &&
+                        CanReach(*found->second) &&
                         found->second->cell->AgreeToUnrecordedStarts();
     const std::error_code error =
         agrees ? std::error_code() : make_error_code(PeerErrc::kNotSent);
@@ -333,7 +336,7 @@
                     const std::string&,
                     int64_t epoch) override {
     const auto found = world_.instances().find(instance.name);
-    if (found == world_.instances().end() || !Reaches(*found->second)) {
+    if (found == world_.instances().end() || !CanReach(*found->second)) {
       return;
     }
     WorldInstance* other = found->second;
@@ -342,7 +345,7 @@
   }
 
  private:
-  bool Reaches(const WorldInstance& other) const {
+  bool CanReach(const WorldInstance& other) const {
     return !self_.partitioned_from_peers && !other.partitioned_from_peers &&
            !self_.unreachable_instances.contains(other.name) &&
            !other.unreachable_instances.contains(self_.name);
