--- a/src/include/doorwood/cell_journal.h
+++ b/src/include/doorwood/cell_journal.h
@@ -213,7 +213,7 @@
   void Send();
   std::optional<size_t> FindLaneToSend() const;
   bool HasPendingWork() const;
-  bool HasSealedUrgent() const;
+  bool HasSealedUrgentJobs() const;
   /// Empty if there is only what other lanes carry already.
   std::optional<Batch> Build(size_t lane);
   void CaptureEnds();
@@ -239,9 +239,9 @@
   void RejectAccept(PendingAccept* accept);
   /// A lane carries the job, so it may still take effect.
   bool IsInFlight(std::string_view job) const;
-  static void Answer(PendingAccept* accept,
-                     std::error_code error,
-                     AcceptOutcome outcome);
+  static void CompleteAccept(PendingAccept* accept,
+                             std::error_code error,
+                             AcceptOutcome outcome);
 
   Executor& executor_;
   RecordStore& store_;
--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -68,7 +68,7 @@
 ///
 /// Runs that earlier leaders ordered may still be active on workers that this
 /// leader has not yet contacted. A task that may be among them is held back
-/// until those workers have answered or their leases have surely expired.
+/// until those workers have answered or their leases have expired for certain.
 ///
 /// Orders are sent, and leases are extended, only for a bounded time after the
 /// lead key was last confirmed. A leader that is paused or loses the store
@@ -192,8 +192,9 @@
     /// another process wrote it. The worker gets no new work; its runs
     /// continue.
     bool entry_rejected = false;
-    /// Closed to new work until then, because its machine is being emptied for
-    /// upkeep. Extended while that continues.
+    /// No new work is placed there before this time, because its machine is
+    /// being evacuated for maintenance. Extended while the evacuation
+    /// continues.
     Instant evacuated_until{};
     /// Known from the record of an earlier leader. Its runs have to be
     /// accounted for before any task is started that may still run there.
@@ -220,7 +221,7 @@
     bool death_processed = false;
     /// The worker is in contact again, and a record that says so is pending.
     bool contact_record_pending = false;
-    /// Gets no new work until then, after it refused a start.
+    /// Gets no new work before this time, because it refused a start.
     Instant backoff_until{};
     /// Free capacity as last computed for placement, the session's version it
     /// was computed from, and when.
@@ -267,7 +268,7 @@
   Millis AgeOfRecord(int64_t revision) const;
   void StepDown(std::string_view reason);
   /// In the last phase of a planned shutdown: no task is started and no call is
-  /// taken.
+  /// accepted.
   bool IsHandingOver() const;
   void ReleaseLeadKey();
   void HandOverLead(const LiveInstance& successor);
@@ -312,9 +313,9 @@
   std::optional<std::vector<std::string>> TasksToRecord(
       const CellWorker& cell_worker) const;
   /// Whether the worker gets no new work: it is leaving, has left, was never in
-  /// contact or is unresponsive for long. One that has left stays closed until
-  /// it is listed again. Not meant for workers that are not yet contacted after
-  /// a takeover.
+  /// contact or has been unresponsive for long. One that has left stays closed
+  /// until it is listed again. Not meant for workers that are not yet contacted
+  /// after a takeover.
   bool GetsNoNewWork(const CellWorker& cell_worker) const;
   bool HasUnrecordedTaskChanges(const CellWorker& cell_worker) const;
   /// Records changed task lists of workers that get no new work.
@@ -368,10 +369,10 @@
   UncontactedWorkers FindUncontacted() const;
   static void AddUncontacted(std::string_view worker,
                              const CellWorker& cell_worker,
-                             UncontactedWorkers* unheard);
+                             UncontactedWorkers* uncontacted);
   /// Whether one of these workers may run the task, or may have ended it
   /// without having reported this.
-  bool MayRunOn(const Task& task, const UncontactedWorkers& unheard) const;
+  bool MayRunOn(const Task& task, const UncontactedWorkers& uncontacted) const;
   /// Whether a worker that is still waited for may run the task, or may have
   /// ended it without having reported this.
   bool MayRunOnUncontacted(const Task& task) const;
@@ -399,7 +400,7 @@
   /// done tasks.
   void StopRunsOfCompletedTask(const Task& task);
   int MaxAttempts(const Job& job) const;
-  /// Number of the task's run that a worker is known to have.
+  /// Number of the task's run that is known to be on a worker.
   std::optional<uint32_t> NumberOfPlacedRun(const std::string& task) const;
   /// The queue as currently or last configured; null: never configured.
   const Queue* QueueOf(const Job& job) const;
@@ -439,7 +440,8 @@
   double Jitter();
   // cell_suspects.cpp: trial runs of tasks that may crash their workers.
   static bool IsSuspect(const Task& task);
-  /// Whether the worker has runs that were not yet seen at work.
+  /// Whether the worker has runs that have not yet been observed running for
+  /// long enough.
   bool HasNewRuns(const WorkerSession& session) const;
   static int CrashCost(const WorkerSession& session);
   int CountWorkersOfService(std::string_view service) const;
@@ -469,7 +471,7 @@
                                std::vector<CandidateWorker>* candidates);
   void BeginTrial(const Task& task,
                   const std::shared_ptr<WorkerSession>& session);
-  /// Polls the worker once its newest runs should have been at work for
+  /// Polls the worker once its newest runs should have been active for
   /// `at_work`.
   void ScheduleTrialPoll(const std::shared_ptr<WorkerSession>& session,
                          Millis at_work);
@@ -557,7 +559,7 @@
   void MoveStuckBestEffortRuns(WorkerSession& session);
   std::vector<ServingUtilization> CollectUtilizations(
       const WorkerSession& session) const;
-  // cell_evacuation.cpp: moving work off workers that leave or are emptied.
+  // cell_evacuation.cpp: moving work off workers that leave or are evacuated.
   void EvacuateLeavingWorkers();
   void EvacuateDraining(const std::string& id, const CellWorker& cell_worker);
   void EvacuateUnlisted(const std::string& id, const CellWorker& cell_worker);
@@ -596,7 +598,7 @@
   Instant last_tick_{};
   /// See `OrderDeadline`, which also takes pauses of this process into account.
   Instant order_deadline_{};
-  /// This process was paused: its lead must be confirmed before it sends
+  /// This process was paused. Its lead must be confirmed before it sends
   /// orders.
   bool unconfirmed_after_pause_ = false;
   /// Since when this instance may campaign for a vacant lead; zero: it may not,
@@ -634,10 +636,11 @@
   CellJournal journal_;
   LeadProof proof_;
   WorkerQuarantine trust_;
-  /// Whether this instance could rely on the recorded placements of
-  /// long-running tasks when it took the lead; and the store revision up to
-  /// which registered instances can rely on them now.
+  /// Whether the recorded placements of long-running tasks were known to be
+  /// complete when this instance took the lead.
   bool placements_valid_at_takeover_ = false;
+  /// An instance whose registration has at most this store revision may treat
+  /// the recorded placements as complete.
   int64_t placements_valid_to_ = 0;
   /// Long-running tasks that run where the store has no record of it, and those
   /// whose start waits for the record.
--- a/src/include/doorwood/cell_options.h
+++ b/src/include/doorwood/cell_options.h
@@ -57,8 +57,8 @@
   Millis order_grace{3000};
   /// Interval between records of workers that are not yet contacted after a
   /// takeover or are unresponsive; and delay of the first such record after a
-  /// takeover. The delay is short so that the wait counts even if this leader
-  /// is lost soon.
+  /// takeover. The delay is short so that the next leader can deduct this wait
+  /// even if this leader is lost soon.
   Millis unreachable_record_interval{1000};
   Millis first_unreachable_record{250};
   /// An unresponsive worker whose leases were not extended for so long is
--- a/src/include/doorwood/commit_flow.h
+++ b/src/include/doorwood/commit_flow.h
@@ -23,22 +23,22 @@
 namespace doorwood {
 
 struct CommitFlowOptions {
-  /// Maximum number of commits in flight. With 0.4 s an answer these are 30 a
-  /// second, some 900 entries.
+  /// Maximum number of commits in flight. At 0.4 s per answer these are 30 a
+  /// second, or about 900 entries.
   size_t max_lanes = 12;
   /// Least time between a commit and a further one beside it, so that a store
   /// that answers in milliseconds gets one at a time.
   Millis send_interval{30};
-  /// Weight of an answer that came faster than expected. A slower one counts
-  /// fully, since callers wait for it.
+  /// Weight of an answer that came faster than expected. A slower one has full
+  /// weight, since callers wait for it.
   double faster_answer_weight = 0.3;
   /// If no answer comes for this multiple of the expected answer time, and at
   /// least for `min_stall_time`, no further commit is sent beside those in
   /// flight.
   double stall_factor = 3.0;
   Millis min_stall_time{100};
-  /// A store that has not answered for this long counts as unresponsive. Slow
-  /// stores answer within 0.4 s.
+  /// A store that has not answered for this long is treated as unresponsive.
+  /// Slow stores answer within 0.4 s.
   Millis unresponsive_after{700};
   /// A record that would take longer is refused at once: callers have 3 s in
   /// all, so that another attempt can still succeed.
@@ -54,7 +54,7 @@
 
   /// A commit is sent on a free lane.
   void OnSent(size_t lane, Instant now);
-  /// The commit was answered, with any result, or is given up.
+  /// The commit was answered, with any result, or is no longer awaited.
   void OnAnswered(size_t lane, Instant now);
   /// The commit timed out without an answer and is sent again.
   void OnResent(size_t lane, Instant now);
--- a/src/include/doorwood/lead_proof.h
+++ b/src/include/doorwood/lead_proof.h
@@ -54,7 +54,7 @@
 
   /// Notes that a call sent at that time has found the key in place.
   void NoteConfirmed(Instant sent);
-  /// Reads the key as soon as possible, because a conclusion waits for the
+  /// Reads the key as soon as possible, because a decision depends on the
   /// proof. A read already under way was sent too early, so another one follows
   /// it.
   void RequestRead();
--- a/src/include/doorwood/run_worker.h
+++ b/src/include/doorwood/run_worker.h
@@ -103,19 +103,19 @@
   int64_t clock = 0;
   std::vector<ActiveRun> active;
   std::vector<EndedRun> ended;
-  /// The worker has more ends than the report could list; a run that the report
-  /// does not name may be among them.
+  /// The worker has more ended runs than the report could list; a run that the
+  /// report does not name may be among them.
   bool has_more_ends = false;
 };
 
 struct PollOrder {
   uint64_t token = 0;
-  /// The worker forgets its ends up to this number.
+  /// The worker discards its ended runs up to this number.
   uint64_t forget_up_to = 0;
   /// Extends the leases of all runs there to this time on the worker's clock;
   /// 0: does not extend them.
   int64_t lease_end = 0;
-  /// The worker may delay its answer for this long to wait for an end.
+  /// The worker may delay its answer for this long to wait for a run to end.
   Millis max_wait{0};
 };
 
--- a/src/include/doorwood/worker_session.h
+++ b/src/include/doorwood/worker_session.h
@@ -71,7 +71,7 @@
   /// For a serving task: its own load without best-effort work on the same
   /// worker; negative: not known yet.
   double load = -1;
-  /// Mean of the most recent figures; negative: none yet.
+  /// Mean of the most recent measurements; negative: none yet.
   double mean_measurement = -1;
   /// Time since which the mean exceeds the target; zero: it does not.
   Instant above_target_since{};
@@ -106,8 +106,9 @@
   /// platform's longest run lease; see docs/CONFIGURATION.md.
   Millis run_lease{6000};
   /// Longest wait of a poll that watches interference between tasks, in a small
-  /// cell. Trials on quiet-1 without charge for processors, 5 and 3 seeds:
-  /// 0.677 and 0.658 (two deployments) at 500 ms, 0.712 and 0.666 at 250 ms.
+  /// cell. Simulations of a quiet day without a charge for processors gave
+  /// results of 0.677 and 0.658 (two deployments, 5 and 3 seeds) at 500 ms, and
+  /// of 0.712 and 0.666 at 250 ms.
   Millis short_poll_wait{250};
   /// Longest wait of any other poll.
   Millis long_poll_wait{1200};
@@ -117,7 +118,7 @@
   Millis retry_pause{150};
   /// Delay after a poll where another incarnation answers and this one has
   /// never answered. A corrected directory entry ends the delay at once;
-  /// otherwise each copy of an entry is polled twice in 10 s.
+  /// otherwise each copy of an entry would be polled twice in 10 s.
   Millis other_incarnation_pause{8000};
   /// A worker that has not responded for this long gets no new work.
   Millis unresponsive_after{1500};
@@ -149,8 +150,8 @@
   virtual void OnPollRecovered(WorkerSession& session) = 0;
   /// The worker lists the end of a run that this session does not know.
   virtual void OnUnknownEnd(WorkerSession& session, const EndedRun& end) = 0;
-  /// The worker runs something that this session does not know. Returns the run
-  /// to adopt; if empty, the session stops it.
+  /// The worker lists an active run that this session does not know. Returns
+  /// the run to adopt; if empty, the session stops it.
   virtual std::optional<Run> OnUnknownRun(WorkerSession& session,
                                           const ActiveRun& run) = 0;
   /// The start was refused; it is certain that the run did not begin.
@@ -179,9 +180,9 @@
   void Open();
   void Close();
 
-  /// For a run that is `held`, only reserves its resources.
+  /// Starts a run. If `run.start_deferred` is set, only reserves its resources.
   void Start(Run run, std::string payload, std::string ticket);
-  /// Sends the start order of a run that was held.
+  /// Sends the start order of a run whose start was deferred.
   void Release(const std::string& task);
   void Stop(const std::string& task);
   void SetPace(const std::string& task, int percent);
@@ -198,22 +199,23 @@
   void PollNow();
   /// No other leader can have extended a lease there before `until`. A lease
   /// that expired earlier, or another incarnation that answered earlier,
-  /// therefore proves that runs have ended. Later events prove nothing yet: a
-  /// successor may have adopted the runs, kept them, or started them again.
+  /// therefore proves that runs have ended. Later events do not prove this yet:
+  /// a successor may have adopted the runs, kept them, or started them again.
   void SetLeadConfirmedUntil(Instant until) { lead_confirmed_until_ = until; }
-  /// This incarnation or all its runs have ended if nobody else led before, but
-  /// leadership is not yet confirmed up to that time.
+  /// The end of this incarnation or of all its runs was observed, but
+  /// leadership is not yet confirmed up to the time of that end.
   bool awaits_lead_confirmation() const {
     return EndedSince() >= lead_confirmed_until_;
   }
-  /// This incarnation is gone, and nobody else led before that was noticed.
+  /// This incarnation has ended, and no other instance led before this leader
+  /// noticed it.
   bool confirmed_dead() const {
     return dead_ && dead_since_ < lead_confirmed_until_;
   }
   /// Ends the runs whose end is certain up to the time to which leadership is
   /// confirmed.
   void EndProvedRuns();
-  /// All ends up to `end_number` are recorded; the worker may forget only
+  /// All ends up to `end_number` are recorded; the worker may discard only
   /// these.
   void MarkRecorded(uint64_t end_number);
   /// Takes a newer directory entry; `incarnation.id` stays the same. If this
@@ -238,8 +240,8 @@
   /// this leader has contacted the worker and starts nothing more there, a
   /// successor has to account for these tasks only. Sorted, without duplicates.
   std::vector<std::string> OutstandingTasks() const;
-  /// Something runs there that this leader is stopping and has not reserved
-  /// resources for; how much of the worker it uses is not known.
+  /// The worker lists runs that this leader is stopping and has not reserved
+  /// resources for; how much of the worker they use is not known.
   bool has_unwanted_runs() const { return !unwanted_tasks_.empty(); }
   /// Increases with each change of `OutstandingTasks`.
   uint64_t tasks_version() const { return tasks_version_; }
@@ -248,7 +250,7 @@
   /// The worker has listed all its ends to this leader; one report lists only a
   /// limited number.
   bool all_ends_listed() const { return all_ends_listed_; }
-  /// This incarnation is gone: another one answers at its address.
+  /// This incarnation has ended: another one answers at its address.
   bool dead() const { return dead_; }
   /// The worker responded recently, or is idle and was not polled since its
   /// last answer.
@@ -310,8 +312,9 @@
   void ProbeNextAddress();
   void OnNextAddressResponse(const std::string& address, std::error_code error);
   void NoteOtherIncarnation(const std::string& address);
-  /// Interprets the answer to a call to `address`: an answer of another
-  /// incarnation counts as none where this one has not answered before.
+  /// Interprets the answer to a call to `address`. An answer of another
+  /// incarnation is treated as no answer if this incarnation has not answered
+  /// at that address before.
   std::error_code ClassifyResponse(const std::string& address,
                                    std::error_code error);
   void RecordClock(int64_t clock);
@@ -358,7 +361,7 @@
   bool all_ends_listed_ = false;
   bool unresponsive_logged_ = false;
   std::map<std::string, Run> runs_;
-  /// Start orders of the runs that are held.
+  /// Start orders of the runs whose start is deferred.
   std::map<std::string, StartArguments> deferred_starts_;
   Resources reserved_;
   int64_t best_effort_cpu_ = 0;
--- a/src/libdoorwood/cell/cell_campaign_test.cpp
+++ b/src/libdoorwood/cell/cell_campaign_test.cpp
@@ -60,8 +60,8 @@
 
 // The lead becomes vacant twice, the second time when campaigns that were
 // scheduled in the first vacancy would be due. Machines that fail together with
-// the leader stay listed for a moment, so that the strong ones are delayed as
-// well.
+// the leader stay listed for a moment, so that the instances on strong machines
+// delay their campaigns as well.
 BOOST_AUTO_TEST_CASE(Lead_BecomesVacantTwice_DelaysStartAgain) {
   for (int seed = 1; seed <= LargeSiteFixture::kSeeds; ++seed) {
     LargeSiteFixture fixture(seed);
--- a/src/libdoorwood/cell/cell_closed_test.cpp
+++ b/src/libdoorwood/cell/cell_closed_test.cpp
@@ -42,7 +42,7 @@
     plan.steps[0].long_running = payload.empty();
     world.Submit(plan);
   }
-  size_t RunningIn(const std::string& centre) const {
+  size_t CountRunningIn(const std::string& centre) const {
     size_t running = 0;
     for (const auto& [id, worker] : world.workers()) {
       running += worker->incarnation.data_centre == centre
@@ -51,7 +51,7 @@
     }
     return running;
   }
-  std::error_code Refusal(int number) {
+  std::error_code SubmitAndReturnError(int number) {
     std::error_code answer;
     JobPlan plan = fakes::MakePlan("ffffffffffffff" + std::to_string(number), 1,
                                    1, "ms=100");
@@ -69,17 +69,17 @@
   world.Run(kClosingTime);
   Submit(1, 24, "ms=60000");
   world.Run(Millis(1000));
-  BOOST_TEST(RunningIn("plaka") == 0U);
-  BOOST_TEST(RunningIn("kerameikos") + RunningIn("pireas") == 24U);
+  BOOST_TEST(CountRunningIn("plaka") == 0U);
+  BOOST_TEST(CountRunningIn("kerameikos") + CountRunningIn("pireas") == 24U);
 }
 
 BOOST_FIXTURE_TEST_CASE(DataCentre_Closed_ItsRunsContinue, ClosedFixture) {
   Submit(1, 6, "");
   world.Run(Millis(500));
-  const size_t before = RunningIn("plaka");
+  const size_t before = CountRunningIn("plaka");
   world.closed_data_centres() = {"plaka", "kerameikos", "pireas"};
   world.Run(Millis(4000));
-  BOOST_TEST(RunningIn("plaka") == before);
+  BOOST_TEST(CountRunningIn("plaka") == before);
 }
 
 BOOST_FIXTURE_TEST_CASE(
@@ -87,15 +87,15 @@
     ClosedFixture) {
   Submit(1, 28, "");
   world.Run(Millis(500));
-  const std::string centre = RunningIn("plaka") > 0 ? "plaka" : "pireas";
-  BOOST_REQUIRE(RunningIn(centre) > 0U);
+  const std::string centre = CountRunningIn("plaka") > 0 ? "plaka" : "pireas";
+  BOOST_REQUIRE(CountRunningIn(centre) > 0U);
   world.closed_data_centres() = {centre};
   world.Run(kClosingTime);
   world.CrashWorker(centre + "1");
   world.CrashWorker(centre + "2");
   world.AddWorker(centre + "3", 8000).incarnation.data_centre = centre;
   world.Run(Millis(4000));
-  BOOST_TEST(RunningIn(centre) == 0U);
+  BOOST_TEST(CountRunningIn(centre) == 0U);
   size_t running = 0;
   for (const auto& [id, worker] : world.workers()) {
     running += worker->model.running_count();
@@ -108,10 +108,10 @@
   world.Run(Millis(3000));
   Submit(1, 48, "ms=60000");
   world.Run(Millis(500));
-  BOOST_TEST(RunningIn("plaka") == 0U);
+  BOOST_TEST(CountRunningIn("plaka") == 0U);
   world.closed_data_centres().clear();
   world.Run(Millis(2000));
-  BOOST_TEST(RunningIn("plaka") == 16U);
+  BOOST_TEST(CountRunningIn("plaka") == 16U);
 }
 
 BOOST_FIXTURE_TEST_CASE(DataCentre_ClosedAndReopenedWithinASecond_GetsWork,
@@ -122,7 +122,7 @@
   world.Run(Millis(2000));
   Submit(1, 48, "ms=60000");
   world.Run(Millis(1000));
-  BOOST_TEST(RunningIn("plaka") == 16U);
+  BOOST_TEST(CountRunningIn("plaka") == 16U);
 }
 
 // A successor reads the closed data centres before it starts anything.
@@ -140,7 +140,7 @@
   BOOST_REQUIRE(world.WaitForLeader() != nullptr);
   for (int i = 0; i < 100; ++i) {
     world.Run(Millis(100));
-    BOOST_REQUIRE(RunningIn("pireas") == 0U);
+    BOOST_REQUIRE(CountRunningIn("pireas") == 0U);
   }
 }
 
@@ -148,10 +148,10 @@
                         ClosedFixture) {
   world.closed_data_centres() = {"plaka", "kerameikos", "pireas"};
   world.Run(kClosingTime);
-  BOOST_TEST(Refusal(1) == make_error_code(CoreErrc::kNoCapacity));
+  BOOST_TEST(SubmitAndReturnError(1) == make_error_code(CoreErrc::kNoCapacity));
   world.closed_data_centres() = {"plaka", "kerameikos"};
   world.Run(kClosingTime);
-  BOOST_TEST(Refusal(2) == std::error_code());
+  BOOST_TEST(SubmitAndReturnError(2) == std::error_code());
 }
 
 }  // namespace
--- a/src/libdoorwood/cell/cell_crashes.cpp
+++ b/src/libdoorwood/cell/cell_crashes.cpp
@@ -11,8 +11,8 @@
 namespace doorwood {
 namespace {
 
-// A worker that disappears this soon after it was emptied is taken to be down
-// for its machine's maintenance, not crashed.
+// A worker that disappears this soon after it was evacuated is assumed to be
+// down for its machine's maintenance, not crashed.
 constexpr Millis kUpkeepStartWindow{10'000};
 // A missing entry proves that a worker is gone only if the list of workers is
 // no older than this.
@@ -172,15 +172,15 @@
     const CellWorker& cell_worker) {
   std::vector<Task*> tasks;
   const int64_t now = unix_millis_();
-  UncontactedWorkers unheard;
-  AddUncontacted(worker, cell_worker, &unheard);
+  UncontactedWorkers uncontacted;
+  AddUncontacted(worker, cell_worker, &uncontacted);
   for (Job* job : std::vector<Job*>(jobs_.OpenJobs())) {
     ForEachTask(job, [&](Task* task) {
       const bool may_run =
           task->may_still_run && !task->placed && !task->done &&
           IsDue(*job, task->repetition, now) &&
           JobTable::IsUnblocked(*job, task->repetition, task->step);
-      if (may_run && MayRunOn(*task, unheard)) {
+      if (may_run && MayRunOn(*task, uncontacted)) {
         tasks.push_back(task);
       }
     });
--- a/src/libdoorwood/cell/cell_crashing_task_test.cpp
+++ b/src/libdoorwood/cell/cell_crashing_task_test.cpp
@@ -65,7 +65,7 @@
       world.CrashAndRestart(id);
     }
   }
-  size_t RunningTasks() {
+  size_t CountRunningTasks() {
     size_t running = 0;
     for (const auto& [id, worker] : world.workers()) {
       running += worker->model.running_count();
@@ -220,7 +220,7 @@
         }
         fixture.world.Run(Millis(4000));
         BOOST_TEST(fixture.StateOf(kHealthyJob) == "running");
-        BOOST_TEST(fixture.RunningTasks() == 24U);
+        BOOST_TEST(fixture.CountRunningTasks() == 24U);
       }
     }
   }
@@ -239,7 +239,7 @@
         fixture.world.Run(Millis(5000));
       }
       BOOST_TEST(fixture.StateOf(kHealthyJob) == "running");
-      BOOST_TEST(fixture.RunningTasks() == 24U);
+      BOOST_TEST(fixture.CountRunningTasks() == 24U);
     }
   }
 }
--- a/src/libdoorwood/cell/cell_ends.cpp
+++ b/src/libdoorwood/cell/cell_ends.cpp
@@ -47,7 +47,7 @@
   const EndEffect effect =
       jobs_.CountEnd(task, run, end, checkpoint, MaxAttempts(*job));
   if (effect == EndEffect::kIgnored) {
-    // The failure count may have changed all the same.
+    // The failure count may have changed nevertheless.
     MarkDirty(job, /*urgent=*/false);
     log_.Write("info", "cell", "end of a run not counted",
                {{"task", task->name()},
--- a/src/libdoorwood/cell/cell_evacuation.cpp
+++ b/src/libdoorwood/cell/cell_evacuation.cpp
@@ -11,10 +11,10 @@
 namespace doorwood {
 namespace {
 
-// A worker to be emptied stays closed to new work for this long after the
-// latest request to empty it.
-constexpr Millis kEmptyRequestLifetime{1000};
-// Progress at which a long-running task is at work.
+// A worker to be evacuated gets no new work for this long after the latest
+// request to evacuate it.
+constexpr Millis kEvacuationRequestLifetime{1000};
+// Progress at which a long-running task is ready.
 constexpr int kWorkingProgress = 100;
 
 }  // namespace
@@ -50,9 +50,9 @@
 
 // Some workers leave without announcing it: their entry is removed, and they
 // continue to run for an unknown time. Work that can continue elsewhere is
-// therefore moved as soon as the entry counts as gone. A worker that was
-// partitioned from the leader is listed again only some time after it answers
-// again, so the time in which it did not answer does not count.
+// therefore moved once the entry has been missing for `unlisted_grace`. A
+// worker that was partitioned from the leader is listed again only some time
+// after it answers again, so the time in which it did not answer is excluded.
 void CellLeader::EvacuateUnlisted(const std::string& id,
                                   const CellWorker& cell_worker) {
   const Instant since = std::max(cell_worker.unlisted_since,
@@ -113,7 +113,7 @@
     return Occupancy::kEmpty;
   }
   CellWorker& cell_worker = found->second;
-  cell_worker.evacuated_until = executor_.Now() + kEmptyRequestLifetime;
+  cell_worker.evacuated_until = executor_.Now() + kEvacuationRequestLifetime;
   const auto session = cell_worker.session;
   Occupancy occupancy = Occupancy::kEmpty;
   std::vector<std::string> long_running;
--- a/src/libdoorwood/cell/cell_journal.cpp
+++ b/src/libdoorwood/cell/cell_journal.cpp
@@ -35,9 +35,9 @@
     worker.id = ToNonEmptyString(row.at(0), "id");
     worker.address = ToNonEmptyString(row.at(1), "address");
     // Earlier versions wrote no third field.
-    const int64_t unheard =
+    const int64_t not_contacted_ms =
         row.size() > 2 ? ToInteger(row.at(2), "unheard", {0, kMaxMillis}) : 0;
-    worker.not_contacted_for = Millis(unheard);
+    worker.not_contacted_for = Millis(not_contacted_ms);
     if (row.size() > 3) {
       worker.tasks = DecodeTasks(row.at(3));
     }
@@ -200,14 +200,14 @@
   force_commit_ = false;
   flow_.Clear();
   for (PendingAccept& accept : waiting) {
-    Answer(&accept, CoreErrc::kNoOwner, {});
+    CompleteAccept(&accept, CoreErrc::kNoOwner, {});
   }
   for (Lane& lane : lanes) {
     if (!lane.batch) {
       continue;
     }
     for (PendingAccept& accept : lane.batch->accepts) {
-      Answer(&accept, CoreErrc::kOutcomeUnknown, {});
+      CompleteAccept(&accept, CoreErrc::kOutcomeUnknown, {});
     }
   }
 }
@@ -240,7 +240,7 @@
   }
 }
 
-bool CellJournal::HasSealedUrgent() const {
+bool CellJournal::HasSealedUrgentJobs() const {
   return sealed_urgent_ &&
          std::any_of(
              sealed_urgent_->begin(), sealed_urgent_->end(),
@@ -248,12 +248,12 @@
 }
 
 bool CellJournal::is_drained() const {
-  return flow_.in_flight() == 0 && accepts_.empty() && !HasSealedUrgent();
+  return flow_.in_flight() == 0 && accepts_.empty() && !HasSealedUrgentJobs();
 }
 
-void CellJournal::Answer(PendingAccept* accept,
-                         std::error_code error,
-                         AcceptOutcome outcome) {
+void CellJournal::CompleteAccept(PendingAccept* accept,
+                                 std::error_code error,
+                                 AcceptOutcome outcome) {
   if (!accept->answered) {
     accept->answered = true;
     accept->done(error, outcome);
@@ -355,7 +355,7 @@
 
 bool CellJournal::HasPendingWork() const {
   if (sealed_urgent_) {
-    return !accepts_.empty() || HasSealedUrgent();
+    return !accepts_.empty() || HasSealedUrgentJobs();
   }
   return !accepts_.empty() || !dirty_.empty() || !to_remove_.empty() ||
          (workers_changed_ && !workers_in_flight_) || force_commit_ ||
--- a/src/libdoorwood/cell/cell_journal_answers.cpp
+++ b/src/libdoorwood/cell/cell_journal_answers.cpp
@@ -39,7 +39,8 @@
   }
   const bool unknown = error == make_error_code(KvErrc::kUnknown);
   Batch& batch = *lanes_[lane].batch;
-  // A lost answer while others arrived says nothing about the store.
+  // A lost answer while others arrived does not show that the store is
+  // unresponsive.
   const bool no_success_since_sent = last_success_ < batch.sent;
   if (!store_unavailable_ && (!unknown || no_success_since_sent)) {
     log_.Write("warn", "journal", "store did not accept a batch",
@@ -141,7 +142,7 @@
   std::vector<PendingAccept> new_accepts;
   for (PendingAccept& accept : batch.accepts) {
     if (RevisionOf(FindItem(commit, JobIdKey(accept.plan.id))) != 0) {
-      Answer(&accept, {}, AcceptOutcome::kAlreadyKnown);
+      CompleteAccept(&accept, {}, AcceptOutcome::kAlreadyKnown);
     } else {
       new_accepts.push_back(std::move(accept));
     }
@@ -163,7 +164,7 @@
   Batch batch = DetachBatch(lane);
   for (PendingAccept& accept : batch.accepts) {
     owner_.OnAccepted(accept.plan);
-    Answer(&accept, {}, AcceptOutcome::kAccepted);
+    CompleteAccept(&accept, {}, AcceptOutcome::kAccepted);
   }
   for (const std::string& job : batch.states) {
     owner_.OnStateWritten(job);
@@ -209,7 +210,7 @@
     }
     for (PendingAccept& accept : lane.batch->accepts) {
       if (accept.deadline <= now) {
-        Answer(&accept, CoreErrc::kOutcomeUnknown, {});
+        CompleteAccept(&accept, CoreErrc::kOutcomeUnknown, {});
       }
     }
   }
@@ -234,7 +235,7 @@
 // carries the same job for an earlier call.
 void CellJournal::RejectAccept(PendingAccept* accept) {
   const bool may_be_stored = IsInFlight(accept->plan.id);
-  Answer(
+  CompleteAccept(
       accept,
       may_be_stored ? CoreErrc::kOutcomeUnknown : CoreErrc::kStoreUnavailable,
       {});
--- a/src/libdoorwood/cell/cell_journal_load_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_load_test.cpp
@@ -142,13 +142,13 @@
     }
   }
 
-  int Count(std::error_code error) const {
+  int CountAnswers(std::error_code error) const {
     return static_cast<int>(
         std::count_if(answers.begin(), answers.end(),
                       [error](const Answer& a) { return a.error == error; }));
   }
 
-  Millis Slowest(std::error_code error) const {
+  Millis SlowestAnswerTime(std::error_code error) const {
     Millis slowest{0};
     for (const Answer& answer : answers) {
       slowest =
@@ -200,8 +200,8 @@
     fixture.time.Run(Millis(1000));
     BOOST_TEST_CONTEXT(row.answer_time.count() << " ms an answer") {
       BOOST_TEST(fixture.answers.size() == 240U);
-      BOOST_TEST(fixture.Count(no_error) == 240);
-      BOOST_TEST(fixture.Slowest(no_error).count() <=
+      BOOST_TEST(fixture.CountAnswers(no_error) == 240);
+      BOOST_TEST(fixture.SlowestAnswerTime(no_error).count() <=
                  row.accept_within.count());
       BOOST_TEST(fixture.cancelled.empty());
       BOOST_TEST(std::max_element(fixture.cancel_times.begin(),
@@ -227,12 +227,12 @@
   fixture.Load(Millis(6000), /*arrivals=*/600);
   fixture.time.Run(Millis(3000));
   BOOST_TEST(fixture.answers.size() == 3600U);
-  BOOST_TEST(fixture.Count(outcome_unknown) == 0);
-  BOOST_TEST(fixture.Count(no_error) >= 600);
-  BOOST_TEST(fixture.Slowest(no_error).count() <= 1700);
-  BOOST_TEST(fixture.Slowest(store_unavailable).count() == 0);
+  BOOST_TEST(fixture.CountAnswers(outcome_unknown) == 0);
+  BOOST_TEST(fixture.CountAnswers(no_error) >= 600);
+  BOOST_TEST(fixture.SlowestAnswerTime(no_error).count() <= 1700);
+  BOOST_TEST(fixture.SlowestAnswerTime(store_unavailable).count() == 0);
   BOOST_TEST(fixture.accepted.size() ==
-             static_cast<size_t>(fixture.Count(no_error)));
+             static_cast<size_t>(fixture.CountAnswers(no_error)));
 }
 
 BOOST_AUTO_TEST_CASE(Accept_StoreStopsAnswering_FewOutcomesAreUnknown) {
@@ -246,11 +246,11 @@
   // The outcome is unknown only for jobs sent before the store was found to be
   // unresponsive. All others are refused at once, or within the time it takes
   // to find that out.
-  BOOST_TEST(fixture.Count(outcome_unknown) <= 10);
-  BOOST_TEST(fixture.Slowest(store_unavailable).count() <= 800);
+  BOOST_TEST(fixture.CountAnswers(outcome_unknown) <= 10);
+  BOOST_TEST(fixture.SlowestAnswerTime(store_unavailable).count() <= 800);
   // Jobs are accepted again once the calls that were in flight during the
   // outage have timed out after 1 s and have been sent again.
-  BOOST_TEST(fixture.Count(no_error) >= 40 + 80 - 45);
+  BOOST_TEST(fixture.CountAnswers(no_error) >= 40 + 80 - 45);
   BOOST_TEST((fixture.encoded == fixture.changed));
   BOOST_TEST(!fixture.lost);
 }
@@ -262,11 +262,11 @@
   fixture.store.lose_every_nth = 0;
   fixture.time.Run(Millis(3000));
   BOOST_TEST(fixture.answers.size() == 240U);
-  BOOST_TEST(fixture.Count(no_error) >= 200);
+  BOOST_TEST(fixture.CountAnswers(no_error) >= 200);
   // A refused job is never stored.
   BOOST_TEST(fixture.accepted.size() <=
-             static_cast<size_t>(fixture.Count(no_error) +
-                                 fixture.Count(outcome_unknown)));
+             static_cast<size_t>(fixture.CountAnswers(no_error) +
+                                 fixture.CountAnswers(outcome_unknown)));
   BOOST_TEST((fixture.encoded == fixture.changed));
   BOOST_TEST(!fixture.lost);
 }
--- a/src/libdoorwood/cell/cell_large_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_large_takeover_test.cpp
@@ -22,7 +22,7 @@
 // Loses the leader and two thirds of the workers. Returns the time in ms from
 // the takeover until the tasks that cannot run on the lost workers are
 // released.
-int ReleaseTime() {
+int TimeUntilRelease() {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
   for (int i = 0; i < 60; ++i) {
@@ -68,7 +68,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(LargeTakeover_MostWorkersGone_TasksAreReleasedInTime) {
-  BOOST_TEST(ReleaseTime() <= kReleaseBoundMs);
+  BOOST_TEST(TimeUntilRelease() <= kReleaseBoundMs);
 }
 
 }  // namespace
--- a/src/libdoorwood/cell/cell_late_campaign_test.cpp
+++ b/src/libdoorwood/cell/cell_late_campaign_test.cpp
@@ -32,7 +32,7 @@
     world.Run(Millis(1000));
   }
 
-  void SetLate(double share) {
+  void SetDelayedWriteShare(double share) {
     for (const auto& [name, instance] : world.instances()) {
       instance->store_faults.delayed_write_share = share;
     }
@@ -48,9 +48,9 @@
     Fixture fixture;
     CellWorld& world = fixture.world;
     world.Kill(fixture.old->name);
-    fixture.SetLate(1.0);
+    fixture.SetDelayedWriteShare(1.0);
     world.Run(Millis(duration));
-    fixture.SetLate(0);
+    fixture.SetDelayedWriteShare(0);
     world.Run(kRecoveryTime);
     BOOST_TEST((world.Leader() != nullptr), "late for " << duration << " ms");
   }
@@ -63,9 +63,9 @@
     Fixture fixture;
     CellWorld& world = fixture.world;
     world.Kill(fixture.old->name);
-    fixture.SetLate(1.0);
+    fixture.SetDelayedWriteShare(1.0);
     world.Run(Millis(2600));
-    fixture.SetLate(0);
+    fixture.SetDelayedWriteShare(0);
     WorldInstance* leader = world.WaitForLeader();
     BOOST_REQUIRE(leader != nullptr);
     world.Run(Millis(led));
--- a/src/libdoorwood/cell/cell_late_done_test.cpp
+++ b/src/libdoorwood/cell/cell_late_done_test.cpp
@@ -3,10 +3,10 @@
 // A worker completes a task while its leader cannot reach it. After 6 s the
 // run's lease expires, and the leader correctly counts the run as lost and
 // queues the task again. When the worker answers again and reports the run as
-// done, that completion must count. Ignoring it, because the run's end had been
-// counted already, made the task run again and the job's next step wait: in an
-// overload with repeated partitions, jobs ended 14 s after the last request
-// although all tasks of their first step were done.
+// done, the leader must accept that completion. Ignoring it, because the run's
+// end had been counted already, made the task run again and the job's next step
+// wait: in an overload with repeated partitions, jobs ended 14 s after the last
+// request although all tasks of their first step were done.
 //
 // In the log this shows as "run ended without a report from the worker" for run
 // 1, followed by "end of a run not counted" with end "done" for the same run.
--- a/src/libdoorwood/cell/cell_leader.cpp
+++ b/src/libdoorwood/cell/cell_leader.cpp
@@ -179,8 +179,8 @@
 }
 
 void CellLeader::ReleaseLeadKey() {
-  // A key that still exists would keep other instances from the lead for as
-  // long as this process incarnations.
+  // A key that still exists would keep other instances from taking the lead for
+  // as long as this process runs.
   StoreTransaction transaction;
   transaction.expected.push_back({LeadKey(options_.cell), epoch_});
   transaction.removes.push_back(LeadKey(options_.cell));
@@ -212,8 +212,8 @@
     shutdown_since_ = executor_.Now();
   }
   // A busy leader never has everything recorded, since runs keep ending.
-  // Without a limit it would lead until its grace period is over, and exit with
-  // records under way.
+  // Without a limit it would lead until its grace period has elapsed, and exit
+  // with records in flight.
   if (IsHandingOver()) {
     journal_.Seal();
   }
--- a/src/libdoorwood/cell/cell_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_leader_test.cpp
@@ -231,8 +231,8 @@
       // Stops are sent again until they are confirmed; a successor leads after
       // 3 s.
       world.Run(Millis(4000));
-      // Late orders are carried out after 6 s. A run that one of them starts is
-      // gone within three samples, well within the platform's bound.
+      // Late orders are carried out after 6 s. A run that one of them starts
+      // has ended within three samples, well within the platform's bound.
       int longest = 0;
       int consecutive = 0;
       for (int sample = 0; sample < 60; ++sample) {
--- a/src/libdoorwood/cell/cell_many_ends_test.cpp
+++ b/src/libdoorwood/cell/cell_many_ends_test.cpp
@@ -2,7 +2,7 @@
 
 // A worker has more ended runs than one report can list when a new leader
 // contacts it for the first time. A run that the first report does not name may
-// have ended all the same.
+// have ended nevertheless.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
--- a/src/libdoorwood/cell/cell_member_records.cpp
+++ b/src/libdoorwood/cell/cell_member_records.cpp
@@ -173,9 +173,9 @@
   if (!IsLongUnresponsive(cell_worker)) {
     return Millis(0);
   }
-  // A successor counts from when it leads, as if orders had been sent until
-  // then and for `order_grace` after that. This leader sends no more orders
-  // there.
+  // A successor starts its wait when it takes the lead, and assumes that orders
+  // were sent until then and for `order_grace` after that. This leader sends no
+  // more orders there, so the successor can deduct `order_grace` as well.
   return std::chrono::duration_cast<Millis>(
              executor_.Now() - cell_worker.session->last_lease_order_at()) +
          options_.order_grace;
@@ -225,7 +225,7 @@
       cell_worker.renewals_blocked = true;
       UpdateSessionLimits(cell_worker, OrderDeadline());
     }
-    // A newer record that states otherwise may be under way.
+    // A newer record that states otherwise may be in flight.
     const KnownWorker& newest = cell_worker.submitted_record;
     if (!worker.tasks && !newest.tasks && cell_worker.starts_blocked) {
       cell_worker.starts_blocked = false;
--- a/src/libdoorwood/cell/cell_members.cpp
+++ b/src/libdoorwood/cell/cell_members.cpp
@@ -236,12 +236,12 @@
   bool dropped = false;
   for (auto it = cell_workers_.begin(); it != cell_workers_.end();) {
     const WorkerSession& session = *it->second.session;
-    const bool over = session.dead() || !it->second.listed;
+    const bool is_gone = session.dead() || !it->second.listed;
     // A successor still has to learn of an end that is not recorded.
-    const bool still_counts = !session.runs().empty() ||
-                              session.has_unrecorded_ends() ||
-                              IsUncontacted(it->second);
-    if (over && !still_counts) {
+    const bool is_still_needed = !session.runs().empty() ||
+                                 session.has_unrecorded_ends() ||
+                                 IsUncontacted(it->second);
+    if (is_gone && !is_still_needed) {
       log_.Write("info", "cell", "a worker is gone",
                  {{"worker", it->first}, {"dead", session.dead()}});
       if (session.dead()) {
--- a/src/libdoorwood/cell/cell_overdue.cpp
+++ b/src/libdoorwood/cell/cell_overdue.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Detection of runs that take far longer than expected. Logs what the leader
-// knows of each and what its worker lists.
+// knows about each and what its worker lists.
 
 #include <algorithm>
 
--- a/src/libdoorwood/cell/cell_pacing.cpp
+++ b/src/libdoorwood/cell/cell_pacing.cpp
@@ -11,19 +11,21 @@
 namespace doorwood {
 namespace {
 
-// Age at which a run's figures surely cover its load: a worker's figures cover
-// the last half second, and the report itself may be as old as that.
+// Age at which a run's measurements are certain to cover its load: a worker's
+// measurements cover the last half second, and the report itself may be that
+// old.
 constexpr Millis kFigureDelay{900};
-// Best-effort work with checkpoints that has been limited to kStuckPace or less
-// for longer than kStuckDuration is moved to another worker.
+// Best-effort work with checkpoints that has been throttled to kStuckPace or
+// less for longer than kStuckDuration is moved to another worker.
 constexpr int kStuckPace = 20;
 constexpr Millis kStuckDuration{900};
 constexpr double kMillisPerCore = 1000.0;
-// Weight of the newest figure in a serving task's moving average.
+// Weight of the newest measurement in a serving task's moving average.
 constexpr double kNewestFigureWeight = 0.5;
 
-// Adds the reported figure to the run's moving average. Returns for how long
-// the average has been at or above `over_target_tail_share` times the target.
+// Adds the reported measurement to the run's moving average. Returns for how
+// long the average has been at or above `over_target_tail_share` times the
+// target.
 Millis UpdateTimeOverTarget(Run* run, Instant now, double tail_over) {
   const auto figure = static_cast<double>(run->measurement);
   run->mean_measurement =
@@ -61,7 +63,7 @@
             ? interference_.Utilization(run.image_id, run.measurement,
                                         run.latency_target)
             : options_.policy.interference.initial_load;
-    // The figures of a new task don't show its full load yet.
+    // The measurements of a new task don't show its full load yet.
     if (now - run.ordered < kFigureDelay) {
       serving.utilization = std::max(serving.utilization,
                                      options_.policy.interference.initial_load);
--- a/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
@@ -71,8 +71,9 @@
   ExpectNoViolations("certain of its lease");
 }
 
-// During a store outage for all instances an unresponsive worker proves
-// nothing. The time counts at once when the lease turns out to have been kept.
+// During a store outage for all instances, an unresponsive worker does not
+// prove that its runs have ended. Once the leader's lease is confirmed to have
+// been kept, the elapsed time proves it at once.
 BOOST_FIXTURE_TEST_CASE(Store_DownForAllAndWorkerCrashes_TasksRestartWithStore,
                         PartitionedLeaderFixture) {
   for (const auto& [name, instance] : world.instances()) {
@@ -90,8 +91,8 @@
   ExpectNoViolations("store down");
 }
 
-// Two takeovers while a worker that is gone for good may still hold runs: the
-// second successor continues the first one's wait instead of starting a new
+// Two takeovers while a worker that is permanently gone may still hold runs:
+// the second successor continues the first one's wait instead of starting a new
 // one.
 BOOST_FIXTURE_TEST_CASE(Successor_WorkerIsGoneForTwoLeaders_WaitIsContinued,
                         PartitionedLeaderFixture) {
@@ -117,10 +118,10 @@
 
 // The first successor reaches the worker after 1 to 5.5 s, extends the lease of
 // the runs there for 0.1 to 2.1 s, and is lost; the worker is unresponsive
-// again. The lease that the worker was last given counts, not the older record.
-// If the store is unreachable when the worker answers, no lease is extended.
-// Leaders with a planned shutdown are succeeded at once, which leaves the least
-// time.
+// again. The wait is based on the last lease granted to the worker, not on the
+// older record. If the store is unreachable when the worker answers, no lease
+// is extended. Leaders with a planned shutdown are succeeded at once, which
+// leaves the least time.
 struct ContactedAndLost {
   int not_contacted_ms;
   int contacted_ms;
--- a/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
+++ b/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
@@ -150,8 +150,8 @@
     }
   }
 
-  void Take(ViolationReport* violation_report,
-            const std::string& context) const {
+  void AddViolationsTo(ViolationReport* violation_report,
+                       const std::string& context) const {
     violation_report->Add(context, world);
     for (const std::string& rule : world.completed_task_starts()) {
       BOOST_ERROR(context + ": " + rule);
@@ -166,7 +166,7 @@
   Millis waited{0};
 };
 
-std::string Context(LeaderLoss loss, bool reachable, int at) {
+std::string DescribeCase(LeaderLoss loss, bool reachable, int at) {
   return std::string(ToString(loss)) + " at " + std::to_string(at) +
          (reachable ? " reachable" : " unreachable");
 }
@@ -199,10 +199,10 @@
           scenario.Run(Millis(at));
           scenario.LoseLeader(loss, reachable);
           scenario.Run(kSettleTime);
-          const std::string context = Context(loss, reachable, at) +
+          const std::string context = DescribeCase(loss, reachable, at) +
                                       " stop takes ms " +
                                       std::to_string(stop_takes);
-          scenario.Take(&violation_report, context);
+          scenario.AddViolationsTo(&violation_report, context);
           const Millis bound = reachable ? kReachableBound : kUnreachableBound;
           Millis& longest = reachable ? longest_reachable : longest_unreachable;
           longest = std::max(longest, scenario.longest_downtime);
@@ -235,8 +235,8 @@
       }
       scenario.waited = Millis(0);
       scenario.Run(kSettleTime);
-      const std::string context = Context(loss, false, at);
-      scenario.Take(&violation_report, context);
+      const std::string context = DescribeCase(loss, false, at);
+      scenario.AddViolationsTo(&violation_report, context);
       BOOST_TEST_CONTEXT(context) {
         BOOST_TEST(scenario.waited.count() <= kReachableBound.count());
       }
@@ -259,7 +259,7 @@
     scenario.world.AddWorker("spare", 4000);
     scenario.Run(kSettleTime);
     const std::string context = "lost at " + std::to_string(at);
-    scenario.Take(&violation_report, context);
+    scenario.AddViolationsTo(&violation_report, context);
     BOOST_TEST_CONTEXT(context) {
       BOOST_TEST(scenario.longest_downtime.count() <= kReachableBound.count());
     }
@@ -283,8 +283,8 @@
         scenario.Run(kSettleTime);
         scenario.ClearFaults();
         scenario.Run(Millis(6000));
-        const std::string context = Context(loss, reachable, at);
-        scenario.Take(&violation_report, context);
+        const std::string context = DescribeCase(loss, reachable, at);
+        scenario.AddViolationsTo(&violation_report, context);
         BOOST_TEST_CONTEXT(context) {
           const auto state = scenario.world.StateOf(kJob);
           BOOST_TEST((state ? ToString(*state) : "not known") == "completed");
@@ -367,10 +367,10 @@
         scenario.LoseLeader(LeaderLoss::kKilled, /*reachable=*/false);
         scenario.AddStays();
         scenario.Run(kSettleTime);
-        scenario.Take(&violation_report,
-                      std::string(drains ? "drains " : "") +
-                          (partitioned ? "partitioned " : "") + "lost after " +
-                          std::to_string(at));
+        scenario.AddViolationsTo(&violation_report,
+                                 std::string(drains ? "drains " : "") +
+                                     (partitioned ? "partitioned " : "") +
+                                     "lost after " + std::to_string(at));
       }
     }
   }
@@ -414,11 +414,12 @@
           scenario.old->unreachable_workers.insert("stays");
         }
         scenario.Run(kSettleTime);
-        scenario.Take(&violation_report,
-                      std::string(killed ? "killed" : "network partition") +
-                          " writes delayed after " +
-                          std::to_string(writes_delayed_after) +
-                          " lost after " + std::to_string(lost_after));
+        scenario.AddViolationsTo(
+            &violation_report,
+            std::string(killed ? "killed" : "network partition") +
+                " writes delayed after " +
+                std::to_string(writes_delayed_after) + " lost after " +
+                std::to_string(lost_after));
       }
     }
   }
@@ -446,8 +447,8 @@
 
 // A record without task names is written, and its reply is lost, just before
 // the worker drains; the next record, with names, follows, and then the drain
-// is cancelled. A confirmation of the older record must not count as one of the
-// newest.
+// is cancelled. A confirmation of the older record must not be taken for one of
+// the newest record.
 BOOST_AUTO_TEST_CASE(DrainCancelled_OlderRecordConfirmed_NothingRunsTwice) {
   ViolationReport violation_report;
   for (int drains = 0; drains <= 1000; drains += 100) {
@@ -472,9 +473,10 @@
       scenario.LoseLeader(LeaderLoss::kKilled, /*reachable=*/false);
       scenario.AddStays();
       scenario.Run(kSettleTime);
-      scenario.Take(&violation_report, "drains for " + std::to_string(drains) +
-                                           " drain cancelled after " +
-                                           std::to_string(cancelled_after));
+      scenario.AddViolationsTo(&violation_report,
+                               "drains for " + std::to_string(drains) +
+                                   " drain cancelled after " +
+                                   std::to_string(cancelled_after));
     }
   }
 }
@@ -511,9 +513,9 @@
       scenario.world.Kill(second->name);
       scenario.AddStays();
       scenario.Run(kSettleTime);
-      scenario.Take(&violation_report, "writes delayed after " +
-                                           std::to_string(late) + " leads " +
-                                           std::to_string(leads));
+      scenario.AddViolationsTo(&violation_report,
+                               "writes delayed after " + std::to_string(late) +
+                                   " leads " + std::to_string(leads));
     }
   }
   BOOST_TEST(started_after_drain > 0);
@@ -563,7 +565,7 @@
             std::to_string(leads) +
             (row.second_reaches ? " second reaches" : "") +
             (row.third_reaches ? " third reaches" : "");
-        scenario.Take(&violation_report, context);
+        scenario.AddViolationsTo(&violation_report, context);
         longest = std::max(longest, scenario.longest_downtime);
         BOOST_TEST_CONTEXT(context) {
           BOOST_TEST(scenario.longest_downtime.count() <=
--- a/src/libdoorwood/cell/cell_restarted_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_restarted_leader_test.cpp
@@ -89,8 +89,9 @@
   }
 }
 
-// An instance that is gone for good is forgotten after a minute, also by
-// instances that start later. Until then it may be one that the store serves.
+// An instance that is permanently gone is no longer considered after a minute,
+// also by instances that start later. Until then it may be one that the store
+// serves.
 BOOST_AUTO_TEST_CASE(RestartedLeader_AnotherIsGone_IsForgottenInAMinute) {
   for (const bool within_a_minute : {true, false}) {
     BOOST_TEST_CONTEXT((within_a_minute ? "at once" : "after a minute")) {
--- a/src/libdoorwood/cell/cell_room_test.cpp
+++ b/src/libdoorwood/cell/cell_room_test.cpp
@@ -47,7 +47,7 @@
     plan.steps[0].long_running = true;
     BOOST_REQUIRE(world.Submit(plan));
   }
-  int64_t Used() const {
+  int64_t UsedCpu() const {
     return static_cast<int64_t>(worker->model.running_count()) * kTaskCpu;
   }
   /// Runs the world, and returns the highest processor use of the worker after
@@ -59,7 +59,7 @@
       const int started_before = worker->runs_started;
       world.Run(kStep);
       max_usage = worker->runs_started > started_before
-                      ? std::max(max_usage, Used())
+                      ? std::max(max_usage, UsedCpu())
                       : max_usage;
     }
     return max_usage;
@@ -84,7 +84,7 @@
       BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(2000)) == 0);
       fixture.worker->incarnation.capacity.cpu_millis = 6 * kTaskCpu;
       fixture.world.Run(Millis(1000));
-      BOOST_TEST(fixture.Used() == 6 * kTaskCpu);
+      BOOST_TEST(fixture.UsedCpu() == 6 * kTaskCpu);
     }
   }
 }
@@ -97,7 +97,7 @@
   fixture.world.Run(Millis(1000));
   fixture.worker->incarnation.capacity.cpu_millis = kTaskCpu;
   fixture.world.Run(Millis(10'000));
-  BOOST_TEST(fixture.Used() == 4 * kTaskCpu);
+  BOOST_TEST(fixture.UsedCpu() == 4 * kTaskCpu);
   BOOST_TEST(fixture.world.starts(std::string(kOtherJob) + ".0.0.0") == 1);
 }
 
--- a/src/libdoorwood/cell/cell_suspects.cpp
+++ b/src/libdoorwood/cell/cell_suspects.cpp
@@ -16,8 +16,8 @@
 // Weight of a long-running task, relative to any other run, in the cost of
 // losing the worker on which a suspect is tried.
 constexpr int kLongRunningWeight = 10;
-// Added to the time after which a run counts as seen at work, before the worker
-// is asked.
+// Added to the time after which a run is no longer new, before the worker is
+// polled.
 constexpr Millis kTrialCheckDelay{30};
 // From this many noted crashes on, a trial run is recorded before it begins, in
 // case the leader fails together with the worker.
@@ -206,8 +206,8 @@
   ScheduleTrialPoll(session, length);
 }
 
-// The worker may hold its answer to a regular look for much longer than its
-// newest runs take to count as seen at work.
+// The worker may delay its answer to a regular poll for much longer than the
+// time after which its newest runs are no longer new.
 void CellLeader::ScheduleTrialPoll(
     const std::shared_ptr<WorkerSession>& session,
     Millis at_work) {
--- a/src/libdoorwood/cell/cell_takeover.cpp
+++ b/src/libdoorwood/cell/cell_takeover.cpp
@@ -12,8 +12,9 @@
 namespace doorwood {
 namespace {
 
-// Margin on the time after which the runs of a worker not yet contacted have
-// ended, for the last orders of the earlier leader.
+// Added to the maximum time that a run may continue after its last lease
+// extension, because the last orders of the earlier leader may still have been
+// in flight when it lost the lead.
 constexpr Millis kLastOrderMargin{500};
 
 // Interval at which the workers that the leader waits for are logged.
@@ -36,7 +37,7 @@
 }
 
 // After the last proof of the lead, another leader may have adopted the runs
-// that are waited for, so only the time up to the proof counts.
+// that are waited for, so only the time up to that proof is deducted.
 Millis CellLeader::RemainingWait(const CellWorker& cell_worker) const {
   if (HasUnlistedEnds(cell_worker)) {
     const auto silent = std::chrono::duration_cast<Millis>(
@@ -59,18 +60,18 @@
 // it. For a worker that was leaving or gone, the tasks that may run there are
 // recorded; on any other, every task may run.
 void CellLeader::ReleaseTasks() {
-  UncontactedWorkers unheard = FindUncontacted();
+  UncontactedWorkers uncontacted = FindUncontacted();
   size_t freed = 0;
   size_t held = 0;
   for (Job* job : jobs_.OpenJobs()) {
     ForEachTask(job, [&](Task* task) {
       if (task->may_still_run) {
-        task->may_still_run = MayRunOn(*task, unheard);
+        task->may_still_run = MayRunOn(*task, uncontacted);
         ++(task->may_still_run ? held : freed);
       }
     });
   }
-  const bool first = !tasks_released_ && !unheard.any_task;
+  const bool first = !tasks_released_ && !uncontacted.any_task;
   if (freed > 0 || first) {
     log_.Write("info", "cell",
                "released tasks that cannot run on workers not yet contacted",
@@ -81,42 +82,43 @@
                 {"held", held}});
     RequestSchedulingPass();
   }
-  if (!unheard.any_task) {
+  if (!uncontacted.any_task) {
     tasks_released_ = true;
-    tasks_held_back_ = std::move(unheard.tasks);
+    tasks_held_back_ = std::move(uncontacted.tasks);
   }
 }
 
 CellLeader::UncontactedWorkers CellLeader::FindUncontacted() const {
-  UncontactedWorkers unheard;
+  UncontactedWorkers uncontacted;
   for (const auto& [id, cell_worker] : cell_workers_) {
     if (RemainingWait(cell_worker) == Millis(0)) {
       continue;
     }
-    AddUncontacted(id, cell_worker, &unheard);
+    AddUncontacted(id, cell_worker, &uncontacted);
   }
-  return unheard;
+  return uncontacted;
 }
 
 void CellLeader::AddUncontacted(std::string_view worker,
                                 const CellWorker& cell_worker,
-                                UncontactedWorkers* unheard) {
-  unheard->workers.insert(worker);
+                                UncontactedWorkers* uncontacted) {
+  uncontacted->workers.insert(worker);
   if (cell_worker.inherited_tasks) {
-    unheard->tasks.insert(cell_worker.inherited_tasks->begin(),
-                          cell_worker.inherited_tasks->end());
+    uncontacted->tasks.insert(cell_worker.inherited_tasks->begin(),
+                              cell_worker.inherited_tasks->end());
   } else {
-    unheard->any_task = true;
+    uncontacted->any_task = true;
   }
 }
 
 bool CellLeader::MayRunOn(const Task& task,
-                          const UncontactedWorkers& unheard) const {
-  const bool may_be = unheard.any_task || unheard.tasks.contains(task.name());
-  const bool has_place =
+                          const UncontactedWorkers& uncontacted) const {
+  const bool may_be =
+      uncontacted.any_task || uncontacted.tasks.contains(task.name());
+  const bool has_recorded_placement =
       placements_valid_at_takeover_ && task.plan().long_running;
-  return may_be &&
-         (!has_place || unheard.workers.contains(task.assigned_worker));
+  return may_be && (!has_recorded_placement ||
+                    uncontacted.workers.contains(task.assigned_worker));
 }
 
 bool CellLeader::MayRunOnUncontacted(const Task& task) const {
@@ -139,7 +141,7 @@
     LogWait();
     return;
   }
-  const bool all_heard = std::none_of(
+  const bool all_contacted = std::none_of(
       cell_workers_.begin(), cell_workers_.end(),
       [this](const auto& entry) { return IsUncontacted(entry.second); });
   all_runs_accounted_ = true;
@@ -147,7 +149,7 @@
   log_.Write("info", "cell", "all runs of earlier leaders are accounted for",
              {{"cell", options_.cell},
               {"epoch", epoch_},
-              {"all_heard", all_heard},
+              {"all_heard", all_contacted},
               {"after_ms", TimeLeading().count()}});
 }
 
--- a/src/libdoorwood/cell/cell_three_leaders_test.cpp
+++ b/src/libdoorwood/cell/cell_three_leaders_test.cpp
@@ -112,7 +112,7 @@
        second_leads_ms += 500) {
     for (const int recorded : {0, 1}) {
       for (const int partitioned_run : {1, 2}) {
-        // There is no leader for two seconds, which count towards the wait. The
+        // There is no leader for two seconds, which are part of the wait. The
         // third leader needs one more to take over and to get answers.
         const bool is_within_wait = second_leads_ms <= 6500;
         if (is_within_wait == within_wait) {
@@ -139,7 +139,7 @@
 
 // Two runs fail, of which one or none is recorded in the store. The second
 // leader cannot reach the worker of one of them, and the third can or cannot.
-void RunAttempts(bool within_wait) {
+void RunAttemptsRows(bool within_wait) {
   const std::string task = std::string(fakes::kSuccessionJob) + ".0.0.0";
   for (const AttemptsRow& row : AttemptsRows(within_wait)) {
     CellWorld world(3);
@@ -202,13 +202,13 @@
 }
 
 BOOST_AUTO_TEST_CASE(ThirdLeader_FailureReportedWithinWait_AtMostFourAttempts) {
-  RunAttempts(/*within_wait=*/true);
+  RunAttemptsRows(/*within_wait=*/true);
 }
 
 // The failures are acknowledged after the wait, and so after the worker's lease
 // expired: at most four attempts count.
 BOOST_AUTO_TEST_CASE(ThirdLeader_FailureReportedAfterWait_AtMostFourCount) {
-  RunAttempts(/*within_wait=*/false);
+  RunAttemptsRows(/*within_wait=*/false);
 }
 
 }  // namespace
--- a/src/libdoorwood/cell/cell_unresponsive_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_unresponsive_takeover_test.cpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Guards against a successor that repeats a whole wait for a worker that was
-// already unresponsive to its predecessor. A worker crashes for good, and 5 s
-// later the leader is lost. If that leader records the wait only for workers
+// already unresponsive to its predecessor. A worker crashes and stays down. The
+// leader is lost 5 s later. If that leader records the wait only for workers
 // that it never contacted, its successor does not know when the worker's lease
 // was last extended, and waits for a full lease and more. Long-running tasks
 // then run nowhere for up to 20 s although there is free capacity. Seen with
-// workers lost at 9.8 s and the leader at 16.4 s: "records read" at 18.4 s
-// listed the lost workers, and "all earlier runs are accounted for" came only
-// at 30 s.
+// workers lost at 9.8 s and the leader at 16.4 s: "read the records of earlier
+// leaders" at 18.4 s listed the lost workers, and "all runs of earlier leaders
+// are accounted for" came only at 30 s.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
--- a/src/libdoorwood/cell/cell_unresponsive_worker_test.cpp
+++ b/src/libdoorwood/cell/cell_unresponsive_worker_test.cpp
@@ -93,8 +93,8 @@
 }
 
 // While a start is unanswered, two status calls may be in flight. If one fails
-// and the other is answered, the worker must not be closed to new tasks for
-// good.
+// and the other is answered, the worker must not be closed to new tasks
+// permanently.
 BOOST_AUTO_TEST_CASE(UnresponsiveWorker_AnswersWithinTheLease_StaysOpen) {
   for (int unresponsive_ms = 100; unresponsive_ms <= 3000;
        unresponsive_ms += 100) {
--- a/src/libdoorwood/cell/cell_worker_replacement_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_replacement_test.cpp
@@ -9,9 +9,10 @@
 // The next leader cannot contact it, assumes that any task may run there, and
 // holds all tasks of all jobs back until the longest lease that any predecessor
 // may have granted has expired: 9.6 s here, 12.2 s where runs continue for
-// longer. Seen as "waiting for unheard workers" with two such workers and 650
-// tasks held back, and "all earlier runs are accounted for" 12.2 s later with
-// all_heard false; all waiting tasks were started at that moment.
+// longer. Seen as "waiting for workers that are not yet contacted" with two
+// such workers and 650 tasks held back, and "all runs of earlier leaders are
+// accounted for" 12.2 s later with all_heard false; all waiting tasks were
+// started at that moment.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
--- a/src/libdoorwood/cell/cell_workers_record_test.cpp
+++ b/src/libdoorwood/cell/cell_workers_record_test.cpp
@@ -25,17 +25,17 @@
 constexpr size_t kUsualRecordLimit = kStoreValueLimit / 8;
 
 KnownWorker MakeWorker(const std::string& id,
-                       Millis unheard,
+                       Millis not_contacted_for,
                        std::optional<Names> task_names) {
   KnownWorker worker;
   worker.id = id;
   worker.address = "http://" + id + ":80";
-  worker.not_contacted_for = unheard;
+  worker.not_contacted_for = not_contacted_for;
   worker.tasks = std::move(task_names);
   return worker;
 }
 
-std::string Show(const std::optional<Names>& task_names) {
+std::string ToText(const std::optional<Names>& task_names) {
   if (!task_names) {
     return "any";
   }
@@ -46,12 +46,12 @@
   return text + "]";
 }
 
-std::string Show(const std::vector<KnownWorker>& workers) {
+std::string ToText(const std::vector<KnownWorker>& workers) {
   std::string text;
   for (const KnownWorker& worker : workers) {
     text += worker.id + " " + worker.address + " " +
             std::to_string(worker.not_contacted_for.count()) + " " +
-            Show(worker.tasks) + "\n";
+            ToText(worker.tasks) + "\n";
   }
   return text;
 }
@@ -64,7 +64,7 @@
       MakeWorker("w4", Millis(9400),
                  Names{"0123456789abcdef.0.0.0", "fedcba9876543210.3.1.77"}),
   };
-  BOOST_TEST(Show(DecodeWorkers(EncodeWorkers(workers))) == Show(workers));
+  BOOST_TEST(ToText(DecodeWorkers(EncodeWorkers(workers))) == ToText(workers));
   BOOST_TEST(DecodeWorkers(EncodeWorkers({})).empty());
 }
 
@@ -72,7 +72,7 @@
 BOOST_AUTO_TEST_CASE(Workers_NamesWithEscapes_AreReadAsWritten) {
   const std::vector<KnownWorker> workers = {MakeWorker(
       "w1", Millis(0), Names{"", "\"", "\\", "a,b", "[]", "\xce\xb1"})};
-  BOOST_TEST(Show(DecodeWorkers(EncodeWorkers(workers))) == Show(workers));
+  BOOST_TEST(ToText(DecodeWorkers(EncodeWorkers(workers))) == ToText(workers));
 }
 
 struct FormatRow {
@@ -127,12 +127,12 @@
                         R"(,["after","a",0]])");
       const bool named = *row.expected_names != '\0';
       BOOST_REQUIRE(workers.size() == (named ? 3U : 2U));
-      BOOST_TEST(Show(workers.front().tasks) == "[b,]");
-      BOOST_TEST(Show(workers.back().tasks) == "any");
+      BOOST_TEST(ToText(workers.front().tasks) == "[b,]");
+      BOOST_TEST(ToText(workers.back().tasks) == "any");
       if (named) {
         BOOST_TEST(workers[1].id == "w");
         BOOST_TEST(workers[1].address == "a");
-        BOOST_TEST(Show(workers[1].tasks) == row.expected_names);
+        BOOST_TEST(ToText(workers[1].tasks) == row.expected_names);
       }
     }
   }
@@ -193,7 +193,7 @@
     world.Run(Millis(4000));
   }
 
-  std::vector<KnownWorker> Recorded(size_t* bytes) {
+  std::vector<KnownWorker> ReadRecordedWorkers(size_t* bytes) {
     StoreItem item;
     BOOST_REQUIRE(!world.store().Get(WorkersKey("all"), &item));
     *bytes = item.value.size();
@@ -222,7 +222,7 @@
   for (const BoundRow& row : rows) {
     LargeCell cell(row.tasks);
     size_t bytes = 0;
-    const auto workers = cell.Recorded(&bytes);
+    const auto workers = cell.ReadRecordedWorkers(&bytes);
     std::vector<int> named;
     for (const KnownWorker& worker : workers) {
       named.push_back(worker.tasks ? static_cast<int>(worker.tasks->size())
@@ -238,15 +238,15 @@
 BOOST_AUTO_TEST_CASE(Record_TasksEnd_LargeRowGetsItsNamesBack) {
   LargeCell cell({4100, 20});
   size_t bytes = 0;
-  BOOST_TEST(!cell.Recorded(&bytes).front().tasks);
+  BOOST_TEST(!cell.ReadRecordedWorkers(&bytes).front().tasks);
   auto* leader = cell.world.Leader();
   leader->cell->Cancel("00000000000000a1", [](std::error_code) {});
   cell.world.Run(Millis(3000));
-  BOOST_TEST(Show(cell.Recorded(&bytes).back().tasks) == "[]");
+  BOOST_TEST(ToText(cell.ReadRecordedWorkers(&bytes).back().tasks) == "[]");
   leader->cell->Cancel("00000000000000a0", [](std::error_code) {});
   cell.world.Run(Millis(6000));
-  for (const KnownWorker& worker : cell.Recorded(&bytes)) {
-    BOOST_TEST(Show(worker.tasks) == "[]");
+  for (const KnownWorker& worker : cell.ReadRecordedWorkers(&bytes)) {
+    BOOST_TEST(ToText(worker.tasks) == "[]");
   }
 }
 
--- a/src/libdoorwood/cell/cell_wrong_address_test.cpp
+++ b/src/libdoorwood/cell/cell_wrong_address_test.cpp
@@ -45,7 +45,7 @@
       instance->unreachable_workers.insert(worker);
     }
   }
-  size_t Running() {
+  size_t CountRunningTasks() {
     size_t running = 0;
     for (const auto& [id, worker] : world.workers()) {
       running += worker->model.running_count();
@@ -81,7 +81,7 @@
     fixture.world.Run(Millis(20'000));
     BOOST_TEST_CONTEXT(row.name) {
       BOOST_TEST(fixture.world.violations().empty());
-      BOOST_TEST(fixture.Running() == 1U);
+      BOOST_TEST(fixture.CountRunningTasks() == 1U);
       // Only a worker that no instance reaches is declared lost, once its lease
       // has expired.
       BOOST_TEST(fixture.world.starts(kTask) == (row.unreachable ? 2 : 1));
@@ -109,7 +109,7 @@
   fixture.world.Kill(fixture.world.Leader()->name);
   fixture.world.Run(Millis(20'000));
   BOOST_TEST(fixture.world.violations().empty());
-  BOOST_TEST(fixture.Running() == 1U);
+  BOOST_TEST(fixture.CountRunningTasks() == 1U);
 }
 
 // The remaining proof of a crash: another incarnation answers at the crashed
@@ -124,7 +124,7 @@
   BOOST_REQUIRE(fixture.world.WaitForLeader() != nullptr);
   fixture.world.Run(kRestartBound);
   BOOST_TEST(fixture.world.violations().empty());
-  BOOST_TEST(fixture.Running() == 1U);
+  BOOST_TEST(fixture.CountRunningTasks() == 1U);
 }
 
 }  // namespace
--- a/src/libdoorwood/cell/commit_flow_test.cpp
+++ b/src/libdoorwood/cell/commit_flow_test.cpp
@@ -12,18 +12,18 @@
   CommitFlow flow{options};
   Instant now{std::chrono::hours(1)};
 
-  void Pass(int millis) { now += Millis(millis); }
+  void AdvanceTime(int millis) { now += Millis(millis); }
   // One commit that is answered after `millis`.
-  void Answered(int millis) {
+  void SendAndAnswer(int millis) {
     flow.OnSent(0, now);
-    Pass(millis);
+    AdvanceTime(millis);
     flow.OnAnswered(0, now);
   }
   // Number of commits sent within `millis` while none is answered.
-  size_t SentWithin(int millis) {
+  size_t CountSentWithin(int millis) {
     constexpr int kStep = 10;
     size_t lane = 0;
-    for (int passed = 0; passed < millis; passed += kStep, Pass(kStep)) {
+    for (int passed = 0; passed < millis; passed += kStep, AdvanceTime(kStep)) {
       if (flow.MaySend(now)) {
         flow.OnSent(lane++, now);
       }
@@ -34,38 +34,38 @@
 
 BOOST_FIXTURE_TEST_CASE(MaySend_NothingInFlight_AtOnce, FlowFixture) {
   BOOST_TEST(flow.MaySend(now));
-  Answered(4);
+  SendAndAnswer(4);
   BOOST_TEST(flow.MaySend(now));
 }
 
 BOOST_FIXTURE_TEST_CASE(MaySend_OneInFlight_AfterTheSendInterval, FlowFixture) {
   flow.OnSent(0, now);
-  Pass(29);
+  AdvanceTime(29);
   BOOST_TEST(!flow.MaySend(now));
   BOOST_TEST(flow.SendDelay(now).count() == 1);
-  Pass(1);
+  AdvanceTime(1);
   BOOST_TEST(flow.MaySend(now));
 }
 
 BOOST_FIXTURE_TEST_CASE(MaySend_FastStoreStopsAnswering_FewAreSent,
                         FlowFixture) {
-  Answered(4);
-  BOOST_TEST(SentWithin(1000) == 4U);
+  SendAndAnswer(4);
+  BOOST_TEST(CountSentWithin(1000) == 4U);
 }
 
 BOOST_FIXTURE_TEST_CASE(MaySend_SlowStore_ManyAreSent, FlowFixture) {
-  Answered(364);
-  BOOST_TEST(SentWithin(340) == options.max_lanes);
+  SendAndAnswer(364);
+  BOOST_TEST(CountSentWithin(340) == options.max_lanes);
 }
 
 BOOST_FIXTURE_TEST_CASE(IsUnresponsive_SomeAnswers_OnlyWithoutAny,
                         FlowFixture) {
   flow.OnSent(0, now);
-  Pass(600);
+  AdvanceTime(600);
   flow.OnSent(1, now);
-  Pass(99);
+  AdvanceTime(99);
   BOOST_TEST(!flow.IsUnresponsive(now));
-  Pass(1);
+  AdvanceTime(1);
   BOOST_TEST(flow.IsUnresponsive(now));
   flow.OnResent(0, now);  // Sending again is not an answer.
   BOOST_TEST(flow.IsUnresponsive(now));
@@ -75,10 +75,10 @@
 
 BOOST_FIXTURE_TEST_CASE(AnswerTime_SlowerAndFaster_RisesAtOnceFallsSlowly,
                         FlowFixture) {
-  Answered(4);
-  Answered(400);
+  SendAndAnswer(4);
+  SendAndAnswer(400);
   BOOST_TEST(flow.answer_time().count() == 400);
-  Answered(100);
+  SendAndAnswer(100);
   BOOST_TEST(flow.answer_time().count() == 310);
 }
 
@@ -96,7 +96,7 @@
   };
   for (const Row& row : rows) {
     FlowFixture fixture;
-    fixture.Answered(row.answer_ms);
+    fixture.SendAndAnswer(row.answer_ms);
     BOOST_TEST_CONTEXT(row.answer_ms << " ms, " << row.ahead << " ahead") {
       BOOST_TEST(fixture.flow.ExpectedWait(row.ahead).count() == row.wait);
       BOOST_TEST(fixture.flow.IsWithinDeadline(row.ahead) == row.in_time);
--- a/src/libdoorwood/cell/worker_address.cpp
+++ b/src/libdoorwood/cell/worker_address.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Which address is used to reach an incarnation of a worker. Its directory
-// entry may be wrong, so an answer of another incarnation counts only at an
-// address where this one has answered.
+// entry may be wrong, so an answer of another incarnation proves that this one
+// has ended only at an address where this one has answered.
 
 #include <utility>
 
--- a/src/libdoorwood/cell/worker_address_test.cpp
+++ b/src/libdoorwood/cell/worker_address_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Which address is used to reach an incarnation of a worker, and where the
-// answer of another incarnation counts.
+// Which address is used to reach an incarnation of a worker, and at which
+// address the answer of another incarnation proves that this one has ended.
 
 #include <boost/test/unit_test.hpp>
 #include <map>
@@ -106,10 +106,10 @@
 
   void Open() {
     session->Open();
-    Pass(Millis(500));
+    AdvanceTime(Millis(500));
   }
   // Like the leader, reads the directory about once a second.
-  void Pass(Millis duration) {
+  void AdvanceTime(Millis duration) {
     constexpr Millis kStep{100};
     for (Millis passed{0}; passed < duration; passed += kStep) {
       time.Run(kStep);
@@ -126,7 +126,7 @@
     run.number = 1;
     run.size = {1000, 10, 0};
     session->Start(run, "", "");
-    Pass(Millis(500));
+    AdvanceTime(Millis(500));
   }
 
   fakes::VirtualTime time;
@@ -150,7 +150,7 @@
   Open();
   Start();
   listed = "b";
-  Pass(kLongerThanLease);
+  AdvanceTime(kLongerThanLease);
   BOOST_TEST(ended == 0);
   BOOST_TEST(!session->dead());
   BOOST_TEST(session->responsive());
@@ -164,14 +164,14 @@
   Open();
   Start();
   listed = "b";
-  Pass(kLongerThanLease);
+  AdvanceTime(kLongerThanLease);
   BOOST_TEST(ended == 0);
   BOOST_TEST(session->responsive());
   BOOST_TEST(worker.model.IsRunning("t"));
   listed = "a";
-  Pass(Millis(2000));
+  AdvanceTime(Millis(2000));
   const int before = worker.calls["b"];
-  Pass(Millis(3000));
+  AdvanceTime(Millis(3000));
   BOOST_TEST(worker.calls["b"] == before);
 }
 
@@ -182,14 +182,14 @@
   Open();
   Start();
   listed = "b";
-  Pass(Millis(3000));
+  AdvanceTime(Millis(3000));
   BOOST_TEST(session->incarnation().address == "b");
   worker.responders["a"] = Responder::kOtherIncarnation;
-  Pass(kLongerThanLease);
+  AdvanceTime(kLongerThanLease);
   BOOST_TEST(ended == 0);
   BOOST_TEST(worker.model.IsRunning("t"));
   worker.responders["b"] = Responder::kOtherIncarnation;
-  Pass(Millis(2000));
+  AdvanceTime(Millis(2000));
   BOOST_TEST(ended == 1);
   BOOST_TEST(session->dead());
 }
@@ -201,14 +201,14 @@
   Start();
   worker.responders = {{"b", Responder::kThisIncarnation}};
   listed = "b";
-  Pass(kLongerThanLease);
+  AdvanceTime(kLongerThanLease);
   BOOST_TEST(ended == 0);
   BOOST_TEST(session->responsive());
   BOOST_TEST(worker.model.IsRunning("t"));
 }
 
-// An answer of another incarnation at the address where this one has answered
-// is a proof, whatever address a later entry names.
+// If another incarnation answers at the address where this one has answered,
+// this one has ended, whatever address a later directory entry names.
 BOOST_FIXTURE_TEST_CASE(Poll_OtherIncarnationAtVerifiedAddress_AllRunsEnd,
                         AddressFixture) {
   worker.responders = {{"a", Responder::kThisIncarnation},
@@ -216,9 +216,9 @@
   Open();
   Start();
   listed = "b";
-  Pass(Millis(2000));
+  AdvanceTime(Millis(2000));
   worker.responders["a"] = Responder::kOtherIncarnation;
-  Pass(Millis(2000));
+  AdvanceTime(Millis(2000));
   BOOST_TEST(ended == 1);
   BOOST_TEST(session->dead());
 }
@@ -234,18 +234,18 @@
 }
 
 // At an address where this incarnation has never answered, the answer of
-// another one proves nothing.
+// another one does not prove that this one has ended.
 BOOST_FIXTURE_TEST_CASE(Poll_AddressNotVerified_OtherIncarnationProvesNothing,
                         AddressFixture) {
   worker.responders = {{"a", Responder::kOtherIncarnation},
                        {"b", Responder::kThisIncarnation}};
   Open();
-  Pass(Millis(5000));
+  AdvanceTime(Millis(5000));
   BOOST_TEST(!session->dead());
   BOOST_TEST(!session->fenced());
   BOOST_TEST(worker.calls["a"] < 10);
   listed = "b";
-  Pass(Millis(2000));
+  AdvanceTime(Millis(2000));
   BOOST_TEST(session->fenced());
   BOOST_TEST(session->incarnation().address == "b");
 }
@@ -257,10 +257,10 @@
                        {"b", Responder::kOtherIncarnation}};
   session->Open();
   session->UpdateFromDirectory(WorkerAt("b"));
-  Pass(Millis(500));
+  AdvanceTime(Millis(500));
   BOOST_TEST(session->fenced());
   Start();
-  Pass(Millis(3000));
+  AdvanceTime(Millis(3000));
   BOOST_TEST(session->incarnation().address == "a");
   BOOST_TEST(worker.model.IsRunning("t"));
   BOOST_TEST(ended == 0);
@@ -275,7 +275,7 @@
 };
 
 // The record of an earlier leader has the address at which it was in contact
-// with this incarnation, so that address counts as verified.
+// with this incarnation, so that address is treated as verified.
 BOOST_AUTO_TEST_CASE(Poll_RecordedAddress_CountsAsVerified) {
   const RecordedRow rows[] = {
       {"gone", Responder::kOtherIncarnation, Responder::kOtherIncarnation, true,
@@ -291,7 +291,7 @@
     fixture.session->MarkAddressVerified();
     fixture.session->Open();
     fixture.listed = "b";
-    fixture.Pass(Millis(4000));
+    fixture.AdvanceTime(Millis(4000));
     BOOST_TEST_CONTEXT(row.name) {
       BOOST_TEST(fixture.session->dead() == row.dead);
       BOOST_TEST(fixture.session->fenced() == row.fenced);
--- a/src/libdoorwood/cell/worker_lease_clock_test.cpp
+++ b/src/libdoorwood/cell/worker_lease_clock_test.cpp
@@ -22,9 +22,9 @@
 // Slack of a successor's wait, on the worker's clock.
 constexpr int64_t kSlackMillis = 500;
 
-class SlowWorkers : public RunWorkers {
+class SlowClockWorkers : public RunWorkers {
  public:
-  SlowWorkers(fakes::VirtualTime& time, Executor& executor)
+  SlowClockWorkers(fakes::VirtualTime& time, Executor& executor)
       : time_(time), executor_(executor) {}
 
   // Runs 2% slow.
@@ -86,7 +86,7 @@
   for (const int idle_seconds : {1, 10, 30, 60, 120, 600}) {
     fakes::VirtualTime time;
     fakes::FakeExecutor executor(time, 1);
-    SlowWorkers workers(time, executor);
+    SlowClockWorkers workers(time, executor);
     fakes::NullSessionListener listener;
     NoLog log;
     const WorkerSessionOptions options;
--- a/src/libdoorwood/cell/worker_orders.cpp
+++ b/src/libdoorwood/cell/worker_orders.cpp
@@ -61,11 +61,11 @@
   }
   run.ordered = now;
   const std::string task = run.task;
-  const bool held = run.start_deferred;
+  const bool deferred = run.start_deferred;
   Insert(std::move(run));
   StartArguments arguments{std::move(payload), std::move(ticket)};
-  if (held) {
-    // The lease counts from now on, as if the order had been sent.
+  if (deferred) {
+    // The lease is recorded as granted now, as if the order had been sent.
     LeaseEnd(std::min(now, lease_extension_end_));
     deferred_starts_.emplace(task, std::move(arguments));
   } else {
--- a/src/libdoorwood/cell/worker_overtaking_test.cpp
+++ b/src/libdoorwood/cell/worker_overtaking_test.cpp
@@ -164,7 +164,7 @@
     const SteppedWorkers::Pending call = workers.calls[index];
     lost ? call.lose() : call.answer();
   }
-  void Pass() {
+  void AdvanceTime() {
     time.Run(step);
     workers.model.Advance(time.now_ms());
   }
@@ -201,11 +201,11 @@
   ExplorationFixture fixture(row.step, row.payload);
   std::string steps;
   for (const size_t choice : *path) {
-    fixture.Pass();
+    fixture.AdvanceTime();
     fixture.Choices().at(choice)();
     steps += std::to_string(choice) + " ";
   }
-  fixture.Pass();
+  fixture.AdvanceTime();
   if (fixture.wrong) {
     stats->wrong.push_back(steps);
     return;
--- a/src/libdoorwood/cell/worker_session.cpp
+++ b/src/libdoorwood/cell/worker_session.cpp
@@ -9,7 +9,8 @@
 namespace doorwood {
 namespace {
 
-// Safety margin before a lease counts as expired, for rounding and late timers.
+// Safety margin before a lease is treated as expired, for rounding and late
+// timers.
 constexpr Millis kExpiryMargin{300};
 
 int64_t MillisBetween(Instant from, Instant to) {
@@ -19,9 +20,9 @@
 // Slowest rate of a worker's clock that the platform allows.
 constexpr double kSlowestClockRate = 0.98;
 
-Millis MinOnWorkerClock(Millis on_ours) {
-  return Millis(static_cast<int64_t>(static_cast<double>(on_ours.count()) *
-                                     kSlowestClockRate));
+Millis MinElapsedOnWorkerClock(Millis on_local_clock) {
+  return Millis(static_cast<int64_t>(
+      static_cast<double>(on_local_clock.count()) * kSlowestClockRate));
 }
 
 bool IsListed(const std::vector<ActiveRun>& active, const Run& run) {
@@ -103,9 +104,9 @@
     return false;
   }
   // An idle worker is not polled. A worker whose runs were just ended because
-  // it was unresponsive is idle too, but its last poll failed: up to 814 starts
-  // a day in runs with partitions went to such workers, each lost for a lease
-  // of 6 s.
+  // it was unresponsive is idle too, but its last poll failed: in simulations
+  // with partitions, up to 814 starts a day went to such workers, and each of
+  // them was lost until its lease of 6 s had expired.
   if (runs_.empty() && !poll_in_flight_ && !last_poll_failed_) {
     return true;
   }
@@ -136,7 +137,7 @@
   // An idle worker is not polled, and on a slow clock less time has passed
   // since its last answer. The lease may end earlier than intended, but never
   // later than a successor waits.
-  const auto age = MinOnWorkerClock(
+  const auto age = MinElapsedOnWorkerClock(
       std::chrono::duration_cast<Millis>(at - worker_clock_at_));
   const int64_t until = worker_clock_ + (age + options_.run_lease).count();
   latest_lease_end_ = std::max(latest_lease_end_, until);
@@ -279,7 +280,7 @@
   unrecorded_ends_.erase(unrecorded_ends_.begin(),
                          unrecorded_ends_.upper_bound(recorded_end_));
   if (recorded_end_ == last_end_ && !poll_in_flight_ && !closed_) {
-    // Poll even if nothing runs there, so that the worker forgets the recorded
+    // Poll even if nothing runs there, so that the worker discards the recorded
     // ends.
     SchedulePoll(Millis(0));
   }
--- a/src/libdoorwood/cell/worker_session_test.cpp
+++ b/src/libdoorwood/cell/worker_session_test.cpp
@@ -115,7 +115,7 @@
     session->SetLeaseExtensionEnd(Instant::max());
     session->SetLeadConfirmedUntil(Instant::max());
     session->Open();
-    Pass(Millis(500));
+    AdvanceTime(Millis(500));
   }
   ~SessionFixture() override { session->Close(); }
   SessionFixture(const SessionFixture&) = delete;
@@ -146,7 +146,7 @@
   }
   void OnFenced(WorkerSession&) override { ++fenced; }
 
-  void Pass(Millis duration) {
+  void AdvanceTime(Millis duration) {
     for (Millis passed{0}; passed < duration; passed += Millis(100)) {
       time.Run(Millis(100));
       session->Tick();
@@ -194,7 +194,7 @@
     fixture.workers.start_fault = row.start;
     fixture.workers.stop_fault = row.stop;
     fixture.Start("ms=2000");
-    fixture.Pass(Millis(9000));
+    fixture.AdvanceTime(Millis(9000));
     BOOST_TEST_CONTEXT(row.name) {
       BOOST_REQUIRE(fixture.ends.size() == 1U);
       BOOST_TEST(fixture.ends[0] == row.end);
@@ -321,10 +321,10 @@
 BOOST_FIXTURE_TEST_CASE(Poll_WorkerUnresponsive_LeaseIsNotExtended,
                         SessionFixture) {
   Start("");
-  Pass(Millis(1000));
+  AdvanceTime(Millis(1000));
   workers.hold_fault = Fault::kReplyLost;  // Requests still reach the worker.
   const int64_t silent_at = time.now_ms();
-  Pass(Millis(12'000));
+  AdvanceTime(Millis(12'000));
   BOOST_REQUIRE(ends.size() == 1U);
   BOOST_TEST(ends[0] == "t lapsed inferred");
   // At most one lease of 7 s on a clock that runs 2% slow, counted from the
@@ -337,9 +337,9 @@
 BOOST_FIXTURE_TEST_CASE(Poll_OtherIncarnationAnswers_AllRunsEndAtOnce,
                         SessionFixture) {
   Start("");
-  Pass(Millis(500));
+  AdvanceTime(Millis(500));
   workers.hold_fault = Fault::kOtherIncarnation;
-  Pass(Millis(2000));
+  AdvanceTime(Millis(2000));
   BOOST_TEST(ends.size() == 1U);
   BOOST_TEST(session->dead());
 }
@@ -348,13 +348,13 @@
                         SessionFixture) {
   record_at_once = false;
   Start("ms=100");
-  Pass(Millis(3000));
+  AdvanceTime(Millis(3000));
   BOOST_TEST(ends.size() == 1U);
   WorkerReport report;
   workers.model.Poll({5, 0, 0, Millis(0)}, &report);
   BOOST_TEST(report.ended.size() == 1U);
   session->MarkRecorded(session->last_end());
-  Pass(Millis(500));
+  AdvanceTime(Millis(500));
   report = {};
   workers.model.Poll({5, 0, 0, Millis(0)}, &report);
   BOOST_TEST(report.ended.empty());
@@ -364,44 +364,45 @@
   Start("");
   WorkerReport ignored;
   workers.model.Poll({6, 0, 0, Millis(0)}, &ignored);
-  Pass(Millis(3000));
+  AdvanceTime(Millis(3000));
   BOOST_TEST(fenced == 1);
 }
 
 BOOST_FIXTURE_TEST_CASE(Poll_NothingRuns_SendsNoPolls, SessionFixture) {
   const int before = workers.holds;
-  Pass(Millis(5000));
+  AdvanceTime(Millis(5000));
   BOOST_TEST(workers.holds == before);
 }
 
 BOOST_FIXTURE_TEST_CASE(SetExtendUntil_DeadlinePassed_NoLeaseIsExtended,
                         SessionFixture) {
   Start("");
-  Pass(Millis(500));
+  AdvanceTime(Millis(500));
   session->SetLeaseExtensionEnd(executor.Now());
-  Pass(Millis(1000));
+  AdvanceTime(Millis(1000));
   BOOST_TEST(workers.last_until == 0);
-  Pass(Millis(9000));
+  AdvanceTime(Millis(9000));
   BOOST_REQUIRE(ends.size() == 1U);
   BOOST_TEST(ends[0] == "t lapsed reported");
 }
 
-// While a successor may exist, nothing is concluded. What was observed
-// meanwhile counts once it is certain that nobody else led.
+// While a successor may exist, the session does not conclude that runs have
+// ended. It uses what it observed meanwhile once it is certain that no other
+// instance led.
 BOOST_FIXTURE_TEST_CASE(RunEnds_LeadNotConfirmed_WaitForConfirmation,
                         SessionFixture) {
   for (const Fault fault : {Fault::kRequestLost, Fault::kOtherIncarnation}) {
     SessionFixture fixture;
     fixture.Start("");
-    fixture.Pass(Millis(1000));
+    fixture.AdvanceTime(Millis(1000));
     fixture.session->SetLeadConfirmedUntil(Instant{});
     fixture.workers.hold_fault = fault;
     fixture.workers.stop_fault = fault;
-    fixture.Pass(Millis(12'000));
+    fixture.AdvanceTime(Millis(12'000));
     BOOST_TEST(fixture.ends.empty());
     BOOST_TEST(fixture.session->runs().size() == 1U);
     fixture.session->SetLeadConfirmedUntil(Instant::max());
-    fixture.Pass(Millis(200));
+    fixture.AdvanceTime(Millis(200));
     BOOST_TEST(fixture.ends.size() == 1U);
   }
 }
