--- a/src/include/doorwood/error.h
+++ b/src/include/doorwood/error.h
@@ -45,7 +45,7 @@
 enum class RunErrc {
   /// No answer: the order may have been executed, or may still be.
   kNoAnswer = 1,
-  /// The worker has seen a higher fencing token; nothing was done.
+  /// The worker has received a higher fencing token; nothing was done.
   kFenced,
   /// This run, or a run of the task with a higher number, has already ended or
   /// was stopped on the worker.
--- a/src/include/doorwood/json_codec.h
+++ b/src/include/doorwood/json_codec.h
@@ -47,8 +47,8 @@
 /// deeply.
 std::optional<Json> ParseJson(std::string_view text);
 
-/// Inverse of ToString(AttemptEnd). Returns kLost for an unknown word.
-AttemptEnd ParseAttemptEnd(std::string_view word);
+/// Inverse of ToString(AttemptEnd). Returns kLost for an unknown string.
+AttemptEnd ParseAttemptEnd(std::string_view name);
 
 }  // namespace doorwood
 
--- a/src/include/doorwood/peer.h
+++ b/src/include/doorwood/peer.h
@@ -81,7 +81,7 @@
 };
 
 /// Sent by a shard's owner to every instance of the data centre: reject this
-/// shard's attempts below `floor` from now on, and report all other known
+/// shard's attempts below `min_attempt` from now on, and report all other known
 /// attempts.
 struct CensusRequest {
   ShardId shard;
@@ -116,8 +116,8 @@
 };
 
 /// Sent by a worker's holder to a shard's owner: attempts that ended. The owner
-/// answers once the ends are in its log; the holder then orders the worker to
-/// discard its records of them.
+/// answers once the ends are written to its log; the holder then orders the
+/// worker to discard its records of them.
 struct EndReport {
   ShardId shard;
   std::vector<Sighting> ended;
--- a/src/include/doorwood/refused_entries.h
+++ b/src/include/doorwood/refused_entries.h
@@ -19,8 +19,7 @@
 
 class RejectedEntryLog {
  public:
-  /// Maximum number of pairs of entry and reason that are remembered and
-  /// logged.
+  /// Maximum number of different pairs of entry and reason that are logged.
   static constexpr size_t kMaxRemembered = 256;
 
   /// `component` is the log component of the list's reader.
@@ -32,15 +31,16 @@
   void Record(const std::string& id, std::string_view reason);
 
   /// Number of different pairs of entry and reason, up to `kMaxRemembered`.
-  size_t remembered_count() const { return kept_.size(); }
-  /// Total number of rejections; an entry counts again each time it is read.
-  uint64_t rejection_count() const { return total_; }
+  size_t remembered_count() const { return logged_entries_.size(); }
+  /// Total number of rejections; an entry is counted again each time it is
+  /// read.
+  uint64_t rejection_count() const { return rejection_count_; }
 
  private:
   EventLog& log_;
   const std::string component_;
-  std::set<std::pair<std::string, std::string>> kept_;
-  uint64_t total_ = 0;
+  std::set<std::pair<std::string, std::string>> logged_entries_;
+  uint64_t rejection_count_ = 0;
   bool limit_logged_ = false;
 };
 
--- a/src/libdoorwood/base/json_codec.cpp
+++ b/src/libdoorwood/base/json_codec.cpp
@@ -39,10 +39,10 @@
 }
 
 template <size_t kSize>
-size_t IndexOf(const std::array<std::string_view, kSize>& words,
-               std::string_view word) {
+size_t IndexOf(const std::array<std::string_view, kSize>& names,
+               std::string_view name) {
   for (size_t i = 0; i < kSize; ++i) {
-    if (words[i] == word) {
+    if (names[i] == name) {
       return i;
     }
   }
@@ -292,10 +292,10 @@
   return json;
 }
 
-AttemptEnd ParseAttemptEnd(std::string_view word) {
+AttemptEnd ParseAttemptEnd(std::string_view name) {
   for (const AttemptEnd end : {AttemptEnd::kSucceeded, AttemptEnd::kFailed,
                                AttemptEnd::kStopped, AttemptEnd::kNotStarted}) {
-    if (ToString(end) == word) {
+    if (ToString(end) == name) {
       return end;
     }
   }
--- a/src/libdoorwood/base/json_reader_test.cpp
+++ b/src/libdoorwood/base/json_reader_test.cpp
@@ -13,7 +13,7 @@
   return ToInteger(Json::parse(text), "n", range) == expected;
 }
 
-BOOST_AUTO_TEST_CASE(ToWhole_Integers_AreAccepted) {
+BOOST_AUTO_TEST_CASE(ToInteger_Integers_AreAccepted) {
   constexpr int64_t kMaxInt64 = std::numeric_limits<int64_t>::max();
   BOOST_TEST(IsInteger("0", 0));
   BOOST_TEST(IsInteger("7.0", 7));
@@ -22,7 +22,7 @@
   BOOST_TEST(IsInteger("-3", -3, {-5, 5}));
 }
 
-BOOST_AUTO_TEST_CASE(ToWhole_OtherValues_AreRejected) {
+BOOST_AUTO_TEST_CASE(ToInteger_OtherValues_AreRejected) {
   for (const char* text :
        {"-1", "1.5", "1e300", "-1e300", "9007199254740993", "true", "null",
         "\"7\"", "[]", "{}", "9223372036854775808", "18446744073709551615"}) {
--- a/src/libdoorwood/base/refused_entries.cpp
+++ b/src/libdoorwood/base/refused_entries.cpp
@@ -5,13 +5,13 @@
 namespace doorwood {
 
 void RejectedEntryLog::Record(const std::string& id, std::string_view reason) {
-  ++total_;
+  ++rejection_count_;
   std::pair<std::string, std::string> pair(id, reason);
-  if (kept_.contains(pair)) {
+  if (logged_entries_.contains(pair)) {
     return;
   }
-  if (kept_.size() < kMaxRemembered) {
-    kept_.insert(std::move(pair));
+  if (logged_entries_.size() < kMaxRemembered) {
+    logged_entries_.insert(std::move(pair));
     log_.Write("warn", component_, "an entry is not used",
                {{"id", id}, {"reason", reason}});
     return;
