--- a/src/include/doorwood/config.h
+++ b/src/include/doorwood/config.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The operators' configuration: services, members and rules. It is one
+/// The operators' configuration: services, workspaces and rules. It is one
 /// document that is replaced as a whole. Format: docs/CONFIGURATION.md.
 
 #ifndef DOORWOOD_CONFIG_H_
@@ -30,8 +30,8 @@
   double retry_share = 0.1;
 };
 
-/// A member (workspace) and the maximum resources that its jobs may use in one
-/// data centre at a time.
+/// A workspace (called member in the configuration) and the maximum resources
+/// that its jobs may use in one data centre at a time.
 struct MemberConfig {
   std::string name;
   Resources quota;
--- a/src/include/doorwood/config_follower.h
+++ b/src/include/doorwood/config_follower.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Follows the operators' queue table and keeps its newest version in force.
+/// Watches the operators' queue table and keeps its newest version in force.
 /// The version in force never decreases while the process runs.
 
 #ifndef DOORWOOD_CONFIG_FOLLOWER_H_
--- a/src/include/doorwood/config_keeper.h
+++ b/src/include/doorwood/config_keeper.h
@@ -63,8 +63,8 @@
   void Start();
   void Stop();
 
-  /// Validates and stores a change. `done` receives the revision that it made,
-  /// or the error.
+  /// Validates and stores a change. `done` receives the revision that the
+  /// change created, or the error.
   void Apply(const ConfigChange& change,
              std::function<void(ConfigOutcome)> done);
   /// Records in the key-value service whether `worker` is drained.
--- a/src/include/doorwood/entry_settings.h
+++ b/src/include/doorwood/entry_settings.h
@@ -51,7 +51,7 @@
   Millis shutdown_grace{6000};
   /// Longest lease that a worker grants to a run.
   Millis max_run_lease{10000};
-  /// How long a finished job can still be queried.
+  /// Time for which a finished job can still be queried.
   Millis finished_job_retention{120'000};
   /// Minimum time before another leader may take over the handling of a
   /// machine, so that two leaders do not alternate on it.
--- a/src/include/doorwood/settings.h
+++ b/src/include/doorwood/settings.h
@@ -39,8 +39,8 @@
   /// Maximum duration of a planned shutdown. After it the process stops without
   /// waiting for work that is still unfinished.
   Millis shutdown_timeout{20000};
-  /// How long requests are still accepted after a planned shutdown began, so
-  /// that the load balancer notices that this instance is not ready.
+  /// Time for which requests are still accepted after a planned shutdown began,
+  /// until the load balancer has detected that this instance is not ready.
   Millis shutdown_grace{1000};
   int shard_count = 8;
   Millis heartbeat_interval{500};
--- a/src/include/doorwood/yaml_reader.h
+++ b/src/include/doorwood/yaml_reader.h
@@ -47,8 +47,8 @@
   int64_t high = 0;
 };
 
-/// Reads one YAML mapping. `Finish` reports keys that no call has read as
-/// problems.
+/// Reads one YAML mapping. `ReportUnknownKeys` reports keys that no call has
+/// read as problems.
 class MapReader {
  public:
   /// `path` names the mapping in messages, for example "services[0]".
@@ -66,9 +66,9 @@
   void Read(std::string_view key, Resources* out);
   /// Reads the text of a label selector and validates it.
   void ReadSelector(std::string_view key, std::string* out);
-  /// Reads one of `words`; `out` becomes its index.
+  /// Reads one of `choices`; `out` becomes its index.
   void ReadChoice(std::string_view key,
-                  std::initializer_list<std::string_view> words,
+                  std::initializer_list<std::string_view> choices,
                   size_t* out);
   /// Calls `each` with each element of a sequence and the element's path.
   void ReadSequence(
@@ -79,7 +79,7 @@
   void Require(std::string_view key);
   void AddProblem(std::string_view key, std::string_view sentence);
   /// Adds a problem for each key that no call has read.
-  void Finish();
+  void ReportUnknownKeys();
 
  private:
   YAML::Node Find(std::string_view key);
--- a/src/libdoorwood/config/config.cpp
+++ b/src/libdoorwood/config/config.cpp
@@ -45,7 +45,7 @@
   reader.Read("objective", kMinObjective, kMaxObjective, &service.objective);
   reader.Read("queue_limit", kQueueLimit, &service.queue_limit);
   reader.Read("retry_share", 0.0, 1.0, &service.retry_share);
-  reader.Finish();
+  reader.ReportUnknownKeys();
   return service;
 }
 
@@ -58,7 +58,7 @@
   ReadUniqueName(&reader, names, &member.name);
   reader.Require("quota");
   reader.Read("quota", &member.quota);
-  reader.Finish();
+  reader.ReportUnknownKeys();
   return member;
 }
 
@@ -74,7 +74,7 @@
   reader.ReadSelector("beside", &rule.beside);
   reader.ReadSelector("on", &rule.on);
   reader.Read("yields", kYields, &yields);
-  reader.Finish();
+  reader.ReportUnknownKeys();
   if (yields != kNotSet) {
     rule.yields = yields;
   }
@@ -103,7 +103,7 @@
   reader.ReadSequence("rules", [&](const YAML::Node& node, std::string path) {
     config.rules.push_back(ParseRule(node, path, problems));
   });
-  reader.Finish();
+  reader.ReportUnknownKeys();
   if (!problems->empty()) {
     return std::nullopt;
   }
--- a/src/libdoorwood/config/config_keeper.cpp
+++ b/src/libdoorwood/config/config_keeper.cpp
@@ -37,7 +37,7 @@
 }
 
 // Returns the stored value that replaces `before` when `change` is applied.
-Json NextValue(const Json& before, const ConfigChange& change) {
+Json MakeNextValue(const Json& before, const ConfigChange& change) {
   Json history = before.value("history", Json::array());
   if (RevisionOf(before) > 0) {
     Json earlier = before;
@@ -199,20 +199,21 @@
                                int tries_left,
                                std::function<void(ConfigOutcome)> done) {
   const Json before = ParseJson(entry.value).value_or(Json::object());
-  const uint64_t made_revision = RevisionOfOperation(before, change.operation);
-  if (made_revision != 0) {
+  const uint64_t created_revision =
+      RevisionOfOperation(before, change.operation);
+  if (created_revision != 0) {
     AdoptIfNewer(entry.value);
-    done({std::error_code(), made_revision, {}});
+    done({std::error_code(), created_revision, {}});
     return;
   }
   const uint64_t newest = RevisionOf(before);
-  const bool store_went_back = newest < revision_;
+  const bool store_is_older = newest < revision_;
   const bool base_differs = change.base && *change.base != newest;
-  if (store_went_back || base_differs) {
+  if (store_is_older || base_differs) {
     done({CoreErrc::kConflict, newest, {}});
     return;
   }
-  const Json next = NextValue(before, change);
+  const Json next = MakeNextValue(before, change);
   const KvWrite write{.key = kCurrentKey,
                       .value = next.dump(),
                       .expected_version = entry.version,
@@ -237,22 +238,22 @@
   });
 }
 
-// Called when the answer to a write was lost: reads the value back to find out
+// Called when the answer to a write was lost: reads the value back to determine
 // whether the write took effect.
 void ConfigKeeper::ConfirmChange(const ConfigChange& change,
                                  std::function<void(ConfigOutcome)> done) {
   kv_.Read(kCurrentKey, [self = shared_from_this(), change, done](
                             std::error_code error, const KvEntry& entry) {
     const auto stored = error ? std::nullopt : ParseJson(entry.value);
-    const uint64_t made_revision =
+    const uint64_t created_revision =
         stored ? RevisionOfOperation(*stored, change.operation) : 0;
-    if (made_revision == 0) {
+    if (created_revision == 0) {
       // The write may still take effect later, so the outcome is unknown.
       done({CoreErrc::kOutcomeUnknown, self->revision_, {}});
       return;
     }
     self->AdoptIfNewer(entry.value);
-    done({std::error_code(), made_revision, {}});
+    done({std::error_code(), created_revision, {}});
   });
 }
 
--- a/src/libdoorwood/config/entry_settings.cpp
+++ b/src/libdoorwood/config/entry_settings.cpp
@@ -15,9 +15,9 @@
 // A run continues for this long without contact from a leader. The lease
 // outlasts the detection of a leader's failure (2 s) plus its successor's
 // takeover and a short outage of all instances. It also outlasts a network
-// partition of a data centre of 6 s (every standard day has one) when the last
-// contact was 1.2 s before it. It is short enough that the work of an
-// unresponsive worker is restarted elsewhere.
+// partition of a data centre of 6 s (each standard simulated day has one) if
+// the last contact was 1.2 s before the partition. It is short enough that the
+// work of an unresponsive worker is restarted elsewhere.
 constexpr Millis kRunLease{8500};
 // Added to the lease of a machine's holder, to cover a machine order that
 // completes late.
@@ -62,7 +62,7 @@
               &settings.finished_job_retention);
   reader.Read("machine_holder_lease_ms", kLeaseMillis,
               &settings.machine_holder_lease);
-  reader.Finish();
+  reader.ReportUnknownKeys();
   if (!problems->empty()) {
     return std::nullopt;
   }
--- a/src/libdoorwood/config/manifest.cpp
+++ b/src/libdoorwood/config/manifest.cpp
@@ -40,7 +40,7 @@
   reader.Read("repeatable", &task.repeatable);
   reader.Read("max_attempts", kAttempts, &task.max_attempts);
   reader.Read("payload", &task.payload);
-  reader.Finish();
+  reader.ReportUnknownKeys();
   const std::string base = task.name;
   for (int i = 0; i < count; ++i) {
     if (count > 1) {
@@ -76,7 +76,7 @@
   reader.ReadSequence("tasks", [&](const YAML::Node& node, std::string path) {
     ParseTask(node, path, &names, &job, problems);
   });
-  reader.Finish();
+  reader.ReportUnknownKeys();
   if (problems->empty() && job.tasks.empty()) {
     reader.AddProblem("tasks", "must hold at least one task");
   }
--- a/src/libdoorwood/config/selector.cpp
+++ b/src/libdoorwood/config/selector.cpp
@@ -16,7 +16,7 @@
   return text.substr(first, last - first + 1);
 }
 
-bool IsWord(std::string_view text) {
+bool IsValidLabelText(std::string_view text) {
   constexpr std::string_view kAllowed =
       "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_./";
   return !text.empty() &&
@@ -37,17 +37,17 @@
         differs ? RequirementKind::kDiffers : RequirementKind::kEquals;
     requirement.key = Trim(text.substr(0, differs ? equals - 1 : equals));
     requirement.value = Trim(text.substr(equals + 1));
-    if (!IsWord(requirement.value)) {
+    if (!IsValidLabelText(requirement.value)) {
       return std::nullopt;
     }
   }
-  if (!IsWord(requirement.key)) {
+  if (!IsValidLabelText(requirement.key)) {
     return std::nullopt;
   }
   return requirement;
 }
 
-bool Holds(const Requirement& requirement, const Labels& labels) {
+bool IsMet(const Requirement& requirement, const Labels& labels) {
   const auto label = labels.find(requirement.key);
   const bool present = label != labels.end();
   switch (requirement.kind) {
@@ -127,7 +127,7 @@
 bool Matches(const Selector& selector, const Labels& labels) {
   return std::all_of(
       selector.requirements.begin(), selector.requirements.end(),
-      [&](const Requirement& item) { return Holds(item, labels); });
+      [&](const Requirement& item) { return IsMet(item, labels); });
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/config/settings.cpp
+++ b/src/libdoorwood/config/settings.cpp
@@ -68,7 +68,7 @@
   }
 }
 
-void ReadTimes(MapReader* reader, Settings* settings) {
+void ReadDurations(MapReader* reader, Settings* settings) {
   reader->Read("leave_patience_ms", kLongMillis, &settings->shutdown_timeout);
   reader->Read("leave_grace_ms", Range{0, 60'000}, &settings->shutdown_grace);
   reader->Read("heartbeat_interval_ms", kShortMillis,
@@ -131,8 +131,8 @@
   reader.Read("largest_body", kBody, &settings.max_body_bytes);
   reader.Read("kv_calls", kKvCalls, &settings.kv_calls);
   reader.Read("shard_count", kShards, &settings.shard_count);
-  ReadTimes(&reader, &settings);
-  reader.Finish();
+  ReadDurations(&reader, &settings);
+  reader.ReportUnknownKeys();
   if (!problems->empty()) {
     return std::nullopt;
   }
--- a/src/libdoorwood/config/yaml_reader.cpp
+++ b/src/libdoorwood/config/yaml_reader.cpp
@@ -25,7 +25,7 @@
   return value;
 }
 
-std::string RangeSentence(Range range) {
+std::string RangeErrorMessage(Range range) {
   return "must be a whole number from " + std::to_string(range.low) + " to " +
          std::to_string(range.high);
 }
@@ -95,7 +95,7 @@
   const auto value =
       node.IsScalar() ? ParseInteger(node.Scalar()) : std::nullopt;
   if (!value || *value < range.low || *value > range.high) {
-    AddProblemAt(node, key, RangeSentence(range));
+    AddProblemAt(node, key, RangeErrorMessage(range));
     return;
   }
   *out = *value;
@@ -161,7 +161,7 @@
   reader.Read("cpu_millis", Range{0, kMaxCpuMillis}, &out->cpu_millis);
   reader.Read("memory_mib", Range{0, kMaxMemoryMib}, &out->memory_mib);
   reader.Read("accelerators", Range{0, kMaxAccelerators}, &out->accelerators);
-  reader.Finish();
+  reader.ReportUnknownKeys();
 }
 
 void MapReader::ReadSelector(std::string_view key, std::string* out) {
@@ -176,20 +176,20 @@
 }
 
 void MapReader::ReadChoice(std::string_view key,
-                           std::initializer_list<std::string_view> words,
+                           std::initializer_list<std::string_view> choices,
                            size_t* out) {
   const YAML::Node node = Find(key);
   if (!node) {
     return;
   }
   const std::string text = node.IsScalar() ? node.Scalar() : "";
-  const auto word = std::find(words.begin(), words.end(), text);
-  if (word != words.end()) {
-    *out = static_cast<size_t>(word - words.begin());
+  const auto choice = std::find(choices.begin(), choices.end(), text);
+  if (choice != choices.end()) {
+    *out = static_cast<size_t>(choice - choices.begin());
     return;
   }
   std::string sentence = "must be one of:";
-  for (const std::string_view accepted : words) {
+  for (const std::string_view accepted : choices) {
     sentence += " " + std::string(accepted);
   }
   AddProblemAt(node, key, sentence);
@@ -222,7 +222,7 @@
   AddProblemAt(node ? node : node_, key, sentence);
 }
 
-void MapReader::Finish() {
+void MapReader::ReportUnknownKeys() {
   if (!node_.IsMap()) {
     return;
   }
