--- a/src/include/doorwood/instance.h
+++ b/src/include/doorwood/instance.h
@@ -51,7 +51,7 @@
   ConfigKeeperOptions config;
 };
 
-/// Interface through which the control core tells the request path which
+/// Interface through which the control core notifies the request path of the
 /// backend servers, peers and configuration to use.
 class RoutingObserver {
  public:
@@ -93,8 +93,8 @@
 
   void Start();
   /// Starts a planned shutdown: releases workers and hands over shards. Calls
-  /// `done` when all are released or `leave_timeout` has elapsed.
-  void BeginShutdown(Millis leave_timeout, std::function<void()> done);
+  /// `done` when all of them are released or `shutdown_timeout` has elapsed.
+  void BeginShutdown(Millis shutdown_timeout, std::function<void()> done);
 
   // PeerService:
   void Handle(const PeerRequest& request, Reply reply) override;
@@ -102,8 +102,8 @@
   /// Answers an operator's call, or forwards it to the instance that can answer
   /// it. Methods are listed in docs/ARCHITECTURE.md.
   void HandleOperatorCall(const OperatorCall& call, OperatorDone done);
-  /// Records with the owner of the key's shard that `request` uses an
-  /// idempotency key.
+  /// Records at the owner of the key's shard that `request` uses the
+  /// idempotency key `key`.
   void ClaimIdempotencyKey(const std::string& key,
                            const std::string& request,
                            std::function<void(ClaimOutcome)> done);
@@ -126,7 +126,8 @@
     std::shared_ptr<ShardOwner> owner;
     bool active = false;
     bool closing = false;
-    // True until it is verified that the store still names this owner.
+    // True until it is verified that the store still records this instance as
+    // the owner.
     bool needs_verification = false;
     bool verifying = false;
   };
@@ -163,12 +164,12 @@
   // Heartbeats.
   Heartbeat MakeHeartbeat() const;
   void OnHeartbeat(const Heartbeat& heartbeat);
-  bool HeardRecently(const std::string& peer) const;
+  bool IsPeerSendingHeartbeats(const std::string& peer) const;
   void FetchConfigFrom(const std::string& instance);
 
   // Shards.
   void OpenShard(const ShardId& shard);
-  bool StoreReachable() const;
+  bool IsStoreReachable() const;
   void CloseShard(const ShardId& shard);
   void AbandonShard(const ShardId& shard);
   void MarkAllShardsUnverified();
@@ -184,24 +185,24 @@
   void OnConfigChanged();
 
   // Operators' calls; see instance_operator.cpp.
-  void OperateSubmit(const Json& body,
+  void HandleSubmitCall(const Json& body,
+                        const OperatorCall& call,
+                        OperatorDone done);
+  void HandleJobCall(const Json& body,
                      const OperatorCall& call,
                      OperatorDone done);
-  void OperateOnJob(const Json& body,
-                    const OperatorCall& call,
-                    OperatorDone done);
-  void OperateOnKey(const Json& body,
-                    const OperatorCall& call,
-                    OperatorDone done);
-  void OperateJobs(const Json& body,
-                   const OperatorCall& call,
-                   OperatorDone done);
-  void OperateConfigApply(const Json& body, OperatorDone done);
-  void OperateConfigGet(OperatorDone done);
-  void OperateWorkers(const OperatorCall& call, OperatorDone done);
-  void OperateDrain(const Json& body, OperatorDone done);
-  void OperateStatus(OperatorDone done);
-  void OperateBurn(const OperatorCall& call, OperatorDone done);
+  void HandleKeyCall(const Json& body,
+                     const OperatorCall& call,
+                     OperatorDone done);
+  void HandleJobsCall(const Json& body,
+                      const OperatorCall& call,
+                      OperatorDone done);
+  void HandleConfigApplyCall(const Json& body, OperatorDone done);
+  void HandleConfigGetCall(OperatorDone done);
+  void HandleWorkersCall(const OperatorCall& call, OperatorDone done);
+  void HandleDrainCall(const Json& body, OperatorDone done);
+  void HandleStatusCall(OperatorDone done);
+  void HandleBurnCall(const OperatorCall& call, OperatorDone done);
   /// Answers a call about a job or an idempotency key as the owner of its
   /// shard.
   void AnswerAsOwner(ShardOwner& owner,
@@ -249,8 +250,8 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-/// Returns the index of the shard for a member's jobs (or for an idempotency
-/// key).
+/// Returns the index of the shard for a workspace's jobs or for an idempotency
+/// key.
 uint32_t ShardOfMember(std::string_view member, uint32_t shard_count);
 
 }  // namespace doorwood
--- a/src/libdoorwood/instance/instance.cpp
+++ b/src/libdoorwood/instance/instance.cpp
@@ -46,8 +46,8 @@
 Instance::~Instance() {
   *alive_ = false;
   config_->Stop();
-  for (auto& [shard, owning] : shards_) {
-    owning.owner->StopImmediately();
+  for (auto& [shard, ownership] : shards_) {
+    ownership.owner->StopImmediately();
   }
 }
 
@@ -73,13 +73,14 @@
   });
 }
 
-void Instance::BeginShutdown(Millis leave_timeout, std::function<void()> done) {
+void Instance::BeginShutdown(Millis shutdown_timeout,
+                             std::function<void()> done) {
   leaving_ = true;
   membership_.set_leaving();
   log_.Write("info", "instance", "leaving", Json::object());
   SendHeartbeats();
   Rebalance();
-  const Instant deadline = executor_.Now() + leave_timeout;
+  const Instant deadline = executor_.Now() + shutdown_timeout;
   auto check_released = std::make_shared<std::function<void()>>();
   *check_released = [this, alive = alive_, deadline, done, check_released]() {
     if (!*alive) {
@@ -87,9 +88,9 @@
     }
     // Without the store no shard can be handed over. Its next owner waits until
     // this instance's registration expires.
-    const bool shards_gone = shards_.empty() || !StoreReachable();
-    const bool gone = shards_gone && holder_.rows().empty();
-    if (gone || executor_.Now() >= deadline) {
+    const bool shards_released = shards_.empty() || !IsStoreReachable();
+    const bool all_released = shards_released && holder_.rows().empty();
+    if (all_released || executor_.Now() >= deadline) {
       // Notify peers immediately that this instance holds and owns nothing.
       SendHeartbeats();
       done();
@@ -173,10 +174,10 @@
       registration_valid_until_ =
           sent + options_.registration_lifetime - options_.holder.drift;
     }
-    const Millis pause =
+    const Millis delay =
         error ? kRegistrationRetry
               : options_.registration_lifetime / kRenewalsPerLifetime;
-    executor_.Schedule(pause, [this, alive]() {
+    executor_.Schedule(delay, [this, alive]() {
       if (*alive) {
         RenewRegistration();
       }
@@ -201,37 +202,37 @@
 }
 
 Heartbeat Instance::MakeHeartbeat() const {
-  Heartbeat beat;
-  beat.instance = options_.self.id;
-  beat.incarnation = options_.incarnation;
-  beat.data_centre = options_.self.data_centre;
-  beat.leaving = leaving_;
-  beat.config_revision = config_->revision();
-  beat.lowest_revision = config_->revision();
+  Heartbeat heartbeat;
+  heartbeat.instance = options_.self.id;
+  heartbeat.incarnation = options_.incarnation;
+  heartbeat.data_centre = options_.self.data_centre;
+  heartbeat.leaving = leaving_;
+  heartbeat.config_revision = config_->revision();
+  heartbeat.lowest_revision = config_->revision();
   for (const auto& [id, peer] : membership_.peers()) {
     if (peer.heartbeat.data_centre == options_.self.data_centre) {
-      beat.lowest_revision =
-          std::min(beat.lowest_revision, peer.heartbeat.config_revision);
+      heartbeat.lowest_revision =
+          std::min(heartbeat.lowest_revision, peer.heartbeat.config_revision);
     }
   }
-  for (const auto& [shard, owning] : shards_) {
-    if (owning.active) {
-      beat.shards.push_back({shard, owning.owner->epoch()});
+  for (const auto& [shard, ownership] : shards_) {
+    if (ownership.active) {
+      heartbeat.shards.push_back({shard, ownership.owner->epoch()});
     }
   }
-  beat.free = holder_.free();
-  beat.largest_free = holder_.largest_free();
-  beat.workers = static_cast<uint32_t>(holder_.held_worker_count());
-  beat.holdings_version = holdings_version_;
-  beat.leaving_workers = membership_.LeavingWorkers();
-  beat.open_services =
+  heartbeat.free = holder_.free();
+  heartbeat.largest_free = holder_.largest_free();
+  heartbeat.workers = static_cast<uint32_t>(holder_.held_worker_count());
+  heartbeat.holdings_version = holdings_version_;
+  heartbeat.leaving_workers = membership_.LeavingWorkers();
+  heartbeat.open_services =
       leaving_ ? std::vector<std::string>() : routes_.ServicesWithFreeSlots();
-  beat.http_address = options_.self.address;
-  return beat;
+  heartbeat.http_address = options_.self.address;
+  return heartbeat;
 }
 
 void Instance::SendHeartbeats() {
-  const Heartbeat beat = MakeHeartbeat();
+  const Heartbeat heartbeat = MakeHeartbeat();
   ++heartbeat_count_;
   const bool remote = heartbeat_count_ % options_.remote_heartbeat_every == 0;
   for (const InstanceInfo& target :
@@ -240,27 +241,27 @@
     if (!here && !remote) {
       continue;
     }
-    if (here && !leaving_ && HeardRecently(target.id)) {
+    if (here && !leaving_ && IsPeerSendingHeartbeats(target.id)) {
       continue;
     }
     peers_.Call(
-        target.peer_address, beat, options_.call_timeout,
+        target.peer_address, heartbeat, options_.call_timeout,
         [this, alive = alive_](std::error_code error, const PeerReply& reply) {
-          const auto* theirs = std::get_if<Heartbeat>(&reply);
-          if (*alive && !error && theirs != nullptr) {
-            OnHeartbeat(*theirs);
+          const auto* peer_heartbeat = std::get_if<Heartbeat>(&reply);
+          if (*alive && !error && peer_heartbeat != nullptr) {
+            OnHeartbeat(*peer_heartbeat);
           }
         });
   }
 }
 
 // The reply to a heartbeat contains the receiver's state, so only one instance
-// of a pair needs to send. That is the one whose id sorts first; the other one
-// starts sending when no heartbeat has arrived within the heartbeat interval.
-bool Instance::HeardRecently(const std::string& peer) const {
+// of a pair needs to send: the one whose id sorts first. The other instance
+// sends only if no heartbeat has arrived within the heartbeat interval.
+bool Instance::IsPeerSendingHeartbeats(const std::string& peer) const {
   const auto known = membership_.peers().find(peer);
-  const bool they_send = peer < options_.self.id;
-  return they_send && known != membership_.peers().end() &&
+  const bool peer_sends = peer < options_.self.id;
+  return peer_sends && known != membership_.peers().end() &&
          executor_.Now() - known->second.last_heartbeat_at <=
              options_.heartbeat_interval;
 }
@@ -269,11 +270,11 @@
   membership_.OnHeartbeat(heartbeat, executor_.Now());
   for (const OwnedShard& owned : heartbeat.shards) {
     holder_.Fence(owned.shard, {owned.epoch, 0});
-    const auto mine = shards_.find(owned.shard);
-    const bool replaced = mine != shards_.end() && mine->second.active &&
-                          mine->second.owner->epoch() < owned.epoch;
+    const auto own = shards_.find(owned.shard);
+    const bool replaced = own != shards_.end() && own->second.active &&
+                          own->second.owner->epoch() < owned.epoch;
     if (replaced) {
-      mine->second.needs_verification = true;
+      own->second.needs_verification = true;
     }
   }
   if (heartbeat.config_revision > config_->revision()) {
@@ -315,7 +316,7 @@
     wanted = membership_.AssignedShards(options_.shard_count, now);
   }
   std::vector<ShardId> unwanted;
-  for (const auto& [shard, owning] : shards_) {
+  for (const auto& [shard, ownership] : shards_) {
     if (std::find(wanted.begin(), wanted.end(), shard) == wanted.end()) {
       unwanted.push_back(shard);
     }
@@ -449,16 +450,17 @@
          .largest_free = holder_.largest_free()});
   }
   for (const auto& [id, peer] : membership_.peers()) {
-    const Heartbeat& beat = peer.heartbeat;
-    if (beat.data_centre != options_.self.data_centre || beat.leaving) {
+    const Heartbeat& heartbeat = peer.heartbeat;
+    if (heartbeat.data_centre != options_.self.data_centre ||
+        heartbeat.leaving) {
       continue;
     }
     holders.push_back({.instance = id,
-                       .incarnation = beat.incarnation,
-                       .workers = beat.workers,
-                       .holdings_version = beat.holdings_version,
-                       .free = beat.free,
-                       .largest_free = beat.largest_free});
+                       .incarnation = heartbeat.incarnation,
+                       .workers = heartbeat.workers,
+                       .holdings_version = heartbeat.holdings_version,
+                       .free = heartbeat.free,
+                       .largest_free = heartbeat.largest_free});
   }
   return holders;
 }
@@ -516,8 +518,8 @@
 // --- PeerService ---
 
 void Instance::Handle(const PeerRequest& request, Reply reply) {
-  if (const auto* beat = std::get_if<Heartbeat>(&request)) {
-    OnHeartbeat(*beat);
+  if (const auto* heartbeat = std::get_if<Heartbeat>(&request)) {
+    OnHeartbeat(*heartbeat);
     reply(MakeHeartbeat());
   } else if (const auto* place = std::get_if<PlaceRequest>(&request)) {
     if (leaving_) {
@@ -575,13 +577,13 @@
   std::vector<PeerTarget> here;
   std::vector<PeerTarget> elsewhere;
   for (const auto& [id, peer] : membership_.peers()) {
-    const Heartbeat& beat = peer.heartbeat;
-    if (beat.leaving || beat.open_services.empty()) {
+    const Heartbeat& heartbeat = peer.heartbeat;
+    if (heartbeat.leaving || heartbeat.open_services.empty()) {
       continue;
     }
-    const bool local = beat.data_centre == options_.self.data_centre;
+    const bool local = heartbeat.data_centre == options_.self.data_centre;
     (local ? here : elsewhere)
-        .push_back({id, beat.http_address, beat.open_services});
+        .push_back({id, heartbeat.http_address, heartbeat.open_services});
   }
   routes_.OnPeers(here.empty() ? std::move(elsewhere) : std::move(here));
 }
--- a/src/libdoorwood/instance/instance_operator.cpp
+++ b/src/libdoorwood/instance/instance_operator.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Operators' calls: answered locally, or forwarded to the instance that can.
+// Operators' calls: answered locally, or forwarded to the instance that can
+// answer them.
 
 #include <algorithm>
 
@@ -20,7 +21,7 @@
 constexpr int kConflict = 409;
 constexpr int kUnavailable = 503;
 
-OperatorReply Answer(const Json& body) {
+OperatorReply MakeReply(const Json& body) {
   return {kOk, body.dump()};
 }
 
@@ -37,8 +38,8 @@
   return kUnavailable;
 }
 
-OperatorReply Failure(std::error_code error,
-                      const std::vector<std::string>& problems = {}) {
+OperatorReply MakeErrorReply(std::error_code error,
+                             const std::vector<std::string>& problems = {}) {
   const int status = StatusOf(error);
   const bool unknown = error == make_error_code(CoreErrc::kOutcomeUnknown);
   Json body{{"error", error.message()},
@@ -73,15 +74,15 @@
                  static_cast<uint32_t>(std::stoul(index))};
 }
 
-bool IsToken(const std::string& text) {
+bool IsValidToken(const std::string& text) {
   constexpr std::string_view kAllowed =
       "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_";
-  constexpr size_t kLongest = 64;
-  return !text.empty() && text.size() <= kLongest &&
+  constexpr size_t kMaxLength = 64;
+  return !text.empty() && text.size() <= kMaxLength &&
          text.find_first_not_of(kAllowed) == std::string::npos;
 }
 
-std::string Hex(uint64_t number) {
+std::string ToHex(uint64_t number) {
   constexpr std::string_view kDigits = "0123456789abcdef";
   std::string text;
   for (int shift = 60; shift >= 0; shift -= 4) {
@@ -95,51 +96,52 @@
 void Instance::HandleOperatorCall(const OperatorCall& call, OperatorDone done) {
   const auto body = ParseJson(call.body.empty() ? "{}" : call.body);
   if (!body || !body->is_object()) {
-    done(Failure(CoreErrc::kInvalid, {"the body is not a JSON object"}));
+    done(MakeErrorReply(CoreErrc::kInvalid, {"the body is not a JSON object"}));
     return;
   }
   try {
     if (call.method == "submit") {
-      OperateSubmit(*body, call, done);
+      HandleSubmitCall(*body, call, done);
     } else if (call.method == "job.show" || call.method == "job.cancel" ||
                call.method == "explain") {
-      OperateOnJob(*body, call, done);
+      HandleJobCall(*body, call, done);
     } else if (call.method == "claim" || call.method == "unclaim") {
-      OperateOnKey(*body, call, done);
+      HandleKeyCall(*body, call, done);
     } else if (call.method == "jobs") {
-      OperateJobs(*body, call, done);
+      HandleJobsCall(*body, call, done);
     } else if (call.method == "config.apply") {
-      OperateConfigApply(*body, done);
+      HandleConfigApplyCall(*body, done);
     } else if (call.method == "config.get") {
-      OperateConfigGet(done);
+      HandleConfigGetCall(done);
     } else if (call.method == "config.history") {
-      done(Answer({{"revisions", config_->RevisionHistory()}}));
+      done(MakeReply({{"revisions", config_->RevisionHistory()}}));
     } else if (call.method == "workers") {
-      OperateWorkers(call, done);
+      HandleWorkersCall(call, done);
     } else if (call.method == "drain") {
-      OperateDrain(*body, done);
+      HandleDrainCall(*body, done);
     } else if (call.method == "status") {
-      OperateStatus(done);
+      HandleStatusCall(done);
     } else if (call.method == "burn") {
-      OperateBurn(call, done);
+      HandleBurnCall(call, done);
     } else {
-      done(Failure(CoreErrc::kNotFound));
+      done(MakeErrorReply(CoreErrc::kNotFound));
     }
   } catch (const Json::exception&) {
-    done(Failure(CoreErrc::kInvalid, {"a member of the body has the wrong "
-                                      "type"}));
+    done(MakeErrorReply(CoreErrc::kInvalid,
+                        {"a member of the body has the wrong "
+                         "type"}));
   }
 }
 
 // --- Jobs ---
 
-void Instance::OperateSubmit(const Json& body,
-                             const OperatorCall& call,
-                             OperatorDone done) {
+void Instance::HandleSubmitCall(const Json& body,
+                                const OperatorCall& call,
+                                OperatorDone done) {
   if (body.contains("job")) {
     const auto shard = ShardOfJob(body["job"].value("id", ""));
     if (!shard) {
-      done(Failure(CoreErrc::kInvalid, {"the job's id is malformed"}));
+      done(MakeErrorReply(CoreErrc::kInvalid, {"the job's id is malformed"}));
       return;
     }
     ForwardToOwner(*shard, call, done);
@@ -148,22 +150,23 @@
   Problems problems(body.value("file", "manifest"));
   auto job = ParseManifest(body.value("manifest", ""), &problems);
   if (!job) {
-    done(Failure(CoreErrc::kInvalid, problems.lines()));
+    done(MakeErrorReply(CoreErrc::kInvalid, problems.lines()));
     return;
   }
   const bool unknown_member =
       FindMember(config_->configuration(), job->member) == nullptr;
   if (unknown_member) {
-    done(Failure(CoreErrc::kInvalid,
-                 {"member: '" + job->member +
-                  "' is not in the configuration in force (revision " +
-                  std::to_string(config_->revision()) + ")"}));
+    done(MakeErrorReply(CoreErrc::kInvalid,
+                        {"member: '" + job->member +
+                         "' is not in the configuration in force (revision " +
+                         std::to_string(config_->revision()) + ")"}));
     return;
   }
-  const std::string token = body.value("token", Hex(executor_.Random()));
-  if (!IsToken(token)) {
-    done(Failure(CoreErrc::kInvalid,
-                 {"token: must be 1 to 64 letters, digits, '-' or '_'"}));
+  const std::string token = body.value("token", ToHex(executor_.Random()));
+  if (!IsValidToken(token)) {
+    done(
+        MakeErrorReply(CoreErrc::kInvalid,
+                       {"token: must be 1 to 64 letters, digits, '-' or '_'"}));
     return;
   }
   if (job->home.empty()) {
@@ -176,20 +179,20 @@
                  done);
 }
 
-void Instance::OperateOnJob(const Json& body,
-                            const OperatorCall& call,
-                            OperatorDone done) {
+void Instance::HandleJobCall(const Json& body,
+                             const OperatorCall& call,
+                             OperatorDone done) {
   const auto shard = ShardOfJob(body.value("id", ""));
   if (!shard) {
-    done(Failure(CoreErrc::kNotFound));
+    done(MakeErrorReply(CoreErrc::kNotFound));
     return;
   }
   ForwardToOwner(*shard, call, done);
 }
 
-void Instance::OperateOnKey(const Json& body,
-                            const OperatorCall& call,
-                            OperatorDone done) {
+void Instance::HandleKeyCall(const Json& body,
+                             const OperatorCall& call,
+                             OperatorDone done) {
   const std::string key = body.value("key", "");
   ForwardToOwner(
       {options_.self.data_centre, ShardOfMember(key, options_.shard_count)},
@@ -200,9 +203,9 @@
                              const OperatorCall& call,
                              const Json& body,
                              OperatorDone done) {
-  const auto finish = [done](const Json& good) {
-    return [done, good](std::error_code error) {
-      done(error ? Failure(error) : Answer(good));
+  const auto finish = [done](const Json& success_body) {
+    return [done, success_body](std::error_code error) {
+      done(error ? MakeErrorReply(error) : MakeReply(success_body));
     };
   };
   const std::string id = body.value("id", "");
@@ -217,7 +220,7 @@
   } else if (call.method == "unclaim") {
     owner.ReleaseIdempotencyKey(body.value("key", ""),
                                 body.value("request", ""));
-    done(Answer(Json::object()));
+    done(MakeReply(Json::object()));
   } else if (call.method == "explain") {
     Json records = Json::array();
     for (const DecisionRecord& record :
@@ -226,21 +229,21 @@
                          {"what", record.what},
                          {"detail", record.detail}});
     }
-    done(records.empty() ? Failure(CoreErrc::kNotFound)
-                         : Answer({{"records", std::move(records)}}));
+    done(records.empty() ? MakeErrorReply(CoreErrc::kNotFound)
+                         : MakeReply({{"records", std::move(records)}}));
   } else {
     const Json job = owner.JobJson(id);
-    done(job.is_null() ? Failure(CoreErrc::kNotFound) : Answer(job));
+    done(job.is_null() ? MakeErrorReply(CoreErrc::kNotFound) : MakeReply(job));
   }
 }
 
-void Instance::OperateJobs(const Json& body,
-                           const OperatorCall& call,
-                           OperatorDone done) {
+void Instance::HandleJobsCall(const Json& body,
+                              const OperatorCall& call,
+                              OperatorDone done) {
   Json own = Json::array();
-  for (const auto& [shard, owning] : shards_) {
-    if (owning.active) {
-      for (Json& job : owning.owner->JobsJson(body.value("member", ""))) {
+  for (const auto& [shard, ownership] : shards_) {
+    if (ownership.active) {
+      for (Json& job : ownership.owner->JobsJson(body.value("member", ""))) {
         own.push_back(std::move(job));
       }
     }
@@ -250,30 +253,31 @@
 
 // --- Configuration ---
 
-void Instance::OperateConfigApply(const Json& body, OperatorDone done) {
+void Instance::HandleConfigApplyCall(const Json& body, OperatorDone done) {
   ConfigChange change;
   change.text = body.value("text", "");
   change.author = body.value("author", "");
-  change.operation = body.value("operation", Hex(executor_.Random()));
+  change.operation = body.value("operation", ToHex(executor_.Random()));
   if (body.contains("base")) {
     change.base = body["base"].get<uint64_t>();
   }
   config_->Apply(change, [done](const ConfigOutcome& outcome) {
     if (outcome.error) {
-      done(Failure(outcome.error, outcome.problems));
+      done(MakeErrorReply(outcome.error, outcome.problems));
       return;
     }
-    done(Answer({{"revision", outcome.revision}}));
+    done(MakeReply({{"revision", outcome.revision}}));
   });
 }
 
-void Instance::OperateConfigGet(OperatorDone done) {
-  done(Answer({{"revision", config_->revision()}, {"text", config_->text()}}));
+void Instance::HandleConfigGetCall(OperatorDone done) {
+  done(MakeReply(
+      {{"revision", config_->revision()}, {"text", config_->text()}}));
 }
 
 // --- Workers and status ---
 
-void Instance::OperateWorkers(const OperatorCall& call, OperatorDone done) {
+void Instance::HandleWorkersCall(const OperatorCall& call, OperatorDone done) {
   Json own = Json::array();
   for (const HeldWorkerStatus& row : holder_.rows()) {
     own.push_back({{"worker", row.worker},
@@ -288,7 +292,7 @@
   GatherFromPeers(call, std::move(own), std::move(done));
 }
 
-void Instance::OperateDrain(const Json& body, OperatorDone done) {
+void Instance::HandleDrainCall(const Json& body, OperatorDone done) {
   const std::string worker = body.value("worker", "");
   const auto& list = membership_.list();
   const bool known =
@@ -296,29 +300,29 @@
         return info.role == InstanceRole::kWorker && info.id == worker;
       });
   if (!known) {
-    done(Failure(CoreErrc::kNotFound, {"no worker '" + worker + "'"}));
+    done(MakeErrorReply(CoreErrc::kNotFound, {"no worker '" + worker + "'"}));
     return;
   }
   const bool drained = body.value("drained", true);
   config_->SetDrained(
       worker, drained, [done, worker, drained](std::error_code error) {
-        done(error ? Failure(error)
-                   : Answer({{"worker", worker}, {"drained", drained}}));
+        done(error ? MakeErrorReply(error)
+                   : MakeReply({{"worker", worker}, {"drained", drained}}));
       });
 }
 
-void Instance::OperateStatus(OperatorDone done) {
-  const auto state = [](const Heartbeat& beat) {
+void Instance::HandleStatusCall(OperatorDone done) {
+  const auto state = [](const Heartbeat& heartbeat) {
     Json shards = Json::array();
-    for (const OwnedShard& owned : beat.shards) {
+    for (const OwnedShard& owned : heartbeat.shards) {
       shards.push_back(ToString(owned.shard));
     }
-    return Json{{"instance", beat.instance},
-                {"data_centre", beat.data_centre},
-                {"leaving", beat.leaving},
-                {"revision", beat.config_revision},
-                {"lowest_revision", beat.lowest_revision},
-                {"workers", beat.workers},
+    return Json{{"instance", heartbeat.instance},
+                {"data_centre", heartbeat.data_centre},
+                {"leaving", heartbeat.leaving},
+                {"revision", heartbeat.config_revision},
+                {"lowest_revision", heartbeat.lowest_revision},
+                {"workers", heartbeat.workers},
                 {"shards", std::move(shards)}};
   };
   Json instances = Json::array();
@@ -328,15 +332,15 @@
   }
   const Millis registered = std::chrono::duration_cast<Millis>(
       registration_valid_until_ - executor_.Now());
-  done(Answer({{"instance", options_.self.id},
-               {"data_centre", options_.self.data_centre},
-               {"revision", config_->revision()},
-               {"store_reachable", registered.count() > 0},
-               {"list_known", membership_.list_received()},
-               {"instances", std::move(instances)}}));
+  done(MakeReply({{"instance", options_.self.id},
+                  {"data_centre", options_.self.data_centre},
+                  {"revision", config_->revision()},
+                  {"store_reachable", registered.count() > 0},
+                  {"list_known", membership_.list_received()},
+                  {"instances", std::move(instances)}}));
 }
 
-void Instance::OperateBurn(const OperatorCall& call, OperatorDone done) {
+void Instance::HandleBurnCall(const OperatorCall& call, OperatorDone done) {
   GatherFromPeers(call, routes_.BurnRates(), std::move(done));
 }
 
@@ -383,7 +387,7 @@
   }
   const std::string owner = OwnerOf(shard);
   if (owner.empty()) {
-    done(Failure(CoreErrc::kNoOwner));
+    done(MakeErrorReply(CoreErrc::kNoOwner));
     return;
   }
   ForwardToInstance(owner, call, done);
@@ -395,8 +399,9 @@
   const std::vector<InstanceInfo> instances =
       membership_.EntryInstancesOf(data_centre);
   if (instances.empty()) {
-    done(Failure(CoreErrc::kNotFound, {"no entry instance of data centre '" +
-                                       data_centre + "' is known"}));
+    done(MakeErrorReply(
+        CoreErrc::kNotFound,
+        {"no entry instance of data centre '" + data_centre + "' is known"}));
     return;
   }
   ForwardToInstance(instances.front().id, call, done);
@@ -406,22 +411,22 @@
                                  const OperatorCall& call,
                                  OperatorDone done) {
   if (call.hops >= kMaxHops) {
-    done(Failure(CoreErrc::kNoOwner));
+    done(MakeErrorReply(CoreErrc::kNoOwner));
     return;
   }
   OperatorCall forwarded = call;
   ++forwarded.hops;
-  CallInstance(
-      instance, forwarded, options_.call_timeout,
-      [done](std::error_code error, const PeerReply& reply) {
-        const auto* answer = std::get_if<OperatorReply>(&reply);
-        if (!error && answer != nullptr) {
-          done(*answer);
-          return;
-        }
-        const bool sent = error != make_error_code(PeerErrc::kNotSent);
-        done(Failure(sent ? CoreErrc::kOutcomeUnknown : CoreErrc::kNoOwner));
-      });
+  CallInstance(instance, forwarded, options_.call_timeout,
+               [done](std::error_code error, const PeerReply& reply) {
+                 const auto* answer = std::get_if<OperatorReply>(&reply);
+                 if (!error && answer != nullptr) {
+                   done(*answer);
+                   return;
+                 }
+                 const bool sent = error != make_error_code(PeerErrc::kNotSent);
+                 done(MakeErrorReply(sent ? CoreErrc::kOutcomeUnknown
+                                          : CoreErrc::kNoOwner));
+               });
 }
 
 void Instance::GatherFromPeers(const OperatorCall& call,
@@ -436,8 +441,8 @@
   progress->rows = std::move(own);
   const auto finish = [progress, done]() {
     if (--progress->pending == 0) {
-      done(
-          Answer({{"rows", progress->rows}, {"silent", progress->unanswered}}));
+      done(MakeReply(
+          {{"rows", progress->rows}, {"silent", progress->unanswered}}));
     }
   };
   if (call.hops == 0) {
--- a/src/libdoorwood/instance/instance_shards.cpp
+++ b/src/libdoorwood/instance/instance_shards.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Job shards of an instance: opening, closing and verifying owned shards, and
-// finding the owners of others.
+// finding the owners of other shards.
 
 #include <algorithm>
 
@@ -16,10 +16,10 @@
 
 void Instance::OpenShard(const ShardId& shard) {
   const Instant now = executor_.Now();
-  const bool pause = now < next_open_attempt_[shard];
+  const bool backing_off = now < next_open_attempt_[shard];
   // While its owner sends heartbeats, the shard is opened only after the owner
   // hands it over.
-  if (pause || !registered_ || !OwnerOf(shard).empty()) {
+  if (backing_off || !registered_ || !OwnerOf(shard).empty()) {
     return;
   }
   next_open_attempt_[shard] = now + kOpenRetry;
@@ -60,20 +60,20 @@
 
 // Returns true if the registration was renewed recently: more than half of its
 // lifetime remains.
-bool Instance::StoreReachable() const {
+bool Instance::IsStoreReachable() const {
   return executor_.Now() + options_.registration_lifetime / 2 <
          registration_valid_until_;
 }
 
 void Instance::CloseShard(const ShardId& shard) {
-  ShardOwnership& owning = shards_[shard];
+  ShardOwnership& ownership = shards_[shard];
   // Without the store a shard cannot be handed over, and closing it would only
   // delay its jobs.
-  if (owning.closing || !owning.active || !StoreReachable()) {
+  if (ownership.closing || !ownership.active || !IsStoreReachable()) {
     return;
   }
-  owning.closing = true;
-  owning.owner->Close([this, alive = alive_, shard](std::error_code error) {
+  ownership.closing = true;
+  ownership.owner->Close([this, alive = alive_, shard](std::error_code error) {
     if (!*alive || !shards_.contains(shard)) {
       return;
     }
@@ -88,30 +88,31 @@
 }
 
 void Instance::AbandonShard(const ShardId& shard) {
-  const auto owning = shards_.find(shard);
-  if (owning == shards_.end()) {
+  const auto ownership = shards_.find(shard);
+  if (ownership == shards_.end()) {
     return;
   }
-  const std::shared_ptr<ShardOwner> owner = owning->second.owner;
+  const std::shared_ptr<ShardOwner> owner = ownership->second.owner;
   owner->StopImmediately();
-  shards_.erase(owning);
+  shards_.erase(ownership);
 }
 
 // Called when this instance's registration may have expired: other instances
-// may have taken over its shards since.
+// may have taken over its shards since then.
 void Instance::MarkAllShardsUnverified() {
-  for (auto& [shard, owning] : shards_) {
-    owning.needs_verification = true;
+  for (auto& [shard, ownership] : shards_) {
+    ownership.needs_verification = true;
   }
 }
 
 void Instance::VerifyShard(const ShardId& shard) {
-  ShardOwnership& owning = shards_[shard];
-  if (!owning.active || !owning.needs_verification || owning.verifying) {
+  ShardOwnership& ownership = shards_[shard];
+  if (!ownership.active || !ownership.needs_verification ||
+      ownership.verifying) {
     return;
   }
-  owning.verifying = true;
-  const std::shared_ptr<ShardOwner> owner = owning.owner;
+  ownership.verifying = true;
+  const std::shared_ptr<ShardOwner> owner = ownership.owner;
   owner->Verify([this, alive = alive_, shard, owner](std::error_code error) {
     const bool stale =
         !*alive || !shards_.contains(shard) || shards_[shard].owner != owner;
@@ -124,10 +125,10 @@
 }
 
 ShardOwner* Instance::ActiveOwner(const ShardId& shard) {
-  const auto owning = shards_.find(shard);
-  const bool active = owning != shards_.end() && owning->second.active &&
-                      !owning->second.closing;
-  return active ? owning->second.owner.get() : nullptr;
+  const auto ownership = shards_.find(shard);
+  const bool active = ownership != shards_.end() && ownership->second.active &&
+                      !ownership->second.closing;
+  return active ? ownership->second.owner.get() : nullptr;
 }
 
 // Returns the known peer that owns a shard at the highest epoch, or an empty
@@ -148,8 +149,8 @@
 
 std::vector<ShardId> Instance::owned_shards() const {
   std::vector<ShardId> owned;
-  for (const auto& [shard, owning] : shards_) {
-    if (owning.active) {
+  for (const auto& [shard, ownership] : shards_) {
+    if (ownership.active) {
       owned.push_back(shard);
     }
   }
@@ -158,9 +159,9 @@
 
 std::vector<const ShardOwner*> Instance::owners() const {
   std::vector<const ShardOwner*> owners;
-  for (const auto& [shard, owning] : shards_) {
-    if (owning.active) {
-      owners.push_back(owning.owner.get());
+  for (const auto& [shard, ownership] : shards_) {
+    if (ownership.active) {
+      owners.push_back(ownership.owner.get());
     }
   }
   return owners;
--- a/src/libdoorwood/instance/instance_test.cpp
+++ b/src/libdoorwood/instance/instance_test.cpp
@@ -56,17 +56,17 @@
     return "";
   }
 
-  static std::string Other(const std::string& id) {
+  static std::string OtherInstance(const std::string& id) {
     return id == "plaka-1" ? "plaka-2" : "plaka-1";
   }
 
-  bool Finishes(const std::string& via, const std::string& job) {
+  bool RunUntilFinished(const std::string& via, const std::string& job) {
     return world.RunUntil(
         kTimeout, [&]() { return world.JobPhase(via, job) == "succeeded"; });
   }
 
   // Restarts killed instances, as the platform does.
-  void StartMissing() {
+  void RestartKilledInstances() {
     for (const char* id : {"plaka-1", "plaka-2"}) {
       if (!world.IsRunning(id)) {
         world.Start(id);
@@ -89,7 +89,7 @@
 BOOST_AUTO_TEST_CASE(job_without_faults_finishes_each_task_once) {
   RunningCluster cluster;
   const std::string job = cluster.Submit(5, "run-ms=1000");
-  BOOST_TEST(cluster.Finishes("plaka-2", job));
+  BOOST_TEST(cluster.RunUntilFinished("plaka-2", job));
   for (int n = 0; n < 5; ++n) {
     const std::string task = "task-" + std::to_string(n);
     BOOST_TEST(cluster.world.StartCount(task) == 1);
@@ -122,8 +122,8 @@
 }
 
 void KillOther(RunningCluster& cluster, const std::string& job) {
-  const std::string other = RunningCluster::Other(cluster.OwnerOf(job));
-  // An earlier fault may already have killed it.
+  const std::string other = RunningCluster::OtherInstance(cluster.OwnerOf(job));
+  // An earlier fault may already have killed this instance.
   if (cluster.world.IsRunning(other)) {
     cluster.world.Kill(other);
   }
@@ -144,7 +144,7 @@
 }
 
 void FreezeOtherPastLeases(RunningCluster& cluster, const std::string& job) {
-  const std::string other = RunningCluster::Other(cluster.OwnerOf(job));
+  const std::string other = RunningCluster::OtherInstance(cluster.OwnerOf(job));
   if (!cluster.world.IsRunning(other)) {
     return;
   }
@@ -243,17 +243,18 @@
   const std::string job = cluster.Submit(5, "run-ms=15000");
   cluster.world.Run(before);
   for (const FaultCase* fault : faults) {
-    // Faults of the shard's owner need an owner.
+    // The faults of the shard's owner can be injected only once there is an
+    // owner.
     cluster.world.RunUntil(kTimeout,
                            [&]() { return !cluster.OwnerOf(job).empty(); });
     fault->inject(cluster, job);
   }
   if (faults.size() > 1) {
-    cluster.StartMissing();
+    cluster.RestartKilledInstances();
   }
   const std::string via =
       cluster.world.IsRunning("plaka-1") ? "plaka-1" : "plaka-2";
-  BOOST_TEST(cluster.Finishes(via, job), "job does not finish");
+  BOOST_TEST(cluster.RunUntilFinished(via, job), "job does not finish");
   for (int n = 0; n < 5; ++n) {
     const std::string task = "task-" + std::to_string(n);
     BOOST_TEST(cluster.world.SuccessCount(task) == 1);
@@ -296,7 +297,7 @@
     Submit(1, "run-ms=1000", "    class: service\n");
   }
 
-  int Evictions() const {
+  int CountEvictions() const {
     int count = 0;
     for (const auto& event : world.events()) {
       const bool evicted = event.kind == standin::WorkerEventKind::kEnd &&
@@ -330,8 +331,8 @@
 
 BOOST_AUTO_TEST_CASE(full_worker_with_service_task_evicts_one_and_resumes_it) {
   EvictingCluster cluster;
-  BOOST_TEST(cluster.Finishes("plaka-1", cluster.batch));
-  BOOST_TEST(cluster.Evictions() == 1);
+  BOOST_TEST(cluster.RunUntilFinished("plaka-1", cluster.batch));
+  BOOST_TEST(cluster.CountEvictions() == 1);
   cluster.CheckResumes();
   cluster.CheckInvariants();
 }
@@ -346,9 +347,9 @@
       cluster.world.time().Step(cluster.world.time().now() + kTimeout);
     }
     inject(cluster);
-    cluster.StartMissing();
+    cluster.RestartKilledInstances();
     BOOST_TEST_CONTEXT("after " << steps << " steps") {
-      BOOST_TEST(cluster.Finishes("plaka-1", cluster.batch));
+      BOOST_TEST(cluster.RunUntilFinished("plaka-1", cluster.batch));
       for (int n = 0; n < 4; ++n) {
         const std::string task = "task-" + std::to_string(n);
         BOOST_TEST(cluster.world.SuccessCount(task) == 1);
@@ -396,7 +397,7 @@
             cluster.Submit(5, "run-ms=15000", kNotRepeatable);
         cluster.world.Run(before);
         row.inject(cluster, job);
-        cluster.StartMissing();
+        cluster.RestartKilledInstances();
         const bool ended = cluster.world.RunUntil(kTimeout, [&]() {
           const std::string phase = cluster.world.JobPhase("plaka-1", job);
           return phase == "succeeded" || phase == "failed";
@@ -437,7 +438,7 @@
       const auto again = cluster.world.Operate("plaka-2", "submit", body);
       BOOST_REQUIRE(again.status == 200);
       const std::string job = Json::parse(again.body).at("id");
-      BOOST_TEST(cluster.Finishes("plaka-1", job));
+      BOOST_TEST(cluster.RunUntilFinished("plaka-1", job));
       BOOST_TEST(cluster.world.StartCount("task") == 1);
     }
   }
@@ -496,7 +497,7 @@
   const Json task = cluster.world.JobStatus("plaka-1", giant).at("tasks").at(0);
   BOOST_TEST(task.at("reason").get<std::string>().starts_with("never: "));
   const std::string job = cluster.Submit(2, "run-ms=500");
-  BOOST_TEST(cluster.Finishes("plaka-1", job));
+  BOOST_TEST(cluster.RunUntilFinished("plaka-1", job));
 }
 
 BOOST_AUTO_TEST_CASE(failing_job_with_capped_attempts_ends_as_failed) {
@@ -516,20 +517,20 @@
   const std::string job = cluster.Submit(3, "run-ms=9000");
   cluster.world.Run(Millis(4000));
   cluster.world.Kill(cluster.world.LeaseHolderOf("plaka-w1"));
-  cluster.StartMissing();
-  BOOST_TEST(cluster.Finishes("plaka-1", job));
+  cluster.RestartKilledInstances();
+  BOOST_TEST(cluster.RunUntilFinished("plaka-1", job));
   cluster.CheckInvariants();
 }
 
 // --- Planned shutdown ---
 
-BOOST_AUTO_TEST_CASE(leaving_worker_seen_in_the_list_gets_nothing_new) {
+BOOST_AUTO_TEST_CASE(leaving_worker_in_the_list_gets_no_new_task) {
   RunningCluster cluster;
   cluster.world.MarkLeaving("plaka-w1");
   cluster.world.Run(Millis(2000));
   const size_t before = cluster.world.events().size();
   const std::string job = cluster.Submit(8, "run-ms=500");
-  BOOST_TEST(cluster.Finishes("plaka-1", job));
+  BOOST_TEST(cluster.RunUntilFinished("plaka-1", job));
   for (size_t n = before; n < cluster.world.events().size(); ++n) {
     const auto& event = cluster.world.events()[n];
     const bool started = event.kind == standin::WorkerEventKind::kStart;
@@ -550,7 +551,7 @@
   BOOST_TEST(instance->holder().rows().empty());
   BOOST_TEST(instance->owned_shards().empty());
   cluster.world.Kill("plaka-1");
-  BOOST_TEST(cluster.Finishes("plaka-2", job));
+  BOOST_TEST(cluster.RunUntilFinished("plaka-2", job));
   BOOST_TEST(cluster.world.StartCount("task-0") == 1);
   cluster.CheckInvariants();
 }
--- a/src/libdoorwood/instance/random_walk_test.cpp
+++ b/src/libdoorwood/instance/random_walk_test.cpp
@@ -38,7 +38,7 @@
     world_.Configure("plaka-1");
     for (int step = 0; step < kSteps; ++step) {
       Step();
-      world_.Run(Millis(Pick(1500)));
+      world_.Run(Millis(RandomBelow(1500)));
     }
     RemoveFaults();
     CheckEnds();
@@ -56,28 +56,28 @@
     return options;
   }
 
-  int Pick(int below) { return static_cast<int>(random_() % below); }
+  int RandomBelow(int below) { return static_cast<int>(random_() % below); }
 
   std::string RandomEntry() {
-    return "plaka-" + std::to_string(1 + Pick(options_.entries));
+    return "plaka-" + std::to_string(1 + RandomBelow(options_.entries));
   }
 
   std::string RandomWorker() {
-    return "plaka-w" + std::to_string(1 + Pick(options_.workers));
+    return "plaka-w" + std::to_string(1 + RandomBelow(options_.workers));
   }
 
   Fault RandomFault() {
     constexpr Fault kFaults[] = {Fault::kNone, Fault::kRefused,
                                  Fault::kAnswerLost, Fault::kRequestLost,
                                  Fault::kDelayed};
-    return kFaults[Pick(5)];
+    return kFaults[RandomBelow(5)];
   }
 
   void Step() {
     const std::string entry = RandomEntry();
     const bool usable =
         world_.IsRunning(entry) && !world_.EntryOf(entry).executor->frozen();
-    const int kind = Pick(12);
+    const int kind = RandomBelow(12);
     constexpr const char* kKinds[] = {
         "submit",         "submit",          "submit",
         "kill",           "start",           "freeze",
@@ -121,13 +121,13 @@
         break;
       case 9:
         world_.network().SetPartitioned("peer:plaka-1", "peer:" + entry,
-                                        Pick(2) == 0);
+                                        RandomBelow(2) == 0);
         break;
       case 10:
         world_.worker(RandomWorker()).Restart(world_.time().now_ms());
         break;
       case 11:
-        world_.network().DelayPlacements(Pick(4));
+        world_.network().DelayPlacements(RandomBelow(4));
         break;
     }
   }
@@ -142,13 +142,14 @@
   }
 
   void Submit(const std::string& entry) {
-    const bool not_repeatable = Pick(3) == 0;
-    const bool service = Pick(4) == 0;
+    const bool not_repeatable = RandomBelow(3) == 0;
+    const bool service = RandomBelow(4) == 0;
     std::string more;
     more += not_repeatable ? "    repeatable: false\n" : "";
     more += service ? "    class: service\n" : "";
-    const std::string payload = "run-ms=" + std::to_string(Pick(9000));
-    const std::string job = world_.Submit(entry, 1 + Pick(4), payload, more);
+    const std::string payload = "run-ms=" + std::to_string(RandomBelow(9000));
+    const std::string job =
+        world_.Submit(entry, 1 + RandomBelow(4), payload, more);
     if (!job.empty()) {
       jobs_.insert(job);
       if (not_repeatable) {
