--- a/src/include/doorwood/burn.h
+++ b/src/include/doorwood/burn.h
@@ -36,7 +36,8 @@
   /// Fraction of bad requests divided by the fraction that is allowed. At 1 the
   /// error budget lasts exactly for the window.
   double burn_rate() const;
-  /// Remaining fraction of the window's error budget; negative if exceeded.
+  /// Remaining fraction of the window's error budget; negative if the budget is
+  /// exceeded.
   double budget_left() const;
 };
 
--- a/src/libdoorwood/report/burn.cpp
+++ b/src/libdoorwood/report/burn.cpp
@@ -8,7 +8,7 @@
 namespace doorwood {
 namespace {
 
-std::string Fixed(double value) {
+std::string FormatDecimal(double value) {
   std::array<char, 32> text{};
   std::snprintf(text.data(), text.size(), "%.2f", value);
   return text.data();
@@ -38,14 +38,14 @@
 }
 
 // Draws a bar that is full at a burn rate of 2 and has a mark at 1.
-std::string Bar(double burn_rate) {
+std::string BurnRateBarSvg(double burn_rate) {
   constexpr double kWidth = 200;
   constexpr double kFullAt = 2;
   const double width = std::min(burn_rate / kFullAt, 1.0) * kWidth;
   const char* colour = burn_rate > 1 ? "#b03030" : "#307040";
   return "<svg width=\"200\" height=\"14\"><rect width=\"200\" height=\"14\" "
          "fill=\"#e8e8e8\"/><rect width=\"" +
-         Fixed(width) + "\" height=\"14\" fill=\"" + colour +
+         FormatDecimal(width) + "\" height=\"14\" fill=\"" + colour +
          "\"/><line x1=\"100\" x2=\"100\" y1=\"0\" y2=\"14\" "
          "stroke=\"#000\"/></svg>";
 }
@@ -112,9 +112,10 @@
     page += "<tr><td>" + EscapeHtml(row.service) + "</td><td>" +
             std::to_string(row.window_minutes) + " min</td><td>" +
             std::to_string(row.total) + "</td><td>" + std::to_string(row.bad) +
-            "</td><td>" + Fixed(row.objective) + "</td><td>" +
-            Fixed(row.burn_rate()) + "</td><td>" + Fixed(row.budget_left()) +
-            "</td><td>" + Bar(row.burn_rate()) + "</td></tr>\n";
+            "</td><td>" + FormatDecimal(row.objective) + "</td><td>" +
+            FormatDecimal(row.burn_rate()) + "</td><td>" +
+            FormatDecimal(row.budget_left()) + "</td><td>" +
+            BurnRateBarSvg(row.burn_rate()) + "</td></tr>\n";
   }
   page += "</table>\n</body></html>\n";
   return page;
