--- a/src/celld/entry_daemon.cpp
+++ b/src/celld/entry_daemon.cpp
@@ -15,11 +15,11 @@
 constexpr Millis kSettingsCheckInterval{2000};
 constexpr Millis kIdleCheckInterval{50};
 // The balancer removes an instance after two failed readiness checks, one per
-// second. New requests arrive until then.
+// second. New requests arrive until the balancer has removed it.
 constexpr Millis kBalancerRemovalTime{2600};
 // Part of the grace time that is reserved for the exit of the process.
 constexpr Millis kExitReserve{700};
-// The store counts as unreachable after this time without an answer.
+// The store is treated as unreachable after this time without an answer.
 constexpr Millis kStoreTimeout{6000};
 constexpr int kServiceUnavailable = 503;
 
@@ -106,7 +106,7 @@
       metrics_server_(
           context_,
           [this](const HttpRequest&, const HttpServer::Respond& respond) {
-            respond(Metrics());
+            respond(EncodeMetrics());
           }) {}
 
 void EntryDaemon::Run() {
@@ -250,7 +250,7 @@
   return std::chrono::duration_cast<Millis>(ago).count();
 }
 
-HttpResponse EntryDaemon::Metrics() const {
+HttpResponse EntryDaemon::EncodeMetrics() const {
   const CellCounters& counters = cell_.counters();
   const std::pair<const char*, uint64_t> rows[] = {
       {"doorwood_jobs_accepted_total", counters.accepted},
@@ -278,9 +278,9 @@
       {"doorwood_connects_total", client_.connect_attempts()},
       {"doorwood_log_lines_dropped_total", DroppedLogLines()},
       {"doorwood_entries_refused",
-       directory_.refused_entries().remembered_count()},
+       directory_.rejected_entries().remembered_count()},
       {"doorwood_entries_refused_total",
-       directory_.refused_entries().rejection_count()},
+       directory_.rejected_entries().rejection_count()},
       {"doorwood_leading", cell_.leading() ? 1U : 0U},
       {"doorwood_lead_seen_ms_ago", LeaderKeyAge()},
       {"doorwood_front_connections", front_server_.connections()},
--- a/src/celld/entry_daemon.h
+++ b/src/celld/entry_daemon.h
@@ -48,9 +48,9 @@
   void BeginShutdown();
   void FinishWhenIdle();
   bool IsReady() const;
-  HttpResponse Metrics() const;
-  /// Time since this leader last saw its key in the store, in milliseconds; 0
-  /// if the instance does not lead.
+  HttpResponse EncodeMetrics() const;
+  /// Time since this leader last confirmed its key in the store, in
+  /// milliseconds; 0 if the instance is not the leader.
   uint64_t LeaderKeyAge() const;
   void ApplyTable(const std::shared_ptr<const QueueTable>& table);
 
--- a/src/celld/main.cpp
+++ b/src/celld/main.cpp
@@ -59,7 +59,7 @@
     daemon.Run();
     // All answers are sent, the lease is released and the log is flushed. A
     // normal exit runs the destructors of the libraries' static objects, which
-    // wait for the log's threads. Stopped processes then hung until they were
+    // wait for the log's threads. Processes then hung at exit until they were
     // killed at the end of their grace time.
     std::quick_exit(0);
   } catch (const std::exception& e) {
