--- a/src/soak/fault_plan.cpp
+++ b/src/soak/fault_plan.cpp
@@ -26,7 +26,7 @@
     "the store is slow",
     "the store is unreachable for all instances",
     "the store compacts its history",
-    "lease of the instance key revoked",
+    "keys of the instance's lease removed",
     "kill",
     "pause",
     "planned stop",
