--- a/src/libdoorwood/policy/pacing.cpp
+++ b/src/libdoorwood/policy/pacing.cpp
@@ -141,8 +141,9 @@
 
 // A paused task does not disturb others at the moment, but its processors are
 // not free: newer work placed there kept it waiting for up to 20 s.
-// Counting them raised the served share of shifted work by 0.008, 0.018 and
-// 0.019 on three days, simulated once each.
+// Counting them raised the share of the callers' work that was served by 0.008,
+// 0.018 and 0.019 on three simulated days, run once each, with the load of
+// docs/design/shifted-work.md.
 double PendingCores(double full_cores, bool fresh, int pace) {
   return fresh ? full_cores : full_cores * (kFullPace - pace) / kFullPace;
 }
--- a/src/libdoorwood/policy/run_times.cpp
+++ b/src/libdoorwood/policy/run_times.cpp
@@ -8,9 +8,9 @@
 namespace doorwood {
 namespace {
 
-// Variance of the logarithm of the estimates in the assumed observations behind
-// the initial line, which takes estimates as correct. The estimates of one
-// queue differ by about half their size.
+// Variance of the logarithms of the estimates in the prior. The prior assumes
+// that run times equal their estimates. The estimates of one queue differ by
+// about half their size.
 constexpr double kPriorVariance = 0.25;
 
 double LogOf(Millis time) {
