--- a/src/soak/callers.cpp
+++ b/src/soak/callers.cpp
@@ -44,7 +44,7 @@
   job.id = HexId(random_());
   TrackedJob& known = jobs_[job.id];
   known.job = std::move(job);
-  world_.watch().OnSubmitted(known.job.id, known.job.tasks);
+  world_.task_checker().OnSubmitted(known.job.id, known.job.tasks);
   return &known;
 }
 
@@ -142,13 +142,13 @@
                           const HttpReply& reply) {
   const bool rejected = reply.status == kNotFound || reply.status == kTooMany ||
                         reply.status == kUnavailable;
-  world_.watch().OnSubmitAttempt(known->job.id, rejected);
+  world_.task_checker().OnSubmitAttempt(known->job.id, rejected);
   known->may_be_accepted = known->may_be_accepted || !rejected;
   if (reply.status == kOk) {
     known->accepted = true;
     world_.Log("accepted " + known->job.id);
     if (known->job.is_long_running()) {
-      world_.watch().OnLongRunning(known->job.id);
+      world_.task_checker().OnLongRunning(known->job.id);
     }
     PollState(known);
   } else if (known->may_be_accepted || !known->gives_up) {
@@ -177,8 +177,8 @@
   known->finished =
       state == "completed" || state == "failed" || state == "cancelled";
   if (state == "completed") {
-    world_.watch().OnCompleted(known->job.id,
-                               known->job.tasks + known->job.second_step_tasks);
+    world_.task_checker().OnCompleted(
+        known->job.id, known->job.tasks + known->job.second_step_tasks);
   } else if (known->finished && !IsExpectedFailure(*known, state)) {
     world_.ReportViolation("job " + known->job.id + " is shown as " + state);
   } else if (!known->finished) {
@@ -213,7 +213,7 @@
   if (!known.accepted) {
     return true;
   }
-  const size_t active = world_.watch().CountActiveTasks(known.job.id);
+  const size_t active = world_.task_checker().CountActiveTasks(known.job.id);
   if (known.cancelled) {
     return active == 0;
   }
@@ -240,11 +240,12 @@
     if (!IsSettled(known)) {
       world_.ReportViolation(
           "job " + id + " is not as it must be: " +
-          std::to_string(world_.watch().CountActiveTasks(id)) + " tasks run" +
+          std::to_string(world_.task_checker().CountActiveTasks(id)) +
+          " tasks run" +
           (known.job.is_long_running() ? " of a lasting job" : ""));
     }
   }
-  world_.watch().CheckRejected();
+  world_.task_checker().CheckRejected();
   done();
 }
 
--- a/src/soak/config_watch.cpp
+++ b/src/soak/config_watch.cpp
@@ -16,16 +16,16 @@
 
 }  // namespace
 
-ConfigWatch::ConfigWatch(World& world)
+ConfigProbe::ConfigProbe(World& world)
     : world_(world), client_(world.context()) {}
 
-void ConfigWatch::Start() {
+void ConfigProbe::Start() {
   ProbeAll();
   world_.After(kPollInterval, [this] { Start(); });
 }
 
 // Probes each instance for the route that it served last and for the newest.
-void ConfigWatch::ProbeAll() {
+void ConfigProbe::ProbeAll() {
   for (size_t instance = 0; instance < world_.instances(); ++instance) {
     const Served& served = served_[instance];
     if (served.restarts == world_.RestartsOf(instance) && served.version > 0) {
@@ -37,7 +37,7 @@
   }
 }
 
-void ConfigWatch::SendProbe(size_t instance, int version) {
+void ConfigProbe::SendProbe(size_t instance, int version) {
   HttpCall call;
   call.address = world_.ClientAddressOf(instance);
   call.target = platform::SoakRoutePath(version);
@@ -52,7 +52,7 @@
                });
 }
 
-void ConfigWatch::OnAnswer(const Probe& probe, int status) {
+void ConfigProbe::OnAnswer(const Probe& probe, int status) {
   if (probe.restarts != world_.RestartsOf(probe.instance)) {
     return;
   }
@@ -76,18 +76,18 @@
   }
 }
 
-bool ConfigWatch::ServesNewest(size_t instance) const {
+bool ConfigProbe::ServesNewest(size_t instance) const {
   const auto served = served_.find(instance);
   return served != served_.end() &&
          served->second.restarts == world_.RestartsOf(instance) &&
          served->second.version == world_.config_version();
 }
 
-void ConfigWatch::AwaitNewest(Millis timeout, std::function<void()> done) {
+void ConfigProbe::AwaitNewest(Millis timeout, std::function<void()> done) {
   AwaitUntil(world_.Now() + timeout.count(), done);
 }
 
-void ConfigWatch::AwaitUntil(int64_t until, const std::function<void()>& done) {
+void ConfigProbe::AwaitUntil(int64_t until, const std::function<void()>& done) {
   size_t behind = 0;
   for (size_t instance = 0; instance < world_.instances(); ++instance) {
     behind += ServesNewest(instance) ? 0 : 1;
--- a/src/soak/config_watch.h
+++ b/src/soak/config_watch.h
@@ -16,9 +16,9 @@
 
 /// Each version adds one route to the previous version. Checks that a process
 /// that has served a route continues to serve it.
-class ConfigWatch {
+class ConfigProbe {
  public:
-  explicit ConfigWatch(World& world);
+  explicit ConfigProbe(World& world);
 
   void Start();
   /// Waits until every instance serves the newest route; reports a violation if
--- a/src/soak/fault_plan.cpp
+++ b/src/soak/fault_plan.cpp
@@ -36,8 +36,9 @@
     "a new configuration",
     "settings are reloaded",
     "a worker is replaced"};
-// One fault in this many is a stepwise partition: it is rarer than the others
-// because it takes longer to have an effect.
+// One fault in this many is a partition of a data centre that begins and heals
+// in steps (kCutCentreInSteps): it is rarer than the others because it takes
+// longer to have an effect.
 constexpr uint64_t kSteppedCutOneIn = 8;
 constexpr uint64_t kShortestPause = 100;           // ms
 constexpr uint64_t kLongestPause = 1800;           // ms
@@ -83,9 +84,9 @@
 
 // Random numbers that depend on the seed alone. The distributions of the
 // standard library are not used: their results differ between libraries.
-class Draws {
+class SeededRandom {
  public:
-  explicit Draws(uint64_t seed) : random_(seed) {}
+  explicit SeededRandom(uint64_t seed) : random_(seed) {}
 
   uint64_t RandomBelow(uint64_t bound) { return random_() % bound; }
   Millis RandomBetween(uint64_t least, uint64_t most) {
@@ -96,70 +97,72 @@
   std::mt19937_64 random_;
 };
 
-Direction DrawDirection(Draws* draws) {
+Direction DrawDirection(SeededRandom* random) {
   constexpr std::array<Direction, 4> kDirections = {
       Direction::kBoth, Direction::kBoth, Direction::kToServer,
       Direction::kToCaller};
-  return kDirections[draws->RandomBelow(kDirections.size())];
+  return kDirections[random->RandomBelow(kDirections.size())];
 }
 
-Fault DrawFault(Draws* draws) {
+Fault DrawFault(SeededRandom* random) {
   Fault fault;
-  fault.kind = draws->RandomBelow(kSteppedCutOneIn) == 0
+  fault.kind = random->RandomBelow(kSteppedCutOneIn) == 0
                    ? FaultKind::kCutCentreInSteps
-                   : static_cast<FaultKind>(draws->RandomBelow(kFaultKinds));
+                   : static_cast<FaultKind>(random->RandomBelow(kFaultKinds));
   // Most faults are short; some last longer than every lease.
   const uint64_t longest =
-      draws->RandomBelow(2) == 0 ? kLongestFault / 4 : kLongestFault;
-  fault.duration = draws->RandomBetween(kShortestFault, longest);
+      random->RandomBelow(2) == 0 ? kLongestFault / 4 : kLongestFault;
+  fault.duration = random->RandomBetween(kShortestFault, longest);
   if (fault.kind == FaultKind::kCutCentreInSteps) {
     fault.duration =
-        draws->RandomBetween(kShortestSteppedCut, kLongestSteppedCut);
+        random->RandomBetween(kShortestSteppedCut, kLongestSteppedCut);
   }
-  fault.leader = draws->RandomBelow(2) == 0;
-  fault.pick = static_cast<uint32_t>(draws->RandomBelow(UINT32_MAX));
-  fault.direction = DrawDirection(draws);
-  fault.resume_delay = draws->RandomBelow(2) == 0
+  fault.leader = random->RandomBelow(2) == 0;
+  fault.pick = static_cast<uint32_t>(random->RandomBelow(UINT32_MAX));
+  fault.direction = DrawDirection(random);
+  fault.resume_delay = random->RandomBelow(2) == 0
                            ? Millis(0)
-                           : draws->RandomBetween(0, kLongestResumeDelay);
+                           : random->RandomBetween(0, kLongestResumeDelay);
   return fault;
 }
 
-std::vector<Fault> DrawReplacements(Draws* draws, Millis from, Millis until) {
+std::vector<Fault> DrawReplacements(SeededRandom* random,
+                                    Millis from,
+                                    Millis until) {
   std::vector<Fault> plan;
   Fault fault;
   fault.kind = FaultKind::kReplaceWorker;
   for (fault.at = from; fault.at + Millis(kLongestOverlap) <= until;
-       fault.at += draws->RandomBetween(kShortestReplacementInterval,
-                                        kLongestReplacementInterval)) {
-    fault.duration = draws->RandomBetween(kShortestOverlap, kLongestOverlap);
+       fault.at += random->RandomBetween(kShortestReplacementInterval,
+                                         kLongestReplacementInterval)) {
+    fault.duration = random->RandomBetween(kShortestOverlap, kLongestOverlap);
     plan.push_back(fault);
   }
   return plan;
 }
 
 // Faults of the leader are placed while the tasks of a replaced worker move.
-std::vector<Fault> DrawLeaderChanges(Draws* draws,
+std::vector<Fault> DrawLeaderChanges(SeededRandom* random,
                                      const std::vector<Fault>& replaced,
                                      Millis from,
                                      Millis until) {
   const LeaderChange& change =
-      kLeaderChanges[draws->RandomBelow(kLeaderChanges.size())];
+      kLeaderChanges[random->RandomBelow(kLeaderChanges.size())];
   std::vector<Fault> plan;
   Fault fault;
   fault.kind = change.kind;
   fault.leader = change.leader;
-  fault.pick = static_cast<uint32_t>(draws->RandomBelow(UINT16_MAX));
+  fault.pick = static_cast<uint32_t>(random->RandomBelow(UINT16_MAX));
   auto moving = replaced.begin();
   for (Millis at = from;;) {
-    at += draws->RandomBetween(change.shortest, change.longest);
+    at += random->RandomBetween(change.shortest, change.longest);
     while (moving != replaced.end() && moving->at < at) {
       ++moving;
     }
     fault.at = at;
     if (change.leader && moving != replaced.end()) {
       fault.at = moving->at +
-                 draws->RandomBetween(kShortestMoveTime, kLongestMoveTime);
+                 random->RandomBetween(kShortestMoveTime, kLongestMoveTime);
     }
     if (fault.at > until) {
       return plan;
@@ -193,15 +196,15 @@
 }
 
 std::vector<Fault> MakeFaultPlan(uint64_t seed, Millis length) {
-  Draws draws(seed);
+  SeededRandom random(seed);
   std::vector<Fault> plan;
   Millis at{0};
   for (;;) {
-    at += draws.RandomBetween(kShortestPause, kLongestPause);
+    at += random.RandomBetween(kShortestPause, kLongestPause);
     if (at + Millis(kShortestFault) > length) {
       return plan;
     }
-    Fault fault = DrawFault(&draws);
+    Fault fault = DrawFault(&random);
     fault.at = at;
     fault.duration = std::min(fault.duration, length - at);
     plan.push_back(fault);
@@ -209,20 +212,20 @@
 }
 
 std::vector<Fault> MakeChangePlan(uint64_t seed, Millis length) {
-  Draws draws(seed ^ kChangesSeed);
+  SeededRandom random(seed ^ kChangesSeed);
   std::vector<Fault> plan;
   Millis at{0};
   for (;;) {
-    at += draws.RandomBetween(kShortestSeriesInterval, kLongestSeriesInterval);
-    const uint64_t series = 1 + draws.RandomBelow(kLongestSeries);
+    at += random.RandomBetween(kShortestSeriesInterval, kLongestSeriesInterval);
+    const uint64_t series = 1 + random.RandomBelow(kLongestSeries);
     Fault change;
-    change.kind = draws.RandomBelow(2) == 0 ? FaultKind::kConfigure
-                                            : FaultKind::kReloadSettings;
-    change.leader = draws.RandomBelow(2) == 0;
-    change.pick = static_cast<uint32_t>(draws.RandomBelow(UINT32_MAX));
+    change.kind = random.RandomBelow(2) == 0 ? FaultKind::kConfigure
+                                             : FaultKind::kReloadSettings;
+    change.leader = random.RandomBelow(2) == 0;
+    change.pick = static_cast<uint32_t>(random.RandomBelow(UINT32_MAX));
     for (uint64_t i = 0; i < series; ++i) {
       at +=
-          draws.RandomBetween(kShortestChangeInterval, kLongestChangeInterval);
+          random.RandomBetween(kShortestChangeInterval, kLongestChangeInterval);
       if (at > length) {
         return plan;
       }
@@ -233,11 +236,11 @@
 }
 
 std::vector<Fault> MakeReplacePlan(uint64_t seed, Millis from, Millis until) {
-  Draws draws(seed ^ kReplacementsSeed);
-  const Millis begin = from + draws.RandomBetween(0, (until - from).count() /
-                                                         kSeriesStartDivisor);
-  std::vector<Fault> plan = DrawReplacements(&draws, begin, until);
-  const auto changes = DrawLeaderChanges(&draws, plan, begin, until);
+  SeededRandom random(seed ^ kReplacementsSeed);
+  const Millis begin = from + random.RandomBetween(0, (until - from).count() /
+                                                          kSeriesStartDivisor);
+  std::vector<Fault> plan = DrawReplacements(&random, begin, until);
+  const auto changes = DrawLeaderChanges(&random, plan, begin, until);
   plan.insert(plan.end(), changes.begin(), changes.end());
   std::stable_sort(plan.begin(), plan.end(), IsEarlier);
   return plan;
--- a/src/soak/fault_player.cpp
+++ b/src/soak/fault_player.cpp
@@ -89,9 +89,9 @@
   if (IsUnplanned(fault.kind)) {
     // A fault that needs no undo has no duration.
     const Millis held = IsCut(fault.kind) ? fault.resume_delay : Millis(0);
-    world_.watch().OnFaultBegins();
+    world_.task_checker().OnFaultBegins();
     world_.After(undo ? fault.duration + held : Millis(0),
-                 [this] { world_.watch().OnFaultEnds(world_.Now()); });
+                 [this] { world_.task_checker().OnFaultEnds(world_.Now()); });
   }
   world_.After(fault.duration, [this, undo, what] {
     if (undo) {
@@ -232,7 +232,7 @@
   const std::string id = world_.WorkerId(worker);
   world_.Log("fault begins: " + std::string(ToString(fault.kind)) + ", " + id);
   if (IsUnplanned(fault.kind)) {
-    world_.watch().OnFaultBegins();
+    world_.task_checker().OnFaultBegins();
   }
   if (fault.kind == FaultKind::kCrashWorker) {
     CrashAndRestartWorker(fault, worker);
@@ -254,7 +254,7 @@
   world_.Log(id + " has ended");
   world_.CrashWorker(worker);
   if (IsUnplanned(fault.kind)) {
-    world_.watch().OnFaultEnds(world_.Now());
+    world_.task_checker().OnFaultEnds(world_.Now());
   }
   const Millis back = fault.duration / 4;
   world_.After(back, [this, worker] { world_.StartWorker(worker); });
--- a/src/soak/main.cpp
+++ b/src/soak/main.cpp
@@ -64,12 +64,12 @@
         executor_(context),
         world_(context, executor_, options.world),
         callers_(world_, options.seed),
-        configurations_(world_),
+        config_probe_(world_),
         faults_(world_) {}
 
   void Begin() {
     world_.StartAll();
-    configurations_.Start();
+    config_probe_.Start();
     callers_.AddLongRunning(options_.long_running_jobs, kLongRunningTasks,
                             kLongRunningCpu);
     const Millis length = std::chrono::seconds(options_.seconds);
@@ -93,9 +93,9 @@
   void Summarize() const {
     std::cout << "seed " << options_.seed << ": " << callers_.accepted()
               << " jobs accepted, " << callers_.not_accepted() << " not taken, "
-              << world_.watch().starts() << " starts, " << world_.violations()
-              << " broken; lasting work away for up to "
-              << world_.watch().longest_downtime() << " ms; logs in "
+              << world_.task_checker().starts() << " starts, "
+              << world_.violations() << " broken; lasting work away for up to "
+              << world_.task_checker().longest_downtime() << " ms; logs in "
               << options_.world.folder << std::endl;
   }
 
@@ -141,7 +141,7 @@
   void Finish() {
     callers_.Stop();
     callers_.AwaitAll(kSettleTime, [this] {
-      configurations_.AwaitNewest(kSettleTime, [this] {
+      config_probe_.AwaitNewest(kSettleTime, [this] {
         world_.StopAll([this] { world_.context().stop(); });
       });
     });
@@ -151,7 +151,7 @@
   LoopExecutor executor_;
   World world_;
   Callers callers_;
-  ConfigWatch configurations_;
+  ConfigProbe config_probe_;
   FaultPlayer faults_;
 };
 
--- a/src/soak/scenario.cpp
+++ b/src/soak/scenario.cpp
@@ -70,7 +70,7 @@
   const std::string who = "data centre " + std::to_string(centre + 1);
   world.Log("workers in other data centres become unreachable for " + who);
   CutAll(silent);
-  world.watch().OnFaultBegins();
+  world.task_checker().OnFaultBegins();
   Millis at = recovery.worker_partition_time;
   world.After(at, [&world, who, border] {
     world.Log("partitioned: " + who);
@@ -87,7 +87,7 @@
     HealAll(others, recovery.resume_delay);
     HealAll(silent, recovery.resume_delay);
     world.After(recovery.resume_delay,
-                [&world] { world.watch().OnFaultEnds(world.Now()); });
+                [&world] { world.task_checker().OnFaultEnds(world.Now()); });
     done();
   });
 }
--- a/src/soak/task_watch.cpp
+++ b/src/soak/task_watch.cpp
@@ -36,13 +36,13 @@
   return text;
 }
 
-void TaskWatch::ReportViolation(const std::string& sentence) {
+void TaskChecker::ReportViolation(const std::string& sentence) {
   report_(sentence);
 }
 
-void TaskWatch::OnStarted(const std::string& incarnation,
-                          const StartOrder& order,
-                          int64_t at) {
+void TaskChecker::OnStarted(const std::string& incarnation,
+                            const StartOrder& order,
+                            int64_t at) {
   ++starts_;
   ObservedRun fresh;
   fresh.task = order.task;
@@ -67,8 +67,8 @@
 
 // The limit applies to tasks that crash their workers, not to other tasks that
 // run on the same worker.
-void TaskWatch::CheckCrashes(const StartOrder& order,
-                             const ObservedRun& fresh) {
+void TaskChecker::CheckCrashes(const StartOrder& order,
+                               const ObservedRun& fresh) {
   if (!standin::CrashDelay(order)) {
     return;
   }
@@ -84,7 +84,8 @@
   }
 }
 
-void TaskWatch::CheckOrder(const std::string& task, const ObservedRun& fresh) {
+void TaskChecker::CheckOrder(const std::string& task,
+                             const ObservedRun& fresh) {
   const std::string job = JobOf(task);
   const auto needed = first_tasks_.find(job);
   if (!task.starts_with(job + kSecondStep) || needed == first_tasks_.end()) {
@@ -98,7 +99,7 @@
   }
 }
 
-size_t TaskWatch::CountDoneTasks(const std::string& prefix) const {
+size_t TaskChecker::CountDoneTasks(const std::string& prefix) const {
   const auto is_done = [](const ObservedRun& run) {
     return !run.active && run.end == RunEnd::kDone;
   };
@@ -111,8 +112,8 @@
   return done;
 }
 
-ObservedRun* TaskWatch::Find(const std::string& incarnation,
-                             const EndedRun& end) {
+ObservedRun* TaskChecker::Find(const std::string& incarnation,
+                               const EndedRun& end) {
   std::vector<ObservedRun>& runs = runs_[end.task];
   const auto found = std::find_if(runs.begin(), runs.end(), [&](const auto& r) {
     return r.incarnation == incarnation && r.run == end.run;
@@ -120,9 +121,9 @@
   return found == runs.end() ? nullptr : &*found;
 }
 
-void TaskWatch::OnEnded(const std::string& incarnation,
-                        const EndedRun& end,
-                        int64_t at) {
+void TaskChecker::OnEnded(const std::string& incarnation,
+                          const EndedRun& end,
+                          int64_t at) {
   if (ObservedRun* run = Find(incarnation, end)) {
     run->active = false;
     run->until = at;
@@ -130,8 +131,8 @@
   }
 }
 
-void TaskWatch::OnEndAcknowledged(const std::string& incarnation,
-                                  const EndedRun& end) {
+void TaskChecker::OnEndAcknowledged(const std::string& incarnation,
+                                    const EndedRun& end) {
   ObservedRun* run = Find(incarnation, end);
   if (run == nullptr || run->acknowledged || !run->can_be_acknowledged) {
     return;
@@ -148,7 +149,7 @@
   }
 }
 
-void TaskWatch::OnLeaseExpired(const std::string& incarnation) {
+void TaskChecker::OnLeaseExpired(const std::string& incarnation) {
   for (auto& [task, runs] : runs_) {
     for (ObservedRun& run : runs) {
       if (run.incarnation == incarnation && !run.active) {
@@ -158,7 +159,7 @@
   }
 }
 
-void TaskWatch::OnCrashed(const std::string& incarnation) {
+void TaskChecker::OnCrashed(const std::string& incarnation) {
   for (const auto& [task, runs] : runs_) {
     const bool there =
         std::any_of(runs.begin(), runs.end(), [&](const ObservedRun& run) {
@@ -170,7 +171,8 @@
   }
 }
 
-void TaskWatch::OnIncarnationEnded(const std::string& incarnation, int64_t at) {
+void TaskChecker::OnIncarnationEnded(const std::string& incarnation,
+                                     int64_t at) {
   for (auto& [task, runs] : runs_) {
     for (ObservedRun& run : runs) {
       if (run.incarnation == incarnation && run.active) {
@@ -181,11 +183,11 @@
   }
 }
 
-void TaskWatch::OnSubmitAttempt(const std::string& job, bool rejected) {
+void TaskChecker::OnSubmitAttempt(const std::string& job, bool rejected) {
   may_be_accepted_[job] = may_be_accepted_[job] || !rejected;
 }
 
-void TaskWatch::OnCompleted(const std::string& job, size_t tasks) {
+void TaskChecker::OnCompleted(const std::string& job, size_t tasks) {
   const size_t done = CountDoneTasks(job + ".");
   if (done < tasks) {
     ReportViolation("shown as completed: " + job + ", of whose " +
@@ -194,7 +196,7 @@
   }
 }
 
-void TaskWatch::CheckRejected() {
+void TaskChecker::CheckRejected() {
   for (const auto& [task, runs] : runs_) {
     const auto known = may_be_accepted_.find(JobOf(task));
     if (known != may_be_accepted_.end() && !known->second && !runs.empty()) {
@@ -204,12 +206,12 @@
   }
 }
 
-void TaskWatch::OnFaultEnds(int64_t at) {
+void TaskChecker::OnFaultEnds(int64_t at) {
   --faults_;
   last_fault_ = at;
 }
 
-void TaskWatch::CheckLongRunning(int64_t now) {
+void TaskChecker::CheckLongRunning(int64_t now) {
   if (faults_ > 0) {
     last_fault_ = now;
   }
@@ -224,7 +226,7 @@
   }
 }
 
-void TaskWatch::CheckDowntime(std::vector<ObservedRun>* runs, int64_t now) {
+void TaskChecker::CheckDowntime(std::vector<ObservedRun>* runs, int64_t now) {
   ObservedRun* last = nullptr;
   for (ObservedRun& run : *runs) {
     if (run.active) {
@@ -244,7 +246,7 @@
   }
 }
 
-size_t TaskWatch::CountActiveTasks(const std::string& job) const {
+size_t TaskChecker::CountActiveTasks(const std::string& job) const {
   size_t active = 0;
   for (auto it = runs_.lower_bound(job);
        it != runs_.end() && JobOf(it->first) == job; ++it) {
--- a/src/soak/task_watch.h
+++ b/src/soak/task_watch.h
@@ -18,7 +18,7 @@
 namespace doorwood::soak {
 
 /// An observed run of a task on one incarnation of a worker. Times are in
-/// milliseconds as passed to the watch.
+/// milliseconds as passed to TaskChecker.
 struct ObservedRun {
   std::string task;
   uint32_t run = 0;
@@ -40,12 +40,12 @@
 
 std::string Describe(const ObservedRun& run);
 
-class TaskWatch {
+class TaskChecker {
  public:
   /// Called with each violation when it is detected.
   using Report = std::function<void(const std::string&)>;
 
-  explicit TaskWatch(Report report) : report_(std::move(report)) {}
+  explicit TaskChecker(Report report) : report_(std::move(report)) {}
 
   // --- Observed by workers ---
   void OnStarted(const std::string& incarnation,
--- a/src/soak/task_watch_test.cpp
+++ b/src/soak/task_watch_test.cpp
@@ -19,25 +19,26 @@
     order.payload = payload;
     order.task = task;
     order.run = run;
-    watch.OnStarted(incarnation, order, ++now);
+    task_checker.OnStarted(incarnation, order, ++now);
   }
 
   void End(const std::string& incarnation,
            const std::string& task,
            uint32_t run,
            RunEnd how) {
-    watch.OnEnded(incarnation, {1, task, run, how, ""}, ++now);
+    task_checker.OnEnded(incarnation, {1, task, run, how, ""}, ++now);
   }
 
   void AcknowledgeEnd(const std::string& incarnation,
                       const std::string& task,
                       uint32_t run) {
-    watch.OnEndAcknowledged(incarnation, {1, task, run, RunEnd::kDone, ""});
+    task_checker.OnEndAcknowledged(incarnation,
+                                   {1, task, run, RunEnd::kDone, ""});
   }
 
   // Ends a run of a long-running task at 10 s.
   void EndLongRunning(RunEnd how) {
-    watch.OnLongRunning(kJob);
+    task_checker.OnLongRunning(kJob);
     Start("a", kTask, 1);
     now = 9'999;
     End("a", kTask, 1, how);
@@ -46,24 +47,25 @@
   // Checks once in each millisecond.
   void CheckUntil(int64_t until) {
     for (; now < until; ++now) {
-      watch.CheckLongRunning(now);
+      task_checker.CheckLongRunning(now);
     }
   }
 
   std::vector<std::string> violations;
-  TaskWatch watch{
+  TaskChecker task_checker{
       [this](const std::string& sentence) { violations.push_back(sentence); }};
   int64_t now = 0;
 };
 
-BOOST_FIXTURE_TEST_SUITE(TaskWatchSuite, Fixture)
+BOOST_FIXTURE_TEST_SUITE(TaskCheckerSuite, Fixture)
 
-BOOST_AUTO_TEST_CASE(Watch_StartedThreeTimesMoreAfterThreeCrashes_IsReported) {
+BOOST_AUTO_TEST_CASE(
+    TaskChecker_StartedThreeTimesMoreAfterThreeCrashes_IsReported) {
   for (uint32_t run = 1; run <= 5; ++run) {
     const std::string incarnation = "w" + std::to_string(run);
     Start(incarnation, kTask, run, "crashes=");
-    watch.OnCrashed(incarnation);
-    watch.OnIncarnationEnded(incarnation, ++now);
+    task_checker.OnCrashed(incarnation);
+    task_checker.OnIncarnationEnded(incarnation, ++now);
   }
   BOOST_TEST(violations.empty());
   Start("w6", kTask, 6, "crashes=");
@@ -71,7 +73,7 @@
   BOOST_TEST(violations[0].find("run 6 on w6") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(Watch_TwoRunsAtOnce_ReportsBoth) {
+BOOST_AUTO_TEST_CASE(TaskChecker_TwoRunsAtOnce_ReportsBoth) {
   Start("a", kTask, 1);
   Start("b", kTask, 2);
   BOOST_REQUIRE_EQUAL(violations.size(), 1U);
@@ -79,21 +81,21 @@
   BOOST_TEST(violations[0].find("run 2 on b") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(Watch_SecondRunAfterTheFirst_IsNotReported) {
+BOOST_AUTO_TEST_CASE(TaskChecker_SecondRunAfterTheFirst_IsNotReported) {
   Start("a", kTask, 1);
   End("a", kTask, 1, RunEnd::kLeaseExpired);
   Start("b", kTask, 2);
   BOOST_TEST(violations.empty());
 }
 
-BOOST_AUTO_TEST_CASE(Watch_WorkerOfTheFirstRunEnded_IsNotReported) {
+BOOST_AUTO_TEST_CASE(TaskChecker_WorkerOfTheFirstRunEnded_IsNotReported) {
   Start("a", kTask, 1);
-  watch.OnIncarnationEnded("a", ++now);
+  task_checker.OnIncarnationEnded("a", ++now);
   Start("b", kTask, 2);
   BOOST_TEST(violations.empty());
 }
 
-BOOST_AUTO_TEST_CASE(Watch_StartAfterAcknowledgedEnd_IsReported) {
+BOOST_AUTO_TEST_CASE(TaskChecker_StartAfterAcknowledgedEnd_IsReported) {
   Start("a", kTask, 1);
   End("a", kTask, 1, RunEnd::kDone);
   AcknowledgeEnd("a", kTask, 1);
@@ -101,7 +103,7 @@
   BOOST_TEST(violations.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Watch_StartBeforeAcknowledgement_IsReportedUponIt) {
+BOOST_AUTO_TEST_CASE(TaskChecker_StartBeforeAcknowledgement_IsReportedUponIt) {
   Start("a", kTask, 1);
   End("a", kTask, 1, RunEnd::kDone);
   Start("b", kTask, 2);
@@ -110,16 +112,17 @@
   BOOST_TEST(violations.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Watch_LeaseExpiredBeforeAcknowledgement_IsNotReported) {
+BOOST_AUTO_TEST_CASE(
+    TaskChecker_LeaseExpiredBeforeAcknowledgement_IsNotReported) {
   Start("a", kTask, 1);
   End("a", kTask, 1, RunEnd::kDone);
   Start("b", kTask, 2);
-  watch.OnLeaseExpired("a");
+  task_checker.OnLeaseExpired("a");
   AcknowledgeEnd("a", kTask, 1);
   BOOST_TEST(violations.empty());
 }
 
-BOOST_AUTO_TEST_CASE(Watch_RunAfterFailedRunIsDone_IsNotReported) {
+BOOST_AUTO_TEST_CASE(TaskChecker_RunAfterFailedRunIsDone_IsNotReported) {
   Start("a", kTask, 1);
   End("a", kTask, 1, RunEnd::kFailed);
   Start("a", kTask, 2);
@@ -128,35 +131,35 @@
   BOOST_TEST(violations.empty());
 }
 
-BOOST_AUTO_TEST_CASE(Watch_SecondStepBeforeAllOfTheFirst_IsReported) {
-  watch.OnSubmitted(kJob, 2);
+BOOST_AUTO_TEST_CASE(TaskChecker_SecondStepBeforeAllOfTheFirst_IsReported) {
+  task_checker.OnSubmitted(kJob, 2);
   Start("a", std::string(kJob) + ".0.0.0", 1);
   End("a", std::string(kJob) + ".0.0.0", 1, RunEnd::kDone);
   Start("a", std::string(kJob) + ".0.1.0", 1);
   BOOST_TEST(violations.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Watch_CompletedWithATaskMissing_IsReported) {
+BOOST_AUTO_TEST_CASE(TaskChecker_CompletedWithATaskMissing_IsReported) {
   Start("a", std::string(kJob) + ".0.0.0", 1);
   End("a", std::string(kJob) + ".0.0.0", 1, RunEnd::kDone);
-  watch.OnCompleted(kJob, 1);
+  task_checker.OnCompleted(kJob, 1);
   BOOST_TEST(violations.empty());
-  watch.OnCompleted(kJob, 2);
+  task_checker.OnCompleted(kJob, 2);
   BOOST_TEST(violations.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Watch_StartOfARejectedJob_IsReported) {
-  watch.OnSubmitAttempt(kJob, /*rejected=*/true);
+BOOST_AUTO_TEST_CASE(TaskChecker_StartOfARejectedJob_IsReported) {
+  task_checker.OnSubmitAttempt(kJob, /*rejected=*/true);
   Start("a", kTask, 1);
-  watch.CheckRejected();
+  task_checker.CheckRejected();
   BOOST_TEST(violations.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(Watch_StartOfAJobWithoutAnswer_IsNotReported) {
-  watch.OnSubmitAttempt(kJob, /*rejected=*/false);
-  watch.OnSubmitAttempt(kJob, /*rejected=*/true);
+BOOST_AUTO_TEST_CASE(TaskChecker_StartOfAJobWithoutAnswer_IsNotReported) {
+  task_checker.OnSubmitAttempt(kJob, /*rejected=*/false);
+  task_checker.OnSubmitAttempt(kJob, /*rejected=*/true);
   Start("a", kTask, 1);
-  watch.CheckRejected();
+  task_checker.CheckRejected();
   BOOST_TEST(violations.empty());
 }
 
@@ -166,7 +169,7 @@
   Start("b", kTask, 2);
   CheckUntil(60'000);
   BOOST_TEST(violations.empty());
-  BOOST_TEST(watch.longest_downtime() == 8'999);
+  BOOST_TEST(task_checker.longest_downtime() == 8'999);
 }
 
 BOOST_AUTO_TEST_CASE(LongRunning_DownForLonger_IsReportedOnce) {
@@ -190,10 +193,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(LongRunning_WorkerEnded_DowntimeBeginsThen) {
-  watch.OnLongRunning(kJob);
+  task_checker.OnLongRunning(kJob);
   Start("a", kTask, 1);
   CheckUntil(30'000);
-  watch.OnIncarnationEnded("a", now);
+  task_checker.OnIncarnationEnded("a", now);
   CheckUntil(39'000);
   BOOST_TEST(violations.empty());
   CheckUntil(39'010);
@@ -201,7 +204,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(LongRunning_SeveralRuns_DowntimeBeginsAtLatestEnd) {
-  watch.OnLongRunning(kJob);
+  task_checker.OnLongRunning(kJob);
   Start("a", kTask, 1);
   Start("b", kTask, 2);
   violations.clear();
@@ -218,8 +221,8 @@
 BOOST_AUTO_TEST_CASE(LongRunning_FaultWithinSevenSeconds_IsNotChecked) {
   EndLongRunning(RunEnd::kStopped);
   CheckUntil(12'500);
-  watch.OnFaultBegins();
-  watch.OnFaultEnds(now);
+  task_checker.OnFaultBegins();
+  task_checker.OnFaultEnds(now);
   CheckUntil(19'501);
   BOOST_TEST(violations.empty());
   CheckUntil(19'510);
@@ -228,12 +231,12 @@
 
 BOOST_AUTO_TEST_CASE(LongRunning_FaultsActive_IsNotCheckedBeforeAllEnd) {
   EndLongRunning(RunEnd::kStopped);
-  watch.OnFaultBegins();
-  watch.OnFaultBegins();
+  task_checker.OnFaultBegins();
+  task_checker.OnFaultBegins();
   CheckUntil(20'000);
-  watch.OnFaultEnds(now);
+  task_checker.OnFaultEnds(now);
   CheckUntil(40'000);
-  watch.OnFaultEnds(now);
+  task_checker.OnFaultEnds(now);
   CheckUntil(47'001);
   BOOST_TEST(violations.empty());
   CheckUntil(47'010);
--- a/src/soak/world.cpp
+++ b/src/soak/world.cpp
@@ -28,7 +28,10 @@
 constexpr Millis kGraceSlack{150};
 // Addresses are 127.CALLER.BLOCK.NUMBER as a caller sees them.
 constexpr int kFirstCaller = 30;
-constexpr int kServerSide = 29;  // as written in the store
+// The caller whose view is the real addresses of the servers (workers and
+// endpoints of the store), which are those in the store. It stands for no
+// instance.
+constexpr int kServerSide = 29;
 constexpr size_t kFirstWorker = 1;
 constexpr size_t kFirstInstance = 200;
 constexpr size_t kStoreNumber = 250;
@@ -60,7 +63,7 @@
       options_(options),
       began_(BootClock::now()),
       log_(options.folder + "/world.log"),
-      watch_(
+      task_checker_(
           [this](const std::string& sentence) { ReportViolation(sentence); }),
       store_(context, executor, [this] { return Now(); }) {
   store_.Put(platform::kSoakConfigKey,
@@ -118,7 +121,7 @@
       context_, executor_,
       AddressOf(Host(kServerSide, kFirstWorker + worker), kWorkerPort),
       "worker-" + std::to_string(worker + 1), share, [this] { return Now(); },
-      watch_, [this] { AdvanceWorkers(); },
+      task_checker_, [this] { AdvanceWorkers(); },
       [this, worker](const std::string& incarnation, Millis after) {
         CrashForTask(worker, incarnation, after);
       }));
@@ -199,7 +202,7 @@
     Supervise(i);
   }
   if (!ending_) {
-    watch_.CheckLongRunning(Now());
+    task_checker_.CheckLongRunning(Now());
   }
   After(kTick, [this] { Tick(); });
 }
@@ -418,10 +421,10 @@
       return;
     }
     Log(incarnation + " is crashed by a task");
-    watch_.OnFaultBegins();
-    watch_.OnCrashed(incarnation);
+    task_checker_.OnFaultBegins();
+    task_checker_.OnCrashed(incarnation);
     CrashWorker(worker);
-    watch_.OnFaultEnds(Now());
+    task_checker_.OnFaultEnds(Now());
     After(kEntryRemovalDelay,
           [this, incarnation] { RemoveEntry(incarnation); });
     After(kWorkerRestartDelay, [this, worker, incarnation] {
--- a/src/soak/world.h
+++ b/src/soak/world.h
@@ -121,8 +121,8 @@
   }
 
   platform::SoakStore& store() { return store_; }
-  TaskWatch& watch() { return watch_; }
-  const TaskWatch& watch() const { return watch_; }
+  TaskChecker& task_checker() { return task_checker_; }
+  const TaskChecker& task_checker() const { return task_checker_; }
   boost::asio::io_context& context() { return context_; }
   Executor& executor() { return executor_; }
   void After(Millis time, std::function<void()> function) {
@@ -165,7 +165,7 @@
   const WorldOptions options_;
   const Instant began_;
   std::ofstream log_;
-  TaskWatch watch_;
+  TaskChecker task_checker_;
   platform::SoakStore store_;
   std::vector<std::unique_ptr<platform::SoakWorker>> workers_;
   std::vector<std::unique_ptr<Instance>> instances_;
