--- a/src/fakes/cell_world.h
+++ b/src/fakes/cell_world.h
@@ -115,7 +115,7 @@
 struct WorldMachine {
   std::string worker;
   MachineState state = MachineState::kUp;
-  /// Number of upkeeps by upkeep wave.
+  /// How often each upkeep wave, by its number, took this machine down.
   std::map<int64_t, int> upkeep_counts;
 };
 
--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -172,7 +172,8 @@
 
  private:
   enum class Stage { kStandby, kCampaigning, kReading, kLeading, kShutDown };
-  /// Value of `Member::submitted_version` that matches no version of a session.
+  /// Value of `CellWorker::submitted_version` that matches no version of a
+  /// session.
   static constexpr uint64_t kNeverSubmitted =
       std::numeric_limits<uint64_t>::max();
 
@@ -472,9 +473,9 @@
   void BeginTrial(const Task& task,
                   const std::shared_ptr<WorkerSession>& session);
   /// Polls the worker once its newest runs should have been active for
-  /// `at_work`.
+  /// `active_for`.
   void ScheduleTrialPoll(const std::shared_ptr<WorkerSession>& session,
-                         Millis at_work);
+                         Millis active_for);
   void UpdateTrials();
   void ClearCrashes(Task* task);
   void OnCrashesRecorded(Job* job);
--- a/src/include/doorwood/wave_keeper.h
+++ b/src/include/doorwood/wave_keeper.h
@@ -28,8 +28,8 @@
   /// How often machines are listed while a wave is open.
   Millis list_interval{500};
   /// A new leader sends no orders for this long, because orders of an earlier
-  /// leader may still be in flight. Equals the platform's lease on a machine's
-  /// holder.
+  /// leader may still be in flight. At least the minimum time before another
+  /// leader may take over the handling of a machine.
   Millis holder_lease{3000};
   /// How long work that neither saves its progress nor is long-running may
   /// continue before its machine is taken down.
--- a/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
+++ b/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
@@ -86,7 +86,7 @@
     world.Run(Millis(300));
     BOOST_REQUIRE(WorkerRunning(world, kTask) == "leaves");
     if (stays) {
-      AddStays();
+      AddRemainingWorker();
     }
     BOOST_REQUIRE(world.Submit(UnboundedPlan(kWaitingJob, 12'000)));
     world.Run(Millis(1000));
@@ -94,7 +94,7 @@
 
   WorldWorker& leaves() const { return *world.workers().at("leaves"); }
 
-  void AddStays() const { world.AddWorker("stays", 8000); }
+  void AddRemainingWorker() const { world.AddWorker("stays", 8000); }
 
   void SetDraining(bool drains) const {
     leaves().incarnation.draining = drains;
@@ -365,7 +365,7 @@
         scenario.SetDraining(drains);
         scenario.Run(Millis(at));
         scenario.LoseLeader(LeaderLoss::kKilled, /*reachable=*/false);
-        scenario.AddStays();
+        scenario.AddRemainingWorker();
         scenario.Run(kSettleTime);
         scenario.AddViolationsTo(&violation_report,
                                  std::string(drains ? "drains " : "") +
@@ -409,7 +409,7 @@
         scenario.LoseLeader(
             killed ? LeaderLoss::kKilled : LeaderLoss::kPartitioned,
             /*reachable=*/false);
-        scenario.AddStays();
+        scenario.AddRemainingWorker();
         if (!killed) {
           scenario.old->unreachable_workers.insert("stays");
         }
@@ -471,7 +471,7 @@
       scenario.SetDraining(false);
       scenario.Run(Millis(1500));
       scenario.LoseLeader(LeaderLoss::kKilled, /*reachable=*/false);
-      scenario.AddStays();
+      scenario.AddRemainingWorker();
       scenario.Run(kSettleTime);
       scenario.AddViolationsTo(&violation_report,
                                "drains for " + std::to_string(drains) +
@@ -511,7 +511,7 @@
       started_after_drain += scenario.world.starts(kNewTask);
       scenario.PartitionFromOthers(second);
       scenario.world.Kill(second->name);
-      scenario.AddStays();
+      scenario.AddRemainingWorker();
       scenario.Run(kSettleTime);
       scenario.AddViolationsTo(&violation_report,
                                "writes delayed after " + std::to_string(late) +
--- a/src/libdoorwood/cell/cell_suspects.cpp
+++ b/src/libdoorwood/cell/cell_suspects.cpp
@@ -210,8 +210,8 @@
 // time after which its newest runs are no longer new.
 void CellLeader::ScheduleTrialPoll(
     const std::shared_ptr<WorkerSession>& session,
-    Millis at_work) {
-  executor_.Schedule(at_work + kTrialCheckDelay,
+    Millis active_for) {
+  executor_.Schedule(active_for + kTrialCheckDelay,
                      [session] { session->PollNow(); });
 }
 
