--- a/src/soak/world.cpp
+++ b/src/soak/world.cpp
@@ -410,7 +410,7 @@
       platform::SoakWorkerKey(workers_[worker]->id()),
       platform::EncodeSoakWorker(
           AddressOf(Host(kServerSide, kFirstWorker + worker), kWorkerPort),
-          kDataCentreNames[DataCentreOf(worker)], /*leaving=*/false));
+          kDataCentreNames[DataCentreOf(worker)], /*draining=*/false));
 }
 
 void World::CrashForTask(size_t worker,
@@ -440,7 +440,7 @@
       platform::SoakWorkerKey(workers_[worker]->id()),
       platform::EncodeSoakWorker(
           AddressOf(Host(kServerSide, kFirstWorker + worker), kWorkerPort),
-          kDataCentreNames[DataCentreOf(worker)], /*leaving=*/true));
+          kDataCentreNames[DataCentreOf(worker)], /*draining=*/true));
 }
 
 void World::RemoveEntry(const std::string& id) {
