--- a/src/libdoorwood/job/job_table_test.cpp
+++ b/src/libdoorwood/job/job_table_test.cpp
@@ -40,8 +40,9 @@
        false,
        3,
        JobOutcome::kFailed},
-      // A new leader gets the workers' reports in any order. In a simulated day
-      // (seed 134162069050) a task was started again after three failed runs.
+      // A new leader gets the workers' reports in any order. In day trouble-1
+      // of site kgs (seed 134162069050) a task was started again after three
+      // failed runs.
       {"attempts used up, reported in reverse order",
        {{3, RunEnd::kFailed}, {2, RunEnd::kFailed}, {1, RunEnd::kFailed}},
        false,
--- a/src/libdoorwood/policy/cell_policy_test.cpp
+++ b/src/libdoorwood/policy/cell_policy_test.cpp
@@ -183,8 +183,8 @@
   BOOST_TEST(quarantine.AllowsStart("w", start));
   quarantine.OnFailure("w", "c", start);
   BOOST_TEST(!quarantine.AllowsStart("w", start + Millis(3999)));
-  // This also holds for a worker with long-running tasks, which never end: in a
-  // simulated day such a worker once stayed quarantined permanently.
+  // This also holds for a worker with long-running tasks, which never end: in
+  // day scale-1 of site kgs such a worker stayed quarantined permanently.
   const Instant reopened = start + Millis(4000);
   BOOST_TEST(quarantine.AllowsStart("w", reopened));
   quarantine.OnStart("w", reopened);
