--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -129,7 +129,7 @@
   void Cancel(const std::string& job, CancelCallback done);
   std::optional<JobPhase> Find(const std::string& job) const;
   /// The summary as of its last periodic update.
-  const CellSummary& Summary() const { return summary_; }
+  const CellSummary& summary() const { return summary_; }
   const CellCounters& counters() const { return counters_; }
   const CellJournal& journal() const { return journal_; }
   const LeadProof& proof() const { return proof_; }
@@ -428,13 +428,13 @@
   std::vector<Task*> FindTasksOnUncontactedWorker(
       const std::string& worker,
       const CellWorker& cell_worker);
-  /// Counts the crash. Returns whether it is one of many at about the same
-  /// time; the notes of the earlier ones are then marked as well.
-  bool AddToCrashWave(const std::vector<TaskCrashNote>& notes);
-  void MarkCrashInWave(const std::string& name, uint32_t run);
+  /// Passes the crash to the mass crash detector. Returns whether it belongs to
+  /// a mass crash; the notes of the earlier crashes are then marked as well.
+  bool RecordForMassCrashDetection(const std::vector<TaskCrashNote>& notes);
+  void MarkAsMassCrash(const std::string& name, uint32_t run);
   void LogCrash(const WorkerSession& session,
                 const std::vector<TaskCrashNote>& notes,
-                bool many) const;
+                bool mass_crash) const;
   void NoteCrash(Task* task, const CrashNote& crash);
   void FailJobOfCrashingTask(Task* task);
   /// Random number from 0 to 1.
@@ -636,7 +636,7 @@
   JobTable jobs_;
   CellJournal journal_;
   LeadProof proof_;
-  WorkerQuarantine trust_;
+  WorkerQuarantine quarantine_;
   /// Whether the recorded placements of long-running tasks were known to be
   /// complete when this instance took the lead.
   bool placements_valid_at_takeover_ = false;
@@ -648,7 +648,7 @@
   std::set<std::string> unrecorded_placements_;
   std::set<std::string> starts_awaiting_record_;
   CrashTrials trials_;
-  MassCrashDetector wave_;
+  MassCrashDetector mass_crash_detector_;
   InterferenceModel interference_;
   RunTimeModel run_times_;
   FailedPlacements hopeless_;
@@ -660,7 +660,7 @@
   int waiting_steps_ = 0;
   Instant waiting_logged_{};
   TicketBook tickets_;
-  UpkeepWaveController waves_;
+  UpkeepWaveController upkeep_waves_;
   std::map<std::string, CellWorker> cell_workers_;
   /// Incarnations that are proven to have ended but are still listed, with
   /// their addresses.
--- a/src/include/doorwood/cell_policy.h
+++ b/src/include/doorwood/cell_policy.h
@@ -207,7 +207,7 @@
   void OnStart(const std::string& worker, Instant now);
   /// False while the worker is quarantined, or waits for its next probe.
   bool AllowsStart(const std::string& worker, Instant now) const;
-  void Forget(const std::string& worker);
+  void RemoveWorker(const std::string& worker);
 
  private:
   struct Record {
--- a/src/include/doorwood/ingress.h
+++ b/src/include/doorwood/ingress.h
@@ -45,10 +45,10 @@
   virtual void Cancel(const CellLead& lead,
                       const std::string& job,
                       CancelCallback done) = 0;
-  virtual void State(const CellLead& lead,
-                     const std::string& job,
-                     StateCallback done) = 0;
-  virtual void Summary(const CellLead& lead, SummaryCallback done) = 0;
+  virtual void FetchJobState(const CellLead& lead,
+                             const std::string& job,
+                             StateCallback done) = 0;
+  virtual void FetchCellSummary(const CellLead& lead, SummaryCallback done) = 0;
 };
 
 struct IngressOptions {
@@ -90,9 +90,10 @@
   /// CoreErrc::kNoOwner or kStoreUnavailable (definitely not accepted), or
   /// kOutcomeUnknown (the caller may submit the same job again).
   void Submit(JobPlan plan, SubmitCallback done);
-  /// Cancel and State fail with kNotFound only if the store has no such job.
+  /// Cancel and FetchJobState fail with kNotFound only if the store has no such
+  /// job.
   void Cancel(const std::string& job, CancelCallback done);
-  void State(const std::string& job, StateCallback done);
+  void FetchJobState(const std::string& job, StateCallback done);
   /// Number of jobs of a queue that have no started task, over all cells.
   int PendingJobCount(const std::string& queue) const;
   /// True if at least one cell has a leader that this instance can reach.
@@ -134,7 +135,7 @@
   /// is slow or unavailable. Null: look the cell up in the store.
   const CellLead* LeadToAskBeforeStore(const std::string& job) const;
   void CancelInRecordedCell(const std::string& job, CancelCallback done);
-  void StateInRecordedCell(const std::string& job, StateCallback done);
+  void FetchStateFromRecordedCell(const std::string& job, StateCallback done);
   /// Translates a leader's answer to a cancellation of a job that the store
   /// has into the error for the caller.
   static std::error_code CancelResult(std::error_code error);
--- a/src/include/doorwood/job_plan.h
+++ b/src/include/doorwood/job_plan.h
@@ -83,9 +83,10 @@
 /// valid.
 std::optional<std::string> FindProblem(const JobPlan& plan);
 
-/// Length of the longest chain of dependent steps, where a task of step `i`
+/// Duration of the longest chain of dependent steps, where a task of step `i`
 /// takes `run_times[i]`.
-Millis LongestChain(const JobPlan& plan, std::span<const Millis> run_times);
+Millis CriticalPathLength(const JobPlan& plan,
+                          std::span<const Millis> run_times);
 
 /// Processor time of all tasks of one repetition by the caller's estimates, in
 /// core-seconds.
--- a/src/include/doorwood/live_directory.h
+++ b/src/include/doorwood/live_directory.h
@@ -158,7 +158,7 @@
   int64_t revision() const { return revision_; }
   /// Earliest time in the kept history by which the store had reached the
   /// revision; empty if none is known.
-  std::optional<Instant> RevisionReachedBy(int64_t revision) const;
+  std::optional<Instant> TimeRevisionReached(int64_t revision) const;
   /// The newest `agreement_known_since` of all live instances; 0 if there is
   /// none.
   int64_t NewestAgreementRevision() const;
--- a/src/include/doorwood/queue_table.h
+++ b/src/include/doorwood/queue_table.h
@@ -23,9 +23,9 @@
 
 /// Timing of a queue's adviser; see docs/CONFIGURATION.md.
 struct AdvicePolicy {
-  Millis decide{0};
-  Millis each{0};
-  Millis valid{0};
+  Millis decision_time{0};
+  Millis decision_time_each{0};
+  Millis ticket_validity{0};
 };
 
 struct Queue {
--- a/src/include/doorwood/run_times.h
+++ b/src/include/doorwood/run_times.h
@@ -41,7 +41,7 @@
                Millis estimate,
                Millis run_time);
   /// Expected run time of a task.
-  Millis Expect(std::string_view queue, Millis estimate) const;
+  Millis ExpectedRunTime(std::string_view queue, Millis estimate) const;
 
  private:
   /// Weighted sums over the observations; x: logarithm of the estimate, y: of
--- a/src/include/doorwood/worker_session.h
+++ b/src/include/doorwood/worker_session.h
@@ -212,9 +212,9 @@
   bool confirmed_dead() const {
     return dead_ && dead_since_ < lead_confirmed_until_;
   }
-  /// Ends the runs whose end is certain up to the time to which leadership is
-  /// confirmed.
-  void EndProvedRuns();
+  /// If this incarnation, or the lease of its runs, ended before the time up to
+  /// which leadership is confirmed, ends all runs.
+  void EndRunsOfLostWorker();
   /// All ends up to `end_number` are recorded; the worker may discard only
   /// these.
   void MarkRecorded(uint64_t end_number);
--- a/src/libdoorwood/cell/cell_campaign.cpp
+++ b/src/libdoorwood/cell/cell_campaign.cpp
@@ -253,9 +253,10 @@
 }
 
 Millis CellLeader::AgeOfRecord(int64_t revision) const {
-  const auto stood = live_.RevisionReachedBy(revision);
-  return stood ? std::chrono::duration_cast<Millis>(executor_.Now() - *stood)
-               : Millis(0);
+  const auto reached_at = live_.TimeRevisionReached(revision);
+  return reached_at
+             ? std::chrono::duration_cast<Millis>(executor_.Now() - *reached_at)
+             : Millis(0);
 }
 
 void CellLeader::Restore(const StoreItems& items) {
@@ -291,7 +292,7 @@
   closed_read_ = Instant{};
   long_running_admission_.clear();
   trials_.Clear();
-  wave_.Clear();
+  mass_crash_detector_.Clear();
   unrecorded_placements_.clear();
   starts_awaiting_record_.clear();
   reading_closed_ = false;
@@ -322,7 +323,7 @@
     cell_worker.submitted_record = worker;
     cell_worker.submitted_as_closed = worker.tasks.has_value();
   }
-  waves_.Open(live_.self().name, epoch_);
+  upkeep_waves_.Open(live_.self().name, epoch_);
   ExtendOrderDeadline();
   Tick();
 }
--- a/src/libdoorwood/cell/cell_crashes.cpp
+++ b/src/libdoorwood/cell/cell_crashes.cpp
@@ -110,11 +110,11 @@
       [](const TaskCrashNote& note) { return note.second.in_trial; });
   // Crashes in trial runs are expected, so they don't indicate a common cause
   // with other crashes.
-  const bool is_in_wave = !in_trial && AddToCrashWave(notes);
-  LogCrash(session, notes, is_in_wave);
+  const bool is_mass_crash = !in_trial && RecordForMassCrashDetection(notes);
+  LogCrash(session, notes, is_mass_crash);
   for (auto& [name, note] : notes) {
     trials_.End(name);
-    note.mass_crash = is_in_wave;
+    note.mass_crash = is_mass_crash;
     if (note.suspect || evidence == CrashEvidence::kRestarted) {
       NoteCrash(jobs_.FindTask(name), note);
     }
@@ -241,25 +241,27 @@
   }
 }
 
-bool CellLeader::AddToCrashWave(const std::vector<TaskCrashNote>& notes) {
+bool CellLeader::RecordForMassCrashDetection(
+    const std::vector<TaskCrashNote>& notes) {
   MassCrashDetector::Crash crash;
   crash.at = executor_.Now();
   for (const auto& [name, note] : notes) {
     crash.suspects.emplace_back(name, note.run);
   }
-  wave_.Add(std::move(crash));
-  if (!wave_.IsMassCrash()) {
+  mass_crash_detector_.Add(std::move(crash));
+  if (!mass_crash_detector_.IsMassCrash()) {
     return false;
   }
-  for (const MassCrashDetector::Crash& earlier : wave_.crashes()) {
+  for (const MassCrashDetector::Crash& earlier :
+       mass_crash_detector_.crashes()) {
     for (const auto& [name, run] : earlier.suspects) {
-      MarkCrashInWave(name, run);
+      MarkAsMassCrash(name, run);
     }
   }
   return true;
 }
 
-void CellLeader::MarkCrashInWave(const std::string& name, uint32_t run) {
+void CellLeader::MarkAsMassCrash(const std::string& name, uint32_t run) {
   Task* task = jobs_.FindTask(name);
   if (task == nullptr) {
     return;
@@ -279,7 +281,7 @@
 
 void CellLeader::LogCrash(const WorkerSession& session,
                           const std::vector<TaskCrashNote>& notes,
-                          bool many) const {
+                          bool mass_crash) const {
   Json suspects = Json::array();
   for (const auto& [name, note] : notes) {
     if (note.suspect && suspects.size() < kMaxSuspectsLogged) {
@@ -290,7 +292,7 @@
              {{"worker", session.incarnation().id},
               {"machine", session.incarnation().machine},
               {"other_life", session.dead()},
-              {"one_of_many", many},
+              {"one_of_many", mass_crash},
               {"runs", session.runs().size()},
               {"suspects", std::move(suspects)},
               {"epoch", epoch_}});
--- a/src/libdoorwood/cell/cell_ends.cpp
+++ b/src/libdoorwood/cell/cell_ends.cpp
@@ -70,10 +70,11 @@
               {"epoch", epoch_}});
   if (end == RunEnd::kDone) {
     ++counters_.ends_done;
-    trust_.OnSuccess(session.incarnation().id);
+    quarantine_.OnSuccess(session.incarnation().id);
   } else if (end == RunEnd::kFailed) {
     ++counters_.ends_failed;
-    trust_.OnFailure(session.incarnation().id, job->plan.id, executor_.Now());
+    quarantine_.OnFailure(session.incarnation().id, job->plan.id,
+                          executor_.Now());
     task->failed_on = session.incarnation().id;
   } else {
     ++counters_.ends_lost;
@@ -150,7 +151,8 @@
     expected.push_back(
         state.run_time_samples > 0
             ? state.total_run_time / state.run_time_samples
-            : run_times_.Expect(job.plan.queue, job.plan.steps[step].estimate));
+            : run_times_.ExpectedRunTime(job.plan.queue,
+                                         job.plan.steps[step].estimate));
   }
   return expected;
 }
--- a/src/libdoorwood/cell/cell_leader.cpp
+++ b/src/libdoorwood/cell/cell_leader.cpp
@@ -47,9 +47,9 @@
       nonce_(executor.Random()),
       journal_(executor, store, log, *this, options.journal, options.cell),
       proof_(executor, store, *this, options.proof, LeadKey(options.cell)),
-      trust_(options.policy),
+      quarantine_(options.policy),
       trials_(options.policy.crashes),
-      wave_(options.policy.crashes),
+      mass_crash_detector_(options.policy.crashes),
       interference_(options.policy.interference),
       run_times_(options.policy.run_times),
       tickets_(executor,
@@ -57,13 +57,13 @@
                log,
                TicketOptions{},
                [this] { RequestSchedulingPass(); }),
-      waves_(executor,
-             store,
-             machines,
-             *this,
-             log,
-             options.waves,
-             options.cell) {}
+      upkeep_waves_(executor,
+                    store,
+                    machines,
+                    *this,
+                    log,
+                    options.waves,
+                    options.cell) {}
 
 CellLeader::~CellLeader() = default;
 
@@ -123,7 +123,7 @@
   journal_.Close();
   proof_.Close();
   tickets_.Clear();
-  waves_.Close();
+  upkeep_waves_.Close();
   auto cancels = std::move(cancels_);
   cancels_.clear();
   for (auto& [job, wait] : cancels) {
@@ -286,7 +286,7 @@
     UpdateSessionLimits(cell_worker, order_deadline);
   }
   for (const auto& session : waiting) {
-    session->EndProvedRuns();
+    session->EndRunsOfLostWorker();
   }
 }
 
@@ -360,7 +360,7 @@
   ReleaseHeldStarts();
   PublishRecordedPlacements();
   if (all_runs_accounted_ && IsLeadConfirmed()) {
-    waves_.Tick();
+    upkeep_waves_.Tick();
   }
   ExpireCancels();
   if (now - old_jobs_removed_ >= kForgetInterval) {
--- a/src/libdoorwood/cell/cell_members.cpp
+++ b/src/libdoorwood/cell/cell_members.cpp
@@ -248,7 +248,7 @@
         listed_dead_workers_[it->first] = session.incarnation().address;
       }
       it->second.session->Close();
-      trust_.Forget(it->first);
+      quarantine_.RemoveWorker(it->first);
       it = cell_workers_.erase(it);
       dropped = true;
     } else {
--- a/src/libdoorwood/cell/cell_places.cpp
+++ b/src/libdoorwood/cell/cell_places.cpp
@@ -66,7 +66,7 @@
   const Instant now = executor_.Now();
   return MayReceiveOrders(cell_worker) &&
          !cell_worker.session->has_unwanted_runs() &&
-         now >= cell_worker.backoff_until && trust_.AllowsStart(id, now);
+         now >= cell_worker.backoff_until && quarantine_.AllowsStart(id, now);
 }
 
 std::vector<CandidateWorker*> CellLeader::CollectCandidates() {
--- a/src/libdoorwood/cell/cell_scheduling.cpp
+++ b/src/libdoorwood/cell/cell_scheduling.cpp
@@ -368,9 +368,9 @@
   JobTable::SetPlaced(task, true);
   task->job->started = true;
   ++counters_.starts;
-  trust_.OnStart(std::string(candidate->id), executor_.Now());
+  quarantine_.OnStart(std::string(candidate->id), executor_.Now());
   candidate->accepts_work =
-      trust_.AllowsStart(std::string(candidate->id), executor_.Now());
+      quarantine_.AllowsStart(std::string(candidate->id), executor_.Now());
   const auto waited =
       std::chrono::duration_cast<Millis>(executor_.Now() - task->ready_since);
   log_.Write("info", "cell", "start ordered",
--- a/src/libdoorwood/cell/worker_session.cpp
+++ b/src/libdoorwood/cell/worker_session.cpp
@@ -440,7 +440,7 @@
 
 // A successor that took over before the runs ended may have kept them. Only a
 // later read of the lead key shows that there was none.
-void WorkerSession::EndProvedRuns() {
+void WorkerSession::EndRunsOfLostWorker() {
   const std::optional<Instant> ended_since = EndedSince();
   if (runs_.empty() || !ended_since || *ended_since >= lead_confirmed_until_) {
     return;
@@ -469,7 +469,7 @@
   if (closed_) {
     return;
   }
-  EndProvedRuns();
+  EndRunsOfLostWorker();
   if (dead_ || closed_) {
     return;
   }
--- a/src/libdoorwood/ingress/ingress.cpp
+++ b/src/libdoorwood/ingress/ingress.cpp
@@ -261,28 +261,29 @@
   });
 }
 
-void Ingress::State(const std::string& job, StateCallback done) {
+void Ingress::FetchJobState(const std::string& job, StateCallback done) {
   const CellLead* lead = LeadToAskBeforeStore(job);
   if (lead == nullptr) {
-    StateInRecordedCell(job, std::move(done));
+    FetchStateFromRecordedCell(job, std::move(done));
     return;
   }
-  peers_.State(*lead, job,
-               [this, job, cell = lead->cell, done = std::move(done)](
-                   std::error_code error, JobPhase state) {
-                 if (error == make_error_code(CoreErrc::kNotFound)) {
-                   StateInRecordedCell(job, done);
-                   return;
-                 }
-                 if (!error) {
-                   CacheCell(job, cell);
-                 }
-                 done(error ? make_error_code(CoreErrc::kNoOwner) : error,
-                      state);
-               });
+  peers_.FetchJobState(
+      *lead, job,
+      [this, job, cell = lead->cell, done = std::move(done)](
+          std::error_code error, JobPhase state) {
+        if (error == make_error_code(CoreErrc::kNotFound)) {
+          FetchStateFromRecordedCell(job, done);
+          return;
+        }
+        if (!error) {
+          CacheCell(job, cell);
+        }
+        done(error ? make_error_code(CoreErrc::kNoOwner) : error, state);
+      });
 }
 
-void Ingress::StateInRecordedCell(const std::string& job, StateCallback done) {
+void Ingress::FetchStateFromRecordedCell(const std::string& job,
+                                         StateCallback done) {
   FindCell(job, [this, job, done = std::move(done)](std::error_code error,
                                                     const std::string& cell) {
     if (error) {
@@ -300,9 +301,10 @@
       done(CoreErrc::kNoOwner, {});
       return;
     }
-    peers_.State(*lead, job, [done](std::error_code result, JobPhase state) {
-      done(result ? make_error_code(CoreErrc::kNoOwner) : result, state);
-    });
+    peers_.FetchJobState(
+        *lead, job, [done](std::error_code result, JobPhase state) {
+          done(result ? make_error_code(CoreErrc::kNoOwner) : result, state);
+        });
   });
 }
 
@@ -311,7 +313,7 @@
   for (const auto& [cell, known] : cells_) {
     const CellLeader* leader = LocalLeader(cell);
     const CellSummary summary =
-        leader != nullptr ? leader->Summary() : known.summary;
+        leader != nullptr ? leader->summary() : known.summary;
     const auto found = summary.pending.find(queue);
     pending += found == summary.pending.end() ? 0 : found->second;
   }
@@ -328,7 +330,7 @@
 void Ingress::PollSummaries() {
   for (const auto& [cell, lead] : live_.leads()) {
     if (CellLeader* leader = LocalLeader(cell)) {
-      OnSummary(cell, leader->Summary());
+      OnSummary(cell, leader->summary());
       continue;
     }
     if (lead.instance == live_.self().name) {
@@ -339,15 +341,15 @@
       known.polled_epoch = lead.epoch;
       known.polled_since = executor_.Now();
     }
-    peers_.Summary(lead,
-                   [this, cell = cell, epoch = lead.epoch](
-                       std::error_code error, const CellSummary& summary) {
-                     // Ignore the late answer of an earlier leader; it does
-                     // not show that the current one answers.
-                     if (!error && cells_[cell].polled_epoch == epoch) {
-                       OnSummary(cell, summary);
-                     }
-                   });
+    peers_.FetchCellSummary(
+        lead, [this, cell = cell, epoch = lead.epoch](
+                  std::error_code error, const CellSummary& summary) {
+          // Ignore the late answer of an earlier leader; it does
+          // not show that the current one answers.
+          if (!error && cells_[cell].polled_epoch == epoch) {
+            OnSummary(cell, summary);
+          }
+        });
   }
   executor_.Schedule(options_.summary_interval, [this] { PollSummaries(); });
 }
--- a/src/libdoorwood/ingress/ingress_test.cpp
+++ b/src/libdoorwood/ingress/ingress_test.cpp
@@ -30,13 +30,15 @@
     ++job_calls;
     AnswerJobCall(std::move(done));
   }
-  void State(const CellLead&, const std::string&, StateCallback done) override {
+  void FetchJobState(const CellLead&,
+                     const std::string&,
+                     StateCallback done) override {
     ++job_calls;
     AnswerJobCall([done = std::move(done)](std::error_code error) {
       done(error, JobPhase::kRunning);
     });
   }
-  void Summary(const CellLead&, SummaryCallback done) override {
+  void FetchCellSummary(const CellLead&, SummaryCallback done) override {
     Answer([done = std::move(done)](std::error_code error) {
       done(error, CellSummary{});
     });
@@ -91,7 +93,7 @@
 
   void QueryState() {
     answered = false;
-    ingress->State(kJob, [this](std::error_code error, JobPhase) {
+    ingress->FetchJobState(kJob, [this](std::error_code error, JobPhase) {
       answered = true;
       answer = error;
     });
--- a/src/libdoorwood/job/job_plan.cpp
+++ b/src/libdoorwood/job/job_plan.cpp
@@ -82,7 +82,8 @@
   return std::nullopt;
 }
 
-Millis LongestChain(const JobPlan& plan, std::span<const Millis> run_times) {
+Millis CriticalPathLength(const JobPlan& plan,
+                          std::span<const Millis> run_times) {
   std::vector<Millis> ends(plan.steps.size(), Millis(0));
   Millis longest{0};
   for (size_t i = 0; i < plan.steps.size(); ++i) {
--- a/src/libdoorwood/job/job_plan_test.cpp
+++ b/src/libdoorwood/job/job_plan_test.cpp
@@ -105,7 +105,7 @@
 BOOST_AUTO_TEST_CASE(CriticalPathLength_DependentSteps_AddsUp) {
   const JobPlan plan = fakes::MakePlan(kId, 3, 2, "");
   const std::vector<Millis> run_times{Millis(300), Millis(200), Millis(400)};
-  BOOST_TEST(LongestChain(plan, run_times).count() == 900);
+  BOOST_TEST(CriticalPathLength(plan, run_times).count() == 900);
   BOOST_TEST(EstimatedWork(plan) == 3 * 2 * 0.3,
              boost::test_tools::tolerance(1e-9));
 }
--- a/src/libdoorwood/membership/live_directory.cpp
+++ b/src/libdoorwood/membership/live_directory.cpp
@@ -297,7 +297,7 @@
   }
 }
 
-std::optional<Instant> LiveDirectory::RevisionReachedBy(
+std::optional<Instant> LiveDirectory::TimeRevisionReached(
     int64_t revision) const {
   const auto found = std::find_if(
       revision_times_.begin(), revision_times_.end(),
--- a/src/libdoorwood/policy/cell_policy.cpp
+++ b/src/libdoorwood/policy/cell_policy.cpp
@@ -104,7 +104,8 @@
   if (plan.steps[step].long_running) {
     return {0, queue.priority, due_at};
   }
-  const auto chain = static_cast<double>(LongestChain(plan, run_times).count());
+  const auto chain =
+      static_cast<double>(CriticalPathLength(plan, run_times).count());
   const double objective = queue.max_slowdown * chain +
                            static_cast<double>(queue.latency_target.count());
   const int64_t left =
@@ -270,7 +271,7 @@
   return found == records_.end() || now >= found->second.quarantined_until;
 }
 
-void WorkerQuarantine::Forget(const std::string& worker) {
+void WorkerQuarantine::RemoveWorker(const std::string& worker) {
   records_.erase(worker);
 }
 
--- a/src/libdoorwood/policy/run_times.cpp
+++ b/src/libdoorwood/policy/run_times.cpp
@@ -40,7 +40,8 @@
   sums.xy = sums.xy * kept + weight * x * y;
 }
 
-Millis RunTimeModel::Expect(std::string_view queue, Millis estimate) const {
+Millis RunTimeModel::ExpectedRunTime(std::string_view queue,
+                                     Millis estimate) const {
   const auto found = queues_.find(queue);
   if (found == queues_.end() || found->second.weight <= 0) {
     return estimate;
--- a/src/libdoorwood/policy/run_times_test.cpp
+++ b/src/libdoorwood/policy/run_times_test.cpp
@@ -11,7 +11,7 @@
 
 BOOST_AUTO_TEST_CASE(ExpectedRunTime_NothingObserved_IsTheEstimate) {
   const RunTimeModel model{RunTimeOptions{}};
-  BOOST_TEST(model.Expect(kQueue, Millis(700)).count() == 700);
+  BOOST_TEST(model.ExpectedRunTime(kQueue, Millis(700)).count() == 700);
 }
 
 BOOST_AUTO_TEST_CASE(ExpectedRunTime_UninformativeEstimates_IsTheUsualTime) {
@@ -20,8 +20,8 @@
   for (int i = 0; i < 200; ++i) {
     model.Observe(kQueue, 1, Millis(estimates[i % 5]), Millis(1500));
   }
-  BOOST_TEST(model.Expect(kQueue, Millis(100)).count() > 1200);
-  BOOST_TEST(model.Expect(kQueue, Millis(9000)).count() < 1900);
+  BOOST_TEST(model.ExpectedRunTime(kQueue, Millis(100)).count() > 1200);
+  BOOST_TEST(model.ExpectedRunTime(kQueue, Millis(9000)).count() < 1900);
 }
 
 BOOST_AUTO_TEST_CASE(ExpectedRunTime_EstimatesHalfTheTime_DoublesThem) {
@@ -30,7 +30,7 @@
     const Millis estimate(100 + 150 * (i % 20));
     model.Observe(kQueue, 1, estimate, 2 * estimate);
   }
-  const auto expected = model.Expect(kQueue, Millis(1000)).count();
+  const auto expected = model.ExpectedRunTime(kQueue, Millis(1000)).count();
   BOOST_TEST(expected > 1900);
   BOOST_TEST(expected < 2100);
 }
@@ -38,7 +38,7 @@
 BOOST_AUTO_TEST_CASE(ExpectedRunTime_OtherQueue_LearnsNothing) {
   RunTimeModel model{RunTimeOptions{}};
   model.Observe(kQueue, 1, Millis(100), Millis(5000));
-  BOOST_TEST(model.Expect("other", Millis(100)).count() == 100);
+  BOOST_TEST(model.ExpectedRunTime("other", Millis(100)).count() == 100);
 }
 
 BOOST_AUTO_TEST_CASE(Observe_ManyTasksOfAStep_CountAsOne) {
@@ -48,8 +48,8 @@
     wide.Observe(kQueue, 20, Millis(1000), Millis(3000));
   }
   single.Observe(kQueue, 1, Millis(1000), Millis(3000));
-  const auto difference =
-      wide.Expect(kQueue, Millis(1000)) - single.Expect(kQueue, Millis(1000));
+  const auto difference = wide.ExpectedRunTime(kQueue, Millis(1000)) -
+                          single.ExpectedRunTime(kQueue, Millis(1000));
   BOOST_TEST(std::abs(difference.count()) < 20);
 }
 
--- a/src/loop.adapter/http_peers.cpp
+++ b/src/loop.adapter/http_peers.cpp
@@ -169,9 +169,9 @@
       });
 }
 
-void HttpCellPeers::State(const CellLead& lead,
-                          const std::string& job,
-                          StateCallback done) {
+void HttpCellPeers::FetchJobState(const CellLead& lead,
+                                  const std::string& job,
+                                  StateCallback done) {
   client_.Send(
       Call(lead, "GET", job, kStateTimeout),
       [done = std::move(done)](std::error_code error, const HttpReply& reply) {
@@ -189,7 +189,8 @@
       });
 }
 
-void HttpCellPeers::Summary(const CellLead& lead, SummaryCallback done) {
+void HttpCellPeers::FetchCellSummary(const CellLead& lead,
+                                     SummaryCallback done) {
   client_.Send(
       Call(lead, "GET", "", kSummaryTimeout),
       [done = std::move(done)](std::error_code error, const HttpReply& reply) {
@@ -331,7 +332,7 @@
     return;
   }
   if (job.empty()) {
-    answer({}, EncodeSummary(leader->Summary()).dump());
+    answer({}, EncodeSummary(leader->summary()).dump());
   } else if (request.method == "POST") {
     const auto plan = ParsePlan(request.body);
     if (!plan) {
--- a/src/loop.adapter/http_peers.h
+++ b/src/loop.adapter/http_peers.h
@@ -26,10 +26,10 @@
   void Cancel(const CellLead& lead,
               const std::string& job,
               CancelCallback done) override;
-  void State(const CellLead& lead,
-             const std::string& job,
-             StateCallback done) override;
-  void Summary(const CellLead& lead, SummaryCallback done) override;
+  void FetchJobState(const CellLead& lead,
+                     const std::string& job,
+                     StateCallback done) override;
+  void FetchCellSummary(const CellLead& lead, SummaryCallback done) override;
   void QueryStoreContact(const LiveInstance& instance, Callback done) override;
   void RequestUnrecordedStartsAgreement(
       const LiveInstance& instance,
