--- a/src/doorwood/main.cpp
+++ b/src/doorwood/main.cpp
@@ -334,10 +334,10 @@
   if (answer.code != doorwood::client::kDone) {
     return answer.code;
   }
-  const auto rows = doorwood::MergeBurn(
+  const auto rows = doorwood::MergeBurnRows(
       answer.body.at("rows").get<std::vector<doorwood::BurnRow>>());
   if (!html.empty()) {
-    std::ofstream(html) << doorwood::BurnPage(rows);
+    std::ofstream(html) << doorwood::RenderBurnPage(rows);
     std::cout << "written to " << html << "\n";
     return answer.code;
   }
--- a/src/doorwoodd/daemon.cpp
+++ b/src/doorwoodd/daemon.cpp
@@ -225,9 +225,9 @@
 
 // --- IdempotencyKeyStore -----------------------------------------------------
 
-ClaimOutcome Daemon::Claim(const std::string& key,
-                           const std::string& request,
-                           Instant deadline) {
+ClaimOutcome Daemon::ClaimIdempotencyKey(const std::string& key,
+                                         const std::string& request,
+                                         Instant deadline) {
   auto promise = std::make_shared<std::promise<ClaimOutcome>>();
   auto future = promise->get_future();
   executor_.Post([this, key, request, promise]() {
@@ -241,7 +241,8 @@
   return future.get();
 }
 
-void Daemon::Release(const std::string& key, const std::string& request) {
+void Daemon::ReleaseIdempotencyKey(const std::string& key,
+                                   const std::string& request) {
   executor_.Post([this, key, request]() {
     instance_->ReleaseIdempotencyKey(key, request);
   });
--- a/src/doorwoodd/daemon.h
+++ b/src/doorwoodd/daemon.h
@@ -57,10 +57,11 @@
   Json BurnRates() override;
 
   // IdempotencyKeyStore:
-  ClaimOutcome Claim(const std::string& key,
-                     const std::string& request,
-                     Instant deadline) override;
-  void Release(const std::string& key, const std::string& request) override;
+  ClaimOutcome ClaimIdempotencyKey(const std::string& key,
+                                   const std::string& request,
+                                   Instant deadline) override;
+  void ReleaseIdempotencyKey(const std::string& key,
+                             const std::string& request) override;
 
   // RequestObserver:
   void OnRequestFinished(const CallerRequest& request,
--- a/src/doorwoodd/metrics.cpp
+++ b/src/doorwoodd/metrics.cpp
@@ -119,7 +119,7 @@
 
 std::vector<BurnRow> RequestMetrics::Burn() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return burn_.Rows(*configuration_, CurrentMinute());
+  return burn_.ComputeRows(*configuration_, CurrentMinute());
 }
 
 }  // namespace doorwood
--- a/src/fakes/cell_world_ports.cpp
+++ b/src/fakes/cell_world_ports.cpp
@@ -415,7 +415,7 @@
         kStoreDelay,
         [waves = world_.waves(), done = std::move(done)] { done({}, waves); });
   }
-  StorePut WaveStatus(int64_t wave, WaveState state) const override {
+  StorePut EncodeWaveStatus(int64_t wave, WaveState state) const override {
     return {"wave-status/" + std::to_string(wave),
             state == WaveState::kCompleted ? "completed" : "running", 0};
   }
--- a/src/fakes/fakes.cpp
+++ b/src/fakes/fakes.cpp
@@ -130,12 +130,12 @@
   Fault fault = fault_;
   if (changes) {
     ++writes_;
-    if (faulty_writes_ == 0) {
+    if (remaining_faulty_writes_ == 0) {
       fault = Fault::kNone;
-    } else if (faulty_writes_ > 0) {
-      --faulty_writes_;
+    } else if (remaining_faulty_writes_ > 0) {
+      --remaining_faulty_writes_;
     }
-  } else if (faulty_writes_ >= 0) {
+  } else if (remaining_faulty_writes_ >= 0) {
     fault = Fault::kNone;
   }
   const auto answer = [this, done](std::error_code error, T value,
--- a/src/fakes/fakes.h
+++ b/src/fakes/fakes.h
@@ -132,7 +132,7 @@
   void set_fault(Fault fault) { fault_ = fault; }
   /// Limits the fault to the next `count` writes and no reads; -1 applies it to
   /// all calls without a limit.
-  void set_faulty_writes(int count) { faulty_writes_ = count; }
+  void LimitFaultToWrites(int count) { remaining_faulty_writes_ = count; }
   int64_t writes() const { return writes_; }
 
  private:
@@ -145,7 +145,7 @@
   Executor& executor_;
   standin::KvModel& model_;
   Fault fault_ = Fault::kNone;
-  int faulty_writes_ = -1;
+  int remaining_faulty_writes_ = -1;
   int64_t writes_ = 0;
 };
 
--- a/src/fakes/world.cpp
+++ b/src/fakes/world.cpp
@@ -7,7 +7,7 @@
 namespace doorwood::fakes {
 namespace {
 
-constexpr Millis kOperateLimit{20000};
+constexpr Millis kOperatorCallLimit{20000};
 constexpr const char* kConfiguration =
     "services:\n  - name: stream\n    latency_target_ms: 50\n"
     "members:\n  - name: museum\n    quota: {cpu_millis: 100000, memory_mib: "
@@ -127,9 +127,9 @@
   return condition();
 }
 
-OperatorReply World::Operate(const std::string& id,
-                             const std::string& method,
-                             const Json& body) {
+OperatorReply World::CallOperatorMethod(const std::string& id,
+                                        const std::string& method,
+                                        const Json& body) {
   auto reply = std::make_shared<std::optional<OperatorReply>>();
   Entry& entry = EntryOf(id);
   Instance* instance = entry.instance.get();
@@ -138,14 +138,14 @@
         {method, body.dump()},
         [reply](const OperatorReply& answer) { *reply = answer; });
   });
-  RunUntil(kOperateLimit, [reply]() { return reply->has_value(); });
+  RunUntil(kOperatorCallLimit, [reply]() { return reply->has_value(); });
   return reply->value_or(OperatorReply{0, "{}"});
 }
 
 void World::Configure(const std::string& id) {
-  RunUntil(kOperateLimit, [&]() {
-    return Operate(id, "config.apply", {{"text", kConfiguration}}).status ==
-           200;
+  RunUntil(kOperatorCallLimit, [&]() {
+    return CallOperatorMethod(id, "config.apply", {{"text", kConfiguration}})
+               .status == 200;
   });
   Run(Millis(1000));
 }
@@ -159,7 +159,8 @@
       std::to_string(count) +
       "\n    size: {cpu_millis: 1000, memory_mib: 1000}\n    payload: \"" +
       payload + "\"\n" + more;
-  const OperatorReply reply = Operate(id, "submit", {{"manifest", manifest}});
+  const OperatorReply reply =
+      CallOperatorMethod(id, "submit", {{"manifest", manifest}});
   const Json body = Json::parse(reply.body);
   if (reply.status != 200) {
     rejections_.push_back(reply.body);
@@ -168,7 +169,7 @@
 }
 
 Json World::JobStatus(const std::string& id, const std::string& job) {
-  return Json::parse(Operate(id, "job.show", {{"id", job}}).body);
+  return Json::parse(CallOperatorMethod(id, "job.show", {{"id", job}}).body);
 }
 
 std::string World::JobPhase(const std::string& id, const std::string& job) {
--- a/src/fakes/world.h
+++ b/src/fakes/world.h
@@ -63,9 +63,9 @@
   bool RunUntil(Millis limit, const std::function<bool()>& condition);
 
   /// Calls an operator method at an instance and runs until it is answered.
-  OperatorReply Operate(const std::string& id,
-                        const std::string& method,
-                        const Json& body);
+  OperatorReply CallOperatorMethod(const std::string& id,
+                                   const std::string& method,
+                                   const Json& body);
   /// Applies a configuration with the member "museum".
   void Configure(const std::string& id);
   /// Submits a manifest of `count` tasks and returns the id of the job.
--- a/src/include/doorwood/burn.h
+++ b/src/include/doorwood/burn.h
@@ -45,10 +45,10 @@
 void from_json(const Json& json, BurnRow& row);
 
 /// Sums up the rows of the same service and window.
-std::vector<BurnRow> MergeBurn(const std::vector<BurnRow>& rows);
+std::vector<BurnRow> MergeBurnRows(const std::vector<BurnRow>& rows);
 
 /// Returns an HTML page with a table of the rows and a bar chart in each.
-std::string BurnPage(const std::vector<BurnRow>& rows);
+std::string RenderBurnPage(const std::vector<BurnRow>& rows);
 
 /// Counts requests per minute. Thread-safe.
 class BurnTracker {
@@ -56,7 +56,8 @@
   /// Counts one request. `minute` is the current minute of a monotonic clock.
   void Count(const std::string& service, bool good, int64_t minute);
   /// Returns one row for each service and window, ending at `minute`.
-  std::vector<BurnRow> Rows(const Configuration& config, int64_t minute) const;
+  std::vector<BurnRow> ComputeRows(const Configuration& config,
+                                   int64_t minute) const;
 
  private:
   struct Minute {
--- a/src/include/doorwood/holder.h
+++ b/src/include/doorwood/holder.h
@@ -43,7 +43,8 @@
 
   /// An attempt ended or will definitely never start. Called repeatedly until
   /// `WorkerHolder::AcknowledgeEnds` is called for the attempt.
-  virtual void OnAttemptEnded(const ShardId& shard, const Sighting& ended) = 0;
+  virtual void OnAttemptEnded(const ShardId& shard,
+                              const AttemptReport& ended) = 0;
   /// The set of held workers has changed.
   virtual void OnHeldWorkersChanged() = 0;
 };
@@ -98,7 +99,7 @@
 
   /// True if `worker` is held and its lease is valid by the local clock.
   bool IsHeld(const std::string& worker) const;
-  std::vector<HeldWorkerStatus> rows() const;
+  std::vector<HeldWorkerStatus> DescribeHeldWorkers() const;
   /// Free capacity, summed over the held workers.
   Resources free() const;
   /// The largest free amount of each resource on any one held worker. The
@@ -190,8 +191,8 @@
                 Millis delay,
                 void (WorkerHolder::*step)(const std::shared_ptr<HeldWorker>&));
   std::shared_ptr<HeldWorker> FindAttempt(const AttemptKey& key) const;
-  Sighting MakeAttemptReport(const HeldWorker& held,
-                             const Attempt& attempt) const;
+  AttemptReport MakeAttemptReport(const HeldWorker& held,
+                                  const Attempt& attempt) const;
 
   HolderOptions options_;
   Executor& executor_;
--- a/src/include/doorwood/instance.h
+++ b/src/include/doorwood/instance.h
@@ -133,7 +133,8 @@
   };
 
   // HolderListener:
-  void OnAttemptEnded(const ShardId& shard, const Sighting& ended) override;
+  void OnAttemptEnded(const ShardId& shard,
+                      const AttemptReport& ended) override;
   void OnHeldWorkersChanged() override;
 
   // OwnerEnvironment:
@@ -234,7 +235,7 @@
   std::shared_ptr<ConfigKeeper> config_;
   std::map<ShardId, ShardOwnership> shards_;
   std::map<ShardId, Instant> next_open_attempt_;
-  std::map<ShardId, std::map<AttemptId, Sighting>> unreported_ends_;
+  std::map<ShardId, std::map<AttemptId, AttemptReport>> unreported_ends_;
   std::set<ShardId> sending_ends_;
   std::set<std::string> fetching_config_;
   // Workers that are held only until the requests in progress on their backend
--- a/src/include/doorwood/machine_platform.h
+++ b/src/include/doorwood/machine_platform.h
@@ -82,7 +82,7 @@
   /// Lists the operators' upkeep waves.
   virtual void ListWaves(WavesCallback done) = 0;
   /// Key and value that report the state of a wave to the operators.
-  virtual StorePut WaveStatus(int64_t wave, WaveState state) const = 0;
+  virtual StorePut EncodeWaveStatus(int64_t wave, WaveState state) const = 0;
 };
 
 }  // namespace doorwood
--- a/src/include/doorwood/membership.h
+++ b/src/include/doorwood/membership.h
@@ -36,8 +36,8 @@
 /// random weight) hashing. When a candidate is removed, only its own keys are
 /// reassigned.
 /// Empty if there are no candidates.
-std::string Rendezvous(std::string_view key,
-                       std::span<const std::string> candidates);
+std::string ChooseByRendezvousHash(std::string_view key,
+                                   std::span<const std::string> candidates);
 
 /// Another entry instance and its newest heartbeat.
 struct PeerState {
--- a/src/include/doorwood/peer.h
+++ b/src/include/doorwood/peer.h
@@ -89,7 +89,7 @@
 };
 
 /// State of one attempt, as known to the holder of its worker.
-struct Sighting {
+struct AttemptReport {
   AttemptId attempt;
   TaskId task;
   std::string worker;
@@ -106,7 +106,7 @@
 };
 
 struct CensusReply {
-  std::vector<Sighting> sightings;
+  std::vector<AttemptReport> reports;
   /// Workers that are held now and whose inventory is known.
   std::vector<std::string> held;
   std::vector<WorkerAge> released;
@@ -120,7 +120,7 @@
 /// worker to discard its records of them.
 struct EndReport {
   ShardId shard;
-  std::vector<Sighting> ended;
+  std::vector<AttemptReport> ended;
 };
 
 struct EndReply {
--- a/src/include/doorwood/router.h
+++ b/src/include/doorwood/router.h
@@ -243,12 +243,13 @@
   virtual ~IdempotencyKeyStore() = default;
 
   /// Records `key` for `request`; blocks until `deadline` at the latest.
-  virtual ClaimOutcome Claim(const std::string& key,
-                             const std::string& request,
-                             Instant deadline) = 0;
+  virtual ClaimOutcome ClaimIdempotencyKey(const std::string& key,
+                                           const std::string& request,
+                                           Instant deadline) = 0;
   /// Deletes the record, because the request was definitely not executed.
   /// Does not block and may fail; the key then stays used.
-  virtual void Release(const std::string& key, const std::string& request) = 0;
+  virtual void ReleaseIdempotencyKey(const std::string& key,
+                                     const std::string& request) = 0;
 };
 
 /// Routes each request to a backend server of its service, or to a peer that
--- a/src/include/doorwood/shard_owner.h
+++ b/src/include/doorwood/shard_owner.h
@@ -194,7 +194,7 @@
 
   // An attempt and the instance that reported it in a census round.
   struct HolderAttemptReport {
-    Sighting report;
+    AttemptReport report;
     std::string holder;
   };
 
--- a/src/libdoorwood/holder/holder.cpp
+++ b/src/libdoorwood/holder/holder.cpp
@@ -357,7 +357,7 @@
          HasValidLease(*held->second);
 }
 
-std::vector<HeldWorkerStatus> WorkerHolder::rows() const {
+std::vector<HeldWorkerStatus> WorkerHolder::DescribeHeldWorkers() const {
   constexpr const char* kStates[] = {"acquiring", "waiting-out", "held",
                                      "releasing"};
   std::vector<HeldWorkerStatus> rows;
@@ -447,8 +447,8 @@
   return has_attempt ? held->second : nullptr;
 }
 
-Sighting WorkerHolder::MakeAttemptReport(const HeldWorker& held,
-                                         const Attempt& attempt) const {
+AttemptReport WorkerHolder::MakeAttemptReport(const HeldWorker& held,
+                                              const Attempt& attempt) const {
   return {.attempt = attempt.id,
           .task = attempt.task,
           .worker = held.info.id,
--- a/src/libdoorwood/holder/holder_attempts.cpp
+++ b/src/libdoorwood/holder/holder_attempts.cpp
@@ -120,7 +120,7 @@
     reply.held.push_back(name);
     for (const auto& [key, attempt] : held->attempts) {
       if (key.shard == request.shard) {
-        reply.sightings.push_back(MakeAttemptReport(*held, attempt));
+        reply.reports.push_back(MakeAttemptReport(*held, attempt));
       }
     }
   }
@@ -180,14 +180,14 @@
 void WorkerHolder::ReportEndedAttempts(const HeldWorker& held) {
   // Copied first, because the listener may call `AcknowledgeEnds`, which erases
   // attempts.
-  std::vector<std::pair<ShardId, Sighting>> ended;
+  std::vector<std::pair<ShardId, AttemptReport>> ended;
   for (const auto& [key, attempt] : held.attempts) {
     if (attempt.state == RunState::kEnded) {
       ended.emplace_back(key.shard, MakeAttemptReport(held, attempt));
     }
   }
-  for (const auto& [shard, sighting] : ended) {
-    listener_.OnAttemptEnded(shard, sighting);
+  for (const auto& [shard, report] : ended) {
+    listener_.OnAttemptEnded(shard, report);
   }
 }
 
--- a/src/libdoorwood/instance/instance.cpp
+++ b/src/libdoorwood/instance/instance.cpp
@@ -89,7 +89,8 @@
     // Without the store no shard can be handed over. Its next owner waits until
     // this instance's registration expires.
     const bool shards_released = shards_.empty() || !IsStoreReachable();
-    const bool all_released = shards_released && holder_.rows().empty();
+    const bool all_released =
+        shards_released && holder_.DescribeHeldWorkers().empty();
     if (all_released || executor_.Now() >= deadline) {
       // Notify peers immediately that this instance holds and owns nothing.
       SendHeartbeats();
@@ -367,7 +368,8 @@
 
 // --- Reporting attempt ends to the shards' owners ---
 
-void Instance::OnAttemptEnded(const ShardId& shard, const Sighting& ended) {
+void Instance::OnAttemptEnded(const ShardId& shard,
+                              const AttemptReport& ended) {
   unreported_ends_[shard][ended.attempt] = ended;
   executor_.Post([this, alive = alive_, shard]() {
     if (*alive) {
@@ -400,8 +402,8 @@
     return;
   }
   EndReport report{shard, {}};
-  for (const auto& [attempt, sighting] : ends->second) {
-    report.ended.push_back(sighting);
+  for (const auto& [attempt, attempt_report] : ends->second) {
+    report.ended.push_back(attempt_report);
   }
   sending_ends_.insert(shard);
   CallInstance(owner, std::move(report), options_.call_timeout,
--- a/src/libdoorwood/instance/instance_operator.cpp
+++ b/src/libdoorwood/instance/instance_operator.cpp
@@ -279,7 +279,7 @@
 
 void Instance::HandleWorkersCall(const OperatorCall& call, OperatorDone done) {
   Json own = Json::array();
-  for (const HeldWorkerStatus& row : holder_.rows()) {
+  for (const HeldWorkerStatus& row : holder_.DescribeHeldWorkers()) {
     own.push_back({{"worker", row.worker},
                    {"holder", options_.self.id},
                    {"state", row.state},
--- a/src/libdoorwood/instance/instance_test.cpp
+++ b/src/libdoorwood/instance/instance_test.cpp
@@ -425,7 +425,8 @@
                        "member: museum\ntasks: [{name: task, size: "
                        "{cpu_millis: 1000}, payload: run-ms=500}]"}};
       cluster.world.SetKvFault(fault);
-      const auto first = cluster.world.Operate("plaka-1", "submit", body);
+      const auto first =
+          cluster.world.CallOperatorMethod("plaka-1", "submit", body);
       BOOST_TEST(first.status != 200);
       const std::string outcome = Json::parse(first.body).at("outcome");
       BOOST_TEST(outcome ==
@@ -435,7 +436,8 @@
       if (fault == Fault::kRefused) {
         BOOST_TEST(cluster.world.StartCount("task") == 0);
       }
-      const auto again = cluster.world.Operate("plaka-2", "submit", body);
+      const auto again =
+          cluster.world.CallOperatorMethod("plaka-2", "submit", body);
       BOOST_REQUIRE(again.status == 200);
       const std::string job = Json::parse(again.body).at("id");
       BOOST_TEST(cluster.RunUntilFinished("plaka-1", job));
@@ -466,7 +468,7 @@
   const std::string job = cluster.Submit(10, "run-ms=60000");
   cluster.world.Run(Millis(1000));
   const auto reply =
-      cluster.world.Operate("plaka-2", "job.cancel", {{"id", job}});
+      cluster.world.CallOperatorMethod("plaka-2", "job.cancel", {{"id", job}});
   BOOST_TEST(reply.status == 200);
   BOOST_TEST(cluster.world.RunUntil(Millis(10000), [&]() {
     return cluster.world.JobPhase("plaka-1", job) == "cancelled";
@@ -490,8 +492,8 @@
   const std::string manifest =
       "member: museum\ntasks:\n  - name: giant\n    size: {cpu_millis: "
       "64000}\n";
-  const auto reply =
-      cluster.world.Operate("plaka-1", "submit", {{"manifest", manifest}});
+  const auto reply = cluster.world.CallOperatorMethod("plaka-1", "submit",
+                                                      {{"manifest", manifest}});
   const std::string giant = Json::parse(reply.body).at("id");
   cluster.world.Run(Millis(2000));
   const Json task = cluster.world.JobStatus("plaka-1", giant).at("tasks").at(0);
@@ -548,7 +550,7 @@
     instance->BeginShutdown(Millis(10000), [&done]() { done = true; });
   });
   BOOST_TEST(cluster.world.RunUntil(Millis(5000), [&]() { return done; }));
-  BOOST_TEST(instance->holder().rows().empty());
+  BOOST_TEST(instance->holder().DescribeHeldWorkers().empty());
   BOOST_TEST(instance->owned_shards().empty());
   cluster.world.Kill("plaka-1");
   BOOST_TEST(cluster.RunUntilFinished("plaka-2", job));
--- a/src/libdoorwood/membership/membership.cpp
+++ b/src/libdoorwood/membership/membership.cpp
@@ -22,8 +22,8 @@
 
 }  // namespace
 
-std::string Rendezvous(std::string_view key,
-                       std::span<const std::string> candidates) {
+std::string ChooseByRendezvousHash(std::string_view key,
+                                   std::span<const std::string> candidates) {
   std::string best;
   uint64_t best_weight = 0;
   for (const std::string& candidate : candidates) {
@@ -134,7 +134,7 @@
     if (info.role != InstanceRole::kWorker || !IsInThisDataCentre(info)) {
       continue;
     }
-    if (Rendezvous(info.id, candidates) != self_.id) {
+    if (ChooseByRendezvousHash(info.id, candidates) != self_.id) {
       continue;
     }
     InstanceInfo worker = info;
@@ -151,7 +151,7 @@
   std::vector<ShardId> wanted;
   for (uint32_t index = 0; index < shard_count; ++index) {
     const ShardId shard{self_.data_centre, index};
-    if (Rendezvous(ToString(shard), candidates) == self_.id) {
+    if (ChooseByRendezvousHash(ToString(shard), candidates) == self_.id) {
       wanted.push_back(shard);
     }
   }
--- a/src/libdoorwood/membership/membership_test.cpp
+++ b/src/libdoorwood/membership/membership_test.cpp
@@ -53,8 +53,8 @@
   constexpr int kKeys = 1000;
   for (int n = 0; n < kKeys; ++n) {
     const std::string key = "w" + std::to_string(n);
-    const std::string before = Rendezvous(key, all);
-    const std::string after = Rendezvous(key, fewer);
+    const std::string before = ChooseByRendezvousHash(key, all);
+    const std::string after = ChooseByRendezvousHash(key, fewer);
     if (before != "c") {
       BOOST_TEST(before == after);
     }
@@ -261,7 +261,7 @@
                                   << writes) {
         TwoKeepersFixture fixture;
         fixture.Apply(fixture.first, fixture.MakeChange("a"));
-        fixture.first.kv.set_faulty_writes(writes);
+        fixture.first.kv.LimitFaultToWrites(writes);
         fixture.first.kv.set_fault(fault);
         fixture.Apply(fixture.first, fixture.MakeChange("b"));
         fixture.first.kv.set_fault(Fault::kNone);
--- a/src/libdoorwood/owner/shard_census.cpp
+++ b/src/libdoorwood/owner/shard_census.cpp
@@ -76,7 +76,7 @@
   if (error || census == nullptr) {
     round->all_reached = false;
   } else {
-    for (const Sighting& report : census->sightings) {
+    for (const AttemptReport& report : census->reports) {
       round->reports[report.attempt] = {report, instance};
     }
     round->held.insert(census->held.begin(), census->held.end());
@@ -145,7 +145,7 @@
 bool ShardOwner::ResolveTask(Task& task, const CensusRound& round) {
   const HolderAttemptReport* reported = FindAttemptReport(task, round);
   if (reported != nullptr) {
-    const Sighting& report = reported->report;
+    const AttemptReport& report = reported->report;
     const bool runs_again = report.state == RunState::kEnded &&
                             report.end != AttemptEnd::kSucceeded;
     const bool newer_possible = task.attempt.counter == 0 && runs_again;
@@ -206,7 +206,7 @@
 
 void ShardOwner::ApplyAttemptReport(Task& task,
                                     const HolderAttemptReport& reported) {
-  const Sighting& report = reported.report;
+  const AttemptReport& report = reported.report;
   task.attempt = report.attempt;
   task.worker = report.worker;
   task.holder = reported.holder;
--- a/src/libdoorwood/owner/shard_owner.cpp
+++ b/src/libdoorwood/owner/shard_owner.cpp
@@ -288,7 +288,7 @@
       reply(progress->reply);
     }
   };
-  for (const Sighting& ended : report.ended) {
+  for (const AttemptReport& ended : report.ended) {
     const TaskState* state = log_->state().FindTask(ended.task);
     const bool settled = state == nullptr || state->phase != TaskPhase::kOpen ||
                          ended.attempt <= state->last_ended;
--- a/src/libdoorwood/pool/wave_keeper.cpp
+++ b/src/libdoorwood/pool/wave_keeper.cpp
@@ -370,7 +370,7 @@
   wave->reporting = true;
   const int64_t number = wave->plan.number;
   StoreTransaction transaction;
-  const StorePut put = platform_->WaveStatus(number, state);
+  const StorePut put = platform_->EncodeWaveStatus(number, state);
   // With these conditions a delayed write cannot overwrite a newer one.
   transaction.expected.push_back({LeadKey(cell_), epoch_});
   transaction.expected.push_back({put.key, wave->status_revision});
@@ -393,7 +393,7 @@
   if (error) {
     // Reported again in the next step, based on the current revision.
     for (const StoreItem& item : commit.current) {
-      if (item.key == platform_->WaveStatus(number, state).key) {
+      if (item.key == platform_->EncodeWaveStatus(number, state).key) {
         wave.status_revision = item.deleted ? 0 : item.revision;
       }
     }
--- a/src/libdoorwood/report/burn.cpp
+++ b/src/libdoorwood/report/burn.cpp
@@ -82,7 +82,7 @@
   json.at("objective").get_to(row.objective);
 }
 
-std::vector<BurnRow> MergeBurn(const std::vector<BurnRow>& rows) {
+std::vector<BurnRow> MergeBurnRows(const std::vector<BurnRow>& rows) {
   std::map<std::pair<std::string, int>, BurnRow> merged;
   for (const BurnRow& row : rows) {
     const std::pair<std::string, int> key(row.service, row.window_minutes);
@@ -99,7 +99,7 @@
   return result;
 }
 
-std::string BurnPage(const std::vector<BurnRow>& rows) {
+std::string RenderBurnPage(const std::vector<BurnRow>& rows) {
   std::string page =
       "<!DOCTYPE html>\n<html><head><meta charset=\"utf-8\"><title>Service-"
       "level burn</title><style>body{font-family:sans-serif}td,th{padding:4px "
@@ -133,8 +133,8 @@
   }
 }
 
-std::vector<BurnRow> BurnTracker::Rows(const Configuration& config,
-                                       int64_t minute) const {
+std::vector<BurnRow> BurnTracker::ComputeRows(const Configuration& config,
+                                              int64_t minute) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   std::vector<BurnRow> rows;
   for (const ServiceConfig& service : config.services) {
--- a/src/libdoorwood/routing/router.cpp
+++ b/src/libdoorwood/routing/router.cpp
@@ -174,7 +174,7 @@
   const bool release_claim =
       progress.claimed && progress.last.outcome == RequestOutcome::kNotRun;
   if (release_claim) {
-    claims_.Release(request.idempotency_key, request.id);
+    claims_.ReleaseIdempotencyKey(request.idempotency_key, request.id);
   }
   return progress.last;
 }
@@ -259,8 +259,8 @@
   if (!needed) {
     return true;
   }
-  switch (
-      claims_.Claim(request.idempotency_key, request.id, request.deadline)) {
+  switch (claims_.ClaimIdempotencyKey(request.idempotency_key, request.id,
+                                      request.deadline)) {
     case ClaimOutcome::kClaimed:
       progress->claimed = true;
       return true;
--- a/src/libdoorwood/routing/router_test.cpp
+++ b/src/libdoorwood/routing/router_test.cpp
@@ -59,11 +59,15 @@
 
 class FixedClaims : public IdempotencyKeyStore {
  public:
-  ClaimOutcome Claim(const std::string&, const std::string&, Instant) override {
+  ClaimOutcome ClaimIdempotencyKey(const std::string&,
+                                   const std::string&,
+                                   Instant) override {
     ++claimed;
     return outcome;
   }
-  void Release(const std::string&, const std::string&) override { ++released; }
+  void ReleaseIdempotencyKey(const std::string&, const std::string&) override {
+    ++released;
+  }
 
   ClaimOutcome outcome = ClaimOutcome::kClaimed;
   int claimed = 0;
--- a/src/peer.adapter/peer_codec.cpp
+++ b/src/peer.adapter/peer_codec.cpp
@@ -83,7 +83,7 @@
   return value;
 }
 
-void Encode(const Sighting& value, wire::Sighting::Builder out) {
+void Encode(const AttemptReport& value, wire::Sighting::Builder out) {
   Encode(value.attempt, out.initAttempt());
   Encode(value.task, out.initTask());
   out.setWorker(value.worker);
@@ -92,9 +92,9 @@
   out.setCheckpoint(value.checkpoint);
 }
 
-Sighting Decode(wire::Sighting::Reader in) {
+AttemptReport Decode(wire::Sighting::Reader in) {
   constexpr auto kLast = static_cast<uint8_t>(AttemptEnd::kLost);
-  Sighting value;
+  AttemptReport value;
   value.attempt = Decode(in.getAttempt());
   value.task = Decode(in.getTask());
   value.worker = in.getWorker();
@@ -230,7 +230,7 @@
 }
 
 void Encode(const CensusReply& value, wire::CensusReply::Builder out) {
-  EncodeList(value.sightings, out.initSightings(value.sightings.size()));
+  EncodeList(value.reports, out.initSightings(value.reports.size()));
   EncodeTexts(value.held, out.initHeld(value.held.size()));
   EncodeList(value.released, out.initReleased(value.released.size()));
   out.setUptimeMillis(value.uptime.count());
@@ -238,8 +238,8 @@
 
 CensusReply Decode(wire::CensusReply::Reader in) {
   CensusReply value;
-  for (const auto sighting : in.getSightings()) {
-    value.sightings.push_back(Decode(sighting));
+  for (const auto report : in.getSightings()) {
+    value.reports.push_back(Decode(report));
   }
   value.held = DecodeTexts(in.getHeld());
   for (const auto age : in.getReleased()) {
@@ -257,8 +257,8 @@
 EndReport Decode(wire::EndReport::Reader in) {
   EndReport value;
   value.shard = Decode(in.getShard());
-  for (const auto sighting : in.getEnded()) {
-    value.ended.push_back(Decode(sighting));
+  for (const auto report : in.getEnded()) {
+    value.ended.push_back(Decode(report));
   }
   return value;
 }
--- a/src/peer.adapter/peer_network_test.cpp
+++ b/src/peer.adapter/peer_network_test.cpp
@@ -158,13 +158,13 @@
                 .repeatable = false,
                 .max_attempts = 2,
                 .payload = "p"};
-  const Sighting sighting{{1, 2},           {"j", "t"},           "w",
-                          RunState::kEnded, AttemptEnd::kStopped, "ck"};
+  const AttemptReport report{{1, 2},           {"j", "t"},           "w",
+                             RunState::kEnded, AttemptEnd::kStopped, "ck"};
   return {heartbeat,
           place,
           StopRequest{{"plaka", 1}, {1, 2}, true},
           CensusRequest{{"plaka", 1}, {3, 4}},
-          EndReport{{"plaka", 1}, {sighting, sighting}},
+          EndReport{{"plaka", 1}, {report, report}},
           OperatorCall{"m", "b", 2},
           ConfigFetch{5}};
 }
