--- a/src/fakes/cell_world.cpp
+++ b/src/fakes/cell_world.cpp
@@ -256,7 +256,7 @@
 
 std::optional<JobPhase> CellWorld::StateOf(const std::string& job) {
   WorldInstance* leader = Leader();
-  return leader == nullptr ? std::nullopt : leader->cell->Find(job);
+  return leader == nullptr ? std::nullopt : leader->cell->FindJobPhase(job);
 }
 
 int CellWorld::starts(const std::string& task) const {
--- a/src/fakes/mutate.h
+++ b/src/fakes/mutate.h
@@ -26,7 +26,7 @@
 
   /// Applies one to three mutations to the bytes of `good` or, if it is JSON,
   /// to its values.
-  std::string Change(const std::string& good) {
+  std::string Mutate(const std::string& good) {
     std::string text = good;
     const size_t changes = 1 + RandomBelow(3);
     for (size_t change = 0; change < changes; ++change) {
--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -127,7 +127,7 @@
   /// Cancels a job and stops its runs. `done` runs once the cancellation is
   /// recorded.
   void Cancel(const std::string& job, CancelCallback done);
-  std::optional<JobPhase> Find(const std::string& job) const;
+  std::optional<JobPhase> FindJobPhase(const std::string& job) const;
   /// The summary as of its last periodic update.
   const CellSummary& summary() const { return summary_; }
   const CellCounters& counters() const { return counters_; }
--- a/src/include/doorwood/worker_session.h
+++ b/src/include/doorwood/worker_session.h
@@ -40,8 +40,8 @@
   std::string task;
   uint32_t number = 0;
   RunPhase phase = RunPhase::kStarting;
-  /// The start order is withheld until `WorkerSession::Release`; the run's
-  /// resources are already reserved.
+  /// The start order is withheld until `WorkerSession::SendDeferredStart`; the
+  /// run's resources are already reserved.
   bool start_deferred = false;
   /// Times at which the start was ordered and the worker confirmed the run.
   Instant ordered{};
@@ -183,7 +183,7 @@
   /// Starts a run. If `run.start_deferred` is set, only reserves its resources.
   void Start(Run run, std::string payload, std::string ticket);
   /// Sends the start order of a run whose start was deferred.
-  void Release(const std::string& task);
+  void SendDeferredStart(const std::string& task);
   void Stop(const std::string& task);
   void SetPace(const std::string& task, int percent);
 
--- a/src/libdoorwood/cell/cell_calls.cpp
+++ b/src/libdoorwood/cell/cell_calls.cpp
@@ -131,7 +131,7 @@
   RequestSchedulingPass();
 }
 
-std::optional<JobPhase> CellLeader::Find(const std::string& id) const {
+std::optional<JobPhase> CellLeader::FindJobPhase(const std::string& id) const {
   const auto found = jobs_.jobs().find(id);
   if (!leading() || found == jobs_.jobs().end()) {
     return std::nullopt;
--- a/src/libdoorwood/cell/cell_foreign_entries_test.cpp
+++ b/src/libdoorwood/cell/cell_foreign_entries_test.cpp
@@ -242,8 +242,8 @@
   fakes::Mutator mutator(kSeed);
   for (int n = 0; n < kKeys; ++n) {
     const std::string name = "x" + std::to_string(n);
-    PutRecord(InstanceKey(name), mutator.Change(instance));
-    PutRecord(LeadKey(name), mutator.Change(lead));
+    PutRecord(InstanceKey(name), mutator.Mutate(instance));
+    PutRecord(LeadKey(name), mutator.Mutate(lead));
   }
   BOOST_CHECK_NO_THROW(world.Run(Millis(3000)));
   BOOST_REQUIRE(world.Leader() != nullptr);
--- a/src/libdoorwood/cell/cell_lasting_places.cpp
+++ b/src/libdoorwood/cell/cell_lasting_places.cpp
@@ -62,7 +62,7 @@
       if (!recorded) {
         unrecorded_placements_.insert(name);
       }
-      session->Release(name);
+      session->SendDeferredStart(name);
     }
   }
   live_.set_needs_agreement(!starts_awaiting_record_.empty());
--- a/src/libdoorwood/cell/worker_orders.cpp
+++ b/src/libdoorwood/cell/worker_orders.cpp
@@ -76,7 +76,7 @@
   }
 }
 
-void WorkerSession::Release(const std::string& task) {
+void WorkerSession::SendDeferredStart(const std::string& task) {
   const auto arguments = deferred_starts_.extract(task);
   Run* run = FindRun(task);
   if (arguments.empty() || run == nullptr || closed_ || dead_) {
--- a/src/libdoorwood/ingress/ingress.cpp
+++ b/src/libdoorwood/ingress/ingress.cpp
@@ -95,7 +95,7 @@
     return;
   }
   for (CellLeader* leader : local_) {
-    if (leader->Find(job)) {
+    if (leader->FindJobPhase(job)) {
       done({}, leader->cell());
       return;
     }
@@ -291,7 +291,7 @@
       return;
     }
     if (CellLeader* leader = LocalLeader(cell)) {
-      const auto state = leader->Find(job);
+      const auto state = leader->FindJobPhase(job);
       done(state ? std::error_code() : CoreErrc::kNoOwner,
            state.value_or(JobPhase::kQueued));
       return;
--- a/src/loop.adapter/http_peers.cpp
+++ b/src/loop.adapter/http_peers.cpp
@@ -347,7 +347,7 @@
   } else if (request.method == "DELETE") {
     leader->Cancel(job, [answer](std::error_code error) { answer(error, ""); });
   } else {
-    const auto state = leader->Find(job);
+    const auto state = leader->FindJobPhase(job);
     answer(state ? std::error_code() : CoreErrc::kNotFound,
            state ? std::string(ToString(*state)) : "");
   }
--- a/src/soak/fault_plan.h
+++ b/src/soak/fault_plan.h
@@ -29,7 +29,7 @@
   kStoreSlow,
   kStoreSilent,
   kCompactStore,
-  kRevoke,
+  kDropLeaseKeys,
   kKill,
   kPause,
   kPlannedStop,
--- a/src/soak/fault_plan_test.cpp
+++ b/src/soak/fault_plan_test.cpp
@@ -137,7 +137,7 @@
 BOOST_AUTO_TEST_CASE(Unplanned_KillsCutsAndTheStore_NotWhatOperatorsDo) {
   for (const FaultKind kind :
        {FaultKind::kCutStore, FaultKind::kCutInstance, FaultKind::kStoreSilent,
-        FaultKind::kRevoke, FaultKind::kKill, FaultKind::kPause,
+        FaultKind::kDropLeaseKeys, FaultKind::kKill, FaultKind::kPause,
         FaultKind::kCrashWorker, FaultKind::kDropEntry}) {
     BOOST_TEST(IsUnplanned(kind), ToString(kind));
   }
--- a/src/soak/fault_player.cpp
+++ b/src/soak/fault_player.cpp
@@ -33,7 +33,7 @@
 StepwiseRecovery RecoveryOf(const Fault& fault) {
   StepwiseRecovery recovery;
   recovery.worker_partition_time = fault.duration * 2 / 5;
-  recovery.cut = fault.duration * 2 / 5;
+  recovery.full_partition_time = fault.duration * 2 / 5;
   recovery.workers_delay = fault.duration / 5;
   recovery.resume_delay = fault.resume_delay;
   return recovery;
@@ -81,8 +81,8 @@
              ", old connections resume after " +
              std::to_string(fault.resume_delay.count()));
   if (fault.kind == FaultKind::kCutCentreInSteps) {
-    CutInSteps(world_, World::DataCentreOf(instance), RecoveryOf(fault),
-               [this] { OnFinished(); });
+    PartitionInSteps(world_, World::DataCentreOf(instance), RecoveryOf(fault),
+                     [this] { OnFinished(); });
     return;
   }
   const Undo undo = Begin(fault, instance);
@@ -194,8 +194,8 @@
     case FaultKind::kCompactStore:
       store.Compact();
       return nullptr;
-    case FaultKind::kRevoke:
-      store.RevokeLeaseOfKey(InstanceKey(World::NameOf(instance)));
+    case FaultKind::kDropLeaseKeys:
+      store.DropKeysWithSameLease(InstanceKey(World::NameOf(instance)));
       return nullptr;
     default:
       return nullptr;
--- a/src/soak/http_door.cpp
+++ b/src/soak/http_door.cpp
@@ -45,8 +45,8 @@
 // One connection. Its outstanding operations and the pending responses own it.
 class HttpTestServer::Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(const HttpTestServer& door, asio::ip::tcp::socket socket)
-      : door_(door), socket_(std::move(socket)) {
+  Session(const HttpTestServer& server, asio::ip::tcp::socket socket)
+      : server_(server), socket_(std::move(socket)) {
     error_code ignored;
     socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
   }
@@ -64,8 +64,8 @@
 
  private:
   void Handle() {
-    door_.handler_(
-        Decode(&message_, door_.incarnation_header_),
+    server_.handler_(
+        Decode(&message_, server_.incarnation_header_),
         [self = shared_from_this()](std::optional<HttpResponse> response) {
           if (response) {
             self->Write(std::move(*response));
@@ -92,7 +92,7 @@
         });
   }
 
-  const HttpTestServer& door_;
+  const HttpTestServer& server_;
   asio::ip::tcp::socket socket_;
   boost::beast::flat_buffer buffer_;
   Message message_;
--- a/src/soak/main.cpp
+++ b/src/soak/main.cpp
@@ -49,7 +49,7 @@
     for (const int cut : options.cuts) {
       StepwiseRecovery recovery;
       recovery.worker_partition_time = Millis(partition_time);
-      recovery.cut = Millis(cut);
+      recovery.full_partition_time = Millis(cut);
       recovery.resume_delay = Millis(options.resume_delay);
       recoveries.push_back(recovery);
     }
@@ -127,15 +127,16 @@
       return;
     }
     const StepwiseRecovery recovery = recoveries[next];
-    Play(world_, callers_, recovery,
-         [this, recoveries, next, recovery](size_t violations) {
-           std::cout << "regained-store silent "
-                     << recovery.worker_partition_time.count() << " cut "
-                     << recovery.cut.count() << " old_after "
-                     << recovery.resume_delay.count() << ": " << violations
-                     << " broken" << std::endl;
-           PlayRecoveries(recoveries, next + 1);
-         });
+    RunLeaderPartition(world_, callers_, recovery,
+                       [this, recoveries, next, recovery](size_t violations) {
+                         std::cout
+                             << "regained-store silent "
+                             << recovery.worker_partition_time.count()
+                             << " cut " << recovery.full_partition_time.count()
+                             << " old_after " << recovery.resume_delay.count()
+                             << ": " << violations << " broken" << std::endl;
+                         PlayRecoveries(recoveries, next + 1);
+                       });
   }
 
   void Finish() {
--- a/src/soak/scenario.cpp
+++ b/src/soak/scenario.cpp
@@ -51,10 +51,10 @@
                         world.Now() + kSteadyStateTimeout.count(), done);
 }
 
-void CutInSteps(World& world,
-                size_t centre,
-                StepwiseRecovery recovery,
-                std::function<void()> done) {
+void PartitionInSteps(World& world,
+                      size_t centre,
+                      StepwiseRecovery recovery,
+                      std::function<void()> done) {
   const Links silent = world.LinksToWorkersInOtherDataCentres(centre);
   const Links border = world.LinksAcrossDataCentre(centre);
   Links stores;
@@ -76,7 +76,7 @@
     world.Log("partitioned: " + who);
     CutAll(border);
   });
-  at += recovery.cut;
+  at += recovery.full_partition_time;
   world.After(at, [&world, who, stores, recovery] {
     world.Log("reconnected to the store: " + who);
     HealAll(stores, recovery.resume_delay);
@@ -92,10 +92,10 @@
   });
 }
 
-void Play(World& world,
-          const Callers& callers,
-          StepwiseRecovery recovery,
-          std::function<void(size_t)> done) {
+void RunLeaderPartition(World& world,
+                        const Callers& callers,
+                        StepwiseRecovery recovery,
+                        std::function<void(size_t)> done) {
   const size_t before = world.violations();
   const auto after = [&world, before, done] {
     done(world.violations() - before);
@@ -105,7 +105,7 @@
     world.After(kSettleTime, [&world, recovery, healed] {
       const size_t leader = world.Leader().value_or(0);
       world.Log(World::NameOf(leader) + " leads");
-      CutInSteps(world, World::DataCentreOf(leader), recovery, healed);
+      PartitionInSteps(world, World::DataCentreOf(leader), recovery, healed);
     });
   });
 }
--- a/src/soak/scenario.h
+++ b/src/soak/scenario.h
@@ -19,7 +19,7 @@
   /// From the loss of the workers in other data centres to the full partition.
   Millis worker_partition_time{2000};
   /// From the full partition until the store is reachable again.
-  Millis cut{4000};
+  Millis full_partition_time{4000};
   /// From then until everything else is reachable again.
   Millis workers_delay{2000};
   /// Connections that survived the partition transfer again this much later.
@@ -27,18 +27,18 @@
 };
 
 /// Partitions a data centre in these steps; calls `done` once all is healed.
-void CutInSteps(World& world,
-                size_t centre,
-                StepwiseRecovery recovery,
-                std::function<void()> done);
+void PartitionInSteps(World& world,
+                      size_t centre,
+                      StepwiseRecovery recovery,
+                      std::function<void()> done);
 
 /// Partitions the leader's data centre in these steps, from a steady state
 /// until some time after the recovery; `violations` is the number of violations
 /// during this time.
-void Play(World& world,
-          const Callers& callers,
-          StepwiseRecovery recovery,
-          std::function<void(size_t violations)> done);
+void RunLeaderPartition(World& world,
+                        const Callers& callers,
+                        StepwiseRecovery recovery,
+                        std::function<void(size_t violations)> done);
 
 /// Waits until there is a leader and every long-running task runs; reports a
 /// violation if that takes too long.
--- a/src/soak/world.cpp
+++ b/src/soak/world.cpp
@@ -261,7 +261,7 @@
 // --- Faults ---
 
 std::optional<size_t> World::Leader() const {
-  const auto lead = ParseJson(store_.Value(LeadKey(kCell)));
+  const auto lead = ParseJson(store_.ReadValue(LeadKey(kCell)));
   if (!lead) {
     return std::nullopt;
   }
@@ -404,7 +404,7 @@
 
 void World::StartWorker(size_t worker) {
   if (!workers_[worker]->up()) {
-    workers_[worker]->Boot();
+    workers_[worker]->Start();
   }
   store_.Put(
       platform::SoakWorkerKey(workers_[worker]->id()),
