--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -665,7 +665,7 @@
   /// Incarnations that are proven to have ended but are still listed, with
   /// their addresses.
   std::map<std::string, std::string> listed_dead_workers_;
-  RejectedEntryLog refused_{log_, "cell"};
+  RejectedEntryLog rejected_entries_{log_, "cell"};
   std::multimap<std::string, PendingCancel> cancels_;
   /// All runs from before the takeover are accounted for.
   bool all_runs_accounted_ = true;
--- a/src/libdoorwood/base/refused_entries.cpp
+++ b/src/libdoorwood/base/refused_entries.cpp
@@ -12,13 +12,14 @@
   }
   if (logged_entries_.size() < kMaxRemembered) {
     logged_entries_.insert(std::move(pair));
-    log_.Write("warn", component_, "an entry is not used",
+    log_.Write("warn", component_, "rejected a directory entry",
                {{"id", id}, {"reason", reason}});
     return;
   }
   if (!limit_logged_) {
     limit_logged_ = true;
-    log_.Write("warn", component_, "further entries that are not used",
+    log_.Write("warn", component_,
+               "further rejected directory entries are not logged",
                {{"told", kMaxRemembered}});
   }
 }
--- a/src/libdoorwood/cell/cell_foreign_entries_test.cpp
+++ b/src/libdoorwood/cell/cell_foreign_entries_test.cpp
@@ -183,9 +183,10 @@
   BOOST_TEST((world.StateOf(kOtherJob) == JobPhase::kCompleted));
   ExpectRunNotMoved();
   BOOST_TEST(world.misdirected_calls() == 0);
-  BOOST_TEST(world.log_count("an entry is not used") <= 256);
-  BOOST_TEST(world.log_count("an entry is not used") > 0);
-  BOOST_TEST(world.log_count("further entries that are not used") <= 1);
+  BOOST_TEST(world.log_count("rejected a directory entry") <= 256);
+  BOOST_TEST(world.log_count("rejected a directory entry") > 0);
+  BOOST_TEST(world.log_count(
+                 "further rejected directory entries are not logged") <= 1);
 }
 
 // --- This system's own keys ---
--- a/src/libdoorwood/cell/cell_members.cpp
+++ b/src/libdoorwood/cell/cell_members.cpp
@@ -152,7 +152,7 @@
   cell_worker->unlisted_since = Instant{};
   cell_worker->entry_rejected = !doubt.empty();
   if (cell_worker->entry_rejected) {
-    refused_.Record(incarnation.id, doubt);
+    rejected_entries_.Record(incarnation.id, doubt);
     return;
   }
   if (incarnation.draining && !known.draining) {
@@ -169,7 +169,7 @@
     return false;
   }
   if (!IsServiceOfAnyQueue(incarnation.service)) {
-    refused_.Record(incarnation.id, "no queue names its service");
+    rejected_entries_.Record(incarnation.id, "no queue names its service");
     return false;
   }
   const auto over = listed_dead_workers_.find(incarnation.id);
