--- a/src/doorwoodd/daemon.h
+++ b/src/doorwoodd/daemon.h
@@ -16,7 +16,7 @@
 #include "doorwood/kv_budget.h"
 #include "doorwood/settings.h"
 #include "doorwoodd/metrics.h"
-#include "http.adapter/front.h"
+#include "http.adapter/http_frontend.h"
 #include "http.adapter/http_sender.h"
 #include "kv.adapter/http_kv.h"
 #include "log.adapter/json_log.h"
--- a/src/fakes/mutate.h
+++ b/src/fakes/mutator.h
@@ -4,8 +4,8 @@
 /// For tests: malformed messages, derived from valid ones by a seeded
 /// generator, as another writer might produce them.
 
-#ifndef DOORWOOD_FAKES_MUTATE_H_
-#define DOORWOOD_FAKES_MUTATE_H_
+#ifndef DOORWOOD_FAKES_MUTATOR_H_
+#define DOORWOOD_FAKES_MUTATOR_H_
 
 #include <algorithm>
 #include <array>
@@ -134,4 +134,4 @@
 
 }  // namespace doorwood::fakes
 
-#endif  // DOORWOOD_FAKES_MUTATE_H_
+#endif  // DOORWOOD_FAKES_MUTATOR_H_
--- a/src/http.adapter/front.cpp
+++ b/src/http.adapter/http_frontend.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-#include "http.adapter/front.h"
+#include "http.adapter/http_frontend.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/http.adapter/front.h
+++ b/src/http.adapter/http_frontend.h
@@ -4,8 +4,8 @@
 /// HTTP server of an entry instance: requests of callers, calls of operators,
 /// health checks and metrics.
 
-#ifndef DOORWOOD_HTTP_ADAPTER_FRONT_H_
-#define DOORWOOD_HTTP_ADAPTER_FRONT_H_
+#ifndef DOORWOOD_HTTP_ADAPTER_HTTP_FRONTEND_H_
+#define DOORWOOD_HTTP_ADAPTER_HTTP_FRONTEND_H_
 
 #include <httplib.h>
 
@@ -89,4 +89,4 @@
 
 }  // namespace doorwood
 
-#endif  // DOORWOOD_HTTP_ADAPTER_FRONT_H_
+#endif  // DOORWOOD_HTTP_ADAPTER_HTTP_FRONTEND_H_
--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -23,7 +23,7 @@
 #include "doorwood/cell_journal.h"
 #include "doorwood/cell_options.h"
 #include "doorwood/cell_policy.h"
-#include "doorwood/crash_guard.h"
+#include "doorwood/crash_policy.h"
 #include "doorwood/event_log.h"
 #include "doorwood/executor.h"
 #include "doorwood/job_table.h"
@@ -34,10 +34,10 @@
 #include "doorwood/place_search.h"
 #include "doorwood/queue_table.h"
 #include "doorwood/record_store.h"
-#include "doorwood/refused_entries.h"
+#include "doorwood/rejected_entry_log.h"
 #include "doorwood/run_worker.h"
 #include "doorwood/ticket_book.h"
-#include "doorwood/wave_keeper.h"
+#include "doorwood/upkeep_wave_controller.h"
 #include "doorwood/worker_session.h"
 
 namespace doorwood {
@@ -247,7 +247,7 @@
   };
 
   // cell_campaign.cpp: becoming the leader; cell_leader.cpp: leading and
-  // stepping down; cell_members.cpp: the cell's workers; cell_calls.cpp: client
+  // stepping down; cell_workers.cpp: the cell's workers; cell_calls.cpp: client
   // requests.
   void ScheduleCampaign();
   void Campaign();
@@ -294,7 +294,7 @@
   void MarkUnlistedWorkers();
   void AddWorker(const WorkerIncarnation& incarnation, bool from_takeover);
   void RemoveGoneWorkers();
-  // cell_member_records.cpp: records of workers for a successor.
+  // cell_worker_records.cpp: records of workers for a successor.
   /// Whether the workers' key in the store has the worker with its current
   /// address. Required before the worker gets any work.
   static bool IsAddressRecorded(const CellWorker& cell_worker);
@@ -380,7 +380,7 @@
   /// Logs which workers are waited for.
   void LogWait();
 
-  // cell_ends.cpp: processing the ends of runs.
+  // cell_run_ends.cpp: processing the ends of runs.
   void CountEnd(Task* task,
                 const WorkerSession& session,
                 uint32_t run,
@@ -480,7 +480,7 @@
   void ClearCrashes(Task* task);
   void OnCrashesRecorded(Job* job);
 
-  // cell_lasting_places.cpp: recorded placements of long-running tasks.
+  // cell_placement_records.cpp: recorded placements of long-running tasks.
   /// Records the placement. Returns false if the start has to wait for the
   /// record.
   bool RequestPlacementRecord(Task* task, const std::string& worker);
--- a/src/include/doorwood/cell_options.h
+++ b/src/include/doorwood/cell_options.h
@@ -13,7 +13,7 @@
 #include "doorwood/cell_journal.h"
 #include "doorwood/cell_policy.h"
 #include "doorwood/lead_proof.h"
-#include "doorwood/wave_keeper.h"
+#include "doorwood/upkeep_wave_controller.h"
 #include "doorwood/worker_session.h"
 
 namespace doorwood {
--- a/src/include/doorwood/cell_policy.h
+++ b/src/include/doorwood/cell_policy.h
@@ -16,10 +16,10 @@
 #include <string_view>
 #include <vector>
 
-#include "doorwood/crash_guard.h"
+#include "doorwood/crash_policy.h"
 #include "doorwood/interference.h"
 #include "doorwood/job_table.h"
-#include "doorwood/lasting_room.h"
+#include "doorwood/long_running_admission.h"
 #include "doorwood/queue_table.h"
 #include "doorwood/run_times.h"
 
--- a/src/include/doorwood/crash_guard.h
+++ b/src/include/doorwood/crash_policy.h
@@ -5,8 +5,8 @@
 /// crash, when a task is given up, and which workers are reserved to run a
 /// suspect alone. Pure decisions; the caller passes the time.
 
-#ifndef DOORWOOD_CRASH_GUARD_H_
-#define DOORWOOD_CRASH_GUARD_H_
+#ifndef DOORWOOD_CRASH_POLICY_H_
+#define DOORWOOD_CRASH_POLICY_H_
 
 #include <cstddef>
 #include <map>
@@ -181,4 +181,4 @@
 
 }  // namespace doorwood
 
-#endif  // DOORWOOD_CRASH_GUARD_H_
+#endif  // DOORWOOD_CRASH_POLICY_H_
--- a/src/include/doorwood/lasting_room.h
+++ b/src/include/doorwood/long_running_admission.h
@@ -12,8 +12,8 @@
 /// left capacity free for a while, and stops while other work needs the
 /// capacity.
 
-#ifndef DOORWOOD_LASTING_ROOM_H_
-#define DOORWOOD_LASTING_ROOM_H_
+#ifndef DOORWOOD_LONG_RUNNING_ADMISSION_H_
+#define DOORWOOD_LONG_RUNNING_ADMISSION_H_
 
 #include "doorwood/types.h"
 
@@ -81,4 +81,4 @@
 
 }  // namespace doorwood
 
-#endif  // DOORWOOD_LASTING_ROOM_H_
+#endif  // DOORWOOD_LONG_RUNNING_ADMISSION_H_
--- a/src/include/doorwood/refused_entries.h
+++ b/src/include/doorwood/rejected_entry_log.h
@@ -4,8 +4,8 @@
 /// Log of list entries that are rejected. Lists are read repeatedly, so each
 /// combination of entry and reason is logged once, up to a limit.
 
-#ifndef DOORWOOD_REFUSED_ENTRIES_H_
-#define DOORWOOD_REFUSED_ENTRIES_H_
+#ifndef DOORWOOD_REJECTED_ENTRY_LOG_H_
+#define DOORWOOD_REJECTED_ENTRY_LOG_H_
 
 #include <cstdint>
 #include <set>
@@ -46,4 +46,4 @@
 
 }  // namespace doorwood
 
-#endif  // DOORWOOD_REFUSED_ENTRIES_H_
+#endif  // DOORWOOD_REJECTED_ENTRY_LOG_H_
--- a/src/include/doorwood/wave_keeper.h
+++ b/src/include/doorwood/upkeep_wave_controller.h
@@ -5,8 +5,8 @@
 /// down, a few at a time, and reports to the operators once every machine was
 /// down.
 
-#ifndef DOORWOOD_WAVE_KEEPER_H_
-#define DOORWOOD_WAVE_KEEPER_H_
+#ifndef DOORWOOD_UPKEEP_WAVE_CONTROLLER_H_
+#define DOORWOOD_UPKEEP_WAVE_CONTROLLER_H_
 
 #include <cstdint>
 #include <functional>
@@ -153,4 +153,4 @@
 
 }  // namespace doorwood
 
-#endif  // DOORWOOD_WAVE_KEEPER_H_
+#endif  // DOORWOOD_UPKEEP_WAVE_CONTROLLER_H_
--- a/src/libdoorwood/base/refused_entries.cpp
+++ b/src/libdoorwood/base/rejected_entry_log.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-#include "doorwood/refused_entries.h"
+#include "doorwood/rejected_entry_log.h"
 
 namespace doorwood {
 
--- a/src/libdoorwood/cell/cell_foreign_entries_test.cpp
+++ b/src/libdoorwood/cell/cell_foreign_entries_test.cpp
@@ -9,9 +9,9 @@
 #include <string>
 
 #include "doorwood/cell_leader.h"
-#include "fakes/mutate.h"
+#include "fakes/mutator.h"
 #include "libdoorwood/cell/cell_fixture.h"
-#include "libdoorwood/cell/cell_world_steps.h"
+#include "libdoorwood/cell/cell_world_util.h"
 
 namespace doorwood {
 namespace {
--- a/src/libdoorwood/cell/cell_late_done_test.cpp
+++ b/src/libdoorwood/cell/cell_late_done_test.cpp
@@ -22,7 +22,7 @@
 
 #include "fakes/cell_world.h"
 #include "libdoorwood/cell/cell_fixture.h"
-#include "libdoorwood/cell/cell_world_steps.h"
+#include "libdoorwood/cell/cell_world_util.h"
 
 namespace doorwood {
 namespace {
--- a/src/libdoorwood/cell/cell_lead_proof_test.cpp
+++ b/src/libdoorwood/cell/cell_lead_proof_test.cpp
@@ -11,7 +11,7 @@
 #include <boost/test/unit_test.hpp>
 #include <string>
 
-#include "libdoorwood/cell/cut_leader_fixture.h"
+#include "libdoorwood/cell/partitioned_leader_fixture.h"
 
 namespace doorwood {
 namespace {
--- a/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "fakes/cell_world.h"
-#include "libdoorwood/cell/cut_leader_fixture.h"
+#include "libdoorwood/cell/partitioned_leader_fixture.h"
 
 namespace doorwood {
 namespace {
--- a/src/libdoorwood/cell/cell_pause_test.cpp
+++ b/src/libdoorwood/cell/cell_pause_test.cpp
@@ -11,7 +11,7 @@
 #include <boost/test/unit_test.hpp>
 #include <string>
 
-#include "libdoorwood/cell/lead_trial_fixture.h"
+#include "libdoorwood/cell/leader_succession_fixture.h"
 
 namespace doorwood {
 namespace {
--- a/src/libdoorwood/cell/cell_random_replacement_test.cpp
+++ b/src/libdoorwood/cell/cell_random_replacement_test.cpp
@@ -11,7 +11,7 @@
 #include <cstdlib>
 #include <string>
 
-#include "libdoorwood/cell/lasting_walk_fixture.h"
+#include "libdoorwood/cell/long_running_fault_walk.h"
 
 namespace doorwood {
 namespace {
--- a/src/libdoorwood/cell/cell_random_restarts_test.cpp
+++ b/src/libdoorwood/cell/cell_random_restarts_test.cpp
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The random walk of cell_lasting_walk_test with more faults: replies of the
-// store are lost, or writes are executed seconds later; workers execute orders
-// seconds later; instances announce a planned shutdown, end, and restart under
-// their names. Checks only that no task runs twice.
+// The random walk of cell_long_running_fault_walk_test with more faults:
+// replies of the store are lost, or writes are executed seconds later; workers
+// execute orders seconds later; instances announce a planned shutdown, end, and
+// restart under their names. Checks only that no task runs twice.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
 #include <string>
 
-#include "libdoorwood/cell/lasting_walk_fixture.h"
+#include "libdoorwood/cell/long_running_fault_walk.h"
 
 namespace doorwood {
 namespace {
--- a/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
+++ b/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
@@ -12,8 +12,8 @@
 #include <string_view>
 #include <vector>
 
-#include "libdoorwood/cell/cell_world_steps.h"
-#include "libdoorwood/cell/lead_trial_fixture.h"
+#include "libdoorwood/cell/cell_world_util.h"
+#include "libdoorwood/cell/leader_succession_fixture.h"
 
 namespace doorwood {
 namespace {
--- a/src/libdoorwood/cell/cell_repeated_takeover_wait_test.cpp
+++ b/src/libdoorwood/cell/cell_repeated_takeover_wait_test.cpp
@@ -7,8 +7,8 @@
 #include <boost/test/unit_test.hpp>
 #include <string>
 
-#include "libdoorwood/cell/cell_world_steps.h"
-#include "libdoorwood/cell/lead_trial_fixture.h"
+#include "libdoorwood/cell/cell_world_util.h"
+#include "libdoorwood/cell/leader_succession_fixture.h"
 
 namespace doorwood {
 namespace {
--- a/src/libdoorwood/cell/cell_run_number_test.cpp
+++ b/src/libdoorwood/cell/cell_run_number_test.cpp
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "fakes/cell_world.h"
-#include "libdoorwood/cell/cell_world_steps.h"
+#include "libdoorwood/cell/cell_world_util.h"
 
 namespace doorwood {
 namespace {
--- a/src/libdoorwood/cell/cell_stale_record_test.cpp
+++ b/src/libdoorwood/cell/cell_stale_record_test.cpp
@@ -12,8 +12,8 @@
 #include <boost/test/unit_test.hpp>
 #include <string>
 
-#include "libdoorwood/cell/cell_world_steps.h"
-#include "libdoorwood/cell/lasting_walk_fixture.h"
+#include "libdoorwood/cell/cell_world_util.h"
+#include "libdoorwood/cell/long_running_fault_walk.h"
 
 namespace doorwood {
 namespace {
--- a/src/libdoorwood/cell/cell_takeover_wait_test.cpp
+++ b/src/libdoorwood/cell/cell_takeover_wait_test.cpp
@@ -11,7 +11,7 @@
 #include <cstdio>
 #include <string>
 
-#include "libdoorwood/cell/cell_world_steps.h"
+#include "libdoorwood/cell/cell_world_util.h"
 
 namespace doorwood {
 namespace {
--- a/src/libdoorwood/cell/cell_unresponsive_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_unresponsive_takeover_test.cpp
@@ -16,7 +16,7 @@
 #include <cstdio>
 #include <string>
 
-#include "libdoorwood/cell/cut_leader_fixture.h"
+#include "libdoorwood/cell/partitioned_leader_fixture.h"
 
 namespace doorwood {
 namespace {
--- a/src/libdoorwood/cell/cell_worker_replacement_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_replacement_test.cpp
@@ -20,7 +20,7 @@
 #include <string>
 
 #include "fakes/cell_world.h"
-#include "libdoorwood/cell/cell_world_steps.h"
+#include "libdoorwood/cell/cell_world_util.h"
 
 namespace doorwood {
 namespace {
--- a/src/libdoorwood/cell/cell_world_steps.h
+++ b/src/libdoorwood/cell/cell_world_util.h
@@ -4,8 +4,8 @@
 /// Queries and actions that several tests use on a world of leaders and
 /// workers.
 
-#ifndef DOORWOOD_CELL_WORLD_STEPS_H_
-#define DOORWOOD_CELL_WORLD_STEPS_H_
+#ifndef DOORWOOD_CELL_WORLD_UTIL_H_
+#define DOORWOOD_CELL_WORLD_UTIL_H_
 
 #include <string>
 
@@ -32,4 +32,4 @@
 
 }  // namespace doorwood::fakes
 
-#endif  // DOORWOOD_CELL_WORLD_STEPS_H_
+#endif  // DOORWOOD_CELL_WORLD_UTIL_H_
--- a/src/libdoorwood/cell/lead_trial_fixture.h
+++ b/src/libdoorwood/cell/leader_succession_fixture.h
@@ -5,8 +5,8 @@
 /// that only the old leader can reach and on one that all can reach. For tests
 /// that repeat a scenario at many points in time.
 
-#ifndef DOORWOOD_LEAD_TRIAL_FIXTURE_H_
-#define DOORWOOD_LEAD_TRIAL_FIXTURE_H_
+#ifndef DOORWOOD_LEADER_SUCCESSION_FIXTURE_H_
+#define DOORWOOD_LEADER_SUCCESSION_FIXTURE_H_
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -123,4 +123,4 @@
 
 }  // namespace doorwood::fakes
 
-#endif  // DOORWOOD_LEAD_TRIAL_FIXTURE_H_
+#endif  // DOORWOOD_LEADER_SUCCESSION_FIXTURE_H_
--- a/src/libdoorwood/cell/lasting_walk_fixture.h
+++ b/src/libdoorwood/cell/long_running_fault_walk.h
@@ -5,8 +5,8 @@
 /// leader wrongly takes a run to have ended and starts the task again, the two
 /// runs overlap and are detected, even much later.
 
-#ifndef DOORWOOD_LASTING_WALK_FIXTURE_H_
-#define DOORWOOD_LASTING_WALK_FIXTURE_H_
+#ifndef DOORWOOD_LONG_RUNNING_FAULT_WALK_H_
+#define DOORWOOD_LONG_RUNNING_FAULT_WALK_H_
 
 #include <cstdint>
 #include <cstdio>
@@ -14,7 +14,7 @@
 #include <string>
 
 #include "fakes/cell_world.h"
-#include "libdoorwood/cell/lead_trial_fixture.h"
+#include "libdoorwood/cell/leader_succession_fixture.h"
 
 namespace doorwood::fakes {
 
@@ -241,4 +241,4 @@
 
 }  // namespace doorwood::fakes
 
-#endif  // DOORWOOD_LASTING_WALK_FIXTURE_H_
+#endif  // DOORWOOD_LONG_RUNNING_FAULT_WALK_H_
--- a/src/libdoorwood/cell/quiet_listener.h
+++ b/src/libdoorwood/cell/null_session_listener.h
@@ -3,8 +3,8 @@
 /// \file
 /// For tests: a session listener that ignores all events and adopts no runs.
 
-#ifndef DOORWOOD_QUIET_LISTENER_H_
-#define DOORWOOD_QUIET_LISTENER_H_
+#ifndef DOORWOOD_NULL_SESSION_LISTENER_H_
+#define DOORWOOD_NULL_SESSION_LISTENER_H_
 
 #include <optional>
 
@@ -28,4 +28,4 @@
 
 }  // namespace doorwood::fakes
 
-#endif  // DOORWOOD_QUIET_LISTENER_H_
+#endif  // DOORWOOD_NULL_SESSION_LISTENER_H_
--- a/src/libdoorwood/cell/cut_leader_fixture.h
+++ b/src/libdoorwood/cell/partitioned_leader_fixture.h
@@ -4,8 +4,8 @@
 /// A leader and its successors with network partitions between them, for tests
 /// of which leader may conclude that runs have ended.
 
-#ifndef DOORWOOD_CUT_LEADER_FIXTURE_H_
-#define DOORWOOD_CUT_LEADER_FIXTURE_H_
+#ifndef DOORWOOD_PARTITIONED_LEADER_FIXTURE_H_
+#define DOORWOOD_PARTITIONED_LEADER_FIXTURE_H_
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -79,4 +79,4 @@
 
 }  // namespace doorwood::fakes
 
-#endif  // DOORWOOD_CUT_LEADER_FIXTURE_H_
+#endif  // DOORWOOD_PARTITIONED_LEADER_FIXTURE_H_
--- a/src/libdoorwood/cell/worker_lease_clock_test.cpp
+++ b/src/libdoorwood/cell/worker_lease_clock_test.cpp
@@ -13,7 +13,7 @@
 
 #include "doorwood/worker_session.h"
 #include "fakes/fakes.h"
-#include "libdoorwood/cell/quiet_listener.h"
+#include "libdoorwood/cell/null_session_listener.h"
 #include "standin/run_worker_model.h"
 
 namespace doorwood {
--- a/src/libdoorwood/policy/crash_guard_test.cpp
+++ b/src/libdoorwood/policy/crash_policy_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-#include "doorwood/crash_guard.h"
+#include "doorwood/crash_policy.h"
 
 #include <boost/test/unit_test.hpp>
 #include <string>
--- a/src/libdoorwood/policy/lasting_room_test.cpp
+++ b/src/libdoorwood/policy/long_running_admission_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-#include "doorwood/lasting_room.h"
+#include "doorwood/long_running_admission.h"
 
 #include <boost/test/unit_test.hpp>
 
--- a/src/libdoorwood/pool/wave_keeper.cpp
+++ b/src/libdoorwood/pool/upkeep_wave_controller.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-#include "doorwood/wave_keeper.h"
+#include "doorwood/upkeep_wave_controller.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/soak/callers.h
+++ b/src/soak/callers.h
@@ -13,7 +13,7 @@
 #include <string>
 
 #include "loop.adapter/http_client.h"
-#include "platform/standin/soak_words.h"
+#include "platform/standin/soak_messages.h"
 #include "soak/world.h"
 
 namespace doorwood::soak {
--- a/src/soak/config_watch.cpp
+++ b/src/soak/config_probe.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-#include "soak/config_watch.h"
+#include "soak/config_probe.h"
 
 #include <string>
 
-#include "platform/standin/soak_words.h"
+#include "platform/standin/soak_messages.h"
 
 namespace doorwood::soak {
 namespace {
--- a/src/soak/config_watch.h
+++ b/src/soak/config_probe.h
@@ -3,8 +3,8 @@
 /// \file
 /// Probes, as a caller, which configuration version each instance serves.
 
-#ifndef DOORWOOD_SOAK_CONFIG_WATCH_H_
-#define DOORWOOD_SOAK_CONFIG_WATCH_H_
+#ifndef DOORWOOD_SOAK_CONFIG_PROBE_H_
+#define DOORWOOD_SOAK_CONFIG_PROBE_H_
 
 #include <functional>
 #include <map>
@@ -54,4 +54,4 @@
 
 }  // namespace doorwood::soak
 
-#endif  // DOORWOOD_SOAK_CONFIG_WATCH_H_
+#endif  // DOORWOOD_SOAK_CONFIG_PROBE_H_
--- a/src/soak/http_door.cpp
+++ b/src/soak/http_test_server.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-#include "soak/http_door.h"
+#include "soak/http_test_server.h"
 
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http.hpp>
--- a/src/soak/http_door.h
+++ b/src/soak/http_test_server.h
@@ -4,8 +4,8 @@
 /// A small HTTP server whose handlers get the value of one header and may reset
 /// the connection instead of answering.
 
-#ifndef DOORWOOD_SOAK_HTTP_DOOR_H_
-#define DOORWOOD_SOAK_HTTP_DOOR_H_
+#ifndef DOORWOOD_SOAK_HTTP_TEST_SERVER_H_
+#define DOORWOOD_SOAK_HTTP_TEST_SERVER_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -49,4 +49,4 @@
 
 }  // namespace doorwood::soak
 
-#endif  // DOORWOOD_SOAK_HTTP_DOOR_H_
+#endif  // DOORWOOD_SOAK_HTTP_TEST_SERVER_H_
--- a/src/soak/main.cpp
+++ b/src/soak/main.cpp
@@ -13,7 +13,7 @@
 
 #include "loop.adapter/loop_executor.h"
 #include "soak/callers.h"
-#include "soak/config_watch.h"
+#include "soak/config_probe.h"
 #include "soak/fault_player.h"
 #include "soak/scenario.h"
 #include "soak/world.h"
--- a/src/soak/task_watch.cpp
+++ b/src/soak/task_checker.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-#include "soak/task_watch.h"
+#include "soak/task_checker.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/soak/task_watch.h
+++ b/src/soak/task_checker.h
@@ -3,8 +3,8 @@
 /// \file
 /// Checks what workers and callers observe against the scheduling rules.
 
-#ifndef DOORWOOD_SOAK_TASK_WATCH_H_
-#define DOORWOOD_SOAK_TASK_WATCH_H_
+#ifndef DOORWOOD_SOAK_TASK_CHECKER_H_
+#define DOORWOOD_SOAK_TASK_CHECKER_H_
 
 #include <cstdint>
 #include <functional>
@@ -131,4 +131,4 @@
 
 }  // namespace doorwood::soak
 
-#endif  // DOORWOOD_SOAK_TASK_WATCH_H_
+#endif  // DOORWOOD_SOAK_TASK_CHECKER_H_
--- a/src/soak/world.cpp
+++ b/src/soak/world.cpp
@@ -11,7 +11,7 @@
 
 #include "doorwood/json_codec.h"
 #include "doorwood/live_directory.h"
-#include "platform/standin/soak_words.h"
+#include "platform/standin/soak_messages.h"
 
 namespace doorwood::soak {
 namespace {
--- a/src/soak/world.h
+++ b/src/soak/world.h
@@ -19,7 +19,7 @@
 #include "platform/standin/soak_worker.h"
 #include "soak/child.h"
 #include "soak/link.h"
-#include "soak/task_watch.h"
+#include "soak/task_checker.h"
 
 namespace doorwood::soak {
 
