--- a/src/include/doorwood/cell_journal.h
+++ b/src/include/doorwood/cell_journal.h
@@ -54,16 +54,18 @@
 struct KnownWorker {
   std::string id;
   std::string address;
-  /// For how long leaders since the last one in contact with the worker have
-  /// led without contacting it. None of them extended a lease there, so a
-  /// successor need not wait for this time again. If the last leader in contact
-  /// recorded the worker as unresponsive itself: the time since its last order
-  /// that extended a lease there, plus what a successor would wait for its
-  /// orders after that.
+  /// Time during which no leader extended a lease on the worker, so a successor
+  /// deducts it from its wait for the worker's runs; zero: the worker is in
+  /// contact. If the recording leader has not contacted the worker: the value
+  /// that it found at its takeover, plus the time that it has led. If the
+  /// worker became unresponsive to the recording leader: the time since that
+  /// leader's last order that extended a lease there, plus
+  /// `CellOptions::order_grace`, which a successor would wait for its orders
+  /// after that.
   Millis not_contacted_for{0};
   /// All tasks that may run there or whose end there is not recorded. No leader
-  /// starts anything else there until a newer record says otherwise. Empty: any
-  /// task may run there.
+  /// starts another task there until a newer record has no such list. Empty
+  /// optional: any task may run there.
   std::optional<std::vector<std::string>> tasks;
 };
 
@@ -78,9 +80,9 @@
 std::string EncodeSequence(uint64_t sequence, int64_t placements_valid_to);
 /// Returns 0 if the text is not of that form.
 uint64_t DecodeSequence(std::string_view text);
-/// The writer of this chain key starts nothing that `KnownWorker::tasks`
-/// excludes. Versions that did not know these task lists did not write the
-/// field.
+/// Whether the leader that wrote this chain key starts no task that
+/// `KnownWorker::tasks` excludes. Versions that did not know these task lists
+/// did not write the field.
 bool KeepsToTaskLists(std::string_view text);
 /// JournalOwner::PlacementsValidTo of the writer of this chain key; 0: unknown.
 int64_t DecodePlacementsValidTo(std::string_view text);
@@ -91,7 +93,7 @@
 std::vector<KnownWorker> DecodeWorkers(std::string_view text);
 
 struct JournalOptions {
-  /// How long changes that no caller waits for are gathered.
+  /// How long changes that are not urgent are collected before they are sent.
   Millis delay{80};
   Millis retry_pause{120};
   /// Longest time that a caller waits for its job to be recorded.
@@ -99,7 +101,7 @@
   CommitFlowOptions flow;
 };
 
-/// The cell as seen by the journal.
+/// The cell whose records the journal writes.
 class JournalOwner {
  public:
   virtual ~JournalOwner() = default;
@@ -108,8 +110,9 @@
   /// Recorded placements of long-running tasks are reliable for instances that
   /// registered in the store up to this revision; 0: for none.
   virtual int64_t PlacementsValidTo() = 0;
-  /// For each worker with ends that are not recorded yet, the highest end it
-  /// has listed. All jobs changed by those ends are marked dirty.
+  /// For each worker with ends that are not recorded yet, the number of the
+  /// newest end that it has listed. All jobs changed by those ends are marked
+  /// dirty.
   virtual std::map<std::string, uint64_t> HighestUnrecordedEnds() = 0;
 
   virtual void OnAccepted(const JobPlan& plan) = 0;
@@ -146,27 +149,31 @@
   /// Answers all pending calls; sends nothing more.
   void Close();
 
-  /// Refused at once, as certainly not accepted, if the store does not accept
-  /// batches, is unresponsive, or would record the job later than callers wait.
+  /// Records a new job, then runs `done`. Unless the job is already being
+  /// recorded, refuses it at once, as certainly not accepted, if the store does
+  /// not accept batches, is unresponsive, or is expected to record the job too
+  /// late (`CommitFlowOptions::max_record_wait`).
   void Accept(JobPlan plan, AcceptCallback done);
   void MarkDirty(const std::string& job, bool urgent);
   /// Replaces the workers stored under the workers' key.
   void SetWorkers(std::vector<KnownWorker> workers);
-  /// For a leader that hands over: new jobs and changes with waiting callers
-  /// that are pending now are still recorded, later ones are not. Ends that are
-  /// not recorded stay listed by their workers.
+  /// For a leader that shuts down: new jobs and urgent changes that are pending
+  /// now are still recorded, later ones are not. Workers continue to list ends
+  /// that are not recorded.
   void Seal();
-  /// After `Seal`: all that had to be recorded is, and no batch is in flight.
+  /// After `Seal`: everything that still had to be recorded is in the store,
+  /// and no batch is in flight.
   bool is_drained() const;
   /// Sends a batch soon, even if there is nothing to record.
   void RequestCommit();
   /// Removes all keys of a job that ended long ago.
   void RemoveJob(const std::string& job);
 
-  /// The job is being recorded and may already be stored.
+  /// The new job is queued, or in a batch in flight and may already be stored.
   bool IsRecording(std::string_view job) const;
-  /// Every change is in the store.
+  /// Every change is in the store, except for removals of old jobs.
   bool idle() const;
+  /// Number of batches sent, counting repeated attempts.
   uint64_t commits() const { return commits_; }
   /// Records waiting to be sent: new jobs and states.
   size_t waiting() const { return accepts_.size() + dirty_.size(); }
@@ -201,9 +208,9 @@
     bool force_commit = false;
   };
 
-  /// Ends that workers had listed at one time, and the jobs changed by them
-  /// whose new state is not recorded yet, each with the number of the first
-  /// batch that contains that state.
+  /// The newest end that each worker had listed at one time, and the jobs whose
+  /// states have to be recorded before these ends are: each with the number of
+  /// the first batch that may contain its state.
   struct EndsToRecord {
     std::map<std::string, uint64_t> ends;
     std::map<std::string, uint64_t> jobs;
@@ -214,7 +221,8 @@
   std::optional<size_t> FindLaneToSend() const;
   bool HasPendingWork() const;
   bool HasSealedUrgentJobs() const;
-  /// Empty if there is only what other lanes carry already.
+  /// Builds the lane's next batch. Empty: there is nothing to send, or only
+  /// changes of jobs that other lanes carry.
   std::optional<Batch> Build(size_t lane);
   void CaptureEnds();
   void AddWorkers(Batch* batch);
@@ -230,14 +238,15 @@
   void OnConflict(size_t lane, const StoreCommit& commit);
   void OnRejected(size_t lane);
   void OnCommitted(size_t lane, int64_t revision);
-  /// Removes a batch whose outcome is known from its lane.
+  /// Takes a batch whose outcome is known out of its lane.
   Batch DetachBatch(size_t lane);
-  /// Puts everything in the batch that is not answered back into the queues.
+  /// Puts the contents of the batch back into the queues, except for new jobs
+  /// whose callers have been answered.
   void Requeue(Batch batch);
   void AnswerExpiredAccepts();
   void RejectQueuedAccepts();
   void RejectAccept(PendingAccept* accept);
-  /// A lane carries the job, so it may still take effect.
+  /// A batch in flight carries the new job, so it may still be accepted.
   bool IsInFlight(std::string_view job) const;
   static void CompleteAccept(PendingAccept* accept,
                              std::error_code error,
@@ -259,7 +268,7 @@
   uint64_t batches_ = 0;
   std::vector<KnownWorker> workers_;
   bool workers_changed_ = false;
-  /// A lane carries the workers.
+  /// A batch in flight carries the workers.
   bool workers_in_flight_ = false;
   /// The next batch is sent even if it is empty, to find out whether the store
   /// accepts batches again.
@@ -268,7 +277,8 @@
   /// Jobs whose state is to be recorded, and the order in which they changed.
   std::set<std::string> dirty_;
   std::deque<std::string> dirty_order_;
-  /// Those that a caller waits for.
+  /// Jobs in `dirty_` that are recorded without delay, for example because a
+  /// caller waits.
   std::set<std::string> urgent_;
   /// Once sealed: the urgent jobs that still have to be recorded.
   std::optional<std::set<std::string>> sealed_urgent_;
--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -60,11 +60,11 @@
 
 /// Leads one cell while this process holds the cell's lead key in the store.
 ///
-/// An instance is on standby until the lead is vacant and its turn to campaign
-/// has come. The store revision at which it writes the lead key is its epoch,
-/// which is also the fencing token of its orders: a worker refuses orders with
-/// a lower token than the highest it has seen. Before it leads, the instance
-/// reads the records of earlier leaders.
+/// An instance is on standby until the lead is vacant and the instance's
+/// campaign delay has passed. The store revision at which it writes the lead
+/// key is its epoch, which is also the fencing token of its orders: a worker
+/// refuses orders with a lower token than the highest it has seen. Before it
+/// leads, the instance reads the records of earlier leaders.
 ///
 /// Runs that earlier leaders ordered may still be active on workers that this
 /// leader has not yet contacted. A task that may be among them is held back
@@ -111,10 +111,11 @@
   void OnLeadHandedOver(int64_t epoch);
 
   bool leading() const { return stage_ == Stage::kLeading; }
-  /// Time since the store last answered this instance. A leader that cannot
-  /// reach the store asks for this, since it may continue only while no other
-  /// instance can take over. Empty if this instance cannot reach the store but
-  /// leads or campaigns, so that it is not counted as unable to lead.
+  /// Time since the store last answered this instance. A leader on another
+  /// instance queries this when it cannot reach the store, since it may
+  /// continue only while no other instance can take over. Empty if this
+  /// instance cannot reach the store either, but leads or campaigns: the other
+  /// leader must not count it as unable to lead.
   std::optional<Millis> TimeSinceStoreAnswer(Instant now) const;
   /// Agrees that a leader which cannot reach the store starts long-running
   /// tasks without recording their placement. Returns false if this instance
@@ -186,56 +187,66 @@
     /// The worker's address under the workers' key in the store. Empty: the key
     /// does not name the worker.
     std::optional<std::string> recorded_address;
-    /// Whether the directory lists the worker, and since when it does not.
+    /// The newest directory read has a valid entry for the worker.
     bool listed = false;
+    /// Since when the directory has no entry for the worker; zero: it has one,
+    /// or was not read yet.
     Instant unlisted_since{};
     /// The directory entry is unreadable or contradicts this incarnation, so
     /// another process wrote it. The worker gets no new work; its runs
     /// continue.
     bool entry_rejected = false;
-    /// No new work is placed there before this time, because its machine is
-    /// being evacuated for maintenance. Extended while the evacuation
-    /// continues.
+    /// No new work is placed on the worker before this time, because its
+    /// machine is being evacuated for maintenance. Extended while the
+    /// evacuation continues.
     Instant evacuated_until{};
-    /// Known from the record of an earlier leader. Its runs have to be
-    /// accounted for before any task is started that may still run there.
+    /// The worker was added from an earlier leader's record. A task that may
+    /// still run there is not started before the worker's runs are accounted
+    /// for.
     bool from_takeover = false;
-    /// Time that earlier leaders already waited for the worker without contact.
+    /// `KnownWorker::not_contacted_for` of the worker at the takeover, which
+    /// shortens the wait for its runs. If it is not zero, the age of the record
+    /// is added as far as it is known.
     Millis predecessors_waited{0};
-    /// Tasks that may run there according to an earlier leader's record. Empty
-    /// optional: any task may.
+    /// Tasks that may run on the worker according to an earlier leader's
+    /// record. Empty optional: any task may.
     std::optional<std::vector<std::string>> inherited_tasks;
-    /// The record in the store may state that the worker is not in contact. No
-    /// lease is extended there until a newer record states otherwise, because a
-    /// successor relies on it.
+    /// The record in the store may state that the worker is not in contact.
+    /// Since a successor relies on the record, no lease is extended on the
+    /// worker until a newer record states that it is in contact.
     bool renewals_blocked = false;
-    /// Whether the worker got no new work when `submitted_record` was passed to
-    /// the journal, and the session's version of its task list at that time.
+    /// Whether the worker was closed to new work when `submitted_record` was
+    /// passed to the journal.
     bool submitted_as_closed = false;
+    /// `WorkerSession::tasks_version` when `submitted_record` was passed to the
+    /// journal.
     uint64_t submitted_version = kNeverSubmitted;
-    /// The record in the store may list all tasks that may run there. Nothing
-    /// is started there until a newer record has no such list, because a
-    /// successor relies on it.
+    /// The record in the store may list all tasks that may run on the worker.
+    /// Since a successor relies on the list, nothing is started on the worker
+    /// until a newer record has no such list.
     bool starts_blocked = false;
-    /// The incarnation is proven to have ended, and the unconfirmed crash notes
-    /// for it have been confirmed.
+    /// The incarnation is proven to have ended, and `HandleDeadWorkers` has
+    /// confirmed the unconfirmed crash notes for it.
     bool death_processed = false;
     /// The worker is in contact again, and a record that says so is pending.
     bool contact_record_pending = false;
-    /// Gets no new work before this time, because it refused a start.
+    /// The worker gets no new work before this time, because it refused a
+    /// start.
     Instant backoff_until{};
-    /// Free capacity as last computed for placement, the session's version it
-    /// was computed from, and when.
+    /// The worker's free capacity as last computed for placement.
     CandidateWorker candidate;
+    /// `WorkerSession::version` from which `candidate` was computed.
     uint64_t candidate_version = 0;
+    /// When `candidate` was computed.
     Instant candidate_at{};
   };
-  /// Name of a task, and the note of a crash under it.
+  /// Name of a task, and a note of a worker crash to be added to the task.
   using TaskCrashNote = std::pair<std::string, CrashNote>;
   /// A caller that waits for a cancellation to be recorded.
   struct PendingCancel {
     CancelCallback done;
-    Instant until{};
+    /// When `done` gets kOutcomeUnknown if the cancellation is not recorded.
+    Instant deadline{};
   };
   /// A step with tasks that are ready to start. Lists of these are sorted by
   /// urgency, most urgent first.
@@ -254,9 +265,11 @@
   /// Earliest time at which this instance may campaign for a vacant lead.
   Instant EarliestCampaignTime() const;
   bool MayCampaign() const;
+  /// Whether workers and instances of the data centre belong to this cell.
   bool BelongsToCell(std::string_view data_centre) const;
   void OnCampaignWon(int64_t epoch);
   void ReadRecords();
+  /// Restores the state that earlier leaders recorded, and begins to lead.
   void Restore(const StoreItems& items);
   /// Returns the number of open jobs.
   int RestoreJobs(const StoreItems& items);
@@ -265,13 +278,17 @@
   std::map<size_t, ChainLink> ReadChains(const StoreItems& items,
                                          const StoreItem** newest) const;
   std::vector<KnownWorker> ReadKnownWorkers(const StoreItems& items) const;
-  /// Lower bound on the age of a record that was written at `revision`.
+  /// Lower bound on the age of a record that was written at `revision`; zero if
+  /// the age is not known.
   Millis AgeOfRecord(int64_t revision) const;
   void StepDown(std::string_view reason);
-  /// In the last phase of a planned shutdown: no task is started and no call is
-  /// accepted.
-  bool IsHandingOver() const;
+  /// Whether a planned shutdown is in its last phase, in which no task is
+  /// started and no new job or cancellation is accepted.
+  bool IsInLastShutdownPhase() const;
+  /// Removes this instance's lead key, then completes a planned shutdown.
   void ReleaseLeadKey();
+  /// Steps down because this instance cannot reach the store, and asks
+  /// `successor`, which can, to remove the lead key.
   void HandOverLead(const LiveInstance& successor);
   void ReadWorkers();
   void ReadClosedDataCentres();
@@ -288,58 +305,80 @@
   /// Whether a worker that is not known yet may be added to the cell.
   bool MayAddWorker(const WorkerIncarnation& incarnation);
   bool IsServiceOfAnyQueue(const std::string& service) const;
-  /// Removes from `listed_dead_workers_` what is no longer listed.
+  /// Removes the workers that the directory no longer lists from
+  /// `listed_dead_workers_`.
   void ForgetUnlistedDeadWorkers(
       const std::vector<WorkerIncarnation>& incarnations);
+  /// Sets `CellWorker::unlisted_since` for workers without a directory entry.
   void MarkUnlistedWorkers();
   void AddWorker(const WorkerIncarnation& incarnation, bool from_takeover);
+  /// Removes workers that are dead or not listed, once no run, unrecorded end
+  /// or wait of a takeover is left there.
   void RemoveGoneWorkers();
   // cell_worker_records.cpp: records of workers for a successor.
   /// Whether the workers' key in the store has the worker with its current
   /// address. Required before the worker gets any work.
   static bool IsAddressRecorded(const CellWorker& cell_worker);
-  /// Not yet contacted: during a takeover, a worker of an earlier leader that
-  /// has not answered this one. This leader has extended no lease there.
+  /// Whether the worker was added from an earlier leader's record, has not
+  /// answered this leader, and its runs are not accounted for. This leader has
+  /// extended no lease there.
   bool IsUncontacted(const CellWorker& cell_worker) const;
-  /// Unresponsive, after it was in contact, for most of its runs' lease.
+  /// Whether the worker was in contact, but its newest poll failed and no order
+  /// extended a lease there for `CellOptions::unresponsive_record_delay`.
   bool IsLongUnresponsive(const CellWorker& cell_worker) const;
-  /// How long no leader has extended a lease there; zero: in contact.
+  /// The value of `KnownWorker::not_contacted_for` to record for the worker
+  /// now.
   Millis TimeWithoutRenewal(const CellWorker& cell_worker) const;
+  /// Time since this leader finished reading the records of earlier leaders.
   Millis TimeLeading() const;
+  /// Records periodically how long workers have been out of contact.
   void RecordUnreachableWorkers();
   std::vector<KnownWorker> BuildWorkerRecords() const;
+  /// Passes the current records of all workers to the journal.
   void RecordWorkers();
-  /// Tasks that may run there, or whose end there is not recorded. Empty
-  /// optional: any task may run there or be started there.
+  /// Tasks that may run on the worker, or whose end there is not recorded.
+  /// Empty optional: any task may run there or be started there.
   std::optional<std::vector<std::string>> TasksToRecord(
       const CellWorker& cell_worker) const;
-  /// Whether the worker gets no new work: it is leaving, has left, was never in
-  /// contact or has been unresponsive for long. One that has left stays closed
-  /// until it is listed again. Not meant for workers that are not yet contacted
-  /// after a takeover.
-  bool GetsNoNewWork(const CellWorker& cell_worker) const;
+  /// Whether the worker gets no new work because it is dead, is leaving, has
+  /// left, was never in contact or has been unresponsive for long. A worker
+  /// that has left stays closed until it is listed again. Must not be called
+  /// for workers that are not yet contacted after a takeover.
+  bool IsClosedToNewWork(const CellWorker& cell_worker) const;
+  /// Whether the worker was closed to new work or opened again, or its task
+  /// list changed while it was closed, since its record was last passed to the
+  /// journal.
   bool HasUnrecordedTaskChanges(const CellWorker& cell_worker) const;
-  /// Records changed task lists of workers that get no new work.
+  /// Records the workers if the task list of one that is closed to new work has
+  /// changed, or a worker was closed or opened again.
   void RecordTasksOfClosedWorkers();
-  /// Time until which orders may be sent and leases extended.
+  /// Time until which orders may be sent and leases extended; zero while this
+  /// process does not lead, or was paused and its lead is not confirmed again.
   Instant OrderDeadline() const;
-  /// Extends `order_deadline_` by what is known of the lead key, or by the
-  /// other instances' answers that none of them can lead. Those answers count
-  /// only before the current deadline. Once it has passed, another instance may
-  /// have led, and only the lead key proves the lead.
+  /// Extends `order_deadline_` to `CellOptions::order_grace` after the lead key
+  /// was last confirmed, or for as long as the other instances' answers that
+  /// none of them can lead are valid. Those answers count only before the
+  /// current deadline: once it has passed, another instance may have led, and
+  /// only the lead key proves the lead.
   void ExtendOrderDeadline();
   bool MaySendOrders() const;
   /// Whether the lead key was confirmed within
   /// `CellOptions::lead_confirmed_for`.
   bool IsLeadConfirmed() const;
-  /// Sets until when the worker's session may extend leases, and until when
-  /// this instance provably led.
+  /// Passes to the worker's session until when it may extend leases, and until
+  /// when this instance provably led.
   void UpdateSessionLimits(const CellWorker& cell_worker,
-                           Instant orders_until) const;
+                           Instant order_deadline) const;
+  /// Longest wait of polls that watch interference; longer in larger cells.
   Millis InterferencePollWait() const;
   void Tick();
-  void ForgetOldJobs();
+  /// Removes jobs that ended more than `CellOptions::finished_job_retention`
+  /// ago.
+  void RemoveOldJobs();
+  /// Answers callers whose cancellation was not recorded in time.
   void ExpireCancels();
+  /// Whether the long-running steps of the plan fit on the workers of its
+  /// service; true if this is not known.
   bool HasLongRunningCapacity(const JobPlan& plan);
   CellSummary Summarize() const;
   LongRunningAdmission& LongRunningAdmissionOf(const std::string& service);
@@ -348,12 +387,14 @@
   void ObserveLoads();
 
   // cell_takeover.cpp: runs that earlier leaders may have left active.
+  /// Releases tasks, and ends the takeover once no worker is waited for.
   void CheckTakeover();
-  /// Releases tasks that cannot be active on any worker that is still waited
-  /// for.
+  /// Allows the start of tasks that cannot be active on any worker that is
+  /// still waited for.
   void ReleaseTasks();
-  /// Longest time that a run may continue after an earlier leader's last order.
-  Millis MaxRunTimeAfterLastOrder() const;
+  /// Longest time that a run may continue after its leader lost the lead: that
+  /// leader may still extend leases for `CellOptions::order_grace`.
+  Millis MaxRunTimeAfterLeadLoss() const;
   /// Whether a worker of an earlier leader has answered, but has not yet listed
   /// the ends of all its runs.
   bool HasUnlistedEnds(const CellWorker& cell_worker) const;
@@ -377,10 +418,11 @@
   /// Whether a worker that is still waited for may run the task, or may have
   /// ended it without having reported this.
   bool MayRunOnUncontacted(const Task& task) const;
-  /// Logs which workers are waited for.
+  /// Logs which workers the takeover waits for.
   void LogWait();
 
   // cell_run_ends.cpp: processing the ends of runs.
+  /// Applies the end of a run to its task and its job.
   void CountEnd(Task* task,
                 const WorkerSession& session,
                 uint32_t run,
@@ -401,10 +443,11 @@
   /// done tasks.
   void StopRunsOfCompletedTask(const Task& task);
   int MaxAttempts(const Job& job) const;
-  /// Number of the task's run that is known to be on a worker.
+  /// Number of the task's run that a session has on its worker; empty: none.
   std::optional<uint32_t> NumberOfPlacedRun(const std::string& task) const;
   /// The queue as currently or last configured; null: never configured.
   const Queue* QueueOf(const Job& job) const;
+  /// Passes the job to the journal if its state has changed.
   void MarkDirty(Job* job, bool urgent);
 
   // cell_crashes.cpp: worker crashes, and the crash notes of tasks.
@@ -414,12 +457,16 @@
   std::optional<CrashEvidence> DetectCrash(const WorkerSession& session) const;
   /// Runs of open jobs that had started on the worker.
   std::vector<const Run*> RunsAtCrash(const WorkerSession& session);
+  /// Notes for the runs there that may have caused the crash, and for
+  /// bystanders.
   std::vector<TaskCrashNote> AttributeCrash(const WorkerSession& session,
                                             CrashEvidence evidence);
-  /// Withdraws the unconfirmed crash notes of the runs there.
-  void DropUnreportedCrashes(const WorkerSession& session);
+  /// Removes the unconfirmed crash notes of the runs on the worker.
+  void RemoveUnconfirmedCrashes(const WorkerSession& session);
+  /// Notes crashes for workers whose incarnation is newly proven to have ended.
   void HandleDeadWorkers();
-  void ConfirmUnreportedCrashes(const std::string& worker);
+  /// Confirms the unconfirmed crash notes that name the worker.
+  void ConfirmCrashes(const std::string& worker);
   /// Notes a crash for the tasks that may have been on a worker that went down
   /// before this leader was in contact with it.
   void NoteCrashOfUncontactedWorker(const std::string& worker,
@@ -437,7 +484,7 @@
                 bool mass_crash) const;
   void NoteCrash(Task* task, const CrashNote& crash);
   void FailJobOfCrashingTask(Task* task);
-  /// Random number from 0 to 1.
+  /// Random number from 0 to below 1.
   double Jitter();
   // cell_suspects.cpp: trial runs of tasks that may crash their workers.
   static bool IsSuspect(const Task& task);
@@ -451,10 +498,11 @@
                         const std::vector<CandidateWorker*>& candidates) const;
   /// Whether an earlier leader may have started the task after the last crash
   /// that it recorded.
-  static bool MayHaveUnreportedCrash(const Task& task);
-  /// Notes a possible unreported start by an earlier leader. Returns false if
-  /// there is none to note.
-  bool NoteUnreportedCrash(Task* task);
+  static bool MayHaveUnconfirmedCrash(const Task& task);
+  /// Notes an unconfirmed crash if an earlier leader may have started the task
+  /// after the last crash that it recorded. Returns false if there is none to
+  /// note.
+  bool NoteUnconfirmedCrash(Task* task);
   /// Records that the task's next trial run is on this worker. Returns false if
   /// the start has to wait for the record.
   bool RecordTrial(Task* task, const WorkerIncarnation& incarnation);
@@ -476,32 +524,40 @@
   /// `active_for`.
   void ScheduleTrialPoll(const std::shared_ptr<WorkerSession>& session,
                          Millis active_for);
+  /// Ends trials whose task has ended, and notes which suspects were observed
+  /// running for long enough.
   void UpdateTrials();
   void ClearCrashes(Task* task);
   void OnCrashesRecorded(Job* job);
 
   // cell_placement_records.cpp: recorded placements of long-running tasks.
-  /// Records the placement. Returns false if the start has to wait for the
-  /// record.
+  /// Requests a record that the long-running task may run on the worker.
+  /// Returns false if the start has to be deferred until it is stored.
   bool RequestPlacementRecord(Task* task, const std::string& worker);
-  /// Records the placement of a run that is already active.
+  /// Requests a record that the long-running task, whose run is already active
+  /// on the worker, may run there.
   void RecordAdoptedPlacement(Task* task, const std::string& worker);
-  /// Whether starts need not be recorded: no instance can reach the store, and
-  /// all of them agreed.
+  /// Whether long-running tasks may be started before their placement is
+  /// recorded: no instance can reach the store, and all of them agreed.
   bool MayStartUnrecorded() const;
-  void ReleaseHeldStarts();
-  /// Whether the held start may still be ordered on the worker: nothing has
+  /// Sends the deferred starts whose placement is recorded or need not be, and
+  /// drops those whose worker no longer accepts orders.
+  void SendDeferredStarts();
+  /// Whether a deferred start may still be ordered on the worker: nothing has
   /// closed the worker since it was chosen.
-  bool MayReleaseStartOn(const CellWorker& cell_worker) const;
-  /// Whether, as far as can be known, the store has the placement of every
-  /// long-running task.
+  bool MaySendDeferredStart(const CellWorker& cell_worker) const;
+  /// Whether, as far as this leader can know, the store has the placement of
+  /// every long-running task.
   bool ArePlacementsRecorded() const;
   /// Lets instances that registered recently rely on the recorded placements.
   void PublishRecordedPlacements();
 
   // cell_overdue.cpp: runs that take far longer than expected.
   void LogOverdueRuns();
+  /// Writes at most `*lines` log lines and subtracts their number.
   void LogOverdueRunsOf(WorkerSession& session, int* lines);
+  /// Whether the run takes far longer than `*expected`, which is set, and was
+  /// not logged recently.
   bool IsOverdue(const Run& run, Millis* expected) const;
 
   // cell_scheduling.cpp: starting and moving tasks; cell_places.cpp: free
@@ -513,17 +569,18 @@
   void SortReadySteps(std::vector<ReadyStep>* ready) const;
   /// Sets when tasks that are ready for the first time became ready.
   void RecordReadySince(const std::vector<ReadyStep>& ready);
-  /// Each worker as placement sees it, brought up to date.
+  /// Brings the free capacity of all workers up to date and returns it.
   std::vector<CandidateWorker*> CollectCandidates();
-  /// Whether work that was placed on the worker may be ordered there.
+  /// Whether the start of a task that was placed on the worker may be ordered.
   bool MayReceiveOrders(const CellWorker& cell_worker) const;
-  /// Whether the worker may get new work, apart from being reserved for a trial
-  /// run.
+  /// Whether the worker may get new work. Ignores reservations for trial runs.
   bool MayReceiveNewWork(const std::string& id,
                          const CellWorker& cell_worker) const;
   void RefreshCandidate(const std::string& id, CellWorker* cell_worker);
   bool IsReady(const Task& task) const;
-  bool MayBeAtLastAttempt(const Task& task) const;
+  /// Whether the task has used up its attempts if every run that an earlier
+  /// leader may have left without a recorded end has failed.
+  bool MayHaveUsedUpAttempts(const Task& task) const;
   void PlaceStep(const ReadyStep& ready,
                  const std::vector<CandidateWorker*>& candidates);
   void PlaceGang(const ReadyStep& ready,
@@ -536,7 +593,7 @@
                      size_t place,
                      int planned,
                      StepCandidates* places) const;
-  /// Evaluates all workers that have changed after that pass.
+  /// Evaluates all workers that have changed after the scheduling pass `pass`.
   void EvaluateChangedPlaces(const ReadyStep& ready,
                              const TaskRequirements& need,
                              const std::vector<CandidateWorker*>& candidates,
@@ -548,7 +605,7 @@
                       const StepRank& rank,
                       const ProblemCounts& problems);
   void StartTask(Task* task,
-                 uint32_t run,
+                 uint32_t number,
                  CandidateWorker* candidate,
                  const std::string& ticket);
   /// Returns a copy of `candidates` in which workers without a ticket for the
@@ -556,19 +613,30 @@
   std::vector<CandidateWorker> CandidatesWithTickets(
       const ReadyStep& ready,
       const std::vector<CandidateWorker*>& candidates);
+  /// Sets the paces of the worker's best-effort runs after a report.
   void UpdatePaces(WorkerSession& session);
+  /// Stops best-effort runs that were throttled for long, so that they continue
+  /// from their checkpoints on other workers.
   void MoveStuckBestEffortRuns(WorkerSession& session);
+  /// Utilization of each serving task on the worker, including the interference
+  /// of best-effort runs.
   std::vector<ServingUtilization> CollectUtilizations(
       const WorkerSession& session) const;
   // cell_evacuation.cpp: moving work off workers that leave or are evacuated.
   void EvacuateLeavingWorkers();
+  /// Moves long-running tasks off a worker that announced that it will leave,
+  /// and tasks with checkpoints that would not finish there.
   void EvacuateDraining(const std::string& id, const CellWorker& cell_worker);
+  /// Moves long-running tasks and tasks with checkpoints off a worker that is
+  /// no longer listed but still responds.
   void EvacuateUnlisted(const std::string& id, const CellWorker& cell_worker);
   void StopRunsToMove(const std::string& id,
                       const std::shared_ptr<WorkerSession>& session,
                       const std::vector<std::string>& tasks,
                       std::string_view cause);
+  /// Whether the step's `max_unavailable` allows the task to be stopped now.
   bool MayStopForMaintenance(const Task& task) const;
+  /// Rack of a worker that has runs of the step; empty: there is none.
   std::string RackOfStep(const Job& job, int repetition, int step) const;
 
   Executor& executor_;
@@ -588,8 +656,9 @@
   /// Written with the lead key, to recognize a win whose answer was lost. Drawn
   /// once per process.
   const uint64_t nonce_;
+  /// When this leader finished reading the records of earlier leaders.
   Instant led_since_{};
-  /// When the workers that are waited for were last logged.
+  /// When the workers that the takeover waits for were last logged.
   Instant wait_logged_{};
   /// When it was last recorded how long workers have been out of contact.
   Instant unreachable_recorded_{};
@@ -597,7 +666,8 @@
   /// new work.
   Instant next_tasks_record_{};
   Instant last_tick_{};
-  /// See `OrderDeadline`, which also takes pauses of this process into account.
+  /// Time until which orders may be sent, unless this process was paused. Use
+  /// `OrderDeadline`, which takes pauses into account.
   Instant order_deadline_{};
   /// This process was paused. Its lead must be confirmed before it sends
   /// orders.
@@ -607,6 +677,8 @@
   Instant vacant_since_{};
   Executor::TimerId campaign_timer_ = 0;
   bool reading_workers_ = false;
+  /// When the list of workers was last read in this term as leader; zero: not
+  /// yet.
   Instant workers_read_{};
   bool reading_closed_ = false;
   /// When the closed data centres were last read in this term as leader; zero:
@@ -621,10 +693,13 @@
   /// When overdue runs were last searched for.
   Instant overdue_searched_{};
   Executor::TimerId tick_timer_ = 0;
-  bool schedule_posted_ = false;
+  /// A scheduling pass is scheduled.
+  bool pass_scheduled_ = false;
   /// Earliest time of the next scheduling pass: passes may use only part of the
   /// processor.
   Instant next_pass_{};
+  /// Runs after a planned shutdown, once the removal of the lead key was
+  /// answered; null: none is under way.
   std::function<void()> on_shut_down_;
   /// Since when a planned shutdown is under way; zero: it is not.
   Instant shutdown_since_{};
@@ -643,21 +718,25 @@
   /// An instance whose registration has at most this store revision may treat
   /// the recorded placements as complete.
   int64_t placements_valid_to_ = 0;
-  /// Long-running tasks that run where the store has no record of it, and those
-  /// whose start waits for the record.
+  /// Long-running tasks that may run on a worker that the store does not have
+  /// as their assigned worker.
   std::set<std::string> unrecorded_placements_;
+  /// Long-running tasks whose start is deferred until their placement is
+  /// recorded.
   std::set<std::string> starts_awaiting_record_;
   CrashTrials trials_;
   MassCrashDetector mass_crash_detector_;
   InterferenceModel interference_;
   RunTimeModel run_times_;
-  FailedPlacements hopeless_;
+  FailedPlacements failed_placements_;
+  /// By service.
   std::map<std::string, LongRunningAdmission> long_running_admission_;
   /// Number of scheduling passes so far.
   uint64_t pass_ = 0;
   /// Steps of this pass that found no placement; more urgent steps are counted
   /// first.
   int waiting_steps_ = 0;
+  /// When a step that found no placement was last logged.
   Instant waiting_logged_{};
   TicketBook tickets_;
   UpkeepWaveController upkeep_waves_;
@@ -666,11 +745,16 @@
   /// their addresses.
   std::map<std::string, std::string> listed_dead_workers_;
   RejectedEntryLog rejected_entries_{log_, "cell"};
+  /// Pending cancellations, by job.
   std::multimap<std::string, PendingCancel> cancels_;
-  /// All runs from before the takeover are accounted for.
+  /// Every run from before the takeover is known to this leader or has
+  /// certainly ended.
   bool all_runs_accounted_ = true;
-  /// Since the takeover, all tasks except `tasks_held_back_` were released.
+  /// After the takeover, all tasks but those in `tasks_held_back_` may be
+  /// started.
   bool tasks_released_ = false;
+  /// Once `tasks_released_`: tasks that may still be active on a worker that is
+  /// waited for, or may have ended there without a report.
   std::set<std::string> tasks_held_back_;
   CellCounters counters_;
 };
--- a/src/include/doorwood/cell_options.h
+++ b/src/include/doorwood/cell_options.h
@@ -31,8 +31,8 @@
   /// Interval between reads of the worker list while leading.
   Millis list_interval{450};
   /// Interval between reads of the closed data centres. The platform's bound
-  /// for closing one is 5 s; with a store that takes 0.4 s to answer, the known
-  /// state is at most 1.1 s old.
+  /// for a closure to take effect is 5 s; with a store that takes 0.4 s to
+  /// answer, the state in use is at most 1.1 s old.
   Millis closed_interval{700};
   Millis tick{100};
   /// How long the state of a finished job is kept.
@@ -41,14 +41,16 @@
   Millis campaign_delay_per_rank{120};
   /// Delay of a campaign after the instance has registered, so that it sees the
   /// keys of instances that registered at the same time. Machines start within
-  /// 0.3 s of each other. A leader with 0.12 processors instead of one with 0.5
-  /// halved the callers' results on 540 workers for as long as it led.
+  /// 0.3 s of each other. Without the delay an instance on a weak machine can
+  /// win: while one with 0.12 processors led 540 workers, instead of one with
+  /// 0.5, the total value for callers was halved.
   Millis campaign_registration_delay{300};
-  /// Delay before a candidate, or a new leader that reads the records, tries
-  /// again.
+  /// Delay before the next attempt after a failed campaign, a failed read of
+  /// the records, or a step-down.
   Millis retry_pause{150};
-  /// How long after its key was last confirmed a leader may give orders that
-  /// are not protected by a fencing token.
+  /// How long after its key was last confirmed a leader may act without the
+  /// protection of a fencing token, for example take a machine down for
+  /// maintenance.
   Millis lead_confirmed_for{2000};
   /// How long after its key was last confirmed a leader continues to send
   /// orders, where other instances may reach the store and take the lead. A
@@ -61,21 +63,21 @@
   /// even if this leader is lost soon.
   Millis unreachable_record_interval{1000};
   Millis first_unreachable_record{250};
-  /// An unresponsive worker whose leases were not extended for so long is
-  /// recorded as not in contact. Most of its runs' lease has expired by then.
-  /// Until the record states otherwise, no lease is extended there, even if the
-  /// worker answers again while the store does not.
+  /// An unresponsive worker whose leases were not extended for this long is
+  /// recorded as not in contact. Most of the run lease has elapsed by then.
+  /// Until a newer record states the contrary, no lease is extended there, even
+  /// if the worker answers again while the store does not.
   Millis unresponsive_record_delay{4000};
   /// Maximum total size of the task names under the workers' key, in bytes: a
-  /// third of the largest value that the store accepts. Beyond it the workers
-  /// with the most names are recorded without a list, so that any task may run
-  /// there.
+  /// third of the largest value that the store accepts. If the names are
+  /// longer, the workers with the most names are recorded without a list, and a
+  /// successor assumes that any task may run there.
   size_t max_name_bytes = 320'000;
   /// Maximum rate of worker polls for observing interference, per second: in a
   /// large cell each worker is polled less often. A poll costs a leader about
   /// 60 us.
   int max_interference_polls = 700;
-  /// A worker that was not listed for so long is treated as leaving. Entries
+  /// A worker that was not listed for this long is treated as leaving. Entries
   /// that were lost in an outage of the store are back within 2 s.
   Millis unlisted_grace{2200};
 };
@@ -87,6 +89,8 @@
   uint64_t starts_refused = 0;
   uint64_t ends_done = 0;
   uint64_t ends_failed = 0;
+  /// Counted ends of any other kind: stopped runs, expired leases, and ends of
+  /// gangs.
   uint64_t ends_lost = 0;
   /// Unexpected crashes of workers that had runs, and jobs that were given up
   /// because of them.
--- a/src/include/doorwood/commit_flow.h
+++ b/src/include/doorwood/commit_flow.h
@@ -5,12 +5,13 @@
 /// more record would be stored in time.
 ///
 /// It handles two kinds of faults. The first is a store that answers slowly but
-/// steadily: with one commit of 32 entries at a time, answers after 0.4 s carry
-/// 80 entries a second, a tenth of what 40 new jobs a second and 250 that keep
-/// changing need; several concurrent commits on disjoint keys carry that load.
-/// The second is a store that stops answering: the outcome of what is sent then
-/// is unknown, so little is sent, and what has not been sent is refused while
-/// that is still certain and early enough for the caller.
+/// steadily: if each commit of 32 entries takes 0.4 s, one commit at a time
+/// carries 80 entries a second, a tenth of what 40 new jobs a second and 250
+/// jobs that keep changing need. Several concurrent commits on disjoint keys
+/// carry that load. The second is a store that stops answering: the outcome of
+/// commits sent then is unknown, so no commit is added to those in flight. New
+/// jobs that no commit carries yet are refused early: they certainly had no
+/// effect, and the caller still has time to retry.
 
 #ifndef DOORWOOD_COMMIT_FLOW_H_
 #define DOORWOOD_COMMIT_FLOW_H_
@@ -26,11 +27,11 @@
   /// Maximum number of commits in flight. At 0.4 s per answer these are 30 a
   /// second, or about 900 entries.
   size_t max_lanes = 12;
-  /// Least time between a commit and a further one beside it, so that a store
-  /// that answers in milliseconds gets one at a time.
+  /// Minimum time between sending two concurrent commits, so that a store that
+  /// answers in milliseconds gets one commit at a time.
   Millis send_interval{30};
-  /// Weight of an answer that came faster than expected. A slower one has full
-  /// weight, since callers wait for it.
+  /// Weight of a faster than expected answer in the expected answer time. A
+  /// slower answer replaces the expected time, since callers wait for it.
   double faster_answer_weight = 0.3;
   /// If no answer comes for this multiple of the expected answer time, and at
   /// least for `min_stall_time`, no further commit is sent beside those in
@@ -40,14 +41,14 @@
   /// A store that has not answered for this long is treated as unresponsive.
   /// Slow stores answer within 0.4 s.
   Millis unresponsive_after{700};
-  /// A record that would take longer is refused at once: callers have 3 s in
-  /// all, so that another attempt can still succeed.
+  /// A record that is expected to take longer is refused at once. Callers have
+  /// 3 s in all, so another attempt can still succeed.
   Millis max_record_wait{1200};
   /// Records of new jobs that one commit carries.
   size_t records_per_commit = 8;
 };
 
-/// Works on times only, so that tests need neither a store nor a clock.
+/// The caller passes all times, so that tests need neither a store nor a clock.
 class CommitFlow {
  public:
   explicit CommitFlow(const CommitFlowOptions& options) : options_(options) {}
@@ -63,19 +64,21 @@
   size_t in_flight() const { return sent_.size(); }
   /// Time that an answer is expected to take.
   Millis answer_time() const { return answer_time_; }
-  /// `MaySend`: one more commit may be sent now. `SendDelay`: time until the
-  /// send interval has passed.
+  /// Whether one more commit may be sent now.
   bool MaySend(Instant now) const;
+  /// Time until `send_interval` has passed since the last commit was sent.
   Millis SendDelay(Instant now) const;
   bool IsUnresponsive(Instant now) const;
-  /// Expected time until a record is stored that has `ahead` others before it.
+  /// Expected time until a record is stored if `ahead` other records are queued
+  /// before it.
   Millis ExpectedWait(size_t ahead) const;
   bool IsWithinDeadline(size_t ahead) const {
     return ExpectedWait(ahead) <= options_.max_record_wait;
   }
 
  private:
-  /// Time for which none of the commits in flight was answered.
+  /// Time for which commits were in flight and none was answered; zero: none is
+  /// in flight.
   Millis TimeWithoutAnswer(Instant now) const;
 
   const CommitFlowOptions options_;
--- a/src/include/doorwood/lead_proof.h
+++ b/src/include/doorwood/lead_proof.h
@@ -22,9 +22,9 @@
 namespace doorwood {
 
 struct LeadProofOptions {
-  /// The key is read if no record has confirmed it for so long. Under load,
-  /// records confirm it ten times a second, so reads are only needed at low
-  /// load.
+  /// The key is read if nothing has confirmed it for this long. Under load,
+  /// committed records confirm it ten times a second, so reads are only needed
+  /// at low load.
   Millis interval{400};
 };
 
@@ -52,13 +52,14 @@
   void Open(int64_t epoch);
   void Close();
 
-  /// Notes that a call sent at that time has found the key in place.
+  /// Notes that a call to the store, sent at `sent`, found the key in place.
   void NoteConfirmed(Instant sent);
   /// Reads the key as soon as possible, because a decision depends on the
   /// proof. A read already under way was sent too early, so another one follows
   /// it.
   void RequestRead();
-  /// To be called several times a second.
+  /// Reads the key if it was last confirmed `LeadProofOptions::interval` ago or
+  /// earlier. To be called several times a second.
   void Tick();
 
   /// Latest time at which the key is known to have existed; zero: none.
--- a/src/include/doorwood/record_store.h
+++ b/src/include/doorwood/record_store.h
@@ -25,7 +25,7 @@
   std::string value;
   int64_t revision = 0;
   int64_t created = 0;
-  /// The key is removed with this lease; 0: it has none.
+  /// The key is removed when this lease ends; 0: it has no lease.
   int64_t lease = 0;
   /// Set only in events of a watch: the key was removed.
   bool deleted = false;
@@ -83,7 +83,8 @@
 
   /// Fails with KvErrc::kNotFound if the key does not exist. Linearizable.
   virtual void Get(const std::string& key, Callback<StoreItem> done) = 0;
-  /// All items under `prefix`. Each page is linearizable, the whole is not.
+  /// Returns all items under `prefix`, read in pages. Each page is
+  /// linearizable, the list as a whole is not.
   virtual void List(const std::string& prefix, Callback<StoreItems> done) = 0;
   /// Waits up to `wait` for changes under `prefix` after revision `after`.
   /// After KvErrc::kCompacted the caller has to list again.
@@ -95,6 +96,7 @@
                       Callback<StoreCommit> done) = 0;
   /// Returns the id of the new lease.
   virtual void GrantLease(Millis lifetime, Callback<int64_t> done) = 0;
+  /// The values returned by `RenewLease` and `RevokeLease` have no meaning.
   virtual void RenewLease(int64_t lease, Callback<int64_t> done) = 0;
   virtual void RevokeLease(int64_t lease, Callback<int64_t> done) = 0;
 };
--- a/src/include/doorwood/ticket_book.h
+++ b/src/include/doorwood/ticket_book.h
@@ -46,7 +46,8 @@
 };
 
 struct TicketOptions {
-  /// Workers named in one request; each adds to the adviser's answer time.
+  /// Maximum number of workers named in one request; each adds to the adviser's
+  /// answer time.
   size_t workers_per_request = 30;
   /// Maximum number of pending requests: the adviser handles one at a time for
   /// each caller.
@@ -68,16 +69,18 @@
 
   /// The ticket for the step on the worker; empty: there is no valid one.
   std::string Find(const std::string& step, const std::string& worker) const;
-  /// Requests tickets for those workers that have no answer, or one that
-  /// expires soon.
+  /// Requests tickets for the step on those workers for which there is no
+  /// answer, or one that expires soon. Does nothing while a request for the
+  /// step is pending, while too many requests are, or shortly after one for the
+  /// step has failed.
   void RequestTickets(const std::string& step,
                       const std::vector<std::string>& workers);
   void Clear();
 
  private:
   struct Answer {
-    /// Empty: refused.
-    std::string text;
+    /// The ticket's token; empty: the adviser gave no ticket.
+    std::string token;
     Instant expires_at{};
   };
   struct Step {
@@ -87,10 +90,10 @@
   };
 
   void OnAdvice(const std::string& step,
-                const std::vector<std::string>& asked,
+                const std::vector<std::string>& requested,
                 Instant sent,
                 std::error_code error,
-                const TicketGrant& advice);
+                const TicketGrant& grant);
 
   Executor& executor_;
   Adviser* const adviser_;
--- a/src/include/doorwood/worker_session.h
+++ b/src/include/doorwood/worker_session.h
@@ -27,7 +27,8 @@
 enum class RunPhase {
   /// The start order was sent and is not answered yet.
   kStarting,
-  /// The start order got no answer; the worker may carry it out now or later.
+  /// The start order got no answer, so the worker may carry it out now or
+  /// later; or it was refused as too old, so the run may already have ended.
   kUnresolved,
   kRunning,
   /// A stop was ordered; the worker has not listed the end yet.
@@ -106,9 +107,9 @@
   /// platform's longest run lease; see docs/CONFIGURATION.md.
   Millis run_lease{6000};
   /// Longest wait of a poll that watches interference between tasks, in a small
-  /// cell. Simulations of a quiet day without a charge for processors gave
-  /// results of 0.677 and 0.658 (two deployments, 5 and 3 seeds) at 500 ms, and
-  /// of 0.712 and 0.666 at 250 ms.
+  /// cell. Simulations of a day with little load, without a charge for
+  /// processors, gave results of 0.677 and 0.658 (two deployments, 5 and 3
+  /// seeds) at 500 ms, and better ones of 0.712 and 0.666 at 250 ms.
   Millis short_poll_wait{250};
   /// Longest wait of any other poll.
   Millis long_poll_wait{1200};
@@ -116,9 +117,10 @@
   Millis unrecorded_pause{150};
   /// Delay after a poll that was not answered.
   Millis retry_pause{150};
-  /// Delay after a poll where another incarnation answers and this one has
-  /// never answered. A corrected directory entry ends the delay at once;
-  /// otherwise each copy of an entry would be polled twice in 10 s.
+  /// Delay after a poll that another incarnation answered, if this one has
+  /// never answered. A corrected directory entry ends the delay at once.
+  /// Without a correction, each entry that names another worker's address is
+  /// polled only about twice in 10 s.
   Millis other_incarnation_pause{8000};
   /// A worker that has not responded for this long gets no new work.
   Millis unresponsive_after{1500};
@@ -197,13 +199,15 @@
   /// Polls at once, in addition to a poll in flight that may have been sent
   /// before lease extension was allowed.
   void PollNow();
-  /// No other leader can have extended a lease there before `until`. A lease
-  /// that expired earlier, or another incarnation that answered earlier,
-  /// therefore proves that runs have ended. Later events do not prove this yet:
-  /// a successor may have adopted the runs, kept them, or started them again.
+  /// Sets the time up to which this leader provably led, so that no other
+  /// leader can have extended a lease there before. A lease that expired before
+  /// `until`, or another incarnation that answered before `until`, therefore
+  /// proves that the runs have ended. Later events do not prove this yet: a
+  /// successor may have adopted the runs and extended their leases, or started
+  /// the tasks again.
   void SetLeadConfirmedUntil(Instant until) { lead_confirmed_until_ = until; }
-  /// The end of this incarnation or of all its runs was observed, but
-  /// leadership is not yet confirmed up to the time of that end.
+  /// Another incarnation has answered or all leases there have expired, but
+  /// leadership is not yet confirmed up to that time.
   bool awaits_lead_confirmation() const {
     return EndedSince() >= lead_confirmed_until_;
   }
@@ -212,9 +216,10 @@
   bool confirmed_dead() const {
     return dead_ && dead_since_ < lead_confirmed_until_;
   }
-  /// If this incarnation, or the lease of its runs, ended before the time up to
-  /// which leadership is confirmed, ends all runs.
-  void EndRunsOfLostWorker();
+  /// Ends all runs if another incarnation answered, or all leases there
+  /// expired, before the time up to which leadership is confirmed. Otherwise
+  /// does nothing.
+  void EndRunsIfWorkerLost();
   /// All ends up to `end_number` are recorded; the worker may discard only
   /// these.
   void MarkRecorded(uint64_t end_number);
@@ -232,7 +237,8 @@
   const WorkerIncarnation& incarnation() const { return incarnation_; }
   const std::map<std::string, Run>& runs() const { return runs_; }
   Run* FindRun(const std::string& task);
-  /// Increases with each report and with each change of the runs there.
+  /// Increases with each report, each change of the runs there and each
+  /// directory entry.
   uint64_t version() const { return version_; }
   uint64_t last_end() const { return last_end_; }
   bool has_unrecorded_ends() const { return last_end_ > recorded_end_; }
@@ -294,6 +300,8 @@
   void ApplyReport(Instant sent, WorkerReport report);
   void ApplyEndedRuns(const std::vector<EndedRun>& ended);
   void ApplyActiveRuns(const std::vector<ActiveRun>& active);
+  /// Processes the runs that a complete report does not list: ends those that
+  /// have provably ended, and stops those whose start got no answer.
   void ResolveUnlistedRuns(Instant sent, const std::vector<ActiveRun>& active);
   void OnStartAnswer(const std::string& task,
                      uint32_t number,
@@ -318,13 +326,14 @@
   std::error_code ClassifyResponse(const std::string& address,
                                    std::error_code error);
   void RecordClock(int64_t clock);
-  /// The lease end, on the worker's clock, of an order sent at `at`.
-  int64_t LeaseEnd(Instant at);
-  /// When, on this process's clock, all leases there have expired if nobody
-  /// else extends them; empty: the worker's clock is not known.
+  /// Returns the lease end, on the worker's clock, for an order sent at `at`,
+  /// and records it as granted. Returns 0 if the worker's clock is not known.
+  int64_t RecordLeaseGrant(Instant at);
+  /// When, on this process's clock, all leases there have expired if no other
+  /// leader extends them; empty: the worker's clock is not known.
   std::optional<Instant> LeasesExpireAt() const;
   /// Time since which this incarnation, or all its runs, have ended, provided
-  /// that this leader still leads.
+  /// that this leader still led at that time; empty: no end was observed.
   std::optional<Instant> EndedSince() const;
   Millis NextPollWait() const;
   /// Adds (`sign` 1) or subtracts (-1) what the run reserves.
--- a/src/libdoorwood/cell/cell_calls.cpp
+++ b/src/libdoorwood/cell/cell_calls.cpp
@@ -66,18 +66,19 @@
     const bool is_same_service = other != nullptr && other->service == service;
     reserved += is_same_service ? LongRunningCpu(job->plan) : 0;
   }
-  const LongRunningAdmission& room = LongRunningAdmissionOf(service);
+  const LongRunningAdmission& admission = LongRunningAdmissionOf(service);
   const Instant now = executor_.Now();
-  if (room.Allows(requested, reserved, capacity, now)) {
+  if (admission.Allows(requested, reserved, capacity, now)) {
     return true;
   }
-  log_.Write("info", "cell", "not enough capacity for a long-running job",
+  log_.Write("info", "cell",
+             "long-running job refused: its service lacks capacity",
              {{"job", plan.id},
               {"asked_cpu", requested},
               {"lasting_cpu", reserved},
               {"capacity_cpu", capacity},
-              {"use", room.peak_use()},
-              {"proved", room.HasObservedLoad(now)}});
+              {"use", admission.peak_use()},
+              {"proved", admission.HasObservedLoad(now)}});
   return false;
 }
 
@@ -153,7 +154,7 @@
 }
 
 void CellLeader::Cancel(const std::string& id, CancelCallback done) {
-  const bool takes_calls = leading() && !IsHandingOver();
+  const bool takes_calls = leading() && !IsInLastShutdownPhase();
   Job* job = takes_calls ? jobs_.Find(id) : nullptr;
   if (job == nullptr) {
     done(takes_calls ? CoreErrc::kNotFound : CoreErrc::kNoOwner);
@@ -175,7 +176,7 @@
 void CellLeader::ExpireCancels() {
   const Instant now = executor_.Now();
   for (auto it = cancels_.begin(); it != cancels_.end();) {
-    if (it->second.until <= now) {
+    if (it->second.deadline <= now) {
       const auto done = std::move(it->second.done);
       it = cancels_.erase(it);
       done(CoreErrc::kOutcomeUnknown);
--- a/src/libdoorwood/cell/cell_campaign.cpp
+++ b/src/libdoorwood/cell/cell_campaign.cpp
@@ -29,13 +29,14 @@
 }
 
 Instant CellLeader::EarliestCampaignTime() const {
-  // Instances on stronger machines come first; among equal ones, those that may
-  // rely on recorded placements; then by name.
+  // Instances on stronger machines come first; among equally strong ones, those
+  // that may rely on recorded placements; among these, by name.
   int rank = 0;
   const LiveInstance& self = live_.self();
   const int64_t last_epoch = live_.NewestKnownEpoch(options_.cell);
-  const bool agrees_since = live_.agreement_known_since() == 0 ||
-                            live_.agreement_known_since() > last_epoch;
+  const bool must_ignore_placements =
+      live_.agreement_known_since() == 0 ||
+      live_.agreement_known_since() > last_epoch;
   for (const auto& [name, other] : live_.instances()) {
     if (!BelongsToCell(other.data_centre) || other.leaving ||
         name == self.name) {
@@ -43,10 +44,13 @@
     }
     const bool stronger = other.cpu_share > self.cpu_share;
     const bool equal = other.cpu_share == self.cpu_share;
-    const bool other_agrees_since = other.agreement_known_since > last_epoch;
-    const bool before =
-        agrees_since == other_agrees_since ? name < self.name : agrees_since;
-    rank += (stronger || (equal && before)) ? 1 : 0;
+    const bool other_must_ignore_placements =
+        other.agreement_known_since > last_epoch;
+    const bool ranks_first =
+        must_ignore_placements == other_must_ignore_placements
+            ? name < self.name
+            : must_ignore_placements;
+    rank += (stronger || (equal && ranks_first)) ? 1 : 0;
   }
   // If all instances register at once, on the first start or after a store
   // outage that removed their keys, the first one does not know the others yet.
@@ -71,11 +75,11 @@
                        lead != live_.leads().end() &&
                        lead->second.nonce == nonce_;
   if (own_key && lead->second.epoch > epoch_) {
-    OnCampaignWon(lead->second.epoch);  // the answer to the write was lost
+    OnCampaignWon(lead->second.epoch);  // The answer to the write was lost.
     return;
   }
   if (own_key) {
-    ReleaseLeadKey();  // left from a lead that has ended
+    ReleaseLeadKey();  // The key is left from a term that has ended.
     return;
   }
   ScheduleCampaign();
@@ -189,7 +193,8 @@
     if (plan) {
       jobs_.Add(std::move(*plan));
     } else {
-      log_.Write("error", "cell", "cannot parse a recorded job plan",
+      log_.Write("error", "cell",
+                 "cannot parse a recorded job plan; ignoring the job",
                  {{"key", item.key}});
     }
   }
@@ -199,7 +204,8 @@
     }
     Job* job = jobs_.Find(item.key.substr(states.size()));
     if (job == nullptr || !DecodeJobState(item.value, job)) {
-      log_.Write("error", "cell", "cannot parse a recorded job state",
+      log_.Write("error", "cell",
+                 "recorded job state has no job plan or cannot be parsed",
                  {{"key", item.key}});
     }
   }
@@ -209,7 +215,7 @@
       task->last_run += kRunNumberGap;
       task->may_still_run = !task->done;
       task->recorded_run = task->counted_run;
-      task->crash_unconfirmed = MayHaveUnreportedCrash(*task);
+      task->crash_unconfirmed = MayHaveUnconfirmedCrash(*task);
       task->ready_since = executor_.Now();
     });
   }
--- a/src/libdoorwood/cell/cell_crashes.cpp
+++ b/src/libdoorwood/cell/cell_crashes.cpp
@@ -34,9 +34,9 @@
   }
   const CellWorker& cell_worker = found->second;
   const Instant now = executor_.Now();
-  const bool emptied = cell_worker.evacuated_until != Instant{} &&
-                       now - cell_worker.evacuated_until < kUpkeepStartWindow;
-  if (emptied) {
+  const bool evacuated = cell_worker.evacuated_until != Instant{} &&
+                         now - cell_worker.evacuated_until < kUpkeepStartWindow;
+  if (evacuated) {
     return std::nullopt;
   }
   const bool leaving = session.incarnation().draining;
@@ -77,11 +77,11 @@
     at_crash.push_back(
         {session.ObservedRunTime(*run), tried_alone, run->adopted});
   }
-  const std::vector<CrashRole> blames =
+  const std::vector<CrashRole> roles =
       ClassifyRuns(at_crash, options_.policy.crashes);
   std::vector<TaskCrashNote> notes;
   for (size_t i = 0; i < runs.size(); ++i) {
-    if (blames[i] == CrashRole::kNone) {
+    if (roles[i] == CrashRole::kNone) {
       continue;
     }
     CrashNote note;
@@ -89,7 +89,7 @@
     note.machine = MachineOf(incarnation);
     note.worker = incarnation.id;
     note.evidence = evidence;
-    note.suspect = blames[i] == CrashRole::kSuspect;
+    note.suspect = roles[i] == CrashRole::kSuspect;
     note.in_trial = at_crash[i].in_trial;
     note.observed_running = at_crash[i].observed_running;
     notes.emplace_back(runs[i]->task, std::move(note));
@@ -99,7 +99,7 @@
 
 void CellLeader::OnWorkerLost(WorkerSession& session) {
   const auto evidence = DetectCrash(session);
-  DropUnreportedCrashes(session);
+  RemoveUnconfirmedCrashes(session);
   if (!evidence) {
     return;
   }
@@ -122,8 +122,8 @@
 }
 
 // A crash is proved only once another incarnation of the worker answers. The
-// leader may fail before that, so it records which runs were new on the worker
-// for its successor.
+// leader may fail before that, so it records for its successor which runs were
+// new on the worker.
 void CellLeader::OnPollFailed(WorkerSession& session) {
   if (session.incarnation().draining) {
     return;
@@ -140,10 +140,10 @@
 }
 
 void CellLeader::OnPollRecovered(WorkerSession& session) {
-  DropUnreportedCrashes(session);
+  RemoveUnconfirmedCrashes(session);
 }
 
-void CellLeader::DropUnreportedCrashes(const WorkerSession& session) {
+void CellLeader::RemoveUnconfirmedCrashes(const WorkerSession& session) {
   for (const auto& [name, run] : session.runs()) {
     Task* task = jobs_.FindTask(name);
     if (task != nullptr && JobTable::RemoveUnconfirmed(task, run.number)) {
@@ -152,7 +152,8 @@
   }
 }
 
-// Must be called before any task that may have run there is started again.
+// Must be called before any task that may have run on a dead worker is started
+// again.
 void CellLeader::HandleDeadWorkers() {
   std::vector<std::string> dead;
   for (auto& [id, cell_worker] : cell_workers_) {
@@ -162,7 +163,7 @@
     }
   }
   for (const std::string& worker : dead) {
-    ConfirmUnreportedCrashes(worker);
+    ConfirmCrashes(worker);
     NoteCrashOfUncontactedWorker(worker, cell_workers_.at(worker));
   }
 }
@@ -213,7 +214,8 @@
   log_.Write(
       "warn", "cell", "a worker crashed before this leader had contacted it",
       {{"worker", worker}, {"may_have_run", notes.size()}, {"epoch", epoch_}});
-  // Notes no more tasks than could soon get a trial run as suspects.
+  // If there are more tasks than workers, notes none of them: not all could get
+  // a trial run soon if they became suspects.
   if (notes.size() > cell_workers_.size()) {
     return;
   }
@@ -224,9 +226,9 @@
   }
 }
 
-// Confirms the crashes that an earlier leader noted as unreported, now that the
+// The notes may be from an earlier leader. They are confirmed now that the
 // worker is known to have ended.
-void CellLeader::ConfirmUnreportedCrashes(const std::string& worker) {
+void CellLeader::ConfirmCrashes(const std::string& worker) {
   for (Job* job : std::vector<Job*>(jobs_.OpenJobs())) {
     ForEachTask(job, [&](Task* task) {
       for (const CrashNote& note : std::vector<CrashNote>(task->crashes)) {
--- a/src/libdoorwood/cell/cell_evacuation.cpp
+++ b/src/libdoorwood/cell/cell_evacuation.cpp
@@ -11,11 +11,11 @@
 namespace doorwood {
 namespace {
 
-// A worker to be evacuated gets no new work for this long after the latest
-// request to evacuate it.
+// A worker gets no new work for this long after the latest request to evacuate
+// it.
 constexpr Millis kEvacuationRequestLifetime{1000};
 // Progress at which a long-running task is ready.
-constexpr int kWorkingProgress = 100;
+constexpr int kReadyProgress = 100;
 
 }  // namespace
 
@@ -95,16 +95,17 @@
     return true;
   }
   const std::string step = StepName(*task.job, task.repetition, task.step);
-  int working = 0;
+  int ready_others = 0;
   for (const auto& [id, cell_worker] : cell_workers_) {
     for (const auto& [name, run] : cell_worker.session->runs()) {
-      const bool is_working =
-          run.phase == RunPhase::kRunning && run.progress >= kWorkingProgress;
-      working += run.step == step && name != task.name() && is_working ? 1 : 0;
+      const bool is_ready =
+          run.phase == RunPhase::kRunning && run.progress >= kReadyProgress;
+      ready_others +=
+          run.step == step && name != task.name() && is_ready ? 1 : 0;
     }
   }
-  const int others_not_running = plan.count - 1 - working;
-  return others_not_running < *plan.max_unavailable;
+  const int others_not_ready = plan.count - 1 - ready_others;
+  return others_not_ready < *plan.max_unavailable;
 }
 
 Occupancy CellLeader::EvacuateWorker(const std::string& worker) {
@@ -135,7 +136,7 @@
   StopRunsToMove(worker, session, with_checkpoints,
                  "its machine is wanted for upkeep");
   // Checked one at a time: each task that is stopped adds to the number of
-  // tasks of its step that are not running.
+  // tasks of its step that are not ready.
   for (const std::string& task : long_running) {
     if (MayStopForMaintenance(*jobs_.FindTask(task))) {
       StopRunsToMove(worker, session, {task},
--- a/src/libdoorwood/cell/cell_journal.cpp
+++ b/src/libdoorwood/cell/cell_journal.cpp
@@ -168,7 +168,8 @@
   lead_revision_ = lead_revision;
   lanes_.assign(options_.flow.max_lanes, Lane{});
   for (const auto& [lane, chain] : chains) {
-    // Another version may have had more lanes; nobody writes those now.
+    // Another version may have used more lanes. Their chain keys are no longer
+    // written.
     if (lane < lanes_.size()) {
       lanes_[lane].chain = chain;
     }
@@ -265,7 +266,7 @@
     done(CoreErrc::kNoOwner, {});
     return;
   }
-  // A job that a batch in flight carries is not refused, since it may be
+  // A job that is already being recorded is not refused, since it may be
   // accepted.
   const Instant now = executor_.Now();
   const bool too_late = store_unavailable_ || flow_.IsUnresponsive(now) ||
@@ -332,14 +333,14 @@
 // --- Building and sending ---
 
 std::optional<size_t> CellJournal::FindLaneToSend() const {
-  // While the store does not accept batches, one batch at a time checks whether
-  // it still does not.
+  // While the store does not accept batches, one batch at a time is sent to
+  // find out whether it accepts them again.
   const bool may_send = store_unavailable_ ? flow_.in_flight() == 0
                                            : flow_.MaySend(executor_.Now());
   if (!may_send) {
     return std::nullopt;
   }
-  // A lane that has to send goes first; otherwise the first free one.
+  // Prefers a free lane that has to send to the first free one.
   std::optional<size_t> first;
   for (size_t lane = 0; lane < lanes_.size(); ++lane) {
     if (lanes_[lane].batch) {
@@ -374,7 +375,7 @@
   }
   const auto lane = FindLaneToSend();
   if (!lane) {
-    // An answer triggers the next send; without one, callers still have to be
+    // An answer triggers the next send. If none comes, callers still have to be
     // answered in time.
     const Millis pause = flow_.SendDelay(executor_.Now());
     ScheduleSend(pause > Millis(0) ? pause : options_.flow.min_stall_time);
--- a/src/libdoorwood/cell/cell_journal_answers.cpp
+++ b/src/libdoorwood/cell/cell_journal_answers.cpp
@@ -39,11 +39,10 @@
   }
   const bool unknown = error == make_error_code(KvErrc::kUnknown);
   Batch& batch = *lanes_[lane].batch;
-  // A lost answer while others arrived does not show that the store is
-  // unresponsive.
+  // If one answer was lost while others arrived, the store is not unresponsive.
   const bool no_success_since_sent = last_success_ < batch.sent;
   if (!store_unavailable_ && (!unknown || no_success_since_sent)) {
-    log_.Write("warn", "journal", "store did not accept a batch",
+    log_.Write("warn", "journal", "store refused a batch or did not answer",
                {{"cell", cell_},
                 {"lane", lane},
                 {"sequence", lanes_[lane].chain.sequence},
@@ -137,7 +136,7 @@
     owner_.OnLeadLost("the chain key was written by someone else");
     return;
   }
-  // Some of the jobs are already known, here or in another cell.
+  // Some of the new jobs have been accepted before, here or in another cell.
   Batch batch = DetachBatch(lane);
   std::vector<PendingAccept> new_accepts;
   for (PendingAccept& accept : batch.accepts) {
@@ -231,8 +230,8 @@
   }
 }
 
-// Never sent, or certainly without effect: not accepted, unless another lane
-// carries the same job for an earlier call.
+// The call was not sent, or certainly had no effect. The job is therefore not
+// accepted, unless a batch in flight carries the same job for an earlier call.
 void CellJournal::RejectAccept(PendingAccept* accept) {
   const bool may_be_stored = IsInFlight(accept->plan.id);
   CompleteAccept(
--- a/src/libdoorwood/cell/cell_leader.cpp
+++ b/src/libdoorwood/cell/cell_leader.cpp
@@ -8,8 +8,8 @@
 namespace doorwood {
 namespace {
 
-// A gap between two ticks that exceeds the tick by this much means that the
-// process was paused.
+// If the time between two ticks exceeds the tick interval by more than this,
+// the process was paused.
 constexpr Millis kPauseThreshold{700};
 // Interval at which a leader that shuts down checks whether everything is
 // recorded.
@@ -17,11 +17,11 @@
 // After this time a leader that shuts down waits only for records that callers
 // wait for. Workers report the rest to its successor.
 constexpr Millis kFullRecordTimeout{300};
-// All jobs are searched this often for old ones, which are kept for minutes,
-// and for the summary that other instances request, each of them every 0.6 s.
-// With 29 instances and thousands of jobs, a search for each tick and each
-// request took 4% of a leader's processor time.
-constexpr Millis kForgetInterval{1000};
+// Intervals at which all jobs are visited: to remove old ones, which are kept
+// for minutes, and to update the summary, which each other instance requests
+// every 0.6 s. With 29 instances and thousands of jobs, a visit for each tick
+// and each request took 4% of a leader's processor time.
+constexpr Millis kOldJobRemovalInterval{1000};
 constexpr Millis kSummaryInterval{300};
 
 }  // namespace
@@ -171,8 +171,8 @@
     if (error) {
       live_.Refresh();
     } else {
-      // Campaigns only when it is its turn: the strongest instance that can
-      // reach the store should lead.
+      // Campaigns only after the delay for its rank: the strongest instance
+      // that can reach the store should lead.
       OnLiveChange();
     }
   });
@@ -196,7 +196,7 @@
   });
 }
 
-bool CellLeader::IsHandingOver() const {
+bool CellLeader::IsInLastShutdownPhase() const {
   return shutdown_since_ != Instant{} &&
          executor_.Now() - shutdown_since_ >= kFullRecordTimeout;
 }
@@ -214,10 +214,10 @@
   // A busy leader never has everything recorded, since runs keep ending.
   // Without a limit it would lead until its grace period has elapsed, and exit
   // with records in flight.
-  if (IsHandingOver()) {
+  if (IsInLastShutdownPhase()) {
     journal_.Seal();
   }
-  if (journal_.idle() || (IsHandingOver() && journal_.is_drained())) {
+  if (journal_.idle() || (IsInLastShutdownPhase() && journal_.is_drained())) {
     on_shut_down_ = std::move(done);
     StepDown("leaving");
     stage_ = Stage::kShutDown;
@@ -286,7 +286,7 @@
     UpdateSessionLimits(cell_worker, order_deadline);
   }
   for (const auto& session : waiting) {
-    session->EndRunsOfLostWorker();
+    session->EndRunsIfWorkerLost();
   }
 }
 
@@ -357,15 +357,15 @@
   HandleDeadWorkers();
   CheckTakeover();
   UpdateTrials();
-  ReleaseHeldStarts();
+  SendDeferredStarts();
   PublishRecordedPlacements();
   if (all_runs_accounted_ && IsLeadConfirmed()) {
     upkeep_waves_.Tick();
   }
   ExpireCancels();
-  if (now - old_jobs_removed_ >= kForgetInterval) {
+  if (now - old_jobs_removed_ >= kOldJobRemovalInterval) {
     old_jobs_removed_ = now;
-    ForgetOldJobs();
+    RemoveOldJobs();
   }
   LogOverdueRuns();
   if (now - summarized_ >= kSummaryInterval) {
@@ -380,7 +380,7 @@
   });
 }
 
-void CellLeader::ForgetOldJobs() {
+void CellLeader::RemoveOldJobs() {
   const int64_t now = unix_millis_();
   std::vector<std::string> old;
   for (const auto& [id, job] : jobs_.jobs()) {
--- a/src/libdoorwood/cell/cell_pacing.cpp
+++ b/src/libdoorwood/cell/cell_pacing.cpp
@@ -14,27 +14,27 @@
 // Age at which a run's measurements are certain to cover its load: a worker's
 // measurements cover the last half second, and the report itself may be that
 // old.
-constexpr Millis kFigureDelay{900};
+constexpr Millis kMeasurementDelay{900};
 // Best-effort work with checkpoints that has been throttled to kStuckPace or
 // less for longer than kStuckDuration is moved to another worker.
 constexpr int kStuckPace = 20;
 constexpr Millis kStuckDuration{900};
 constexpr double kMillisPerCore = 1000.0;
 // Weight of the newest measurement in a serving task's moving average.
-constexpr double kNewestFigureWeight = 0.5;
+constexpr double kNewestMeasurementWeight = 0.5;
 
 // Adds the reported measurement to the run's moving average. Returns for how
 // long the average has been at or above `over_target_tail_share` times the
 // target.
-Millis UpdateTimeOverTarget(Run* run, Instant now, double tail_over) {
-  const auto figure = static_cast<double>(run->measurement);
+Millis UpdateTimeOverTarget(Run* run, Instant now, double over_target_share) {
+  const auto measurement = static_cast<double>(run->measurement);
   run->mean_measurement =
       run->mean_measurement < 0
-          ? figure
-          : kNewestFigureWeight * figure +
-                (1.0 - kNewestFigureWeight) * run->mean_measurement;
+          ? measurement
+          : kNewestMeasurementWeight * measurement +
+                (1.0 - kNewestMeasurementWeight) * run->mean_measurement;
   const auto target = static_cast<double>(run->latency_target.count());
-  if (run->mean_measurement < tail_over * target) {
+  if (run->mean_measurement < over_target_share * target) {
     run->above_target_since = Instant{};
     return Millis(0);
   }
@@ -48,7 +48,7 @@
 
 std::vector<ServingUtilization> CellLeader::CollectUtilizations(
     const WorkerSession& session) const {
-  std::vector<ServingUtilization> strains;
+  std::vector<ServingUtilization> utilizations;
   const Instant now = executor_.Now();
   for (const auto& [task, run] : session.runs()) {
     if (run.latency_target <= Millis(0)) {
@@ -64,11 +64,11 @@
                                         run.latency_target)
             : options_.policy.interference.initial_load;
     // The measurements of a new task don't show its full load yet.
-    if (now - run.ordered < kFigureDelay) {
+    if (now - run.ordered < kMeasurementDelay) {
       serving.utilization = std::max(serving.utilization,
                                      options_.policy.interference.initial_load);
     }
-    strains.push_back(serving);
+    utilizations.push_back(serving);
   }
   for (const auto& [task, run] : session.runs()) {
     if (!run.best_effort) {
@@ -76,15 +76,15 @@
     }
     const double full_cores =
         static_cast<double>(run.size.cpu_millis) / kMillisPerCore;
-    const bool is_new = now - run.ordered < kFigureDelay;
+    const bool is_new = now - run.ordered < kMeasurementDelay;
     const double cores = PendingCores(full_cores, is_new, run.wanted_pace);
-    for (ServingUtilization& serving : strains) {
+    for (ServingUtilization& serving : utilizations) {
       serving.utilization +=
           interference_.InterferencePerCore(serving.image, run.image_id) *
           cores;
     }
   }
-  return strains;
+  return utilizations;
 }
 
 void CellLeader::UpdatePaces(WorkerSession& session) {
--- a/src/libdoorwood/cell/cell_placement_records.cpp
+++ b/src/libdoorwood/cell/cell_placement_records.cpp
@@ -35,11 +35,11 @@
   return executor_.Now() < live_.UnrecordedStartsAgreedUntil();
 }
 
-bool CellLeader::MayReleaseStartOn(const CellWorker& cell_worker) const {
+bool CellLeader::MaySendDeferredStart(const CellWorker& cell_worker) const {
   return MaySendOrders() && MayReceiveOrders(cell_worker);
 }
 
-void CellLeader::ReleaseHeldStarts() {
+void CellLeader::SendDeferredStarts() {
   const bool unrecorded = MayStartUnrecorded();
   for (const std::string& name :
        std::set<std::string>(starts_awaiting_record_)) {
@@ -54,7 +54,7 @@
     const auto session = cell_worker->second.session;
     const bool recorded =
         task->assignment_record == AssignmentRecord::kRecorded;
-    if (!MayReleaseStartOn(cell_worker->second)) {
+    if (!MaySendDeferredStart(cell_worker->second)) {
       starts_awaiting_record_.erase(name);
       session->Stop(name);
     } else if (recorded || unrecorded) {
@@ -106,7 +106,7 @@
     }
   });
   if (newly_recorded) {
-    ReleaseHeldStarts();
+    SendDeferredStarts();
   }
 }
 
--- a/src/libdoorwood/cell/cell_places.cpp
+++ b/src/libdoorwood/cell/cell_places.cpp
@@ -13,7 +13,7 @@
 
 // A worker's free capacity is recomputed at least this often, even without a
 // new report, because the estimated load of a new run changes with its age.
-constexpr Millis kMaxRoomAge{200};
+constexpr Millis kMaxCandidateAge{200};
 // Interval between log lines about the same step that can't be placed.
 constexpr Millis kWaitLogInterval{1500};
 // Minimum pause between such lines of any step. Each line evaluates all workers
@@ -32,7 +32,7 @@
   const WorkerSession& session = *cell_worker->session;
   const Instant now = executor_.Now();
   if (cell_worker->candidate_version == session.version() &&
-      now - cell_worker->candidate_at < kMaxRoomAge) {
+      now - cell_worker->candidate_at < kMaxCandidateAge) {
     return;
   }
   const WorkerIncarnation& incarnation = session.incarnation();
@@ -85,8 +85,10 @@
   return candidates;
 }
 
-std::string CellLeader::RackOfStep(const Job& job, int time, int step) const {
-  const std::string name = StepName(job, time, step);
+std::string CellLeader::RackOfStep(const Job& job,
+                                   int repetition,
+                                   int step) const {
+  const std::string name = StepName(job, repetition, step);
   for (const auto& [id, cell_worker] : cell_workers_) {
     if (cell_worker.session->CountOfStep(name) > 0) {
       return std::string(RackOf(cell_worker.session->incarnation()));
--- a/src/libdoorwood/cell/cell_run_ends.cpp
+++ b/src/libdoorwood/cell/cell_run_ends.cpp
@@ -144,10 +144,10 @@
 }
 
 std::vector<Millis> CellLeader::ExpectedRunTimes(const Job& job,
-                                                 int time) const {
+                                                 int repetition) const {
   std::vector<Millis> expected;
   for (size_t step = 0; step < job.plan.steps.size(); ++step) {
-    const StepState& state = job.repetitions[time].steps[step];
+    const StepState& state = job.repetitions[repetition].steps[step];
     expected.push_back(
         state.run_time_samples > 0
             ? state.total_run_time / state.run_time_samples
@@ -321,8 +321,6 @@
   }
 }
 
-// --- Records ---
-
 void CellLeader::StopRunsOfCompletedTask(const Task& task) {
   // The completion of one task of a gang completes all of its tasks.
   std::vector<std::string> placed;
@@ -348,6 +346,8 @@
   }
 }
 
+// --- Records ---
+
 std::string CellLeader::EncodeState(const std::string& id) {
   Job* job = jobs_.Find(id);
   if (job == nullptr) {
--- a/src/libdoorwood/cell/cell_scheduling.cpp
+++ b/src/libdoorwood/cell/cell_scheduling.cpp
@@ -14,8 +14,8 @@
 // Combines events that happen at about the same time into one scheduling pass.
 constexpr Millis kScheduleDelay{2};
 // After each pass the scheduler pauses for this multiple of the pass's
-// duration, up to kLongestPause, so that passes take at most a fifth of the
-// processor.
+// duration, up to kLongestPause, so that passes of at most 20 ms take no more
+// than a fifth of the processor.
 constexpr int kPauseToPassRatio = 4;
 constexpr Millis kLongestPause{80};
 
@@ -42,14 +42,15 @@
 }  // namespace
 
 void CellLeader::RequestSchedulingPass() {
-  if (schedule_posted_ || !leading()) {
+  if (pass_scheduled_ || !leading()) {
     return;
   }
-  schedule_posted_ = true;
+  pass_scheduled_ = true;
   const auto pause = std::chrono::ceil<Millis>(next_pass_ - executor_.Now());
   executor_.Schedule(std::max(kScheduleDelay, pause), [this] {
-    schedule_posted_ = false;
-    if (!MaySendOrders() || closed_read_ == Instant{} || IsHandingOver()) {
+    pass_scheduled_ = false;
+    if (!MaySendOrders() || closed_read_ == Instant{} ||
+        IsInLastShutdownPhase()) {
       return;
     }
     const Instant begin = executor_.Now();
@@ -63,14 +64,14 @@
 bool CellLeader::IsReady(const Task& task) const {
   return !task.done && !task.placed && !task.may_still_run &&
          !task.crash_unrecorded && executor_.Now() >= task.no_start_before &&
-         !MayBeAtLastAttempt(task);
+         !MayHaveUsedUpAttempts(task);
 }
 
 // Failures that the previous leader received but could not record are listed by
 // workers that its successor may not have contacted yet. Each such run counts
 // as a failure until the successor has contacted the worker, the worker's
 // leases have expired, or the worker's record does not name the task.
-bool CellLeader::MayBeAtLastAttempt(const Task& task) const {
+bool CellLeader::MayHaveUsedUpAttempts(const Task& task) const {
   const uint32_t unreported_ends =
       MayRunOnUncontacted(task) ? task.CountUnreportedEnds() : 0;
   if (unreported_ends == 0 || task.plan().long_running) {
@@ -89,20 +90,21 @@
   std::vector<ReadyStep> ready;
   const int64_t now = unix_millis_();
   for (Job* job : jobs_.OpenJobs()) {
-    for (int time = 0; time < job->plan.repetitions(); ++time) {
-      if (!IsDue(*job, time, now)) {
+    for (int repetition = 0; repetition < job->plan.repetitions();
+         ++repetition) {
+      if (!IsDue(*job, repetition, now)) {
         break;
       }
       for (int step = 0; step < static_cast<int>(job->plan.steps.size());
            ++step) {
-        const StepState& state = job->repetitions[time].steps[step];
-        if (state.idle == 0 || !JobTable::IsUnblocked(*job, time, step)) {
+        const StepState& state = job->repetitions[repetition].steps[step];
+        if (state.idle == 0 || !JobTable::IsUnblocked(*job, repetition, step)) {
           continue;
         }
         const auto& tasks = state.tasks;
         if (std::any_of(tasks.begin(), tasks.end(),
                         [this](const Task& task) { return IsReady(task); })) {
-          ready.push_back({{}, job, time, step});
+          ready.push_back({{}, job, repetition, step});
         }
       }
     }
@@ -190,20 +192,23 @@
   }
   const bool advised = queue->advice.has_value();
   const uint64_t last_failed_pass =
-      advised ? 0 : hopeless_.LastFailedPass(plan, queue->service);
+      advised ? 0 : failed_placements_.LastFailedPass(plan, queue->service);
   std::vector<CandidateWorker> permitted;
   if (advised) {
     permitted = CandidatesWithTickets(ready, candidates);
   }
-  const std::vector<CandidateWorker*> permitted_rooms = PointersTo(&permitted);
-  const std::vector<CandidateWorker*>& usable_rooms =
-      advised ? permitted_rooms : candidates;
+  const std::vector<CandidateWorker*> permitted_pointers =
+      PointersTo(&permitted);
+  const std::vector<CandidateWorker*>& usable_candidates =
+      advised ? permitted_pointers : candidates;
   std::string rack = plan.same_rack
                          ? RackOfStep(*ready.job, ready.repetition, ready.step)
                          : "";
   TaskRequirements need{queue->service, interference_.Intern(plan.image), rack};
-  StepCandidates places(plan, usable_rooms, interference_, options_.policy);
-  EvaluateChangedPlaces(ready, need, usable_rooms, last_failed_pass, &places);
+  StepCandidates places(plan, usable_candidates, interference_,
+                        options_.policy);
+  EvaluateChangedPlaces(ready, need, usable_candidates, last_failed_pass,
+                        &places);
   const std::string step = StepName(*ready.job, ready.repetition, ready.step);
   for (Task& task : tasks) {
     if (!IsReady(task)) {
@@ -211,7 +216,7 @@
     }
     const bool suspect = IsSuspect(task);
     const auto trial_place =
-        suspect ? PlaceSuspect(ready, &task, need, usable_rooms, &places)
+        suspect ? PlaceSuspect(ready, &task, need, usable_candidates, &places)
                 : std::nullopt;
     if (suspect && !trial_place) {
       continue;
@@ -219,12 +224,13 @@
     const int place = trial_place ? *trial_place : places.Best(task.failed_on);
     if (place == kNoWorker) {
       if (!advised) {
-        hopeless_.Add(plan, queue->service, pass_);
+        failed_placements_.Add(plan, queue->service, pass_);
       }
       if (ShouldLogWaitingStep(ready)) {
         // Unchanged workers have not been evaluated in this pass, but the log
         // line counts the problems of all workers.
-        EvaluateChangedPlaces(ready, need, usable_rooms, /*pass=*/0, &places);
+        EvaluateChangedPlaces(ready, need, usable_candidates, /*pass=*/0,
+                              &places);
         LogWaitingStep(task, ready.rank, places.CountProblems());
       }
       return;  // The step's other tasks have the same size.
@@ -248,7 +254,8 @@
     if (plan.same_rack && rack.empty()) {
       rack = candidate->rack;
       need.rack = rack;
-      EvaluateChangedPlaces(ready, need, usable_rooms, /*pass=*/0, &places);
+      EvaluateChangedPlaces(ready, need, usable_candidates, /*pass=*/0,
+                            &places);
     }
     EvaluatePlace(ready, need, *candidate, place, /*planned=*/0, &places);
   }
@@ -266,34 +273,36 @@
   if (queue == nullptr || !all_ready) {
     return;
   }
-  // A gang is started as a whole or not at all, so its tasks are first placed
-  // on a copy. All of them share one run number and one checkpoint.
+  // All tasks of a gang are started, or none, so they are first placed on a
+  // copy of the candidates. All of them share one run number and one
+  // checkpoint.
   const bool advised = queue->advice.has_value();
-  std::vector<CandidateWorker> planned_rooms =
+  std::vector<CandidateWorker> planned_candidates =
       advised ? CandidatesWithTickets(ready, candidates)
               : CopyCandidates(candidates);
-  const std::vector<CandidateWorker*> room_pointers =
-      PointersTo(&planned_rooms);
+  const std::vector<CandidateWorker*> planned_pointers =
+      PointersTo(&planned_candidates);
   const std::string rack =
       plan.same_rack ? RackOfStep(*ready.job, ready.repetition, ready.step)
                      : "";
   const TaskRequirements need{queue->service, interference_.Intern(plan.image),
                               rack};
-  StepCandidates places(plan, room_pointers, interference_, options_.policy);
-  std::vector<int> planned_counts(planned_rooms.size(), 0);
-  const auto judge = [&](size_t place) {
-    EvaluatePlace(ready, need, planned_rooms[place], place,
+  StepCandidates places(plan, planned_pointers, interference_, options_.policy);
+  std::vector<int> planned_counts(planned_candidates.size(), 0);
+  const auto evaluate = [&](size_t place) {
+    EvaluatePlace(ready, need, planned_candidates[place], place,
                   planned_counts[place], &places);
   };
-  for (size_t place = 0; place < planned_rooms.size(); ++place) {
-    judge(place);
+  for (size_t place = 0; place < planned_candidates.size(); ++place) {
+    evaluate(place);
   }
   const bool suspect = std::any_of(tasks.begin(), tasks.end(), IsSuspect);
-  if (suspect && !CloseWorkersWithNewRuns(&tasks, &planned_rooms)) {
+  if (suspect && !CloseWorkersWithNewRuns(&tasks, &planned_candidates)) {
     return;
   }
-  for (size_t place = 0; suspect && place < planned_rooms.size(); ++place) {
-    judge(place);
+  for (size_t place = 0; suspect && place < planned_candidates.size();
+       ++place) {
+    evaluate(place);
   }
   std::vector<int> chosen;
   uint32_t run = 0;
@@ -308,8 +317,9 @@
     }
     chosen.push_back(place);
     ++planned_counts[place];
-    planned_rooms[place].reserved = planned_rooms[place].reserved + plan.size;
-    judge(place);
+    planned_candidates[place].reserved =
+        planned_candidates[place].reserved + plan.size;
+    evaluate(place);
     run = std::max(run, task.last_run);
     if (!task.checkpoint.empty()) {
       checkpoint = task.checkpoint;
@@ -333,7 +343,7 @@
     std::vector<Task>* gang,
     std::vector<CandidateWorker>* candidates) {
   for (Task& task : *gang) {
-    if (NoteUnreportedCrash(&task)) {
+    if (NoteUnconfirmedCrash(&task)) {
       return false;
     }
   }
--- a/src/libdoorwood/cell/cell_suspects.cpp
+++ b/src/libdoorwood/cell/cell_suspects.cpp
@@ -16,8 +16,8 @@
 // Weight of a long-running task, relative to any other run, in the cost of
 // losing the worker on which a suspect is tried.
 constexpr int kLongRunningWeight = 10;
-// Added to the time after which a run is no longer new, before the worker is
-// polled.
+// Added to the time for which a run has to be active before the worker is
+// polled to observe it.
 constexpr Millis kTrialCheckDelay{30};
 // From this many noted crashes on, a trial run is recorded before it begins, in
 // case the leader fails together with the worker.
@@ -40,11 +40,11 @@
 
 // The cost of a crash of the worker, in runs that would be lost.
 int CellLeader::CrashCost(const WorkerSession& session) {
-  int loss = 0;
+  int cost = 0;
   for (const auto& [name, run] : session.runs()) {
-    loss += run.long_running ? kLongRunningWeight : 1;
+    cost += run.long_running ? kLongRunningWeight : 1;
   }
-  return loss;
+  return cost;
 }
 
 int CellLeader::CountWorkersOfService(std::string_view service) const {
@@ -63,7 +63,7 @@
     const StepCandidates& places,
     const std::vector<CandidateWorker*>& candidates) const {
   int best = kNoWorker;
-  int lowest_loss = std::numeric_limits<int>::max();
+  int lowest_cost = std::numeric_limits<int>::max();
   for (size_t place = 0; place < candidates.size(); ++place) {
     if (!places.IsSuitable(place)) {
       continue;
@@ -77,26 +77,26 @@
     const bool crashed_there = std::any_of(
         task.crashes.begin(), task.crashes.end(),
         [&](const CrashNote& crash) { return crash.machine == machine; });
-    const int loss = CrashCost(session) +
+    const int cost = CrashCost(session) +
                      (crashed_there ? kCrashedThereCost : 0) +
                      (HasNewRuns(session) ? kNewRunsCost : 0);
-    if (loss < lowest_loss) {
+    if (cost < lowest_cost) {
       best = static_cast<int>(place);
-      lowest_loss = loss;
+      lowest_cost = cost;
     }
   }
   return best;
 }
 
-bool CellLeader::MayHaveUnreportedCrash(const Task& task) {
+bool CellLeader::MayHaveUnconfirmedCrash(const Task& task) {
   return !task.done && IsSuspect(task) &&
          task.crashes.back().evidence != CrashEvidence::kUnconfirmed;
 }
 
 // An earlier leader may have ordered a start after the last crash that it
 // recorded, and the result of that start is unknown. It is noted as an
-// unreported crash, and recorded, before the next start.
-bool CellLeader::NoteUnreportedCrash(Task* task) {
+// unconfirmed crash, and recorded, before the next start.
+bool CellLeader::NoteUnconfirmedCrash(Task* task) {
   if (!std::exchange(task->crash_unconfirmed, false)) {
     return false;
   }
@@ -116,7 +116,7 @@
     const TaskRequirements& need,
     const std::vector<CandidateWorker*>& candidates,
     StepCandidates* places) {
-  if (NoteUnreportedCrash(task)) {
+  if (NoteUnconfirmedCrash(task)) {
     return std::nullopt;
   }
   const std::string name = task->name();
@@ -149,13 +149,13 @@
     trials_.End(name);
     return std::nullopt;
   }
-  CandidateWorker reserved_room = cell_worker->second.candidate;
-  reserved_room.accepts_work = true;
+  CandidateWorker reserved_candidate = cell_worker->second.candidate;
+  reserved_candidate.accepts_work = true;
   const StepPlan& plan = task->plan();
   const int tasks_on_worker = cell_worker->second.session->CountOfStep(
       StepName(*ready.job, ready.repetition, ready.step));
   const bool fits =
-      FindPlaceProblem(plan, need, reserved_room,
+      FindPlaceProblem(plan, need, reserved_candidate,
                        plan.max_per_worker > 0 ? tasks_on_worker : 0,
                        interference_, options_.policy) == PlaceProblem::kNone;
   if (!fits || HasNewRuns(*cell_worker->second.session) ||
@@ -206,8 +206,8 @@
   ScheduleTrialPoll(session, length);
 }
 
-// The worker may delay its answer to a regular poll for much longer than the
-// time after which its newest runs are no longer new.
+// The worker may delay its answer to a regular poll until long after its newest
+// runs have been active for long enough, so an additional poll is sent.
 void CellLeader::ScheduleTrialPoll(
     const std::shared_ptr<WorkerSession>& session,
     Millis active_for) {
@@ -221,9 +221,10 @@
   for (const auto& [name, trial] : trials_.trials()) {
     Task* task = jobs_.FindTask(name);
     const auto cell_worker = cell_workers_.find(trial.worker);
-    const bool gone = task == nullptr || cell_worker == cell_workers_.end() ||
-                      task->job->outcome != JobOutcome::kOpen || task->done;
-    if (gone) {
+    const bool obsolete = task == nullptr ||
+                          cell_worker == cell_workers_.end() ||
+                          task->job->outcome != JobOutcome::kOpen || task->done;
+    if (obsolete) {
       ended.push_back(name);
       continue;
     }
@@ -235,11 +236,12 @@
       ended.push_back(name);
       continue;
     }
-    const Millis at_work = cell_worker->second.session->ObservedRunTime(*run);
-    if (at_work >= options_.policy.crashes.unrelated_after) {
+    const Millis observed_running =
+        cell_worker->second.session->ObservedRunTime(*run);
+    if (observed_running >= options_.policy.crashes.unrelated_after) {
       ClearCrashes(task);
       ended.push_back(name);
-    } else if (at_work >= trial.duration && !trial.passed) {
+    } else if (observed_running >= trial.duration && !trial.passed) {
       trials_.MarkPassed(name);
       JobTable::RemoveTrial(task);
       MarkDirty(task->job, /*urgent=*/false);
--- a/src/libdoorwood/cell/cell_takeover.cpp
+++ b/src/libdoorwood/cell/cell_takeover.cpp
@@ -24,12 +24,13 @@
 
 }  // namespace
 
-Millis CellLeader::MaxRunTimeAfterLastOrder() const {
+Millis CellLeader::MaxRunTimeAfterLeadLoss() const {
   return MaxOnLocalClock(options_.sessions.run_lease) + options_.order_grace +
          kLastOrderMargin;
 }
 
-// A report lists a limited number of ends: any task may be among the others.
+// A report lists a limited number of ends. Any task may be among those that it
+// does not list.
 bool CellLeader::HasUnlistedEnds(const CellWorker& cell_worker) const {
   const WorkerSession& session = *cell_worker.session;
   return cell_worker.from_takeover && !all_runs_accounted_ &&
@@ -40,9 +41,9 @@
 // that are waited for, so only the time up to that proof is deducted.
 Millis CellLeader::RemainingWait(const CellWorker& cell_worker) const {
   if (HasUnlistedEnds(cell_worker)) {
-    const auto silent = std::chrono::duration_cast<Millis>(
+    const auto without_response = std::chrono::duration_cast<Millis>(
         executor_.Now() - cell_worker.session->last_response_at());
-    return std::max(MaxRunTimeAfterLastOrder() - silent, Millis(0));
+    return std::max(MaxRunTimeAfterLeadLoss() - without_response, Millis(0));
   }
   // Nothing runs on a worker that left after all its ends were recorded.
   const bool is_empty =
@@ -53,7 +54,7 @@
   const auto proved =
       std::chrono::duration_cast<Millis>(proof_.confirmed_at() - led_since_);
   const Millis waited = cell_worker.predecessors_waited + proved;
-  return std::max(MaxRunTimeAfterLastOrder() + Millis(1) - waited, Millis(0));
+  return std::max(MaxRunTimeAfterLeadLoss() + Millis(1) - waited, Millis(0));
 }
 
 // A task is held back as long as any worker that is still waited for may run
@@ -179,8 +180,8 @@
   }
   int held = 0;
   for (const Job* job : jobs_.OpenJobs()) {
-    for (const RepetitionState& time : job->repetitions) {
-      for (const StepState& step : time.steps) {
+    for (const RepetitionState& repetition : job->repetitions) {
+      for (const StepState& step : repetition.steps) {
         held += static_cast<int>(std::count_if(
             step.tasks.begin(), step.tasks.end(), [](const Task& task) {
               return task.may_still_run && !task.placed && !task.done;
--- a/src/libdoorwood/cell/cell_worker_records.cpp
+++ b/src/libdoorwood/cell/cell_worker_records.cpp
@@ -83,7 +83,7 @@
     cell_worker.submitted_record = worker;
     cell_worker.submitted_as_closed = IsUncontacted(cell_worker)
                                           ? worker.tasks.has_value()
-                                          : GetsNoNewWork(cell_worker);
+                                          : IsClosedToNewWork(cell_worker);
     cell_worker.submitted_version = IsUncontacted(cell_worker)
                                         ? kNeverSubmitted
                                         : cell_worker.session->tasks_version();
@@ -100,13 +100,13 @@
   if (IsUncontacted(cell_worker) || HasUnlistedEnds(cell_worker)) {
     return cell_worker.inherited_tasks;
   }
-  if (!GetsNoNewWork(cell_worker)) {
+  if (!IsClosedToNewWork(cell_worker)) {
     return std::nullopt;
   }
   return cell_worker.session->OutstandingTasks();
 }
 
-bool CellLeader::GetsNoNewWork(const CellWorker& cell_worker) const {
+bool CellLeader::IsClosedToNewWork(const CellWorker& cell_worker) const {
   const WorkerSession& session = *cell_worker.session;
   const Instant now = executor_.Now();
   // Nothing was started on a worker that this leader has not contacted, and
@@ -126,7 +126,7 @@
   if (IsUncontacted(cell_worker)) {
     return false;
   }
-  const bool closed = GetsNoNewWork(cell_worker);
+  const bool closed = IsClosedToNewWork(cell_worker);
   const bool changed =
       cell_worker.session->tasks_version() != cell_worker.submitted_version;
   return closed != cell_worker.submitted_as_closed || (closed && changed);
@@ -196,7 +196,8 @@
     return;
   }
   unreachable_recorded_ = now;
-  // If nothing runs there, the time makes no difference to a successor.
+  // For an unresponsive worker without runs, the time makes no difference to a
+  // successor.
   const bool any = std::any_of(cell_workers_.begin(), cell_workers_.end(),
                                [this](const auto& entry) {
                                  const CellWorker& cell_worker = entry.second;
--- a/src/libdoorwood/cell/cell_workers.cpp
+++ b/src/libdoorwood/cell/cell_workers.cpp
@@ -131,15 +131,14 @@
   RequestSchedulingPass();
 }
 
-// Only the worker itself proves that it is gone, by an expired lease or by
-// another incarnation's answer. An entry that the worker did not write proves
-// nothing. Its runs therefore continue, at the known address, and it gets no
-// new work.
+// Only an expired lease or another incarnation's answer proves that a worker
+// has ended. An entry that another process wrote proves nothing: the worker's
+// runs continue, at the known address, but it gets no new work.
 void CellLeader::ApplyDirectoryEntry(const WorkerIncarnation& incarnation,
                                      CellWorker* cell_worker) {
   const WorkerIncarnation& known = cell_worker->session->incarnation();
   if (incarnation.is_valid) {
-    // A session that was never answered uses the address at once; any other
+    // A session that has had no answer yet uses the address at once; any other
     // session uses it once this incarnation has answered there.
     WorkerIncarnation readdressed = known;
     readdressed.address = incarnation.address;
@@ -147,12 +146,12 @@
   }
   const bool usable =
       incarnation.is_valid && BelongsToCell(incarnation.data_centre);
-  const std::string_view doubt =
+  const std::string_view problem =
       usable ? FindContradiction(known, incarnation) : "unreadable";
   cell_worker->unlisted_since = Instant{};
-  cell_worker->entry_rejected = !doubt.empty();
+  cell_worker->entry_rejected = !problem.empty();
   if (cell_worker->entry_rejected) {
-    rejected_entries_.Record(incarnation.id, doubt);
+    rejected_entries_.Record(incarnation.id, problem);
     return;
   }
   if (incarnation.draining && !known.draining) {
@@ -172,9 +171,9 @@
     rejected_entries_.Record(incarnation.id, "no queue names its service");
     return false;
   }
-  const auto over = listed_dead_workers_.find(incarnation.id);
-  return over == listed_dead_workers_.end() ||
-         over->second != incarnation.address;
+  const auto dead_entry = listed_dead_workers_.find(incarnation.id);
+  return dead_entry == listed_dead_workers_.end() ||
+         dead_entry->second != incarnation.address;
 }
 
 bool CellLeader::IsServiceOfAnyQueue(const std::string& service) const {
@@ -217,9 +216,9 @@
       executor_, workers_, log_, *this, options_.sessions, incarnation,
       static_cast<uint64_t>(epoch_));
   cell_worker.listed = !from_takeover;
-  // A worker that only the directory names may still run what an earlier leader
-  // ordered, but not a leader of this cell: those record a worker under the
-  // workers' key before they send it orders.
+  // A worker that only the directory names runs nothing that an earlier leader
+  // of this cell ordered, since leaders record a worker under the workers' key
+  // before they send it orders. It may run what another cell's leader ordered.
   cell_worker.from_takeover = from_takeover;
   UpdateSessionLimits(cell_worker, OrderDeadline());
   if (from_takeover) {
--- a/src/libdoorwood/cell/ticket_book.cpp
+++ b/src/libdoorwood/cell/ticket_book.cpp
@@ -19,79 +19,80 @@
 
 std::string TicketBook::Find(const std::string& step,
                              const std::string& worker) const {
-  const auto known = steps_.find(step);
-  if (known == steps_.end()) {
+  const auto found = steps_.find(step);
+  if (found == steps_.end()) {
     return "";
   }
-  const auto answer = known->second.answers.find(worker);
-  const bool holds =
-      answer != known->second.answers.end() &&
+  const auto answer = found->second.answers.find(worker);
+  const bool is_valid =
+      answer != found->second.answers.end() &&
       executor_.Now() + options_.expiry_margin < answer->second.expires_at;
-  return holds ? answer->second.text : "";
+  return is_valid ? answer->second.token : "";
 }
 
 void TicketBook::RequestTickets(const std::string& step,
                                 const std::vector<std::string>& workers) {
-  Step& known = steps_[step];
+  Step& entry = steps_[step];
   const Instant now = executor_.Now();
-  if (adviser_ == nullptr || known.request_pending || now < known.retry_at ||
+  if (adviser_ == nullptr || entry.request_pending || now < entry.retry_at ||
       pending_requests_ >= options_.max_pending_requests) {
     return;
   }
-  std::vector<std::string> asked;
+  std::vector<std::string> requested;
   for (const std::string& worker : workers) {
-    const auto answer = known.answers.find(worker);
+    const auto answer = entry.answers.find(worker);
     const bool stale =
-        answer == known.answers.end() ||
+        answer == entry.answers.end() ||
         answer->second.expires_at <= now + options_.expiry_margin;
-    if (stale && asked.size() < options_.workers_per_request) {
-      asked.push_back(worker);
+    if (stale && requested.size() < options_.workers_per_request) {
+      requested.push_back(worker);
     }
   }
-  if (asked.empty()) {
+  if (requested.empty()) {
     return;
   }
-  known.request_pending = true;
+  entry.request_pending = true;
   ++pending_requests_;
   adviser_->RequestTickets(
-      step, asked,
-      [this, step, asked, now, generation = generation_](
-          std::error_code error, const TicketGrant& advice) {
+      step, requested,
+      [this, step, requested, now, generation = generation_](
+          std::error_code error, const TicketGrant& grant) {
         if (generation == generation_) {
           --pending_requests_;
-          OnAdvice(step, asked, now, error, advice);
+          OnAdvice(step, requested, now, error, grant);
         }
       });
 }
 
 void TicketBook::OnAdvice(const std::string& step,
-                          const std::vector<std::string>& asked,
+                          const std::vector<std::string>& requested,
                           Instant sent,
                           std::error_code error,
-                          const TicketGrant& advice) {
-  Step& known = steps_[step];
-  known.request_pending = false;
+                          const TicketGrant& grant) {
+  Step& entry = steps_[step];
+  entry.request_pending = false;
   if (error) {
-    known.retry_at = executor_.Now() + options_.retry_pause;
-    log_.Write("warn", "tickets", "adviser returned no tickets",
+    entry.retry_at = executor_.Now() + options_.retry_pause;
+    log_.Write("warn", "tickets",
+               "request for tickets failed; retrying after a pause",
                {{"step", step}, {"error", error.message()}});
     return;
   }
-  // A ticket is valid from the adviser's answer on, so counting from the
-  // request is on the safe side. A refusal is kept for as long, since the
-  // workers that may run a step do not change.
-  const Instant expires_at = sent + advice.valid_for;
-  for (const std::string& worker : asked) {
-    known.answers[worker] = {"", expires_at};
+  // A ticket's validity starts with the adviser's answer. Counted from the
+  // request, it may end too early, but never too late. A refusal is cached for
+  // as long, since the workers that may run a step do not change.
+  const Instant expires_at = sent + grant.valid_for;
+  for (const std::string& worker : requested) {
+    entry.answers[worker] = {"", expires_at};
   }
-  for (const Ticket& ticket : advice.tickets) {
-    known.answers[ticket.worker] = {ticket.token, expires_at};
+  for (const Ticket& ticket : grant.tickets) {
+    entry.answers[ticket.worker] = {ticket.token, expires_at};
   }
   log_.Write("info", "tickets", "tickets received from adviser",
              {{"step", step},
-              {"asked", asked.size()},
-              {"permitted", advice.tickets.size()},
-              {"valid_ms", advice.valid_for.count()}});
+              {"asked", requested.size()},
+              {"permitted", grant.tickets.size()},
+              {"valid_ms", grant.valid_for.count()}});
   on_change_();
 }
 
--- a/src/libdoorwood/cell/worker_session.cpp
+++ b/src/libdoorwood/cell/worker_session.cpp
@@ -130,13 +130,13 @@
   }
 }
 
-int64_t WorkerSession::LeaseEnd(Instant at) {
+int64_t WorkerSession::RecordLeaseGrant(Instant at) {
   if (worker_clock_ == 0) {
     return 0;
   }
-  // An idle worker is not polled, and on a slow clock less time has passed
-  // since its last answer. The lease may end earlier than intended, but never
-  // later than a successor waits.
+  // The last reported clock of an idle worker may be old, since it is not
+  // polled. The time since then is counted at the slowest clock rate: the lease
+  // may end earlier than intended, but never later than a successor waits.
   const auto age = MinElapsedOnWorkerClock(
       std::chrono::duration_cast<Millis>(at - worker_clock_at_));
   const int64_t until = worker_clock_ + (age + options_.run_lease).count();
@@ -156,9 +156,9 @@
 // --- Polls ---
 
 Millis WorkerSession::NextPollWait() const {
-  // A worker that may be back has to answer at once: a poll that waits for an
-  // end would return 1.2 s later, and the lease of its runs may have expired by
-  // then.
+  // After a failed poll the worker may respond again and has to answer at once:
+  // a poll that waits for an end would return 1.2 s later, and the lease of the
+  // worker's runs may have expired by then.
   if (has_unrecorded_ends() || last_poll_failed_) {
     return Millis(0);
   }
@@ -193,7 +193,7 @@
   // expire.
   const bool extend =
       !runs_.empty() && sent < lease_extension_end_ && !last_poll_failed_;
-  order.lease_end = extend ? LeaseEnd(sent) : 0;
+  order.lease_end = extend ? RecordLeaseGrant(sent) : 0;
   order.max_wait = wait;
   workers_.Poll(incarnation_, order,
                 [self = shared_from_this(), sequence, sent,
@@ -438,9 +438,9 @@
   return has_expired && !runs_.empty() ? expired_at : std::nullopt;
 }
 
-// A successor that took over before the runs ended may have kept them. Only a
-// later read of the lead key shows that there was none.
-void WorkerSession::EndRunsOfLostWorker() {
+// A successor that took over before the runs ended may have adopted them. Only
+// a later read of the lead key shows that there was no such successor.
+void WorkerSession::EndRunsIfWorkerLost() {
   const std::optional<Instant> ended_since = EndedSince();
   if (runs_.empty() || !ended_since || *ended_since >= lead_confirmed_until_) {
     return;
@@ -469,7 +469,7 @@
   if (closed_) {
     return;
   }
-  EndRunsOfLostWorker();
+  EndRunsIfWorkerLost();
   if (dead_ || closed_) {
     return;
   }
