--- a/src/libdoorwood/cell/cell_campaign_test.cpp
+++ b/src/libdoorwood/cell/cell_campaign_test.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 // A large site with a few strong and many weak machines. The weak ones campaign
-// only seconds after the lead becomes vacant. A weak machine that leads all
-// workers halves the callers' results.
+// only seconds after the lead becomes vacant. While a weak machine leads all
+// workers, callers get only half as many results.
 struct LargeSiteFixture {
   explicit LargeSiteFixture(int seed) : world(seed) {
     world.SetTable({fakes::MakeQueue("queue", 3)});
-    for (int n = 0; n < kWeak; ++n) {
+    for (int n = 0; n < kWeakInstances; ++n) {
       world.AddInstance("w" + std::to_string(n), "pireas", 0.12);
     }
     for (const char* name : {"x1", "x2", "x3", "x4"}) {
@@ -30,7 +30,7 @@
     return leader == nullptr ? 0.0 : leader->live->self().cpu_share;
   }
 
-  static constexpr int kWeak = 24;
+  static constexpr int kWeakInstances = 24;
   static constexpr int kSeeds = 8;
   static constexpr double kStrongShare = 0.5;
   fakes::CellWorld world;
@@ -59,10 +59,11 @@
 }
 
 // The lead becomes vacant twice, the second time when campaigns that were
-// scheduled in the first vacancy would be due. Machines that fail together with
-// the leader stay listed for a moment, so that the instances on strong machines
+// scheduled in the first vacancy would be due. The delays must start again, or
+// a weak instance may campaign first. Machines that fail together with the
+// leader stay listed for a moment, so that the instances on strong machines
 // delay their campaigns as well.
-BOOST_AUTO_TEST_CASE(Lead_BecomesVacantTwice_DelaysStartAgain) {
+BOOST_AUTO_TEST_CASE(Lead_BecomesVacantTwice_AStrongInstanceTakesIt) {
   for (int seed = 1; seed <= LargeSiteFixture::kSeeds; ++seed) {
     LargeSiteFixture fixture(seed);
     fixture.world.Kill("x1");
--- a/src/libdoorwood/cell/cell_changing_capacity_test.cpp
+++ b/src/libdoorwood/cell/cell_changing_capacity_test.cpp
@@ -18,8 +18,8 @@
 
 constexpr char kOtherJob[] = "5555555555555555";
 constexpr int64_t kTaskCpu = 1000;
-// The platform's limit, less the time that a worker takes to report its
-// capacity.
+// Time after which starts must respect a changed capacity: the platform's
+// limit, less the time that a worker takes to report its capacity.
 constexpr Millis kCapacityUpdateDelay{3000};
 
 /// A cell with one worker that has capacity for eight tasks, and three
@@ -89,7 +89,7 @@
   }
 }
 
-// Guards against stopping work that exceeds a capacity that has shrunk: the
+// Guards against stopping runs that exceed a capacity which has shrunk: the
 // capacity limits only starts.
 BOOST_AUTO_TEST_CASE(Capacity_ShrinksBelowLongRunningTasks_RunsContinue) {
   CapacityFixture fixture;
@@ -101,8 +101,8 @@
   BOOST_TEST(fixture.world.starts(std::string(kOtherJob) + ".0.0.0") == 1);
 }
 
-// Guards against a successor that uses the earlier capacity, or that counts
-// nothing as running on a worker before it has contacted it.
+// Guards against a successor that uses the earlier capacity, or that assumes
+// that nothing runs on a worker which it has not yet contacted.
 BOOST_AUTO_TEST_CASE(Capacity_ShrinksWhileLeadersChange_SuccessorRespectsIt) {
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
@@ -119,7 +119,7 @@
 }
 
 // Guards against starts that ignore runs which an earlier leader left to be
-// stopped: they use capacity until they have ended.
+// stopped: such runs use capacity until they have ended.
 BOOST_AUTO_TEST_CASE(Runs_StoppedBySuccessor_UseCapacityUntilTheyHaveEnded) {
   constexpr Millis kStopDuration{900};
   for (uint64_t seed = 1; seed <= 8; ++seed) {
--- a/src/libdoorwood/cell/cell_closed_data_centre_test.cpp
+++ b/src/libdoorwood/cell/cell_closed_data_centre_test.cpp
@@ -126,7 +126,7 @@
 }
 
 // A successor reads the closed data centres before it starts anything.
-BOOST_FIXTURE_TEST_CASE(DataCentre_ClosedDuringTakeover_SuccessorStartsNothing,
+BOOST_FIXTURE_TEST_CASE(DataCentre_ClosedDuringTakeover_NothingStartsThere,
                         ClosedFixture) {
   Submit(1, 48, "ms=60000");
   Submit(2, 30, "ms=60000");
--- a/src/libdoorwood/cell/cell_crashing_task_test.cpp
+++ b/src/libdoorwood/cell/cell_crashing_task_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The job of a task that crashes every worker that starts it is given up, and
-// jobs that ran on the same workers are not. All tests run in virtual time.
+// A task crashes every worker that starts it. Its job must fail, and jobs that
+// ran on the same workers must not. All tests run in virtual time.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -147,8 +147,8 @@
   const char* name;
   std::string payload;
   int count;
-  void (*shape)(StepPlan* step);
-  void (*world)(CellWorld* world);
+  void (*change_step)(StepPlan* step);
+  void (*change_world)(CellWorld* world);
 };
 
 const CrashingTaskCase crashing_task_cases[] = {
@@ -179,13 +179,13 @@
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
       BOOST_TEST_CONTEXT(row.name << ", seed " << seed) {
         CrashFixture fixture(seed);
-        if (row.world != nullptr) {
-          row.world(&fixture.world);
+        if (row.change_world != nullptr) {
+          row.change_world(&fixture.world);
         }
         fixture.SubmitLongRunning(8);
         JobPlan plan = fakes::MakePlan(kFixtureJob, 1, row.count, row.payload);
-        if (row.shape != nullptr) {
-          row.shape(&plan.steps[0]);
+        if (row.change_step != nullptr) {
+          row.change_step(&plan.steps[0]);
         }
         BOOST_REQUIRE(fixture.world.Submit(plan));
         std::vector<std::string> healthy_jobs;
@@ -267,7 +267,7 @@
 }
 
 // Guards against starting the task again while the store can't record its
-// crash: a later leader could not know of that crash.
+// crash: a later leader would not count that crash.
 BOOST_AUTO_TEST_CASE(
     CrashingTask_StoreIsDown_NotStartedBeforeItsCrashIsRecorded) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -327,13 +327,13 @@
 void RestartLeaderAfterEachCrash(CrashFixture* fixture,
                                  int delay_ms,
                                  int poll_ms = 50) {
-  constexpr int kLongestWait = 10'000;
+  constexpr int kMaxWaitMs = 10'000;
   fixture->SubmitLongRunning(8);
   fixture->world.Submit(fakes::MakePlan(kFixtureJob, 1, 1, "ms=300 crashes="));
   for (int i = 0; i < 8; ++i) {
     const int before = fixture->world.crashes();
     for (int waited = 0;
-         waited < kLongestWait && fixture->world.crashes() == before;
+         waited < kMaxWaitMs && fixture->world.crashes() == before;
          waited += poll_ms) {
       fixture->world.RunExactly(Millis(poll_ms));
     }
@@ -345,8 +345,8 @@
   BOOST_TEST(fixture->StateOf(kHealthyJob) == "running");
 }
 
-// Guards against losing what is known of a crash when the leader repeatedly
-// fails after it.
+// Guards against crashes that are no longer counted because the leader fails
+// soon after each of them.
 BOOST_AUTO_TEST_CASE(CrashingTask_LeaderFailsAfterEachCrash_BoundHolds) {
   for (const int delay_ms : {0, 100, 300, 1500, 2300, 2700, 3500}) {
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -369,9 +369,8 @@
 }
 
 // Guards against missing a crash when the leader fails before its call to the
-// unresponsive worker has failed.
-BOOST_AUTO_TEST_CASE(
-    CrashingTask_LeaderFailsBeforeSilenceIsDetected_BoundHolds) {
+// crashed worker has timed out.
+BOOST_AUTO_TEST_CASE(CrashingTask_LeaderFailsBeforeCallTimesOut_BoundHolds) {
   for (const int delay_ms : {0, 100, 300}) {
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
       BOOST_TEST_CONTEXT("after " << delay_ms << ", seed " << seed) {
@@ -398,9 +397,9 @@
         fixture.world.Submit(
             fakes::MakePlan(healthy_jobs.back(), 2, 12, "ms=1500"));
         fixture.world.Run(Millis(500));
-        // The world limits a task's starts after three crashes whatever caused
-        // them. Workers with long-running tasks are not crashed, because those
-        // tasks would be hit by each crash.
+        // A rule of the world limits a task's starts after three crashes,
+        // whatever caused them. Workers with long-running tasks are not
+        // crashed, because those tasks would be hit by each crash.
         for (const auto& [id, worker] : fixture.world.workers()) {
           const auto tasks = worker->model.running_tasks();
           const bool runs_long_task = std::any_of(
--- a/src/libdoorwood/cell/cell_fixture.h
+++ b/src/libdoorwood/cell/cell_fixture.h
@@ -17,8 +17,9 @@
 
 inline constexpr char kFixtureJob[] = "00112233aabbccdd";
 
-/// Three workers, and instances in different data centres, one of which leads.
-/// The destructor reports every violated rule of the world.
+/// Three workers and, by default, three instances in different data centres;
+/// one instance leads. The destructor reports each violated rule of the world
+/// as a test error.
 struct CellFixture {
   /// Data centres of the instances, by instance name.
   using DataCentres = std::map<std::string, std::string>;
--- a/src/libdoorwood/cell/cell_foreign_entries_test.cpp
+++ b/src/libdoorwood/cell/cell_foreign_entries_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Entries that other programs wrote among those of workers and among this
-// system's own: they are not used as workers, the other entries stay valid, and
-// no run is lost.
+// Other programs write entries among those of the workers and among this
+// system's own keys. Such entries must not be used as workers, make other
+// entries invalid, or cause a run to be lost.
 
 #include <boost/test/unit_test.hpp>
 #include <functional>
@@ -24,13 +24,13 @@
   ForeignEntriesFixture()
       : CellFixture(29, {{"a1", "plaka"}, {"b1", "kerameikos"}}) {}
 
-  std::string Runner() { return fakes::WorkerRunning(world, kTask); }
+  std::string WorkerOfTask() { return fakes::WorkerRunning(world, kTask); }
   fakes::WorldWorker& StartLongRunningTask() {
     JobPlan plan = fakes::MakePlan(kJob, 1, 1, "");
     plan.steps[0].long_running = true;
     world.Submit(plan);
     world.Run(Millis(500));
-    original_worker = Runner();
+    original_worker = WorkerOfTask();
     BOOST_REQUIRE(!original_worker.empty());
     return *world.workers().at(original_worker);
   }
@@ -41,7 +41,7 @@
     BOOST_TEST(world.Submit(plan));
   }
   void ExpectRunNotMoved() {
-    BOOST_TEST(Runner() == original_worker);
+    BOOST_TEST(WorkerOfTask() == original_worker);
     BOOST_TEST(world.starts(kTask) == 1);
   }
   void PutRecord(const std::string& key, const std::string& value) {
@@ -115,7 +115,7 @@
     fixture.world.Kill(fixture.world.Leader()->name);
     BOOST_REQUIRE(fixture.world.WaitForLeader() != nullptr);
     fixture.world.Run(Millis(8000));
-    BOOST_TEST(fixture.Runner() == fixture.original_worker, row.name);
+    BOOST_TEST(fixture.WorkerOfTask() == fixture.original_worker, row.name);
     fixture.ExpectRunNotMoved();
   }
 }
@@ -129,8 +129,8 @@
   world.Run(Millis(2000));
   world.CrashWorker(original_worker);
   world.Run(Millis(8000));
-  BOOST_TEST(!Runner().empty());
-  BOOST_TEST(Runner() != original_worker);
+  BOOST_TEST(!WorkerOfTask().empty());
+  BOOST_TEST(WorkerOfTask() != original_worker);
 }
 
 BOOST_FIXTURE_TEST_CASE(Worker_ServiceThatNoQueueNames_IsNotCalled,
--- a/src/libdoorwood/cell/cell_journal_load_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_load_test.cpp
@@ -17,8 +17,8 @@
 namespace doorwood {
 namespace {
 
-// A store with a configurable answer time, half of it before the commit takes
-// effect.
+// A store with a configurable answer time. A commit takes effect after half of
+// that time.
 class SlowStore : public fakes::CommitOnlyStore {
  public:
   using CommitOnlyStore::CommitOnlyStore;
@@ -82,16 +82,16 @@
     return std::to_string(changed[job]);
   }
   std::map<std::string, uint64_t> HighestUnrecordedEnds() override {
-    return {{"w", listed_end}};
+    return {{"w", highest_end}};
   }
   void OnAccepted(const JobPlan& plan) override { accepted.insert(plan.id); }
   int64_t PlacementsValidTo() override { return 0; }
   void OnStateWritten(const std::string&) override {}
   void OnStateRecorded(const std::string& job) override {
-    const auto asked = cancelled.find(job);
-    if (asked != cancelled.end()) {
-      cancel_times.push_back(Since(asked->second));
-      cancelled.erase(asked);
+    const auto entry = cancelled.find(job);
+    if (entry != cancelled.end()) {
+      cancel_times.push_back(Since(entry->second));
+      cancelled.erase(entry);
     }
   }
   void OnEndsRecorded(const std::map<std::string, uint64_t>& ends) override {
@@ -99,7 +99,7 @@
   }
   void OnWorkersRecorded(const std::vector<KnownWorker>&) override {}
   void OnLeadConfirmed(Instant) override {}
-  void OnLeadLost(std::string_view) override { lost = true; }
+  void OnLeadLost(std::string_view) override { lead_lost = true; }
 
   Millis Since(Instant instant) {
     return std::chrono::duration_cast<Millis>(executor.Now() - instant);
@@ -116,20 +116,20 @@
   }
 
   // Generates the load for `length`, with `arrivals` new jobs a second.
-  void Load(Millis length, int arrivals = 40, int open_jobs = 250) {
+  void GenerateLoad(Millis length, int arrivals = 40, int open_jobs = 250) {
     constexpr Millis kStep{25};
     constexpr int kChangesEachStep = 4;
     const Instant end = executor.Now() + length;
     int due = 0;
     for (int step = 0; executor.Now() < end; ++step) {
       for (due += arrivals; due >= 1000 / kStep.count(); due -= 40) {
-        Accept(++made);
+        Accept(++jobs_made);
       }
       for (int i = 0; i < open_jobs / kChangesEachStep; ++i) {
         const std::string job =
             "open" + std::to_string(next_change++ % open_jobs);
         ++changed[job];
-        ++listed_end;
+        ++highest_end;
         journal.MarkDirty(job, false);
       }
       if (step % 20 == 0) {
@@ -169,10 +169,10 @@
   std::vector<Millis> cancel_times;
   std::set<std::string> accepted;
   std::vector<Answer> answers;
-  uint64_t listed_end = 0;
+  uint64_t highest_end = 0;
   uint64_t recorded_end = 0;
-  bool lost = false;
-  int made = 0;
+  bool lead_lost = false;
+  int jobs_made = 0;
   int next_change = 0;
 };
 
@@ -193,7 +193,7 @@
   for (const Row& row : rows) {
     LoadFixture fixture;
     fixture.store.answer_time = row.answer_time;
-    fixture.Load(Millis(6000));
+    fixture.GenerateLoad(Millis(6000));
     fixture.time.Run(Millis(2000));
     // Ends are recorded with the next batch.
     fixture.journal.MarkDirty("open0", true);
@@ -209,22 +209,22 @@
                      ->count() <= row.cancel_within.count());
       // The store has the newest state of every job in the end.
       BOOST_TEST((fixture.encoded == fixture.changed));
-      BOOST_TEST(fixture.recorded_end == fixture.listed_end);
-      BOOST_TEST(!fixture.lost);
+      BOOST_TEST(fixture.recorded_end == fixture.highest_end);
+      BOOST_TEST(!fixture.lead_lost);
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(Journal_FastStore_OneCommitAtATime) {
   LoadFixture fixture;
-  fixture.Load(Millis(3000));
+  fixture.GenerateLoad(Millis(3000));
   BOOST_TEST(fixture.store.max_in_flight == 1);
 }
 
 BOOST_AUTO_TEST_CASE(Accept_Overload_ExcessIsRefusedAtOnce) {
   LoadFixture fixture;
   fixture.store.answer_time = Millis(400);
-  fixture.Load(Millis(6000), /*arrivals=*/600);
+  fixture.GenerateLoad(Millis(6000), /*arrivals=*/600);
   fixture.time.Run(Millis(3000));
   BOOST_TEST(fixture.answers.size() == 3600U);
   BOOST_TEST(fixture.CountAnswers(outcome_unknown) == 0);
@@ -237,11 +237,11 @@
 
 BOOST_AUTO_TEST_CASE(Accept_StoreStopsAnswering_FewOutcomesAreUnknown) {
   LoadFixture fixture;
-  fixture.Load(Millis(1000));
+  fixture.GenerateLoad(Millis(1000));
   fixture.store.unresponsive = true;
-  fixture.Load(Millis(4000));
+  fixture.GenerateLoad(Millis(4000));
   fixture.store.unresponsive = false;
-  fixture.Load(Millis(2000));
+  fixture.GenerateLoad(Millis(2000));
   fixture.time.Run(Millis(2000));
   // The outcome is unknown only for jobs sent before the store was found to be
   // unresponsive. All others are refused at once, or within the time it takes
@@ -252,13 +252,13 @@
   // outage have timed out after 1 s and have been sent again.
   BOOST_TEST(fixture.CountAnswers(no_error) >= 40 + 80 - 45);
   BOOST_TEST((fixture.encoded == fixture.changed));
-  BOOST_TEST(!fixture.lost);
+  BOOST_TEST(!fixture.lead_lost);
 }
 
 BOOST_AUTO_TEST_CASE(Accept_EveryThirdReplyLost_OthersAreAccepted) {
   LoadFixture fixture;
   fixture.store.lose_every_nth = 3;
-  fixture.Load(Millis(6000), /*arrivals=*/40, /*open_jobs=*/60);
+  fixture.GenerateLoad(Millis(6000), /*arrivals=*/40, /*open_jobs=*/60);
   fixture.store.lose_every_nth = 0;
   fixture.time.Run(Millis(3000));
   BOOST_TEST(fixture.answers.size() == 240U);
@@ -268,7 +268,7 @@
              static_cast<size_t>(fixture.CountAnswers(no_error) +
                                  fixture.CountAnswers(outcome_unknown)));
   BOOST_TEST((fixture.encoded == fixture.changed));
-  BOOST_TEST(!fixture.lost);
+  BOOST_TEST(!fixture.lead_lost);
 }
 
 }  // namespace
--- a/src/libdoorwood/cell/cell_journal_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_test.cpp
@@ -85,7 +85,7 @@
   void OnWorkersRecorded(const std::vector<KnownWorker>&) override {}
   void OnLeadConfirmed(Instant) override {}
   void OnLeadLost(std::string_view) override {
-    lost = true;
+    lead_lost = true;
     journal.Close();
   }
 
@@ -113,7 +113,7 @@
   std::vector<std::string> accepted;
   std::vector<std::string> recorded;
   std::map<std::string, uint64_t> ends_recorded;
-  bool lost = false;
+  bool lead_lost = false;
   int answers = 0;
   std::error_code answer;
   AcceptOutcome answer_outcome = AcceptOutcome::kAccepted;
@@ -125,7 +125,8 @@
   const char* name;
   std::vector<Step> script;
   std::error_code answer;
-  /// Whether the job is stored in the end and the journal's owner knows it.
+  /// Whether the job is stored in the end and the journal's owner has been
+  /// notified that it is accepted.
   bool stored;
 };
 
@@ -159,7 +160,7 @@
       BOOST_TEST(fixture.answer == row.answer);
       BOOST_TEST(fixture.IsStored(JobIdKey(kJob)) == row.stored);
       BOOST_TEST(fixture.accepted.size() == (row.stored ? 1U : 0U));
-      BOOST_TEST(!fixture.lost);
+      BOOST_TEST(!fixture.lead_lost);
     }
   }
 }
@@ -242,7 +243,7 @@
   BOOST_TEST(store.late_error == make_error_code(KvErrc::kConflict));
 }
 
-BOOST_FIXTURE_TEST_CASE(MarkDirty_MoreThanOneBatch_EndsWaitForTheLast,
+BOOST_FIXTURE_TEST_CASE(MarkDirty_MoreThanOneBatch_EndsRecordedWithTheLast,
                         JournalFixture) {
   for (int i = 0; i < 40; ++i) {
     journal.MarkDirty("job" + std::to_string(i), true);
@@ -297,7 +298,7 @@
   store.WriteLeaderKey("all", "other");
   Accept();
   time.Run(Millis(100));
-  BOOST_TEST(lost);
+  BOOST_TEST(lead_lost);
   BOOST_TEST(answers == 1);
   BOOST_TEST(!IsStored(JobIdKey(kJob)));
 }
--- a/src/libdoorwood/cell/cell_lead_proof_test.cpp
+++ b/src/libdoorwood/cell/cell_lead_proof_test.cpp
@@ -1,12 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A leader that lost the store and the lead must not take a newly granted lease
-// for proof that it still leads. Its own leases on workers that it cannot reach
-// have expired, so it would consider their runs ended and start the tasks a
-// second time, although its successor has adopted and kept the runs. This once
+// Guards against a leader that has lost the store and the lead and takes a
+// newly granted lease for proof that it still leads. Its leases on workers that
+// it cannot reach have expired, so it considers their runs ended and starts the
+// tasks again, although its successor has adopted and kept the runs. This once
 // started nineteen tasks twice at the same time. Only the lead key proves the
-// lead: runs count as ended without a worker's report only after a later read
-// of the key.
+// lead.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -19,6 +18,8 @@
 using fakes::PartitionedLeaderFixture;
 
 // The store answers again before the old leader has learned of its successor.
+// Without a worker's report, runs whose lease has expired count as ended only
+// after a later read of the lead key.
 BOOST_AUTO_TEST_CASE(PartitionedLeader_IsGrantedANewLease_StartsNothing) {
   for (int duration = 2500; duration <= 9000; duration += 50) {
     PartitionedLeaderFixture fixture;
--- a/src/libdoorwood/cell/cell_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_leader_test.cpp
@@ -187,8 +187,9 @@
 
 // The instance that is asked to remove the lead key may be the weakest one that
 // can reach the store, too weak to read the records of a large cell.
-BOOST_FIXTURE_TEST_CASE(OnHandedOver_StrongerOnesReachTheStore_TheyTakeTheLead,
-                        CellFixture) {
+BOOST_FIXTURE_TEST_CASE(
+    OnLeadHandedOver_StrongerInstancesReachTheStore_OneOfThemLeads,
+    CellFixture) {
   fakes::WorldInstance& weak = world.AddInstance("weak", "plaka", 0.1);
   world.Run(Millis(1000));
   fakes::WorldInstance& leader = *world.Leader();
@@ -271,7 +272,8 @@
       long_running("1111111111111111", 1),
       [&](std::error_code error, AcceptOutcome) { answer = error; });
   BOOST_TEST(answer == make_error_code(CoreErrc::kNoCapacity));
-  // A repeated submission of the same job is known; a short job is accepted.
+  // A repeated submission of the same job is not refused, and a short job is
+  // accepted.
   BOOST_TEST(world.Submit(long_running(kJob, 14)));
   BOOST_TEST(world.Submit(fakes::MakePlan("2222222222222222", 1, 1, "ms=100")));
 }
--- a/src/libdoorwood/cell/cell_outage_test.cpp
+++ b/src/libdoorwood/cell/cell_outage_test.cpp
@@ -22,13 +22,13 @@
 // The store refuses the first instance of each data centre and serves the
 // second. `reached` names the served ones that the leader can reach.
 void RefuseFirstOfEachDataCentre(const LeaderSuccession& trial,
-                                 bool silent,
+                                 bool unresponsive,
                                  const std::set<std::string>& reached) {
   BOOST_REQUIRE(trial.old_leader->name == "b1");
   for (const char* name : {"a1", "b1", "c1"}) {
     auto& faults = trial.world.instances().at(name)->store_faults;
-    faults.unresponsive = silent;
-    faults.unavailable = !silent;
+    faults.unresponsive = unresponsive;
+    faults.unavailable = !unresponsive;
   }
   for (const char* name : {"a2", "b2", "c2"}) {
     if (!reached.contains(name)) {
@@ -39,15 +39,15 @@
 
 void RunScenario(const std::set<std::string>& reached) {
   ViolationReport violation_report;
-  for (const auto& [silent, partitioned] :
+  for (const auto& [unresponsive, partitioned] :
        {std::pair(false, false), {true, false}, {false, true}, {true, true}}) {
     for (int offset = 0; offset < 20; ++offset) {
       LeaderSuccession trial({"a2", "b2", "c2"});
-      trial.SetWorkersPartitioned(partitioned);
+      trial.MaybePartitionOldLeaderFromBoth(partitioned);
       trial.world.Run(Millis(offset * 60));
-      RefuseFirstOfEachDataCentre(trial, silent, reached);
+      RefuseFirstOfEachDataCentre(trial, unresponsive, reached);
       trial.world.Run(kSettlingTime);
-      violation_report.Add((silent ? "silent" : "refused") +
+      violation_report.Add((unresponsive ? "silent" : "refused") +
                                std::string(partitioned ? ", partitioned" : "") +
                                ", offset " + std::to_string(offset * 60),
                            trial.world);
@@ -63,7 +63,8 @@
   RunScenario({"a2"});
 }
 
-BOOST_AUTO_TEST_CASE(Leader_ReachesServedInstanceOfOwnDataCentre_NothingTwice) {
+BOOST_AUTO_TEST_CASE(
+    Leader_ReachesServedInstanceOfOwnDataCentre_NothingRunsTwice) {
   RunScenario({"b2"});
 }
 
@@ -73,7 +74,7 @@
   ViolationReport violation_report;
   for (int outage = 2000; outage <= 9000; outage += 250) {
     LeaderSuccession trial({"a2", "b2", "c2"});
-    trial.SetWorkersPartitioned(true);
+    trial.MaybePartitionOldLeaderFromBoth(true);
     for (const auto& [name, instance] : trial.world.instances()) {
       instance->store_faults.unavailable = true;
     }
@@ -90,12 +91,13 @@
 // The store removes a partitioned leader's keys before its lease expires, as it
 // may without notice. The successor's wait counts from a time at which the old
 // leader still considers itself the leader.
-BOOST_AUTO_TEST_CASE(PartitionedLeader_KeysRemovedBeforeLeaseEnd_NothingTwice) {
+BOOST_AUTO_TEST_CASE(
+    PartitionedLeader_KeysRemovedBeforeLeaseEnd_NothingRunsTwice) {
   ViolationReport violation_report;
   for (int offset = 0; offset < 1200; offset += 60) {
     for (int after = 0; after <= 2000; after += 200) {
       LeaderSuccession trial;
-      trial.SetWorkersPartitioned(true);
+      trial.MaybePartitionOldLeaderFromBoth(true);
       trial.world.Run(Millis(offset));
       trial.PartitionOldLeader();
       trial.world.Run(Millis(after));
@@ -126,9 +128,9 @@
   }
 }
 
-// The exception for an outage for all instances does not apply for a minute
-// after a machine is gone, since the store might serve that machine and it
-// might lead. After that, ready tasks are started during such an outage again.
+// For a minute after a machine is gone, a leader does not assume that an outage
+// is one for all instances, since the store might serve that machine, which
+// might lead. After that, ready tasks are started during an outage again.
 BOOST_AUTO_TEST_CASE(Outage_MachineGoneForOverAMinute_DependentStepsRun) {
   for (const int gone_for : {70, 300}) {
     fakes::CellWorld world(7);
@@ -152,8 +154,9 @@
   }
 }
 
-// The leader's record of an unresponsive worker closes the worker to new work
-// until the store has a newer record, which it cannot get during an outage.
+// Guards against a worker that gets no work throughout an outage: the leader
+// has recorded it as unresponsive, which closes it to new work, and the store
+// cannot take a newer record.
 BOOST_AUTO_TEST_CASE(Outage_WorkerWasBrieflyUnresponsive_GetsWork) {
   for (int duration = 0; duration <= 2000; duration += 250) {
     fakes::CellWorld world(5);
--- a/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
@@ -22,7 +22,8 @@
 // The worker becomes unresponsive to the old leader 0 to 6 s before that leader
 // is partitioned. The successor reaches the worker, adopts the runs there and
 // extends their lease.
-BOOST_AUTO_TEST_CASE(PartitionedLeader_SuccessorHoldsTheWorker_StartsNothing) {
+BOOST_AUTO_TEST_CASE(
+    PartitionedLeader_SuccessorReachesTheWorker_StartsNothing) {
   for (int before = 0; before <= 6000; before += 500) {
     PartitionedLeaderFixture fixture;
     fixture.old_leader->unreachable_workers.insert("shared");
@@ -34,7 +35,7 @@
     fixture.world.Run(Millis(8000));
     fixture.ExpectNoViolations("healed, " + std::to_string(before));
     for (const char* task : {".0.0.0", ".0.0.1"}) {
-      BOOST_TEST(fixture.Runs(kLongRunningJob + std::string(task)));
+      BOOST_TEST(fixture.IsRunning(kLongRunningJob + std::string(task)));
     }
   }
 }
@@ -72,8 +73,9 @@
 }
 
 // During a store outage for all instances, an unresponsive worker does not
-// prove that its runs have ended. Once the leader's lease is confirmed to have
-// been kept, the elapsed time proves it at once.
+// prove that its runs have ended. Once it is confirmed that the leader has kept
+// its lease, the time since the worker's last answer proves at once that they
+// have ended.
 BOOST_FIXTURE_TEST_CASE(Store_DownForAllAndWorkerCrashes_TasksRestartWithStore,
                         PartitionedLeaderFixture) {
   for (const auto& [name, instance] : world.instances()) {
@@ -118,10 +120,10 @@
 
 // The first successor reaches the worker after 1 to 5.5 s, extends the lease of
 // the runs there for 0.1 to 2.1 s, and is lost; the worker is unresponsive
-// again. The wait is based on the last lease granted to the worker, not on the
-// older record. If the store is unreachable when the worker answers, no lease
-// is extended. Leaders with a planned shutdown are succeeded at once, which
-// leaves the least time.
+// again. The next successor's wait must count from the last lease granted to
+// the worker, not from the older record. If the store is unreachable when the
+// worker answers, no lease is extended. Leaders with a planned shutdown are
+// succeeded at once, which leaves the least time.
 struct ContactedAndLost {
   int not_contacted_ms;
   int contacted_ms;
@@ -185,7 +187,8 @@
         (row.planned_shutdown ? " planned shutdown" : "") +
         (row.store_unreachable ? " store unreachable" : "");
     fixture.ExpectNoViolations(context);
-    BOOST_TEST(fixture.Runs(std::string(kLongRunningJob) + ".0.0.0"), context);
+    BOOST_TEST(fixture.IsRunning(std::string(kLongRunningJob) + ".0.0.0"),
+               context);
   }
 }
 
@@ -226,7 +229,7 @@
     const std::string task = std::string(kLongRunningJob) + ".0.0.0";
     BOOST_REQUIRE(world.Submit(
         fakes::MakePlan(kLongRunningJob, 1, 1, "ms=1200 fails=999999")));
-    const auto runner = [&] {
+    const auto find_running_worker = [&] {
       for (const auto& [id, worker] : world.workers()) {
         if (worker->model.IsRunning(task)) {
           return id;
@@ -244,7 +247,7 @@
       run_until(run);
       world.Run(Millis(300));
       partitioned_worker =
-          run == partitioned_run ? runner() : partitioned_worker;
+          run == partitioned_run ? find_running_worker() : partitioned_worker;
       for (const auto& [name, instance] : world.instances()) {
         instance->store_faults.unavailable = run > recorded;
       }
--- a/src/libdoorwood/cell/cell_pause_test.cpp
+++ b/src/libdoorwood/cell/cell_pause_test.cpp
@@ -1,12 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A leader's process is paused for 1 to 12 s. Meanwhile a successor takes the
-// lead, waits until the runs on workers that it has not contacted must have
-// ended, and starts the tasks again. When the old leader resumes, it handles
-// answers that waited in its sockets before the tick that detects the pause,
-// and may send an order after a check that it made before the pause. No run
-// whose lease the old leader then extends may be active beside one that the
-// successor starts. All in virtual time.
+// A leader's process is paused for 1 to 12 s. Meanwhile a successor leads,
+// waits until the runs on workers that it has not contacted must have ended,
+// and starts the tasks again. On resuming, the old leader handles answers that
+// waited in its sockets before the tick that detects the pause, and may send an
+// order after a check made before the pause. No run whose lease it then extends
+// may overlap one of the successor. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -25,7 +24,7 @@
 constexpr Millis kSettlingTime{13'000};
 // How long a leader continues after its last confirmation
 // (`CellOptions::order_grace`).
-constexpr Millis kUnsureTime{3000};
+constexpr Millis kOrderGrace{3000};
 
 std::string Describe(
     std::initializer_list<std::pair<const char*, int64_t>> parameters) {
@@ -43,7 +42,7 @@
     for (int pause = 1000; pause <= 12'000; pause += 250) {
       for (int offset = 0; offset < kOffsets; ++offset) {
         LeaderSuccession trial;
-        trial.SetWorkersPartitioned(partitioned);
+        trial.MaybePartitionOldLeaderFromBoth(partitioned);
         trial.world.Run(kOffsetStep * offset);
         trial.Pause(Millis(pause));
         trial.world.Run(kSettlingTime);
@@ -62,7 +61,7 @@
     for (int pause = 1000; pause <= 12'000; pause += 250) {
       for (int offset = 0; offset < kOffsets; ++offset) {
         LeaderSuccession trial;
-        trial.SetWorkersPartitioned(partitioned);
+        trial.MaybePartitionOldLeaderFromBoth(partitioned);
         trial.Pause(Millis(pause));
         trial.world.Run(Millis(1 + offset * 10));
         trial.Pause(Millis(pause));
@@ -76,15 +75,15 @@
   }
 }
 
-// It cannot reach the store and the other instances, continues for its 3 s, and
-// is paused around their end.
+// The old leader cannot reach the store and the other instances. It continues
+// to lead for 3 s and is paused around the end of that time.
 BOOST_AUTO_TEST_CASE(PartitionedLeader_Paused_NothingRunsTwice) {
   ViolationReport violation_report;
   for (const bool partitioned : {false, true}) {
     for (int pause = 250; pause <= 6000; pause += 250) {
       for (int offset = 0; offset < 2 * kOffsets; ++offset) {
         LeaderSuccession trial;
-        trial.SetWorkersPartitioned(partitioned);
+        trial.MaybePartitionOldLeaderFromBoth(partitioned);
         trial.PartitionOldLeader();
         trial.world.Run(Millis(3000) + kOffsetStep * offset);
         trial.Pause(Millis(pause));
@@ -102,19 +101,19 @@
 // A pause in the middle of processing: between a check and the order that
 // follows from it.
 BOOST_AUTO_TEST_CASE(
-    PartitionedLeader_PausedBetweenCheckAndOrder_NothingTwice) {
+    PartitionedLeader_PausedBetweenCheckAndOrder_NothingRunsTwice) {
   ViolationReport violation_report;
   for (const bool partitioned : {false, true}) {
     for (int pause = 500; pause <= 5500; pause += 500) {
       for (int call = 1; call <= 300; ++call) {
         LeaderSuccession trial;
-        trial.SetWorkersPartitioned(partitioned);
+        trial.MaybePartitionOldLeaderFromBoth(partitioned);
         trial.PartitionOldLeader();
-        const Instant orders_end =
-            trial.old_leader->cell->proof().confirmed_at() + kUnsureTime;
-        const auto left = std::chrono::duration_cast<Millis>(
-            orders_end - trial.world.time().now());
-        trial.world.Run(left - Millis(1300));
+        const Instant grace_end =
+            trial.old_leader->cell->proof().confirmed_at() + kOrderGrace;
+        const auto remaining = std::chrono::duration_cast<Millis>(
+            grace_end - trial.world.time().now());
+        trial.world.Run(remaining - Millis(1300));
         trial.old_leader->executor->PauseInNowCall(call, Millis(pause));
         trial.world.Run(kSettlingTime);
         violation_report.Add(
@@ -126,15 +125,15 @@
   }
 }
 
-// The same for a leader that the store serves: it loses the lead by the pause
-// alone.
-BOOST_AUTO_TEST_CASE(OldLeader_PausedBetweenCheckAndOrder_NothingTwice) {
+// The same for a leader that the store serves. It loses the lead only because
+// of the pause.
+BOOST_AUTO_TEST_CASE(OldLeader_PausedBetweenCheckAndOrder_NothingRunsTwice) {
   ViolationReport violation_report;
   for (const bool partitioned : {false, true}) {
     for (int pause = 3000; pause <= 5750; pause += 250) {
       for (int call = 1; call <= 300; call += 3) {
         LeaderSuccession trial;
-        trial.SetWorkersPartitioned(partitioned);
+        trial.MaybePartitionOldLeaderFromBoth(partitioned);
         trial.old_leader->executor->PauseInNowCall(call, Millis(pause));
         trial.world.Run(kSettlingTime + Millis(2000));
         violation_report.Add(
--- a/src/libdoorwood/cell/cell_placement_records_test.cpp
+++ b/src/libdoorwood/cell/cell_placement_records_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A long-running task runs again soon after its worker is gone, even if leaders
-// follow each other and cannot reach other workers; and it never runs twice at
-// a time.
+// A long-running task must run again soon after its worker is gone, even if
+// leaders succeed each other and cannot reach other workers, and must never run
+// twice at a time.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -88,9 +88,9 @@
     back.unreachable_workers.insert(unreachable_workers.begin(),
                                     unreachable_workers.end());
   }
-  void SetStoreDown(bool down_for_all) {
+  void SetStoreDown(bool down) {
     for (auto& [name, instance] : world.instances()) {
-      instance->store_faults.unavailable = down_for_all;
+      instance->store_faults.unavailable = down;
     }
   }
   /// Runs the world, and measures for how long each task of `watched` runs on
@@ -100,9 +100,9 @@
     for (Millis passed{0}; passed < duration; passed += kStep) {
       world.Run(kStep);
       for (const std::string& task : watched) {
-        Millis& now = not_running_for[task];
-        now = WorkerOf(task).empty() ? now + kStep : Millis(0);
-        longest_gap = std::max(longest_gap, now);
+        Millis& gap = not_running_for[task];
+        gap = WorkerOf(task).empty() ? gap + kStep : Millis(0);
+        longest_gap = std::max(longest_gap, gap);
       }
     }
   }
@@ -134,11 +134,11 @@
             fixture.PartitionFromAll(busy_workers[i]);
           }
           for (int i = 0; i < kTasks; ++i) {
-            const std::string host =
+            const std::string running_worker =
                 fixture.WorkerOf(PlacementFixture::NameOf(i));
             if (std::find(fixture.unreachable_workers.begin(),
-                          fixture.unreachable_workers.end(),
-                          host) == fixture.unreachable_workers.end()) {
+                          fixture.unreachable_workers.end(), running_worker) ==
+                fixture.unreachable_workers.end()) {
               fixture.watched.push_back(PlacementFixture::NameOf(i));
             }
           }
@@ -185,8 +185,8 @@
 constexpr char kFailsAfterSix[] = "ms=6000 fails=1000000";
 constexpr char kFailsAfterThree[] = "ms=3000 fails=1000000";
 
-// Has a task started again while nothing can be recorded, and then partitions
-// its new worker from all instances.
+// Makes the store unavailable, waits until the task has been started again on
+// another worker, and partitions that worker from all instances.
 void StartUnrecorded(PlacementFixture* fixture) {
   const std::string task = PlacementFixture::NameOf(0);
   const std::string before = fixture->WorkerOf(task);
@@ -222,8 +222,8 @@
   }
 }
 
-// Guards against a successor that started after the outage, and so never agreed
-// to unrecorded starts, relying on recorded placements.
+// Guards against a successor that relies on recorded placements because it
+// started after the outage and so never agreed to unrecorded starts.
 BOOST_AUTO_TEST_CASE(LongRunningTask_SuccessorStartedAfterTheOutage_RunsOnce) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
--- a/src/libdoorwood/cell/cell_random_restarts_test.cpp
+++ b/src/libdoorwood/cell/cell_random_restarts_test.cpp
@@ -19,7 +19,7 @@
 // Share of replies that are lost, and of calls that are executed late.
 constexpr double kFaultShare = 0.35;
 
-class ReturningWalk : public fakes::LongRunningFaultWalk {
+class RestartWalk : public fakes::LongRunningFaultWalk {
  public:
   using LongRunningFaultWalk::LongRunningFaultWalk;
 
@@ -51,13 +51,13 @@
   void RestartInstance() {
     auto& before = LeaderOrRandomInstance();
     const std::string name = before.name;
-    const auto cut_from = before.unreachable_workers;
-    const auto cut_from_instances = before.unreachable_instances;
+    const auto unreachable_workers = before.unreachable_workers;
+    const auto unreachable_instances = before.unreachable_instances;
     world_.Kill(name);
     auto& after =
         world_.AddInstance(name, fakes::LeaderSuccession::DataCentreOf(name));
-    after.unreachable_workers = cut_from;
-    after.unreachable_instances = cut_from_instances;
+    after.unreachable_workers = unreachable_workers;
+    after.unreachable_instances = unreachable_instances;
   }
 };
 
@@ -67,7 +67,7 @@
   const int last = only_seed == nullptr ? kSeeds : first;
   fakes::ViolationReport violation_report;
   for (int seed = first; seed <= last; ++seed) {
-    ReturningWalk walk(static_cast<uint64_t>(seed));
+    RestartWalk walk(static_cast<uint64_t>(seed));
     walk.Run(kSteps);
     violation_report.Add("seed " + std::to_string(seed), walk.world());
   }
--- a/src/libdoorwood/cell/cell_restarted_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_restarted_leader_test.cpp
@@ -1,16 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Guards against a restarted leader that takes a partial outage of the store
-// for an outage for all instances. The store refuses an instance until the
-// instance's key has expired. Meanwhile the leader's process restarts and leads
-// again without ever having known that instance. Then the store serves only
-// that instance. All instances that the leader knows report that the store
-// refuses them, so the leader assumes an outage for all and keeps extending
-// leases. The other instance becomes leader, waits for longer than any lease
-// that it must expect, and starts tasks that the old leader still runs. Found
-// in cell_random_restarts_test, seed 927: the old leader restarted at 1076.9 s,
-// asked one instance out of six, and extended leases until 1090.9 s; another
-// instance led from 1082.5 s. All in virtual time.
+// for an outage for all instances. The store refuses one instance until the
+// instance's key has expired. Meanwhile the leader restarts, so it never knows
+// that instance. Then the store serves only that instance. All that the leader
+// knows are refused, so it keeps extending leases, while the other instance
+// leads and starts the same tasks. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -27,7 +22,7 @@
 constexpr Millis kSettleTime{20'000};
 // Until the killed leader's key has expired and its successor has read the
 // records.
-constexpr Millis kLeadsAgain{4000};
+constexpr Millis kTimeToLeadAgain{4000};
 constexpr double kHighestCpuShare = 4.0;
 
 // Kills the leader's process and restarts it under the same name, with the same
@@ -35,14 +30,19 @@
 // leader.
 void RestartLeader(LeaderSuccession* scenario) {
   const std::string name = scenario->old_leader->name;
-  const auto cut_from = scenario->old_leader->unreachable_workers;
+  const auto unreachable_workers = scenario->old_leader->unreachable_workers;
   scenario->world.Kill(name);
   WorldInstance& restarted = scenario->world.AddInstance(
       name, LeaderSuccession::DataCentreOf(name), kHighestCpuShare);
-  restarted.unreachable_workers = cut_from;
+  restarted.unreachable_workers = unreachable_workers;
   scenario->old_leader = &restarted;
 }
 
+// The instance that becomes leader waits for longer than any lease that it must
+// expect, and then starts tasks that the old leader still runs. Found in
+// cell_random_restarts_test, seed 927: the old leader restarted at 1076.9 s,
+// asked one instance out of six, and extended leases until 1090.9 s; another
+// instance led from 1082.5 s.
 BOOST_AUTO_TEST_CASE(
     RestartedLeader_StoreServesUnknownInstance_NothingRunsTwice) {
   ViolationReport violation_report;
@@ -50,13 +50,13 @@
   for (int refused_ms = 2500; refused_ms <= 6000; refused_ms += 250) {
     LeaderSuccession scenario;
     BOOST_REQUIRE(scenario.old_leader->name == "b1");
-    scenario.SetWorkersPartitioned(true);
+    scenario.MaybePartitionOldLeaderFromBoth(true);
     auto& world = scenario.world;
     world.instances().at("a1")->store_faults.unavailable = true;
     world.Run(Millis(refused_ms));
     RestartLeader(&scenario);
     scenario.old_leader->unreachable_instances.insert("a1");
-    world.Run(kLeadsAgain);
+    world.Run(kTimeToLeadAgain);
     led_again += world.Leader() == scenario.old_leader ? 1 : 0;
     world.instances().at("a1")->store_faults.unavailable = false;
     for (const char* name : {"b1", "c1"}) {
@@ -76,7 +76,7 @@
   LeaderSuccession scenario;
   auto& world = scenario.world;
   RestartLeader(&scenario);
-  world.Run(kLeadsAgain);
+  world.Run(kTimeToLeadAgain);
   BOOST_REQUIRE(world.Leader() == scenario.old_leader);
   for (const auto& [name, instance] : world.instances()) {
     instance->store_faults.unavailable = true;
@@ -89,10 +89,10 @@
   }
 }
 
-// An instance that is permanently gone is no longer considered after a minute,
-// also by instances that start later. Until then it may be one that the store
-// serves.
-BOOST_AUTO_TEST_CASE(RestartedLeader_AnotherIsGone_IsForgottenInAMinute) {
+// An instance that has ended is disregarded after a minute, also by instances
+// that start later. Until then the leader must assume that the store may serve
+// it, and does not extend leases.
+BOOST_AUTO_TEST_CASE(RestartedLeader_AnotherIsGone_DisregardedAfterAMinute) {
   for (const bool within_a_minute : {true, false}) {
     BOOST_TEST_CONTEXT((within_a_minute ? "at once" : "after a minute")) {
       LeaderSuccession scenario;
@@ -100,7 +100,7 @@
       world.Kill("c1");
       world.Run(within_a_minute ? Millis(5000) : Millis(65'000));
       RestartLeader(&scenario);
-      world.Run(kLeadsAgain);
+      world.Run(kTimeToLeadAgain);
       BOOST_REQUIRE(world.Leader() == scenario.old_leader);
       for (const auto& [name, instance] : world.instances()) {
         instance->store_faults.unavailable = true;
--- a/src/libdoorwood/cell/cell_returning_instance_test.cpp
+++ b/src/libdoorwood/cell/cell_returning_instance_test.cpp
@@ -1,12 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // A leader that the store refuses has an outdated copy of the directory of
-// instances. In the first test it no longer knows an instance. In the others,
-// an instance announces its planned shutdown, exits and restarts under its name
-// while the store refuses the leader. The leader's copy still lists it as
-// leaving. The leader therefore does not ask it whether the store is down for
-// all, and disregards its answer even if it can reach the store. All in virtual
-// time.
+// instances. In the first test it no longer knows an instance. In the others an
+// instance shuts down as planned and restarts under its name meanwhile, so the
+// copy still lists it as leaving. The leader then does not ask this instance
+// whether the store is down for all, and disregards its answer even if the
+// instance reaches the store. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -26,7 +25,7 @@
   for (int offset = 0; offset < 20; ++offset) {
     LeaderSuccession trial;
     BOOST_REQUIRE(trial.old_leader->name == "b1");
-    trial.SetWorkersPartitioned(true);
+    trial.MaybePartitionOldLeaderFromBoth(true);
     auto& world = trial.world;
     world.instances().at("a1")->live->AnnounceLeaving();
     world.Run(Millis(200 + offset * 60));
@@ -44,25 +43,25 @@
   }
 }
 
-// The store refuses an instance until its key is gone. Then it serves only this
-// instance, and refuses the leader, which no longer knows of the instance, and
-// all that the leader knows.
+// The store refuses an instance until the instance's key has expired. Then it
+// serves only this instance. It refuses the leader, which no longer knows the
+// instance, and all instances that the leader knows.
 BOOST_AUTO_TEST_CASE(UnknownInstance_AloneIsServedAgain_NothingRunsTwice) {
   ViolationReport violation_report;
-  for (int away = 2500; away <= 6000; away += 250) {
+  for (int refused_ms = 2500; refused_ms <= 6000; refused_ms += 250) {
     LeaderSuccession trial;
     BOOST_REQUIRE(trial.old_leader->name == "b1");
-    trial.SetWorkersPartitioned(true);
+    trial.MaybePartitionOldLeaderFromBoth(true);
     auto& world = trial.world;
     world.instances().at("a1")->store_faults.unavailable = true;
-    world.Run(Millis(away));
+    world.Run(Millis(refused_ms));
     world.instances().at("a1")->store_faults.unavailable = false;
     for (const char* name : {"b1", "c1"}) {
       world.instances().at(name)->store_faults.unavailable = true;
     }
     trial.old_leader->unreachable_instances.insert("a1");
     world.Run(kSettlingTime);
-    violation_report.Add("away for " + std::to_string(away), world);
+    violation_report.Add("refused for " + std::to_string(refused_ms), world);
   }
 }
 
--- a/src/libdoorwood/cell/cell_worker_loss_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_loss_test.cpp
@@ -23,14 +23,14 @@
   plan.steps[0].long_running = true;
   world.Submit(plan);
   world.Run(Millis(500));
-  std::string host;
+  std::string running_worker;
   for (const auto& [id, worker] : world.workers()) {
     if (worker->model.running_count() > 0) {
-      host = id;
+      running_worker = id;
     }
   }
   for (const auto& [name, instance] : world.instances()) {
-    instance->unreachable_workers.insert(host);
+    instance->unreachable_workers.insert(running_worker);
   }
   world.Kill(world.Leader()->name);
   BOOST_REQUIRE(world.WaitForLeader() != nullptr);
@@ -45,15 +45,15 @@
   plan.steps[0].long_running = true;
   world.Submit(plan);
   world.Run(Millis(500));
-  std::string host;
+  std::string running_worker;
   for (auto& [id, worker] : world.workers()) {
     if (worker->model.running_count() > 0) {
-      host = id;
+      running_worker = id;
       worker->incarnation.draining = true;
     }
   }
   world.Run(Millis(2500));
-  BOOST_TEST(world.workers().at(host)->model.running_count() == 0U);
+  BOOST_TEST(world.workers().at(running_worker)->model.running_count() == 0U);
   BOOST_TEST(world.starts(std::string(kJob) + ".0.0.0") == 2);
 }
 
@@ -68,7 +68,7 @@
   world.Submit(plan);
   world.Run(Millis(500));
   const std::string task = std::string(kJob) + ".0.0.0";
-  const auto runner = [&] {
+  const auto find_running_worker = [&] {
     for (const auto& [id, worker] : world.workers()) {
       if (worker->model.IsRunning(task)) {
         return id;
@@ -76,14 +76,15 @@
     }
     return std::string();
   };
-  const std::string first = runner();
+  const std::string first = find_running_worker();
   BOOST_REQUIRE(!first.empty());
   world.workers().at(first)->listed = false;
   world.Run(Millis(1500));
-  BOOST_TEST(runner() == first);  // The entry may come back within moments.
+  // The entry may come back within moments.
+  BOOST_TEST(find_running_worker() == first);
   world.Run(Millis(2500));
-  BOOST_TEST(runner() != first);
-  BOOST_TEST(!runner().empty());
+  BOOST_TEST(find_running_worker() != first);
+  BOOST_TEST(!find_running_worker().empty());
 }
 
 BOOST_FIXTURE_TEST_CASE(Worker_EntryComesBack_NothingMoves, CellFixture) {
--- a/src/libdoorwood/cell/cell_world_util.h
+++ b/src/libdoorwood/cell/cell_world_util.h
@@ -13,7 +13,7 @@
 
 namespace doorwood::fakes {
 
-/// The id of the worker that runs the task; empty: none does.
+/// The id of the worker that runs the task; empty if there is none.
 inline std::string WorkerRunning(CellWorld& world, const std::string& task) {
   for (const auto& [id, worker] : world.workers()) {
     if (worker->model.IsRunning(task)) {
--- a/src/libdoorwood/cell/cell_wrong_address_test.cpp
+++ b/src/libdoorwood/cell/cell_wrong_address_test.cpp
@@ -69,11 +69,11 @@
                            {"a takeover, worker not contacted", true, true}};
   for (const EntryRow& row : rows) {
     WrongAddressFixture fixture;
-    const std::string runner = fixture.StartLongRunningTask();
-    BOOST_REQUIRE(!runner.empty());
-    fixture.world.workers()[runner]->listed_address = kElsewhere;
+    const std::string running_worker = fixture.StartLongRunningTask();
+    BOOST_REQUIRE(!running_worker.empty());
+    fixture.world.workers()[running_worker]->listed_address = kElsewhere;
     if (row.unreachable) {
-      fixture.PartitionAllFrom(runner);
+      fixture.PartitionAllFrom(running_worker);
     }
     if (row.takeover) {
       fixture.world.Kill(fixture.world.Leader()->name);
@@ -103,24 +103,25 @@
     worker->listed_address.clear();
   }
   fixture.world.Run(Millis(3000));
-  const std::string runner = fixture.StartLongRunningTask();
-  BOOST_REQUIRE(!runner.empty());
-  fixture.PartitionAllFrom(runner);
+  const std::string running_worker = fixture.StartLongRunningTask();
+  BOOST_REQUIRE(!running_worker.empty());
+  fixture.PartitionAllFrom(running_worker);
   fixture.world.Kill(fixture.world.Leader()->name);
   fixture.world.Run(Millis(20'000));
   BOOST_TEST(fixture.world.violations().empty());
   BOOST_TEST(fixture.CountRunningTasks() == 1U);
 }
 
-// The remaining proof of a crash: another incarnation answers at the crashed
-// worker's own address, so that no task waits for a lease.
-BOOST_AUTO_TEST_CASE(Worker_CrashedAtTakeover_IsKnownLostAtOnce) {
+// Another incarnation answers at the address where the crashed worker had
+// answered. This still proves the crash, so that no task waits until a lease
+// has expired.
+BOOST_AUTO_TEST_CASE(Worker_CrashedAtTakeover_TaskRunsAgainAtOnce) {
   constexpr Millis kRestartBound{6000};
   WrongAddressFixture fixture;
-  const std::string runner = fixture.StartLongRunningTask();
-  BOOST_REQUIRE(!runner.empty());
+  const std::string running_worker = fixture.StartLongRunningTask();
+  BOOST_REQUIRE(!running_worker.empty());
   fixture.world.Kill(fixture.world.Leader()->name);
-  fixture.world.CrashWorker(runner);
+  fixture.world.CrashWorker(running_worker);
   BOOST_REQUIRE(fixture.world.WaitForLeader() != nullptr);
   fixture.world.Run(kRestartBound);
   BOOST_TEST(fixture.world.violations().empty());
--- a/src/libdoorwood/cell/commit_flow_test.cpp
+++ b/src/libdoorwood/cell/commit_flow_test.cpp
@@ -58,7 +58,7 @@
   BOOST_TEST(CountSentWithin(340) == options.max_lanes);
 }
 
-BOOST_FIXTURE_TEST_CASE(IsUnresponsive_SomeAnswers_OnlyWithoutAny,
+BOOST_FIXTURE_TEST_CASE(IsUnresponsive_NoAnswerInTime_UntilTheNextAnswer,
                         FlowFixture) {
   flow.OnSent(0, now);
   AdvanceTime(600);
@@ -82,7 +82,7 @@
   BOOST_TEST(flow.answer_time().count() == 310);
 }
 
-BOOST_AUTO_TEST_CASE(ExpectedWait_Table) {
+BOOST_AUTO_TEST_CASE(ExpectedWait_AnswerTimeAndCommitsAhead_MatchTable) {
   struct Row {
     int answer_ms;
     size_t ahead;
--- a/src/libdoorwood/cell/leader_succession_fixture.h
+++ b/src/libdoorwood/cell/leader_succession_fixture.h
@@ -22,39 +22,41 @@
 inline constexpr char kOtherSuccessionJob[] = "00112233aabbccd0";
 inline constexpr int kSuccessionTasks = 2;
 
-/// Collects the cases that violated a rule and reports them once for a whole
-/// range of cases.
+/// Collects the cases that violated a rule of the world. The destructor reports
+/// them in one test error: the first 12, or all if the environment variable
+/// DOORWOOD_ALL is set.
 class ViolationReport {
  public:
   void Add(const std::string& context, const CellWorld& world) {
     ++cases_;
     if (!world.violations().empty()) {
-      broken_.push_back(context + ": " + world.violations().front());
+      violations_.push_back(context + ": " + world.violations().front());
     }
   }
 
   ~ViolationReport() {
     constexpr size_t kShown = 12;
-    std::string text = std::to_string(broken_.size()) + " of " +
+    std::string text = std::to_string(violations_.size()) + " of " +
                        std::to_string(cases_) + " cases violated a rule";
     const size_t shown =
-        std::getenv("DOORWOOD_ALL") == nullptr ? kShown : broken_.size();
-    for (size_t i = 0; i < std::min(shown, broken_.size()); ++i) {
-      text += "\n  " + broken_[i];
+        std::getenv("DOORWOOD_ALL") == nullptr ? kShown : violations_.size();
+    for (size_t i = 0; i < std::min(shown, violations_.size()); ++i) {
+      text += "\n  " + violations_[i];
     }
     BOOST_TEST_MESSAGE(text);
-    BOOST_CHECK_MESSAGE(broken_.empty(), text);
+    BOOST_CHECK_MESSAGE(violations_.empty(), text);
   }
 
  private:
   int cases_ = 0;
-  std::vector<std::string> broken_;
+  std::vector<std::string> violations_;
 };
 
-/// Two tasks run on "both" and two on "old_only". Successors start tasks whose
-/// runs they consider ended on "new_only", which the old leader cannot reach.
+/// Two tasks run on "both" and two on "old_only". If successors consider runs
+/// ended, they can start the tasks again on "new_only", which the old leader
+/// cannot reach.
 struct LeaderSuccession {
-  explicit LeaderSuccession(const std::vector<std::string>& more = {})
+  explicit LeaderSuccession(const std::vector<std::string>& more_instances = {})
       : world(7) {
     world.SetTable({MakeQueue("queue", 4)});
     // Has memory for only two tasks, so that the others go elsewhere.
@@ -64,7 +66,7 @@
     world.AddInstance("a1", "plaka", 2.0);
     world.AddInstance("b1", "kerameikos");
     world.AddInstance("c1", "pireas");
-    for (const std::string& name : more) {
+    for (const std::string& name : more_instances) {
       world.AddInstance(name, DataCentreOf(name));
     }
     world.WaitForLeader();
@@ -97,21 +99,23 @@
     return plan;
   }
 
-  /// Pauses the old leader's process.
+  /// Pauses the old leader's process while the world runs for `duration`.
   void Pause(Millis duration) const {
     old_leader->executor->Freeze();
     world.Run(duration);
     old_leader->executor->Thaw();
   }
 
-  /// Optionally partitions the old leader from "both". It then shares no worker
-  /// with its successors from which it could learn of a newer leader.
-  void SetWorkersPartitioned(bool partition) const {
+  /// If `partition`, partitions the old leader from "both". The old leader then
+  /// reaches no worker that its successors reach, and so cannot learn of a
+  /// newer leader from a worker.
+  void MaybePartitionOldLeaderFromBoth(bool partition) const {
     if (partition) {
       old_leader->unreachable_workers.insert("both");
     }
   }
 
+  /// Partitions the old leader from the store and the other instances.
   void PartitionOldLeader() const {
     old_leader->store_faults.unresponsive = true;
     old_leader->partitioned_from_peers = true;
--- a/src/libdoorwood/cell/long_running_fault_walk.h
+++ b/src/libdoorwood/cell/long_running_fault_walk.h
@@ -38,7 +38,8 @@
   LongRunningFaultWalk(const LongRunningFaultWalk&) = delete;
   LongRunningFaultWalk& operator=(const LongRunningFaultWalk&) = delete;
 
-  /// Makes `steps` steps, then removes all faults and lets the cell recover.
+  /// Makes `steps` steps, then removes all faults and runs the world for 12 s,
+  /// in which the cell recovers.
   void Run(int steps) {
     for (int i = 0; i < steps; ++i) {
       InjectFaultOrSubmit();
@@ -75,16 +76,18 @@
         ->first;
   }
 
+  /// Submits a job of three long-running tasks, up to four jobs in all.
   void Submit() {
     char id[17];
     std::snprintf(id, sizeof(id), "%016x", ++jobs_made_);
-    constexpr unsigned kMostJobs = 4;
-    if (jobs_made_ <= kMostJobs) {
+    constexpr unsigned kMaxJobs = 4;
+    if (jobs_made_ <= kMaxJobs) {
       world_.Submit(LeaderSuccession::Plan(id, 3));
     }
   }
 
-  /// Injects the fault of that number; submits a job for any other number.
+  /// Injects the fault with this number (0 to 13), or submits a job if the
+  /// number is higher.
   void InjectFault(uint64_t fault) {
     switch (fault) {
       case 0:
--- a/src/libdoorwood/cell/partitioned_leader_fixture.h
+++ b/src/libdoorwood/cell/partitioned_leader_fixture.h
@@ -18,8 +18,8 @@
 
 inline constexpr char kLongRunningJob[] = "00112233aabbccdd";
 
-/// Two workers: "shared" runs the tasks; once the old leader is partitioned, it
-/// is the only one that can reach "near".
+/// Two workers: "shared" runs the tasks; once the old leader is partitioned,
+/// only that leader can reach "near".
 struct PartitionedLeaderFixture {
   explicit PartitionedLeaderFixture(uint64_t seed = 7) : world(seed) {
     world.SetTable({MakeQueue("queue", 4)});
@@ -42,6 +42,8 @@
     return plan;
   }
 
+  /// Partitions the old leader from the store and the other instances, and the
+  /// other instances from "near".
   void PartitionOldLeader() const {
     old_leader->store_faults.unresponsive = true;
     old_leader->partitioned_from_peers = true;
@@ -60,7 +62,7 @@
     }
   }
 
-  bool Runs(const std::string& task) const {
+  bool IsRunning(const std::string& task) const {
     const auto& workers = world.workers();
     return std::any_of(workers.begin(), workers.end(), [&](const auto& entry) {
       return entry.second->model.IsRunning(task);
--- a/src/libdoorwood/cell/ticket_book_test.cpp
+++ b/src/libdoorwood/cell/ticket_book_test.cpp
@@ -18,7 +18,7 @@
                       const std::vector<std::string>& workers,
                       Callback done) override {
     ++requests;
-    asked = workers;
+    requested_workers = workers;
     TicketGrant advice;
     advice.valid_for = Millis(3000);
     for (const std::string& worker : workers) {
@@ -33,7 +33,7 @@
 
   std::error_code error;
   int requests = 0;
-  std::vector<std::string> asked;
+  std::vector<std::string> requested_workers;
 
  private:
   Executor& executor_;
@@ -50,7 +50,8 @@
                   [this] { ++changes; }};
 };
 
-BOOST_FIXTURE_TEST_CASE(Want_Answered_TicketHoldsForItsTime, TicketFixture) {
+BOOST_FIXTURE_TEST_CASE(RequestTickets_Answered_TicketIsValidForItsTime,
+                        TicketFixture) {
   book.RequestTickets("s", {"w1", "refused"});
   book.RequestTickets("s", {"w1", "refused"});  // Already requested.
   time.Run(Millis(100));
@@ -67,7 +68,8 @@
   BOOST_TEST(adviser.requests == 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(Want_AdviserBusy_RetriesAfterAPause, TicketFixture) {
+BOOST_FIXTURE_TEST_CASE(RequestTickets_AdviserBusy_RetriesAfterAPause,
+                        TicketFixture) {
   adviser.error = CoreErrc::kNoOwner;
   book.RequestTickets("s", {"w1"});
   time.Run(Millis(100));
@@ -81,7 +83,8 @@
   BOOST_TEST(book.Find("s", "w1") == "s-w1");
 }
 
-BOOST_FIXTURE_TEST_CASE(Want_ManyWorkers_RequestsInBatches, TicketFixture) {
+BOOST_FIXTURE_TEST_CASE(RequestTickets_ManyWorkers_SendsBatches,
+                        TicketFixture) {
   std::vector<std::string> workers;
   for (int i = 0; i < 70; ++i) {
     workers.push_back("w" + std::to_string(i));
--- a/src/libdoorwood/cell/worker_address_test.cpp
+++ b/src/libdoorwood/cell/worker_address_test.cpp
@@ -38,17 +38,20 @@
   void Start(const WorkerIncarnation& worker,
              const StartOrder& order,
              Callback<int64_t> done) override {
-    Order(Answer(worker, [&] { return model.Start(order); }), std::move(done));
+    ScheduleAnswer(Answer(worker, [&] { return model.Start(order); }),
+                   std::move(done));
   }
   void Stop(const WorkerIncarnation& worker,
             const StopOrder& order,
             Callback<int64_t> done) override {
-    Order(Answer(worker, [&] { return model.Stop(order); }), std::move(done));
+    ScheduleAnswer(Answer(worker, [&] { return model.Stop(order); }),
+                   std::move(done));
   }
   void Pace(const WorkerIncarnation& worker,
             const PaceOrder& order,
             Callback<int64_t> done) override {
-    Order(Answer(worker, [&] { return model.Pace(order); }), std::move(done));
+    ScheduleAnswer(Answer(worker, [&] { return model.Pace(order); }),
+                   std::move(done));
   }
 
   standin::RunWorkerModel model;
@@ -72,7 +75,7 @@
     }
     return effect();
   }
-  void Order(std::error_code error, Callback<int64_t> done) {
+  void ScheduleAnswer(std::error_code error, Callback<int64_t> done) {
     executor_.Schedule(kDelay, [this, error, done = std::move(done)] {
       done(error, error ? 0 : model.now());
     });
--- a/src/libdoorwood/cell/worker_overtaking_test.cpp
+++ b/src/libdoorwood/cell/worker_overtaking_test.cpp
@@ -122,7 +122,8 @@
   ExplorationFixture(const ExplorationFixture&) = delete;
   ExplorationFixture& operator=(const ExplorationFixture&) = delete;
 
-  // Checks only what the session infers; reports of the worker are true.
+  // Checks only ends that the session infers; those that the worker reports are
+  // true.
   void OnRunEnded(WorkerSession&, const Run&, RunEnd, bool reported) override {
     ended = true;
     wrong = wrong || (!reported && workers.MayRun());
--- a/src/libdoorwood/cell/worker_session_test.cpp
+++ b/src/libdoorwood/cell/worker_session_test.cpp
@@ -29,17 +29,17 @@
   void Poll(const WorkerIncarnation&,
             const PollOrder& order,
             Callback<WorkerReport> done) override {
-    ++holds;
-    last_until = order.lease_end;
+    ++polls;
+    last_lease_end = order.lease_end;
     Advance();
     WorkerReport report;
     std::error_code error = RunErrc::kNoAnswer;
-    if (hold_fault == Fault::kOtherIncarnation) {
+    if (poll_fault == Fault::kOtherIncarnation) {
       error = RunErrc::kOtherIncarnation;
-    } else if (hold_fault != Fault::kRequestLost) {
+    } else if (poll_fault != Fault::kRequestLost) {
       error = model.Poll(order, &report);
     }
-    if (hold_fault == Fault::kReplyLost) {
+    if (poll_fault == Fault::kReplyLost) {
       error = RunErrc::kNoAnswer;
     }
     const Millis delay = error ? Millis(300) : Millis(100);
@@ -50,37 +50,37 @@
   void Start(const WorkerIncarnation&,
              const StartOrder& order,
              Callback<int64_t> done) override {
-    Order(start_fault, std::move(done),
-          [this, order] { return model.Start(order); });
+    CarryOut(start_fault, std::move(done),
+             [this, order] { return model.Start(order); });
   }
   void Stop(const WorkerIncarnation&,
             const StopOrder& order,
             Callback<int64_t> done) override {
     ++stops;
-    Order(stop_fault, std::move(done),
-          [this, order] { return model.Stop(order); });
+    CarryOut(stop_fault, std::move(done),
+             [this, order] { return model.Stop(order); });
   }
   void Pace(const WorkerIncarnation&,
             const PaceOrder& order,
             Callback<int64_t> done) override {
-    Order(Fault::kNone, std::move(done),
-          [this, order] { return model.Pace(order); });
+    CarryOut(Fault::kNone, std::move(done),
+             [this, order] { return model.Pace(order); });
   }
 
   void Advance() { model.Advance(time_.now_ms()); }
 
   standin::RunWorkerModel model;
-  Fault hold_fault = Fault::kNone;
+  Fault poll_fault = Fault::kNone;
   Fault start_fault = Fault::kNone;
   Fault stop_fault = Fault::kNone;
-  int holds = 0;
+  int polls = 0;
   int stops = 0;
-  int64_t last_until = 0;
+  int64_t last_lease_end = 0;
 
  private:
-  void Order(Fault fault,
-             Callback<int64_t> done,
-             const std::function<std::error_code()>& effect) {
+  void CarryOut(Fault fault,
+                Callback<int64_t> done,
+                const std::function<std::error_code()>& effect) {
     Advance();
     std::error_code error = RunErrc::kNoAnswer;
     if (fault == Fault::kNone) {
@@ -213,7 +213,7 @@
   void Poll(const WorkerIncarnation&,
             const PollOrder&,
             Callback<WorkerReport> done) override {
-    holds.push_back(std::move(done));
+    polls.push_back(std::move(done));
   }
   void Start(const WorkerIncarnation&,
              const StartOrder&,
@@ -227,7 +227,7 @@
             const PaceOrder&,
             Callback<int64_t>) override {}
 
-  std::vector<Callback<WorkerReport>> holds;
+  std::vector<Callback<WorkerReport>> polls;
   std::vector<Callback<int64_t>> starts;
 };
 
@@ -249,7 +249,7 @@
     session->SetLeadConfirmedUntil(Instant::max());
     session->Open();
     time.Run(Millis(10));
-    manual.holds.at(0)({}, ReportOf({}));
+    manual.polls.at(0)({}, ReportOf({}));
     SessionFixture::Start("");
     time.Run(Millis(50));
   }
@@ -262,14 +262,14 @@
 // first poll with the run listed. The answer to the first poll arrives first.
 BOOST_FIXTURE_TEST_CASE(Poll_ReportsOutOfOrder_LateRunIsNotEnded,
                         ManualFixture) {
-  BOOST_REQUIRE(manual.holds.size() == 2U);
+  BOOST_REQUIRE(manual.polls.size() == 2U);
   manual.starts.at(0)(RunErrc::kNoAnswer, 0);
   time.Run(Millis(50));
-  BOOST_REQUIRE(manual.holds.size() == 3U);
+  BOOST_REQUIRE(manual.polls.size() == 3U);
   const ActiveRun listed{"t", 1, "", 0, -1};
-  manual.holds.at(1)({}, ReportOf({listed}));
+  manual.polls.at(1)({}, ReportOf({listed}));
   time.Run(Millis(5));
-  manual.holds.at(2)({}, ReportOf({}));
+  manual.polls.at(2)({}, ReportOf({}));
   time.Run(Millis(50));
   BOOST_TEST(ends.empty());
   BOOST_TEST(session->runs().size() == 1U);
@@ -280,11 +280,11 @@
                         ManualFixture) {
   manual.starts.at(0)({}, 1000);
   time.Run(Millis(10));
-  manual.holds.at(1)({}, ReportOf({}));  // Sent before the run began.
+  manual.polls.at(1)({}, ReportOf({}));  // Sent before the run began.
   time.Run(Millis(10));
   WorkerReport report = ReportOf({});
   report.has_more_ends = true;
-  manual.holds.at(2)({}, report);
+  manual.polls.at(2)({}, report);
   time.Run(Millis(10));
   BOOST_TEST(ends.empty());
 }
@@ -299,7 +299,7 @@
   BOOST_TEST(refused == 0);
   WorkerReport report = ReportOf({});
   report.ended.push_back({1, "t", 1, RunEnd::kDone, ""});
-  manual.holds.back()({}, report);
+  manual.polls.back()({}, report);
   time.Run(Millis(10));
   BOOST_TEST(ends == std::vector<std::string>{"t done reported"},
              boost::test_tools::per_element());
@@ -309,10 +309,12 @@
                         ManualFixture) {
   manual.starts.at(0)(RunErrc::kStaleRun, 1000);
   time.Run(Millis(10));
-  manual.holds.back()({}, ReportOf({}));
+  manual.polls.back()({}, ReportOf({}));
   time.Run(Millis(10));
-  BOOST_TEST(ends.empty());  // Sent at the time of the answer.
-  manual.holds.back()({}, ReportOf({}));
+  // This poll was sent no later than the answer to the start order arrived, so
+  // its report does not prove that the run is absent.
+  BOOST_TEST(ends.empty());
+  manual.polls.back()({}, ReportOf({}));
   time.Run(Millis(10));
   BOOST_TEST(ends == std::vector<std::string>{"t lapsed inferred"},
              boost::test_tools::per_element());
@@ -322,14 +324,14 @@
                         SessionFixture) {
   Start("");
   AdvanceTime(Millis(1000));
-  workers.hold_fault = Fault::kReplyLost;  // Requests still reach the worker.
-  const int64_t silent_at = time.now_ms();
+  workers.poll_fault = Fault::kReplyLost;  // Polls still reach the worker.
+  const int64_t unresponsive_since = time.now_ms();
   AdvanceTime(Millis(12'000));
   BOOST_REQUIRE(ends.size() == 1U);
   BOOST_TEST(ends[0] == "t lapsed inferred");
   // At most one lease of 7 s on a clock that runs 2% slow, counted from the
   // last answer. The worker itself must have ended the run before.
-  BOOST_TEST(ended_at - silent_at < 9000);
+  BOOST_TEST(ended_at - unresponsive_since < 9000);
   workers.Advance();
   BOOST_TEST(!workers.model.IsRunning("t"));
 }
@@ -338,7 +340,7 @@
                         SessionFixture) {
   Start("");
   AdvanceTime(Millis(500));
-  workers.hold_fault = Fault::kOtherIncarnation;
+  workers.poll_fault = Fault::kOtherIncarnation;
   AdvanceTime(Millis(2000));
   BOOST_TEST(ends.size() == 1U);
   BOOST_TEST(session->dead());
@@ -360,7 +362,8 @@
   BOOST_TEST(report.ended.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(Poll_HigherTokenSeen_IsReportedOnce, SessionFixture) {
+BOOST_FIXTURE_TEST_CASE(Poll_WorkerHasHigherToken_IsReportedOnce,
+                        SessionFixture) {
   Start("");
   WorkerReport ignored;
   workers.model.Poll({6, 0, 0, Millis(0)}, &ignored);
@@ -369,18 +372,18 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(Poll_NothingRuns_SendsNoPolls, SessionFixture) {
-  const int before = workers.holds;
+  const int before = workers.polls;
   AdvanceTime(Millis(5000));
-  BOOST_TEST(workers.holds == before);
+  BOOST_TEST(workers.polls == before);
 }
 
-BOOST_FIXTURE_TEST_CASE(SetExtendUntil_DeadlinePassed_NoLeaseIsExtended,
+BOOST_FIXTURE_TEST_CASE(SetLeaseExtensionEnd_EndPassed_NoLeaseIsExtended,
                         SessionFixture) {
   Start("");
   AdvanceTime(Millis(500));
   session->SetLeaseExtensionEnd(executor.Now());
   AdvanceTime(Millis(1000));
-  BOOST_TEST(workers.last_until == 0);
+  BOOST_TEST(workers.last_lease_end == 0);
   AdvanceTime(Millis(9000));
   BOOST_REQUIRE(ends.size() == 1U);
   BOOST_TEST(ends[0] == "t lapsed reported");
@@ -396,7 +399,7 @@
     fixture.Start("");
     fixture.AdvanceTime(Millis(1000));
     fixture.session->SetLeadConfirmedUntil(Instant{});
-    fixture.workers.hold_fault = fault;
+    fixture.workers.poll_fault = fault;
     fixture.workers.stop_fault = fault;
     fixture.AdvanceTime(Millis(12'000));
     BOOST_TEST(fixture.ends.empty());
