--- a/src/libdoorwood/cell/cell_expired_lease_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_expired_lease_takeover_test.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A worker that stays unresponsive after its leader has declared its runs ended
-// holds no task back at a takeover, because nothing can run there.
+// A worker is still unresponsive after its leader has declared its runs ended.
+// A successor delays no task because of this worker, since nothing can run
+// there.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
--- a/src/libdoorwood/cell/cell_late_campaign_test.cpp
+++ b/src/libdoorwood/cell/cell_late_campaign_test.cpp
@@ -56,8 +56,8 @@
   }
 }
 
-// One late write, then a winning one; the lead is lost before the late one
-// takes effect.
+// One write is late and the next one wins the lead, which is lost before the
+// late write takes effect.
 BOOST_AUTO_TEST_CASE(Campaign_LateWriteAfterLostLead_CellGetsALeader) {
   for (int led = 200; led <= 6000; led += 100) {
     Fixture fixture;
--- a/src/libdoorwood/cell/cell_late_done_test.cpp
+++ b/src/libdoorwood/cell/cell_late_done_test.cpp
@@ -1,20 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A worker completes a task while its leader cannot reach it. After 6 s the
-// run's lease expires, and the leader correctly counts the run as lost and
-// queues the task again. When the worker answers again and reports the run as
-// done, the leader must accept that completion. Ignoring it, because the run's
-// end had been counted already, made the task run again and the job's next step
-// wait: in an overload with repeated partitions, jobs ended 14 s after the last
-// request although all tasks of their first step were done.
-//
-// In the log this shows as "run ended without a report from the worker" for run
-// 1, followed by "end of a run not counted" with end "done" for the same run.
-// In each of five simulations of the standard days there were 3,662 to 5,252
-// such lines.
-//
-// All tests run in virtual time. A lease of 6 s has expired at most 6.5 s after
-// the last call that the worker answered.
+// A worker completes a task while its leader cannot reach it, and the run's
+// lease of 6 s expires. Guards against a leader that then ignores the worker's
+// report because it has counted the run as lost and queued the task again: the
+// task ran again and the next step waited. In an overload with repeated
+// partitions, jobs ended 14 s after the last request although all tasks of
+// their first step were done. All tests run in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -97,6 +88,12 @@
   JobPlan plan;
 };
 
+// The lease has expired at most 6.5 s after the last call that the worker
+// answered, and until the report arrives the leader correctly counts the run as
+// lost. A leader that ignored the report logged "run ended without a report
+// from the worker" for run 1, then "end of a run not counted" with end "done"
+// for the same run. In each of five simulations of the standard days there were
+// 3,662 to 5,252 such lines.
 BOOST_AUTO_TEST_CASE(LateCompletion_TaskWaits_CountsAndTaskDoesNotRunAgain) {
   for (int unreachable_ms = 7000; unreachable_ms <= 12'000;
        unreachable_ms += 1000) {
--- a/src/libdoorwood/cell/cell_leaving_test.cpp
+++ b/src/libdoorwood/cell/cell_leaving_test.cpp
@@ -90,11 +90,12 @@
     auto& world = fixture.world;
     WorldInstance* old_leader = world.Leader();
     BOOST_REQUIRE(old_leader != nullptr);
-    bool left = false;
+    bool has_shut_down = false;
     old_leader->live->AnnounceLeaving();
-    old_leader->cell->ShutDown([&left] { left = true; });
-    Millis taken{0};
-    for (; taken < Millis(5000) && !left; taken += kStep) {
+    old_leader->cell->ShutDown([&has_shut_down] { has_shut_down = true; });
+    Millis hand_over_time{0};
+    for (; hand_over_time < Millis(5000) && !has_shut_down;
+         hand_over_time += kStep) {
       fixture.Run(kStep);
     }
     world.Kill(old_leader->name);
@@ -104,8 +105,8 @@
                       [](const auto& row) { return row.second == "accepted"; });
     world.Run(Millis(15'000));
     BOOST_TEST_CONTEXT("seed " << seed) {
-      BOOST_TEST(left);
-      BOOST_TEST(taken.count() <= kMaxHandOverTime.count());
+      BOOST_TEST(has_shut_down);
+      BOOST_TEST(hand_over_time.count() <= kMaxHandOverTime.count());
       BOOST_TEST(fixture.unknown_outcomes == 0);
       BOOST_TEST(accepted > 0);
       BOOST_TEST(world.violations().empty());
--- a/src/libdoorwood/cell/cell_random_replacement_test.cpp
+++ b/src/libdoorwood/cell/cell_random_replacement_test.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The random walk of cell_random_restarts_test with replacement of workers: one
-// joins; another announces that it drains or does not, keeps running for a
-// while, and ends; its entry is removed later. Leaders succeed each other by
-// planned shutdown or not, sometimes twice in a row, and stops of tasks take
-// time. Short tasks beside the long-running ones reveal a completed task that
-// is started again.
+// The random walk of cell_random_restarts_test in which workers are also
+// replaced: one joins, and another, which may announce that it drains, keeps
+// running for a while and ends; its entry is removed before or after its end.
+// Leaders are shut down or killed, sometimes two in a row, and stops of tasks
+// take time. Short tasks beside the long-running ones show whether a completed
+// task is started again.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -106,10 +106,10 @@
 
   void ReplaceOneWorker() {
     ++replaced_;
-    const std::string leaving = PickServingWorker();
-    auto& joining = world_.AddWorker("r" + std::to_string(replaced_), 4000);
-    joining.model.SetStopDuration(Between(0, 3000));
-    auto& worker = *world_.workers().at(leaving);
+    const std::string replaced_worker = PickServingWorker();
+    auto& new_worker = world_.AddWorker("r" + std::to_string(replaced_), 4000);
+    new_worker.model.SetStopDuration(Between(0, 3000));
+    auto& worker = *world_.workers().at(replaced_worker);
     const Instant now = world_.time().now();
     const Instant ends_at = now + Between(200, 8000);
     const Instant unlisted_at = ends_at + Between(0, 2500);
@@ -120,16 +120,16 @@
       worker.incarnation.draining = true;
       worker.incarnation.min_time_to_leave = Between(0, 6000);
     }
-    world_.time().RunAt(ends_at, [this, leaving] {
-      const auto found = world_.workers().find(leaving);
+    world_.time().RunAt(ends_at, [this, replaced_worker] {
+      const auto found = world_.workers().find(replaced_worker);
       if (found != world_.workers().end()) {
         const bool listed = found->second->listed;
-        world_.ShutDownWorker(leaving);
+        world_.ShutDownWorker(replaced_worker);
         found->second->listed = listed;
       }
     });
-    world_.time().RunAt(unlisted_at, [this, leaving] {
-      const auto found = world_.workers().find(leaving);
+    world_.time().RunAt(unlisted_at, [this, replaced_worker] {
+      const auto found = world_.workers().find(replaced_worker);
       if (found != world_.workers().end()) {
         found->second->listed = false;
       }
@@ -212,9 +212,9 @@
   }
 
   void PartitionOthersFrom(const std::string& id,
-                           const WorldInstance* reaches) {
+                           const WorldInstance* reaching_instance) {
     for (const auto& [name, instance] : world_.instances()) {
-      if (instance != reaches) {
+      if (instance != reaching_instance) {
         instance->unreachable_workers.insert(id);
       }
     }
@@ -223,10 +223,10 @@
   // Only the leader, or no instance at all, reaches a worker that is up.
   void PartitionServingWorker() {
     const std::string worker = PickServingWorker();
-    const WorldInstance* reaches =
+    const WorldInstance* reaching_instance =
         RandomBelow(3) == 0 ? nullptr : world_.Leader();
     for (const auto& [name, instance] : world_.instances()) {
-      if (instance == reaches) {
+      if (instance == reaching_instance) {
         instance->unreachable_workers.erase(worker);
       } else {
         instance->unreachable_workers.insert(worker);
@@ -237,12 +237,12 @@
   // Replaces an instance by one that reaches the same workers.
   void ReplaceInstance(fakes::WorldInstance* before) {
     const std::string name = before->name;
-    const auto cut_from = before->unreachable_workers;
+    const auto unreachable_workers = before->unreachable_workers;
     world_.Kill(name);
     const std::string next =
         name.substr(0, 1) + "s" + std::to_string(++successors_);
     world_.AddInstance(next, fakes::LeaderSuccession::DataCentreOf(name))
-        .unreachable_workers = cut_from;
+        .unreachable_workers = unreachable_workers;
   }
 
   void ShutDownLeader() {
@@ -290,17 +290,17 @@
                    : only_seed == nullptr ? kSeeds
                                           : first;
   fakes::ViolationReport violation_report;
-  int started_done = 0;
+  int completed_task_starts = 0;
   for (int seed = first; seed <= last; ++seed) {
     ReplacingWalk walk(static_cast<uint64_t>(seed));
     walk.Run(kSteps);
     violation_report.Add("seed " + std::to_string(seed), walk.world());
     for (const std::string& rule : walk.world().completed_task_starts()) {
-      ++started_done;
+      ++completed_task_starts;
       BOOST_ERROR("seed " << seed << ": " << rule);
     }
   }
-  BOOST_TEST(started_done == 0);
+  BOOST_TEST(completed_task_starts == 0);
 }
 
 }  // namespace
--- a/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
+++ b/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The workers' record names the tasks that may run on each draining worker.
-// These tests lose the leader right before or after a row is confirmed, let the
-// worker answer the successors or not, and cancel the drain. No task may run
-// twice, no completed task may be started again, and tasks must restart in
-// time. All in virtual time.
+// The workers' record names the tasks that may run on each draining worker. In
+// these tests the leader is lost right before or after a row is confirmed, its
+// successors can or cannot reach the worker, and drains are cancelled. No task
+// may run twice, no completed task may be started again, and tasks must restart
+// in time. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <functional>
@@ -100,8 +100,8 @@
     leaves().incarnation.draining = drains;
   }
 
-  /// Advances time in small steps and records for how long the tasks ran
-  /// nowhere.
+  /// Advances time in small steps, and records for how long the task has run on
+  /// no worker and the other job has waited.
   void Run(Millis duration) {
     constexpr Millis kStep{25};
     for (Millis passed{0}; passed < duration; passed += kStep) {
@@ -162,7 +162,7 @@
   WorldInstance* old = nullptr;
   Millis downtime{0};
   Millis longest_downtime{0};
-  /// How long the other job has waited.
+  /// For how long the other job has waited.
   Millis waited{0};
 };
 
@@ -218,8 +218,8 @@
                      << longest_unreachable.count());
 }
 
-// A waiting job that the row does not name must not be held back: free capacity
-// for it appears while the successor cannot reach the worker.
+// A waiting job that the row does not name must not be delayed: a worker with
+// enough capacity joins while the successor cannot reach the draining one.
 BOOST_AUTO_TEST_CASE(OtherTask_RowNamesWhatMayRun_StartsWithoutWait) {
   ViolationReport violation_report;
   for (const LeaderLoss loss :
@@ -244,9 +244,9 @@
   }
 }
 
-// A task whose run the worker has reported as ended is no longer named in its
-// row, so it is not held back when its next worker is lost together with the
-// leader.
+// A task whose run a worker has reported as ended is no longer named in that
+// worker's row, so it is not delayed when its next worker is lost together with
+// the leader.
 BOOST_AUTO_TEST_CASE(MovedTask_NoLongerInRow_StartsWithoutWait) {
   ViolationReport violation_report;
   for (int at = 3500; at <= 6500; at += 100) {
@@ -298,8 +298,8 @@
 
 // In a busy cell replies of the store are lost, so that the newer states of
 // some jobs are delayed while a row of the workers' record overtakes them and
-// is confirmed: according to the store a task has not ended, and it runs
-// nowhere. The successor cannot reach the worker on which the task ended.
+// is confirmed: according to the store a task has not ended, although no worker
+// runs it. The successor cannot reach the worker on which the task ended.
 BOOST_AUTO_TEST_CASE(NamedRun_RowOvertakesCompletion_NotStartedAgain) {
   constexpr int kSeeds = 600;
   constexpr Millis kSubmitInterval{40};
@@ -346,11 +346,12 @@
   }
 }
 
-// A start is executed but not answered, and only then the worker becomes
-// unresponsive, drains or is no longer listed: its row must name the task.
+// A start is executed but not answered. Only then the leader loses contact with
+// the worker, the worker drains, both, or neither. The worker's row, if it
+// names tasks, must name this one.
 BOOST_AUTO_TEST_CASE(UnansweredStart_WorkerClosedToNewTasks_NotStartedAgain) {
   ViolationReport violation_report;
-  int ran = 0;
+  int new_task_starts = 0;
   for (const bool drains : {true, false}) {
     for (const bool partitioned : {true, false}) {
       for (int at = 100; at <= 4000; at += 100) {
@@ -358,7 +359,7 @@
                                    /*stays=*/false);
         scenario.old->lost_order_reply_share = 1;
         scenario.world.Submit(UnboundedPlan(kNewJob, 1000));
-        ran += scenario.world.starts(kNewTask);
+        new_task_starts += scenario.world.starts(kNewTask);
         if (partitioned) {
           scenario.old->unreachable_workers.insert("leaves");
         }
@@ -374,7 +375,7 @@
       }
     }
   }
-  BOOST_TEST(ran > 0);
+  BOOST_TEST(new_task_starts > 0);
 }
 
 // The worker's entry no longer says that it drains. New tasks may start there
--- a/src/libdoorwood/cell/cell_repeated_takeover_wait_test.cpp
+++ b/src/libdoorwood/cell/cell_repeated_takeover_wait_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // When one leader has completed its wait for a not yet contacted worker, the
-// next leader does not repeat it, also if the first has recorded its workers
-// since.
+// next leader must not repeat the wait, even if the first has recorded its
+// workers since.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -34,8 +34,8 @@
 
 // The worker stays listed, and no instance can reach it. The second leader
 // leads for longer than its wait. Then a worker may join, so that all workers
-// are recorded again. Free capacity for a waiting job appears under the third
-// leader.
+// are recorded again. While the third leader leads, a worker joins that has
+// capacity for a waiting job.
 BOOST_AUTO_TEST_CASE(ThirdLeader_SecondWaitedAndRecorded_DoesNotWaitAgain) {
   for (int second_leads_ms = 11'000; second_leads_ms <= 20'000;
        second_leads_ms += 1000) {
--- a/src/libdoorwood/cell/cell_stale_record_test.cpp
+++ b/src/libdoorwood/cell/cell_stale_record_test.cpp
@@ -2,12 +2,10 @@
 
 // Guards against a task that runs twice because of a stale record. A leader
 // writes a record that says that nothing runs on a worker. Before the write is
-// confirmed the worker is dropped, because it is no longer listed, and added
-// again, because its entry is back. Once the record is confirmed, a task is
-// started there. The leader is lost; its successor cannot reach the worker,
-// relies on the record, and starts the same task elsewhere. Found by a random
-// walk that changes entries and loses replies of the store, with a check of
-// each start against the current record.
+// confirmed the worker is dropped, because it is not listed, and added again
+// once its entry is back. After the confirmation a task is started there. The
+// leader is lost; its successor cannot reach the worker, relies on the record,
+// and starts the same task elsewhere.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -39,11 +37,11 @@
   }
 }
 
-// The worker's run has ended and it is not listed; its entry comes back once
-// the leader has dropped it. Replies of the store are lost for 0.7 s after
-// `lost_from` ms; the store is unresponsive `unresponsive_from` ms after that.
-// Returns the number of violated invariants, or -1 if nothing was started on
-// the worker.
+// The worker's run has ended and the worker is not listed; its entry comes back
+// once the leader has dropped the worker. After `lost_from` ms, replies of the
+// store are lost for 0.7 s; the store is unresponsive `unresponsive_from` ms
+// after that. Returns the number of violated invariants, or -1 if nothing was
+// started on the worker.
 int DropAndReadmitWorker(int lost_from, int unresponsive_from) {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
@@ -88,27 +86,29 @@
   return -1;
 }
 
+// Found by a random walk that changes entries and loses replies of the store,
+// with a check of each start against the current record.
 BOOST_AUTO_TEST_CASE(
     Record_WorkerDroppedAndReadmittedMeanwhile_NothingRunsTwice) {
-  int broken = 0;
+  int violating = 0;
   int started = 0;
   for (int lost_from = 0; lost_from < 400; lost_from += 10) {
     for (int unresponsive_from = 0; unresponsive_from < 900;
          unresponsive_from += 18) {
       const int count = DropAndReadmitWorker(lost_from, unresponsive_from);
       started += count >= 0 ? 1 : 0;
-      broken += count > 0 ? 1 : 0;
+      violating += count > 0 ? 1 : 0;
     }
   }
   BOOST_TEST(started > 0);
-  BOOST_TEST(broken == 0, broken << " of " << started << " cases");
+  BOOST_TEST(violating == 0, violating << " of " << started << " cases");
 }
 
 // Share of replies that are lost and of calls that are executed late.
 constexpr double kFaultShare = 0.35;
 
-// A random walk in which entries appear, disappear, and start or stop to say
-// that a worker drains.
+// A random walk in which entries appear and disappear, and workers start to
+// drain or stop draining.
 class EntryChangeWalk : public fakes::LongRunningFaultWalk {
  public:
   using LongRunningFaultWalk::LongRunningFaultWalk;
@@ -176,9 +176,9 @@
   }
 }
 
-// An older version of this program does not know task names in the record: it
-// leaves the rows as they are and starts tasks on their workers. Then an
-// instance of the current version leads again.
+// An older version of this program does not use task names in the record: it
+// leaves the rows unchanged and starts tasks on their workers. Then an instance
+// of the current version leads again.
 BOOST_AUTO_TEST_CASE(Row_OutlivesLeaderOfOlderVersion_NothingRunsTwice) {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
@@ -191,7 +191,8 @@
   BOOST_REQUIRE(world.Submit(LongRunningPlan(kJob, 1000)));
   world.Run(Millis(1000));
   BOOST_REQUIRE(WorkerRunning(world, kTask) == "w1");
-  // What the older version leaves: the unchanged row, and a batch of its own.
+  // What the older version writes: the unchanged row, and the sequence number
+  // of a batch of its own.
   StoreTransaction transaction;
   transaction.puts.push_back({WorkersKey("all"), R"([["w1","w1",0,[]]])"});
   transaction.puts.push_back({ChainKey("all", 0), R"({"sequence":1000})"});
--- a/src/libdoorwood/cell/cell_takeover_wait_test.cpp
+++ b/src/libdoorwood/cell/cell_takeover_wait_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Guards against an unreachable worker, on which nothing can run, that holds
-// all tasks back after each takeover: a listed worker that no leader has ever
+// Guards against an unreachable worker, on which nothing can run, that delays
+// all tasks after each takeover: a listed worker that no leader has ever
 // contacted; one that an earlier leader has waited for in full; and, for tasks
 // that have failed, one whose record names other tasks only. With such a worker
 // 11.9 s passed from the loss of a leader until a waiting task was started,
@@ -87,7 +87,7 @@
 
 // A task fails just after its second takeover. A drained worker is gone, and
 // its row in the workers' record names only another task.
-BOOST_AUTO_TEST_CASE(Retry_GoneWorkerNamesAnotherTask_IsNotHeldBack) {
+BOOST_AUTO_TEST_CASE(Retry_RowOfLostWorkerNamesAnotherTask_IsNotDelayed) {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
   world.AddWorker("leaves", 8000);
@@ -103,7 +103,8 @@
   world.Run(Millis(1000));
   BOOST_REQUIRE(world.Submit(fakes::MakePlan(kJob, 1, 1, "ms=6000 fails=17")));
   world.Run(Millis(300));
-  // Its first leader is lost before the task is started, the next one after.
+  // The first leader is lost before the task is started, the next one after the
+  // start.
   world.Kill(world.Leader()->name);
   world.AddWorker("stays", 8000);
   for (int i = 0; i < 200 && WorkerRunning(world, kTask).empty(); ++i) {
--- a/src/libdoorwood/cell/cell_unresponsive_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_unresponsive_takeover_test.cpp
@@ -1,14 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Guards against a successor that repeats a whole wait for a worker that was
-// already unresponsive to its predecessor. A worker crashes and stays down. The
-// leader is lost 5 s later. If that leader records the wait only for workers
+// already unresponsive to its predecessor. A worker crashes and stays down; 5 s
+// later the leader is lost. If that leader records the wait only for workers
 // that it never contacted, its successor does not know when the worker's lease
 // was last extended, and waits for a full lease and more. Long-running tasks
-// then run nowhere for up to 20 s although there is free capacity. Seen with
-// workers lost at 9.8 s and the leader at 16.4 s: "read the records of earlier
-// leaders" at 18.4 s listed the lost workers, and "all runs of earlier leaders
-// are accounted for" came only at 30 s.
+// then run nowhere for up to 20 s although there is free capacity.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -24,8 +21,9 @@
 using fakes::PartitionedLeaderFixture;
 
 // A successor's wait since the last lease extension (docs/design/silence.md: a
-// run lease at the slowest clock, 3 s, 0.5 s), the time without a leader
-// (2.5 s, docs/OPERATIONS.md), and one interval between records (1 s).
+// run lease at the slowest clock, 3 s in which the predecessor may send orders,
+// and a margin of 0.5 s), the time without a leader (2.5 s,
+// docs/OPERATIONS.md), and one interval between records (1 s).
 constexpr Millis kDowntimeBound{6123 + 3000 + 500 + 2500 + 1000};
 // After the loss of a leader that has recorded 4 s without a lease extension:
 // the rest of the lease, the margin of 0.5 s, and the time without a leader.
@@ -39,8 +37,8 @@
       instance->unreachable_workers.insert("shared");
     }
   }
-  /// Submits one small job after the other for that time, so that tasks are
-  /// started on each worker that seems healthy.
+  /// Runs the world for `duration` and submits a small job every 50 ms, so that
+  /// tasks are started on each worker that seems healthy.
   void RunWithStarts(Millis duration) {
     constexpr Millis kSubmitInterval{50};
     const Instant until = world.time().now() + duration;
@@ -54,8 +52,8 @@
       world.Run(std::chrono::duration_cast<Millis>(until - world.time().now()));
     }
   }
-  /// Time from `since` until both tasks run on "near". The runs on "shared" end
-  /// in the meantime.
+  /// Runs the world until both tasks run on "near", because their runs on
+  /// "shared" have ended, for 30 s at most. Returns the time since `since`.
   Millis TimeUntilRestarted(Instant since) {
     const auto& near = world.workers().at("near")->model;
     const auto restarted = [&] {
@@ -72,6 +70,9 @@
   unsigned jobs_made_ = 0;
 };
 
+// Seen with workers lost at 9.8 s and the leader at 16.4 s: "read the records
+// of earlier leaders" at 18.4 s listed the lost workers, and "all runs of
+// earlier leaders are accounted for" came only at 30 s.
 BOOST_AUTO_TEST_CASE(Successor_WorkerWasUnresponsiveBefore_WaitIsNotRepeated) {
   for (int unresponsive_ms = 4500; unresponsive_ms <= 6000;
        unresponsive_ms += 250) {
@@ -114,9 +115,9 @@
   }
 }
 
-// The worker is healthy and only the old leader cannot reach it. It answers
-// that leader again just before the leader is lost, or just after the next one
-// leads.
+// The worker is healthy, but no instance can reach it for 3 to 6.5 s. The old
+// leader is partitioned 0 to 3 s after that, and then is the only one that
+// reaches the worker.
 BOOST_AUTO_TEST_CASE(Successor_WorkerOnlySeemedLost_NothingRunsTwice) {
   for (int unresponsive_ms = 3000; unresponsive_ms <= 6500;
        unresponsive_ms += 250) {
@@ -144,9 +145,9 @@
   }
 }
 
-// The worker answers the old leader again just when that leader loses the
-// store, so that the record still says that the worker is unresponsive. A
-// successor that reaches only the other worker relies on that record.
+// The old leader loses the store and reaches the worker again 0 to 1.5 s later,
+// so that the record still says that the worker is unresponsive. A successor
+// that reaches only the other worker relies on that record.
 BOOST_AUTO_TEST_CASE(Successor_WorkerBackWithoutTheStore_NothingRunsTwice) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     for (int unresponsive_ms = 3500; unresponsive_ms <= 6250;
@@ -196,11 +197,11 @@
   }
 }
 
-// The runs continue if the worker answers in time, also when the record lags.
-// The last lease expires 5.2 s after the worker becomes unresponsive. A status
-// call is made every 0.85 s, and no lease is extended until the record says
-// that the worker answers, up to 27 ms here. Runs on a worker that answers
-// shortly before the expiry may therefore end.
+// The runs continue if the worker answers in time, even if the record is
+// updated late. The last lease expires 5.2 s after the worker becomes
+// unresponsive. A status call is made every 0.85 s, and no lease is extended
+// until the record says that the worker answers, up to 27 ms here. Runs on a
+// worker that answers shortly before the expiry may therefore end.
 BOOST_AUTO_TEST_CASE(Worker_AnswersBeforeItsLeaseExpires_RunsContinue) {
   constexpr int kAnswersInTimeMs = 4250;
   for (uint64_t seed = 1; seed <= 30; ++seed) {
--- a/src/libdoorwood/cell/cell_unresponsive_worker_test.cpp
+++ b/src/libdoorwood/cell/cell_unresponsive_worker_test.cpp
@@ -1,14 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Guards against new starts on an unresponsive worker. The lease of the
-// worker's runs expires, and the leader correctly concludes that the runs have
-// ended. In the leader's state the worker then runs nothing, and workers that
-// run nothing are not polled. If that clears the unresponsive state, the same
-// tasks are ordered there again at once, and are given up only 6.5 s later,
-// although other workers have free capacity. Seen as "start ordered" for a
-// worker after "the run lease of an unresponsive worker has expired" and before
-// "worker responds again": 116 to 814 such starts in each of six test runs with
-// partitioned workers.
+// Guards against new starts on an unresponsive worker. When the lease of its
+// runs has expired, the leader correctly concludes that they have ended. The
+// worker then runs nothing in the leader's state, and such workers are not
+// polled. If that clears the unresponsive state, the same tasks are ordered
+// there again at once, and are given up only 6.5 s later, although other
+// workers have free capacity.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -63,6 +60,9 @@
   const std::string task = std::string(kFixtureJob) + ".0.0.0";
 };
 
+// Seen as "start ordered" for a worker after "the run lease of an unresponsive
+// worker has expired" and before "worker responds again": 116 to 814 such
+// starts in each of six test runs with partitioned workers.
 BOOST_AUTO_TEST_CASE(UnresponsiveWorker_LeaseExpired_GetsNothingNew) {
   UnresponsiveWorkerFixture fixture;
   fixture.world.Run(kLeaseExpiry);
--- a/src/libdoorwood/cell/cell_worker_replacement_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_replacement_test.cpp
@@ -2,17 +2,10 @@
 
 // Workers are replaced one by one while leaders succeed each other, by planned
 // shutdown or because they are killed. Guards against long-running tasks that
-// run nowhere for 9 s and more although there is free capacity.
-//
-// How it comes about: a draining worker has reported the end of all its runs
-// and disappears between two leaders, but it is still in the workers' record.
-// The next leader cannot contact it, assumes that any task may run there, and
-// holds all tasks of all jobs back until the longest lease that any predecessor
-// may have granted has expired: 9.6 s here, 12.2 s where runs continue for
-// longer. Seen as "waiting for workers that are not yet contacted" with two
-// such workers and 650 tasks held back, and "all runs of earlier leaders are
-// accounted for" 12.2 s later with all_heard false; all waiting tasks were
-// started at that moment.
+// run nowhere for 9 s and more although there is free capacity: a draining
+// worker reports the end of all its runs and disappears between two leaders.
+// The next leader reads it in the workers' record, cannot contact it, and
+// delays all tasks, since it assumes that any of them may run there.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -147,7 +140,7 @@
   }
 
   CellWorld world_;
-  /// How long each long-running task has run nowhere.
+  /// For how long each long-running task has not been running.
   std::map<std::string, Millis> downtimes_;
   Millis longest_downtime_{0};
   std::map<std::string, Instant> ends_at_;
@@ -193,6 +186,12 @@
   }
 }
 
+// The next leader delayed all tasks of all jobs until the longest lease that
+// any predecessor may have granted had expired: 9.6 s here, 12.2 s where runs
+// continue for longer. Seen as "waiting for workers that are not yet contacted"
+// with two such workers and 650 tasks held back, and "all runs of earlier
+// leaders are accounted for" 12.2 s later with all_heard false; all waiting
+// tasks were started at that moment.
 BOOST_AUTO_TEST_CASE(LongRunningTasks_LeadersShutDownInTurn_RestartInTime) {
   for (const int interval : {2000, 3100, 5300, 9700}) {
     RunAllSeeds(Millis(interval), ShutDownLeader);
