--- a/src/include/doorwood/cell_policy.h
+++ b/src/include/doorwood/cell_policy.h
@@ -141,10 +141,10 @@
   uint64_t last_changed_pass = 0;
 };
 
-/// Properties of a task that placement depends on, besides its step's plan.
+/// Properties of a task that placement depends on, besides its `StepPlan`.
 struct TaskRequirements {
   std::string_view service;
-  /// Of the step's image.
+  /// Image of the step.
   ImageId image = 0;
   /// Rack of the step's other tasks; empty: any.
   std::string_view rack;
@@ -156,6 +156,7 @@
   /// The worker is leaving, unresponsive, quarantined or not recorded yet.
   kClosed,
   kOtherService,
+  /// The worker already has `max_per_worker` tasks of the step.
   kStepBound,
   kNoLabel,
   kOtherRack,
@@ -172,12 +173,12 @@
 std::string_view ToString(PlaceProblem problem);
 
 /// Checks whether `worker` may run the task: state, service, label, rack and
-/// free capacity. `on_worker` is the number of the step's tasks there, which
-/// the caller counts.
+/// free capacity. `tasks_on_worker` is the number of the step's tasks there,
+/// which the caller counts.
 PlaceProblem FindPlaceProblem(const StepPlan& step,
                               const TaskRequirements& need,
                               const CandidateWorker& worker,
-                              int on_worker,
+                              int tasks_on_worker,
                               const InterferenceModel& model,
                               const PolicyOptions& options);
 
@@ -213,6 +214,8 @@
   struct Record {
     /// Last failure of each job on the worker.
     std::map<std::string, Instant, std::less<>> failures;
+    /// End of the quarantine, or of the probe interval after the last start
+    /// since; zero: never quarantined.
     Instant quarantined_until{};
   };
 
--- a/src/include/doorwood/crash_policy.h
+++ b/src/include/doorwood/crash_policy.h
@@ -23,8 +23,8 @@
 namespace doorwood {
 
 struct CrashOptions {
-  /// A run that was observed running for this long is not a suspect after its
-  /// first crash.
+  /// A run outside of a trial that was observed running for this long is not a
+  /// suspect after a crash.
   Millis unsuspected_after{500};
   /// A run that was observed running for this long is not related to a crash,
   /// and earlier crash notes of its task are dropped.
@@ -65,10 +65,14 @@
 
 /// Role of a run in a crash.
 enum class CrashRole {
+  /// The run was observed running for so long that the crash is not related to
+  /// it.
   kNone,
-  /// The run was recent but had already been observed running, or another run
-  /// was in a trial there.
+  /// The run was observed running for less than `unrelated_after`, but it is
+  /// not a suspect.
   kBystander,
+  /// The run was in a trial on the worker. If no run was: it was observed
+  /// running for less than `unsuspected_after` and was not adopted.
   kSuspect,
 };
 
@@ -90,12 +94,14 @@
 /// A task is given up after crashes in trials on different machines: two with a
 /// confirmed process restart, or three observed in any way. It is also given up
 /// after five crashes as a suspect, two of them confirmed. Crashes while many
-/// workers crashed are ignored.
+/// workers crashed do not count towards these limits. A task that is not given
+/// up is a suspect if it was one in any crash, or a bystander in more than one
+/// crash outside of mass crashes.
 CrashVerdict AssessCrashes(std::span<const CrashNote> crashes);
 
-/// The task crashed a worker in a trial. Such a task is restarted with a delay,
-/// and only few are in trials at a time. Other suspects may merely have been
-/// present at a crash.
+/// Whether a worker was observed to crash during a trial of the task. Such a
+/// task is restarted with a delay, and only few of them are in trials at a
+/// time. Other suspects may merely have been present at a crash.
 bool IsLikelyCulprit(std::span<const CrashNote> crashes);
 
 /// How long the task must be observed running before its worker accepts other
@@ -171,7 +177,10 @@
   /// finished.
   bool IsInTrial(const std::string& task, std::string_view worker) const;
   /// Whether another trial may begin on one of the service's `workers` workers.
-  bool HasFreeSlot(std::string_view service, int workers, bool likely) const;
+  /// `likely_culprit`: the suspect is a likely culprit.
+  bool HasFreeSlot(std::string_view service,
+                   int workers,
+                   bool likely_culprit) const;
   const std::map<std::string, Trial>& trials() const { return trials_; }
 
  private:
--- a/src/include/doorwood/long_running_admission.h
+++ b/src/include/doorwood/long_running_admission.h
@@ -34,11 +34,12 @@
   double max_use = 0.85;
   /// Below this use more long-running work may be admitted.
   double low_use = 0.65;
-  /// How long other work must have been present before its use counts as
-  /// evidence: nearly two periods of the observed daily load swings (11 s).
+  /// How long ago other work must first have been observed before a low use
+  /// counts as evidence: nearly two periods of the observed daily load swings
+  /// (11 s).
   Millis observation_time{20'000};
   /// Other work counts as present above this use.
-  double min_seen_use = 0.1;
+  double min_present_use = 0.1;
   /// Time constant with which the recorded peak use decays.
   Millis peak_decay_time{10'000};
 };
@@ -58,24 +59,25 @@
 
   /// To be called a few times a second.
   void Observe(const ServiceLoad& load, Instant now);
-  /// Whether a job that reserves `asked` until it is cancelled may be admitted
-  /// beside long-running work that reserves `reserved`. Always true while the
-  /// service's capacity is unknown (0).
-  bool Allows(int64_t asked,
+  /// Whether a job that reserves `requested` until it is cancelled may be
+  /// admitted beside long-running work that reserves `reserved`. All amounts
+  /// are in thousandths of a processor. Always true while the service's
+  /// capacity is unknown (0).
+  bool Allows(int64_t requested,
               int64_t reserved,
               int64_t capacity,
               Instant now) const;
 
   /// Recent peak use of the processors that serving work leaves.
   double peak_use() const { return peak_use_; }
-  /// Whether other work has been present for long enough.
+  /// Whether other work was first observed at least `observation_time` ago.
   bool HasObservedLoad(Instant now) const;
 
  private:
   const LongRunningAdmissionOptions options_;
   double peak_use_ = 0;
   Instant observed_{};
-  /// Since when other work is present; zero: none was observed yet.
+  /// When other work was first observed; zero: not yet.
   Instant present_since_{};
 };
 
--- a/src/include/doorwood/pacing.h
+++ b/src/include/doorwood/pacing.h
@@ -20,8 +20,8 @@
   ImageId image = 0;
   int64_t tail_latency_ms = 0;
   Millis target{0};
-  /// How long its tail latency has been at or above the target, by the mean of
-  /// its delayed and noisy reports.
+  /// How long the moving average of its delayed and noisy latency reports has
+  /// been at or above `over_target_tail_share` of the target.
   Millis over_target_for{0};
 };
 
@@ -46,8 +46,8 @@
 /// the worst serving task, until the model expects its tail latency at the
 /// wanted share of the target. If all tail latencies are low, tasks with the
 /// smallest effect are sped up first, by one step each. Once a serving task has
-/// been over its target for long, all best-effort tasks stop, whatever the
-/// model expects.
+/// been over its target for `max_over_target_time`, all best-effort tasks stop,
+/// whatever the model expects.
 std::vector<PaceDecision> DecidePaces(
     const std::vector<PacedServingTask>& serving,
     const std::vector<PacedBestEffortTask>& best_effort,
--- a/src/include/doorwood/place_search.h
+++ b/src/include/doorwood/place_search.h
@@ -2,7 +2,8 @@
 
 /// \file
 /// Search for workers for the tasks of one step. It avoids evaluating every
-/// worker for every task, and again in the next pass where nothing has changed.
+/// worker for every task, and does not evaluate a worker again in the next pass
+/// if it has not changed.
 
 #ifndef DOORWOOD_PLACE_SEARCH_H_
 #define DOORWOOD_PLACE_SEARCH_H_
@@ -36,8 +37,11 @@
                  const InterferenceModel& model,
                  const PolicyOptions& options);
 
-  /// Evaluates one worker. `on_worker` is the number of the step's tasks there.
-  void Evaluate(size_t index, const TaskRequirements& need, int on_worker);
+  /// Evaluates one worker. `tasks_on_worker` is the number of the step's tasks
+  /// there.
+  void Evaluate(size_t index,
+                const TaskRequirements& need,
+                int tasks_on_worker);
   /// Whether the task may run there.
   bool IsSuitable(size_t index) const;
   /// Index of the best suitable worker, or kNoWorker. `avoid` is returned only
--- a/src/libdoorwood/policy/cell_policy.cpp
+++ b/src/libdoorwood/policy/cell_policy.cpp
@@ -8,8 +8,8 @@
 namespace doorwood {
 namespace {
 
-// A worker's score is a sum of terms between 0 and 1. The weights make an
-// earlier term outweigh the later ones.
+// Weights of the terms of a worker's score. Most terms lie between 0 and 1, so
+// a term with a larger weight usually outweighs those with smaller weights.
 constexpr double kDecisiveWeight = 100.0;
 constexpr double kStrongWeight = 10.0;
 constexpr double kMillisPerCore = 1000.0;
@@ -25,7 +25,7 @@
          worker.labels.end();
 }
 
-// Share of the serving images there that equal `image`; 0.5 if there are none.
+// Share of the worker's serving images that equal `image`; 0.5 if it has none.
 double ShareOfImage(const CandidateWorker& worker, ImageId image) {
   constexpr double kEmptyWorker = 0.5;
   if (worker.serving_utilizations.empty()) {
@@ -160,7 +160,7 @@
 PlaceProblem FindPlaceProblem(const StepPlan& step,
                               const TaskRequirements& need,
                               const CandidateWorker& worker,
-                              int on_worker,
+                              int tasks_on_worker,
                               const InterferenceModel& model,
                               const PolicyOptions& options) {
   if (!worker.accepts_work) {
@@ -169,7 +169,7 @@
   if (worker.service != need.service) {
     return PlaceProblem::kOtherService;
   }
-  if (step.max_per_worker > 0 && on_worker >= step.max_per_worker) {
+  if (step.max_per_worker > 0 && tasks_on_worker >= step.max_per_worker) {
     return PlaceProblem::kStepBound;
   }
   if (!step.required_label.empty() && !HasLabel(worker, step.required_label)) {
@@ -255,8 +255,9 @@
   if (found == records_.end() || found->second.quarantined_until == Instant{}) {
     return;
   }
-  // No failure was recorded within the failure window after the last probe, so
-  // the worker counts as healthy again.
+  // The quarantine, or the probe interval after the last start, ended more than
+  // a failure window ago and was not renewed, so the worker counts as healthy
+  // again.
   if (now > found->second.quarantined_until + options_.failure_window) {
     records_.erase(found);
     return;
--- a/src/libdoorwood/policy/cell_policy_test.cpp
+++ b/src/libdoorwood/policy/cell_policy_test.cpp
@@ -26,8 +26,9 @@
     need.service = "pool";
   }
 
-  PlaceProblem Find(int on_worker = 0) const {
-    return FindPlaceProblem(step, need, worker, on_worker, model, options);
+  PlaceProblem Find(int tasks_on_worker = 0) const {
+    return FindPlaceProblem(step, need, worker, tasks_on_worker, model,
+                            options);
   }
 
   PolicyOptions options;
@@ -115,8 +116,8 @@
   const PolicyOptions options;
   // Objective: 2 * 600 + 1000 = 2200 ms; the value is zero after three times
   // that.
-  const auto rank = [&](int64_t now, bool lasting) {
-    plan.steps[0].long_running = lasting;
+  const auto rank = [&](int64_t now, bool long_running) {
+    plan.steps[0].long_running = long_running;
     return RankStep(plan, queue, 0, 0, run_times, 0, now, options)
         .urgency_class;
   };
@@ -145,7 +146,8 @@
     return RankStep(job.plan, queue, step, due, run_times,
                     WorkLeft(job, 0, run_times), 1000, PolicyOptions{});
   };
-  // Although the other job was due earlier and has more remaining steps.
+  // The job with less remaining work comes first, although the other one was
+  // due earlier and has more remaining steps.
   BOOST_TEST((rank(*begun, 1, 500) < rank(*fresh, 0, 0)));
   // A late job comes after all that are on time.
   BOOST_TEST((rank(*fresh, 0, 0) < rank(*begun, 1, -2000)));
@@ -183,8 +185,9 @@
   BOOST_TEST(quarantine.AllowsStart("w", start));
   quarantine.OnFailure("w", "c", start);
   BOOST_TEST(!quarantine.AllowsStart("w", start + Millis(3999)));
-  // This also holds for a worker with long-running tasks, which never end: in
-  // day scale-1 of site kgs such a worker stayed quarantined permanently.
+  // The quarantine must end without a success, which a worker with only
+  // long-running tasks never reports: in day scale-1 of site kgs such a worker
+  // stayed quarantined permanently.
   const Instant reopened = start + Millis(4000);
   BOOST_TEST(quarantine.AllowsStart("w", reopened));
   quarantine.OnStart("w", reopened);
--- a/src/libdoorwood/policy/crash_policy.cpp
+++ b/src/libdoorwood/policy/crash_policy.cpp
@@ -106,7 +106,8 @@
       continue;
     }
     // A task that had been running for long when many workers crashed is
-    // unlikely to be the cause.
+    // unlikely to be the cause, so at most `unsuspected_after` of its time
+    // counts.
     const Millis limit =
         crash.mass_crash ? options.unsuspected_after : crash.observed_running;
     longest = std::max(longest, std::min(crash.observed_running, limit));
@@ -178,12 +179,12 @@
 
 bool CrashTrials::HasFreeSlot(std::string_view service,
                               int workers,
-                              bool likely) const {
-  const auto has_free_slot = [&](bool of_likely, double share) {
+                              bool likely_culprit) const {
+  const auto has_free_slot = [&](bool culprits_only, double share) {
     std::set<std::string_view> reserved;
     for (const auto& [task, trial] : trials_) {
       if (!trial.passed && trial.service == service &&
-          (trial.likely_culprit || !of_likely)) {
+          (trial.likely_culprit || !culprits_only)) {
         reserved.insert(trial.worker);
       }
     }
@@ -191,7 +192,8 @@
     return reserved.size() < std::max<size_t>(limit, 1);
   };
   return has_free_slot(false, options_.max_trial_share) &&
-         (!likely || has_free_slot(true, options_.max_culprit_trial_share));
+         (!likely_culprit ||
+          has_free_slot(true, options_.max_culprit_trial_share));
 }
 
 }  // namespace doorwood
--- a/src/libdoorwood/policy/crash_policy_test.cpp
+++ b/src/libdoorwood/policy/crash_policy_test.cpp
@@ -152,8 +152,8 @@
 
 BOOST_AUTO_TEST_CASE(TrialDuration_CrashesAtAnAge_IsTwiceTheLongest) {
   CrashNote crash = CrashBesideOthers(1, "a");
-  const auto trial = [&](int at_work, bool mass_crash) {
-    crash.observed_running = Millis(at_work);
+  const auto trial = [&](int observed_ms, bool mass_crash) {
+    crash.observed_running = Millis(observed_ms);
     crash.mass_crash = mass_crash;
     return TrialDuration(std::vector<CrashNote>{MassCrash(9, "z"), crash},
                          kOptions)
--- a/src/libdoorwood/policy/long_running_admission.cpp
+++ b/src/libdoorwood/policy/long_running_admission.cpp
@@ -17,7 +17,7 @@
                           : std::exp(-passed.count() / decay_time.count());
   peak_use_ = use + std::max(0.0, peak_use_ - use) * kept;
   observed_ = now;
-  if (use > options_.min_seen_use && present_since_ == Instant{}) {
+  if (use > options_.min_present_use && present_since_ == Instant{}) {
     present_since_ = now;
   }
 }
@@ -27,7 +27,7 @@
          now - present_since_ >= options_.observation_time;
 }
 
-bool LongRunningAdmission::Allows(int64_t asked,
+bool LongRunningAdmission::Allows(int64_t requested,
                                   int64_t reserved,
                                   int64_t capacity,
                                   Instant now) const {
@@ -35,7 +35,7 @@
     return true;
   }
   const double share =
-      static_cast<double>(asked + reserved) / static_cast<double>(capacity);
+      static_cast<double>(requested + reserved) / static_cast<double>(capacity);
   if (peak_use_ > options_.max_use) {
     return false;
   }
--- a/src/libdoorwood/policy/pacing_test.cpp
+++ b/src/libdoorwood/policy/pacing_test.cpp
@@ -24,8 +24,8 @@
     }
   }
 
-  static int64_t TailLatencyAt(double strain) {
-    return static_cast<int64_t>(30.0 / (1.0 - strain));
+  static int64_t TailLatencyAt(double utilization) {
+    return static_cast<int64_t>(30.0 / (1.0 - utilization));
   }
 
   PolicyOptions options;
@@ -64,8 +64,8 @@
   }
 }
 
-// The model expects little interference from both best-effort tasks, and the
-// last reported latency is low.
+// The last latency of the task that was over its target for long is only 0.8 of
+// the target. The other task, at 0.93, would only slow down the heavy work.
 BOOST_FIXTURE_TEST_CASE(DecidePaces_OverTargetForLong_StopsAll, PacingFixture) {
   const std::vector<PacedServingTask> tasks{
       {serving, 120, kTarget, options.max_over_target_time},
@@ -94,15 +94,12 @@
   BOOST_TEST(decisions[0].pace == options.max_pace_increase);
 }
 
-// Guards against best-effort work starving when it is paused beside serving
-// tasks. A task that does not save its progress was paused for up to 20 s at
-// 90% progress, while newer best-effort work was started on the same worker at
-// full speed and ended. The paused task added no interference, so its
-// processors were considered free, and the newer work used up the headroom that
-// the paused task needed.
-//
-// In the log, the run was reported as overdue with pace 0, paced_ms 20,129 and
-// progress 90, while ten other runs started and ended on that worker.
+// Guards against best-effort work starving while it is paused beside serving
+// tasks. The processors of a paused task, which adds no interference, were
+// considered free, so newer best-effort work used up the headroom that the task
+// needed. In one log a run that did not save its progress was overdue with pace
+// 0, paced_ms 20,129 and progress 90, while ten other runs started at full
+// speed and ended on its worker.
 BOOST_AUTO_TEST_CASE(PendingCores_PausedTask_KeepsItsCores) {
   struct Row {
     const char* name;
--- a/src/libdoorwood/policy/place_search.cpp
+++ b/src/libdoorwood/policy/place_search.cpp
@@ -35,10 +35,10 @@
 
 void StepCandidates::Evaluate(size_t index,
                               const TaskRequirements& need,
-                              int on_worker) {
+                              int tasks_on_worker) {
   const CandidateWorker& worker = *workers_[index];
   problems_[index] =
-      FindPlaceProblem(step_, need, worker, on_worker, model_, options_);
+      FindPlaceProblem(step_, need, worker, tasks_on_worker, model_, options_);
   scores_[index] =
       IsSuitable(index) ? PlaceScore(step_, need, worker, model_) : kNoScore;
 }
