--- a/src/include/doorwood/upkeep_wave_controller.h
+++ b/src/include/doorwood/upkeep_wave_controller.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Carries out the operators' upkeep waves: evacuates machines and takes them
-/// down, a few at a time, and reports to the operators once every machine was
-/// down.
+/// Carries out the operators' upkeep waves: evacuates machines, takes them down
+/// a few at a time, and reports to the operators when a wave is running and
+/// when every machine of it has been down.
 
 #ifndef DOORWOOD_UPKEEP_WAVE_CONTROLLER_H_
 #define DOORWOOD_UPKEEP_WAVE_CONTROLLER_H_
@@ -28,7 +28,8 @@
   /// How often machines are listed while a wave is open.
   Millis list_interval{500};
   /// A new leader sends no orders for this long, because orders of an earlier
-  /// leader may still be in flight. At least the minimum time before another
+  /// leader may still be in flight. Must be at least
+  /// `EntrySettings::machine_holder_lease`, the minimum time before another
   /// leader may take over the handling of a machine.
   Millis holder_lease{3000};
   /// How long work that neither saves its progress nor is long-running may
@@ -57,15 +58,15 @@
   virtual Occupancy EvacuateWorker(const std::string& worker) = 0;
 };
 
-/// Active only between `Open` and `Close`, that is, while this process leads
-/// the cell.
+/// Advances the upkeep waves of one cell. Active only between `Open` and
+/// `Close`, that is, while this process leads the cell.
 class UpkeepWaveController {
  public:
   /// Without a `platform` (null) there are no waves.
   UpkeepWaveController(Executor& executor,
                        RecordStore& store,
                        MachinePlatform* platform,
-                       WorkerEvacuator& host,
+                       WorkerEvacuator& evacuator,
                        EventLog& log,
                        const WaveOptions& options,
                        std::string cell);
@@ -87,6 +88,7 @@
   };
   struct Progress {
     Stage stage = Stage::kWaiting;
+    /// When the evacuation began; once down, when the order was confirmed.
     Instant since{};
     bool order_in_flight = false;
     Instant retry_at{};
@@ -115,7 +117,7 @@
   void OnOrdered(int64_t number,
                  const std::string& machine,
                  std::error_code error);
-  void Record(const Wave& wave);
+  void RecordFinishedMachines(const Wave& wave);
   void ReportState(Wave* wave, WaveState state);
   void OnStateReported(int64_t number,
                        WaveState state,
@@ -128,7 +130,7 @@
   Executor& executor_;
   RecordStore& store_;
   MachinePlatform* const platform_;
-  WorkerEvacuator& host_;
+  WorkerEvacuator& evacuator_;
   EventLog& log_;
   const WaveOptions options_;
   const std::string cell_;
--- a/src/libdoorwood/pool/upkeep_wave_controller.cpp
+++ b/src/libdoorwood/pool/upkeep_wave_controller.cpp
@@ -13,7 +13,7 @@
 
 // A machine that is missing from this many consecutive lists is treated as
 // permanently removed.
-constexpr int kMissedListsUntilGone = 3;
+constexpr int kMissedListsUntilRemoved = 3;
 
 std::string WaveKey(std::string_view cell, int64_t wave) {
   return CellPrefix(cell) + "wave/" + std::to_string(wave);
@@ -37,14 +37,14 @@
 UpkeepWaveController::UpkeepWaveController(Executor& executor,
                                            RecordStore& store,
                                            MachinePlatform* platform,
-                                           WorkerEvacuator& host,
+                                           WorkerEvacuator& evacuator,
                                            EventLog& log,
                                            const WaveOptions& options,
                                            std::string cell)
     : executor_(executor),
       store_(store),
       platform_(platform),
-      host_(host),
+      evacuator_(evacuator),
       log_(log),
       options_(options),
       cell_(std::move(cell)) {}
@@ -230,7 +230,7 @@
   }
   bool all_down = true;
   for (auto& [machine, progress] : wave->machines) {
-    if (progress.missed_lists >= kMissedListsUntilGone) {
+    if (progress.missed_lists >= kMissedListsUntilRemoved) {
       continue;
     }
     if (progress.stage == Stage::kEvacuating) {
@@ -278,7 +278,7 @@
   if (listed == machines_.end()) {
     return;
   }
-  const Occupancy occupancy = host_.EvacuateWorker(listed->second.worker);
+  const Occupancy occupancy = evacuator_.EvacuateWorker(listed->second.worker);
   const bool in_grace =
       executor_.Now() - progress->since < options_.evacuation_grace;
   const bool may_stop = occupancy == Occupancy::kEmpty ||
@@ -287,11 +287,11 @@
   // the wave's limit.
   int down = CountInStages(*wave, {Stage::kOrdered, Stage::kDown});
   for (const auto& [id, other] : wave->machines) {
-    const auto seen = machines_.find(id);
+    const auto listed_other = machines_.find(id);
     const bool counted =
         other.stage == Stage::kOrdered || other.stage == Stage::kDown;
-    down += !counted && seen != machines_.end() &&
-                    seen->second.state == MachineState::kUpkeep
+    down += !counted && listed_other != machines_.end() &&
+                    listed_other->second.state == MachineState::kUpkeep
                 ? 1
                 : 0;
   }
@@ -320,7 +320,7 @@
   Wave& wave = waves_.at(number);
   Progress& progress = wave.machines.at(machine);
   progress.order_in_flight = false;
-  log_.Write(error ? "warn" : "info", "pool", "upkeep ordered",
+  log_.Write(error ? "warn" : "info", "pool", "upkeep order sent",
              {{"wave", number},
               {"machine", machine},
               {"epoch", epoch_},
@@ -328,7 +328,7 @@
   if (!error) {
     progress.stage = Stage::kDown;
     progress.since = executor_.Now();
-    Record(wave);
+    RecordFinishedMachines(wave);
     return;
   }
   // Without an answer the machine may already be down, so it still counts as
@@ -341,7 +341,7 @@
 
 // --- Records and status reports ---
 
-void UpkeepWaveController::Record(const Wave& wave) {
+void UpkeepWaveController::RecordFinishedMachines(const Wave& wave) {
   Json done = Json::array();
   for (const auto& [machine, progress] : wave.machines) {
     if (progress.stage == Stage::kDown || progress.stage == Stage::kDone) {
@@ -391,7 +391,7 @@
   Wave& wave = waves_.at(number);
   wave.reporting = false;
   if (error) {
-    // Reported again in the next step, based on the current revision.
+    // `Advance` reports the state again, based on the current revision.
     for (const StoreItem& item : commit.current) {
       if (item.key == platform_->EncodeWaveStatus(number, state).key) {
         wave.status_revision = item.deleted ? 0 : item.revision;
--- a/src/libdoorwood/pool/upkeep_wave_controller_test.cpp
+++ b/src/libdoorwood/pool/upkeep_wave_controller_test.cpp
@@ -59,10 +59,10 @@
     return world.store().Get("wave-status/1", &item) ? "" : item.value;
   }
   // Submits a job of long-running tasks, at most one per worker.
-  void SubmitLongRunning(int count, std::optional<int> may_miss) {
+  void SubmitLongRunning(int count, std::optional<int> max_unavailable) {
     JobPlan plan = fakes::MakePlan(kJob, 1, count, "");
     plan.steps[0].long_running = true;
-    plan.steps[0].max_unavailable = may_miss;
+    plan.steps[0].max_unavailable = max_unavailable;
     plan.steps[0].max_per_worker = 1;
     world.Submit(plan);
     world.Run(Millis(2000));
