--- a/src/include/doorwood/job_plan.h
+++ b/src/include/doorwood/job_plan.h
@@ -34,9 +34,10 @@
   std::vector<int> depends_on;
   /// Tasks save their progress and can continue on another worker.
   bool checkpoints = false;
-  /// Tasks run only all at the same time.
+  /// All tasks of the step must run at the same time.
   bool gang = false;
-  /// Tasks are slow unless they share a rack.
+  /// All tasks of the step must run in one rack, because they are slow
+  /// otherwise.
   bool same_rack = false;
   /// Long-running: tasks run until the job is cancelled.
   bool long_running = false;
@@ -47,13 +48,14 @@
   bool duplicates = false;
   /// Label that a worker must have; empty: any worker.
   std::string required_label;
-  /// Rack that holds the data; empty: none.
+  /// Rack that holds the tasks' data, and is preferred; empty: none.
   std::string data_rack;
   /// Most tasks of this step on one worker; 0: no limit.
   int max_per_worker = 0;
-  /// Most tasks of a long-running step that planned work may stop at a time.
+  /// Planned maintenance stops a task of a long-running step only if fewer than
+  /// this many of its other tasks are not running; unset: no limit.
   std::optional<int> max_unavailable;
-  /// Tasks of one image behave alike.
+  /// Image that the tasks run. Tasks of one image behave alike.
   std::string image;
   /// Upper bound on the tail latency of a serving task; 0: none.
   Millis latency_target{0};
@@ -92,7 +94,7 @@
 /// core-seconds.
 double EstimatedWork(const JobPlan& plan);
 
-/// Form in which a plan is kept in the store.
+/// Convert a plan to and from its form in the store.
 void to_json(Json& json, const StepPlan& step);
 void from_json(const Json& json, StepPlan& step);
 void to_json(Json& json, const JobPlan& plan);
--- a/src/include/doorwood/job_table.h
+++ b/src/include/doorwood/job_table.h
@@ -49,7 +49,7 @@
   std::string machine;
   std::string worker;
   CrashEvidence evidence = CrashEvidence::kRestarted;
-  /// The run was among the newest on the worker.
+  /// The run was a suspect, not a bystander; see CrashRole.
   bool suspect = false;
   /// The run was alone on the worker, as a trial.
   bool in_trial = false;
@@ -72,8 +72,8 @@
   kChanged,
 };
 
-/// One task. The fields from `last_run` to `assigned_worker` are kept in the
-/// store; the others are not.
+/// One task. The fields from `done` to `assigned_worker` are kept in the store;
+/// those after them are not.
 struct Task {
   Job* job = nullptr;
   int repetition = 0;
@@ -83,10 +83,10 @@
   bool done = false;
   /// Highest run number assigned or reported.
   uint32_t last_run = 0;
-  /// Highest run whose end is counted. An end at or below it is a duplicate, or
-  /// arrives after the run was given up. Of such an end only these still have
-  /// an effect: `done`, a failure that is not counted yet, and the checkpoint
-  /// of the newest run.
+  /// Highest run whose end is counted. An end of this or a lower run is a
+  /// duplicate, or arrives after the run was given up. It still has an effect
+  /// only if the run completed the task or failed without being counted, and
+  /// its checkpoint is used only if the run is the newest.
   uint32_t counted_run = 0;
   /// Runs that failed, each once, in the order of their reports: after a
   /// takeover the end of an earlier run may be reported later. For a gang, the
@@ -114,12 +114,13 @@
   /// Set at takeover while a worker that was not contacted yet may still run
   /// the task.
   bool may_still_run = false;
-  /// After a takeover: the adopted run (0: none); the highest run up to which
-  /// all ends are recorded; and the runs between these two whose ends workers
-  /// have reported. Each other run between them may have failed on a worker
-  /// that was not contacted yet.
+  /// After a takeover: the adopted run; 0: none.
   uint32_t adopted_run = 0;
+  /// After a takeover: the highest run up to which all ends are recorded.
   uint32_t recorded_run = 0;
+  /// After a takeover: the runs between `recorded_run` and `adopted_run` whose
+  /// ends workers have reported. Each other run between these two may have
+  /// failed on a worker that was not contacted yet.
   std::vector<uint32_t> reported_runs;
   /// Worker where the task failed last; others are preferred.
   std::string failed_on;
--- a/src/libdoorwood/job/job_plan.cpp
+++ b/src/libdoorwood/job/job_plan.cpp
@@ -43,7 +43,7 @@
     }
   }
   if (step.long_running && plan.repeat_count > 0) {
-    return FieldPath(index, "lasting") + " contradicts a job of several times";
+    return FieldPath(index, "lasting") + " may not be combined with times";
   }
   return std::nullopt;
 }
--- a/src/libdoorwood/job/job_table.cpp
+++ b/src/libdoorwood/job/job_table.cpp
@@ -282,11 +282,11 @@
   }
   const bool given_up = run <= task->counted_run;
   task->counted_run = std::max(task->counted_run, run);
-  // This includes a run that was given up without a report: its worker
-  // completed it within its lease, so the result is valid even if further runs
-  // were ordered since. Without this rule 3,400 to 4,681 tasks were started
-  // again within 80 s of an overload with unreachable workers (five simulated
-  // runs, counted in the leader's log).
+  // A run that was given up without a report also completes the task: its
+  // worker completed it within its lease, so the result is valid even if
+  // further runs were ordered since. Without this rule 3,400 to 4,681 tasks
+  // were started again within 80 s of an overload with unreachable workers
+  // (five simulated runs, counted in the leader's log).
   if (end == RunEnd::kDone && !task->plan().long_running) {
     job->dirty = true;
     MarkDone(task);
@@ -379,7 +379,7 @@
 }
 
 constexpr size_t kCrashesColumn = 8;
-constexpr size_t kPlaceColumn = 9;
+constexpr size_t kAssignedWorkerColumn = 9;
 
 // [run, machine, worker, evidence, suspect, in trial, mass crash, observed
 // running (ms)]
@@ -410,9 +410,9 @@
   return crash;
 }
 
-// [time, step, index, last run, counted run, failed runs, checkpoint, done],
-// followed by the crashes and the assigned worker if there are any. Older
-// versions ignore these extra columns.
+// [repetition, step, index, last run, counted run, failed runs, checkpoint,
+// done], followed by the crashes and the assigned worker if there are any.
+// Older versions ignore these extra columns.
 Json EncodeTask(const Task& task) {
   Json row = Json::array({task.repetition, task.step, task.index, task.last_run,
                           task.counted_run, task.failed_runs, task.checkpoint,
@@ -435,7 +435,7 @@
 
 std::string EncodeJobState(const Job& job) {
   Json tasks = Json::array();
-  // The tasks of a finished job are not needed any more.
+  // The tasks of a finished job are no longer needed.
   if (job.outcome == JobOutcome::kOpen) {
     for (const RepetitionState& repetition : job.repetitions) {
       for (const StepState& step : repetition.steps) {
@@ -492,8 +492,8 @@
           task.crashes.push_back(DecodeCrash(crash));
         }
       }
-      if (row.size() > kPlaceColumn) {
-        row.at(kPlaceColumn).get_to(task.assigned_worker);
+      if (row.size() > kAssignedWorkerColumn) {
+        row.at(kAssignedWorkerColumn).get_to(task.assigned_worker);
       }
     }
     for (const auto& [outcome, known] : kOutcomeLetters) {
--- a/src/libdoorwood/job/job_table_test.cpp
+++ b/src/libdoorwood/job/job_table_test.cpp
@@ -60,14 +60,14 @@
        true,
        1,
        JobOutcome::kCompleted},
-      // The worker's report arrives after the leader's own conclusion and is
-      // more accurate.
+      // The leader assumed that the run ended when its lease expired. The
+      // worker's report, which arrives later, is more accurate.
       {"done, reported after its lease had expired",
        {{1, RunEnd::kLeaseExpired}, {1, RunEnd::kDone}},
        true,
        0,
        JobOutcome::kCompleted},
-      {"done, reported after a later run had lapsed as well",
+      {"done, reported after the lease of a later run had expired as well",
        {{1, RunEnd::kLeaseExpired},
         {2, RunEnd::kLeaseExpired},
         {1, RunEnd::kDone}},
@@ -113,7 +113,7 @@
 struct CheckpointRow {
   const char* name;
   /// Runs whose ends were counted before, with the checkpoint "earlier".
-  std::vector<uint32_t> lapsed;
+  std::vector<uint32_t> expired_runs;
   bool placed;
   const char* checkpoint;
 };
@@ -130,7 +130,7 @@
     JobTable table;
     table.Add(fakes::MakePlan(kId, 1, 1, ""));
     Task* task = table.FindTask(std::string(kId) + ".0.0.0");
-    for (const uint32_t run : row.lapsed) {
+    for (const uint32_t run : row.expired_runs) {
       table.CountEnd(task, run, RunEnd::kLeaseExpired, "earlier", kAttempts);
     }
     JobTable::SetPlaced(task, row.placed);
