--- a/src/include/doorwood/router.h
+++ b/src/include/doorwood/router.h
@@ -138,8 +138,8 @@
 };
 
 /// Counts the slots in use on backend servers and queues requests that wait
-/// for one. Members are served round robin, so that a surge of one workspace
-/// does not starve another.
+/// for one. Workspaces (`member`) are served round robin, so that a surge of
+/// one does not starve another.
 class SlotTable {
  public:
   /// Replaces the list of backend servers. A server that is no longer listed
--- a/src/libdoorwood/routing/router.cpp
+++ b/src/libdoorwood/routing/router.cpp
@@ -62,7 +62,7 @@
   switch (grant.refusal) {
     case SlotRefusal::kQueueFull:
       return NotRunResponse(kStatusTooManyRequests,
-                            "too many requests wait already",
+                            "too many requests are already waiting",
                             CeilToSeconds(grant.wait));
     case SlotRefusal::kDeadlineExceeded:
       return NotRunResponse(kStatusGatewayTimeout,
@@ -209,11 +209,11 @@
     case AttemptOutcome::kUnknown:
       progress->may_have_run = true;
       progress->last =
-          UnknownResponse("the backend server gave no whole answer");
+          UnknownResponse("no complete response from the backend server");
       return request.repeatable;
     default:
       progress->RecordRefusal(NotRunResponse(
-          kStatusUnavailable, "every backend server that was tried refused",
+          kStatusUnavailable, "no backend server that was tried accepted it",
           kRetryAfterSeconds));
       return true;
   }
@@ -279,9 +279,9 @@
   // The record may still be written and would use up the key, so it counts as
   // claimed and is released afterwards.
   progress->claimed = true;
-  progress->RecordRefusal(NotRunResponse(kStatusUnavailable,
-                                         "recording the key did not finish",
-                                         kRetryAfterSeconds));
+  progress->RecordRefusal(NotRunResponse(
+      kStatusUnavailable, "it is not known whether the key was recorded",
+      kRetryAfterSeconds));
   return false;
 }
 
@@ -307,7 +307,7 @@
   progress->may_have_run = true;
   progress->peer_outcome_unknown = true;
   progress->last =
-      UnknownResponse("the peer that took it gave no whole answer");
+      UnknownResponse("no complete response from the peer that accepted it");
   return !request.repeatable;
 }
 
--- a/src/libdoorwood/routing/router_test.cpp
+++ b/src/libdoorwood/routing/router_test.cpp
@@ -33,14 +33,14 @@
   AttemptResult Forward(const PeerTarget& target,
                         const CallerRequest&,
                         Millis) override {
-    passed_to.push_back(target.instance);
+    forwarded_to.push_back(target.instance);
     return Next(&peer_script);
   }
 
   std::deque<AttemptOutcome> script = {kAnswered};
   std::deque<AttemptOutcome> peer_script = {kAnswered};
   std::vector<std::string> sent_to;
-  std::vector<std::string> passed_to;
+  std::vector<std::string> forwarded_to;
 
  private:
   static AttemptResult Next(std::deque<AttemptOutcome>* outcomes) {
@@ -234,7 +234,7 @@
   routing.router.SetPeers({{"peer-1", "address", {"stream"}}});
   BOOST_TEST(
       (routing.HandleRequest(true).outcome == RequestOutcome::kAnswered));
-  BOOST_TEST(routing.sender.passed_to.size() == 1u);
+  BOOST_TEST(routing.sender.forwarded_to.size() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(forwarded_request_is_not_forwarded_again) {
@@ -245,7 +245,7 @@
   request.forwarded = true;
   const CallerResponse response = routing.router.Handle(request);
   BOOST_TEST((response.outcome == RequestOutcome::kNotRun));
-  BOOST_TEST(routing.sender.passed_to.empty());
+  BOOST_TEST(routing.sender.forwarded_to.empty());
   BOOST_TEST(routing.observer.count == 0);
 }
 
@@ -257,7 +257,7 @@
   routing.sender.peer_script = {kUnknown};
   BOOST_TEST(
       (routing.HandleRequest(false).outcome == RequestOutcome::kUnknown));
-  BOOST_TEST(routing.sender.passed_to.size() == 1u);
+  BOOST_TEST(routing.sender.forwarded_to.size() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(backend_servers_that_open_during_a_handover_are_used) {
--- a/src/libdoorwood/routing/slot_table.cpp
+++ b/src/libdoorwood/routing/slot_table.cpp
@@ -108,8 +108,8 @@
     return;
   }
   --backend->second.in_use;
-  const bool gone = !backend->second.listed && backend->second.in_use == 0;
-  if (gone) {
+  const bool is_unused = !backend->second.listed && backend->second.in_use == 0;
+  if (is_unused) {
     backends_.erase(backend);
   }
   GrantToWaitersLocked(target.service);
@@ -215,8 +215,8 @@
   }
 }
 
-// Round robin over members in alphabetical order: the longest waiting request
-// of the first member after the one that was served last.
+// Round robin over workspaces in alphabetical order: returns the longest
+// waiting request of the first workspace after the one that was served last.
 std::list<SlotTable::Waiter*>::iterator SlotTable::NextWaiterLocked(
     Service* service) {
   auto after = service->waiters.end();
