--- a/src/include/doorwood/ingress.h
+++ b/src/include/doorwood/ingress.h
@@ -60,9 +60,9 @@
   double local_cell_bonus = 0.8;
   /// This instance sends no calls to a leader that has not answered for this
   /// long, counted from the leader's last answer or from the first request to
-  /// it.
-  /// Callers are refused immediately and can call an instance that can reach
-  /// the leader. The value allows for two requests and the time of one answer.
+  /// it. Callers are refused immediately and can call an instance that can
+  /// reach the leader. The value allows for two requests and the time of one
+  /// answer.
   Millis leader_answer_timeout{1500};
   /// Maximum number of jobs whose cell is cached.
   size_t max_cached_jobs = 20'000;
@@ -104,10 +104,11 @@
     CellSummary summary;
     /// Work submitted to the cell since the summary, in core-seconds.
     double work_sent_since = 0;
-    /// Epoch of the leader that was polled last, when it was first polled, and
-    /// when the cell's last summary arrived.
+    /// Epoch of the leader that was polled last.
     int64_t polled_epoch = 0;
+    /// When that leader was first polled.
     Instant polled_since{};
+    /// When the cell's last summary arrived.
     Instant answered_at{};
   };
   using CellCallback = std::function<void(std::error_code, std::string)>;
--- a/src/libdoorwood/ingress/ingress.cpp
+++ b/src/libdoorwood/ingress/ingress.cpp
@@ -344,8 +344,8 @@
     peers_.FetchCellSummary(
         lead, [this, cell = cell, epoch = lead.epoch](
                   std::error_code error, const CellSummary& summary) {
-          // Ignore the late answer of an earlier leader; it does
-          // not show that the current one answers.
+          // A late answer of an earlier leader is ignored, because it does not
+          // show that the current one answers.
           if (!error && cells_[cell].polled_epoch == epoch) {
             OnSummary(cell, summary);
           }
