--- a/src/include/doorwood/live_directory.h
+++ b/src/include/doorwood/live_directory.h
@@ -140,11 +140,11 @@
   /// When the store confirmed this instance's key; empty while the key is not
   /// known to be in the store.
   std::optional<Instant> registered_since() const { return registered_since_; }
-  /// Store revision of the registration since which this process has not agreed
-  /// to unrecorded starts and was never unregistered for so long that leaders
-  /// may no longer query it. Every leader that has read the directory up to
-  /// this revision asks this process. 0: not registered yet, or it has agreed
-  /// since.
+  /// Store revision of a registration of this process. Every leader that has
+  /// read the directory up to this revision asks this process to agree before
+  /// that leader makes unrecorded starts: since then this process has neither
+  /// agreed to them nor been unregistered for so long that leaders may no
+  /// longer query it. 0: not registered yet, or it has agreed since.
   int64_t agreement_known_since() const { return agreement_known_since_; }
   /// Agrees to unrecorded starts for as long as this instance cannot reach the
   /// store. Returns false, without agreeing, if it can.
@@ -156,7 +156,7 @@
   Instant UnrecordedStartsAgreedUntil() const;
   /// Store revision up to which the directory is complete.
   int64_t revision() const { return revision_; }
-  /// Earliest time in the kept history by which the store had reached the
+  /// Earliest time in `revision_times_` by which the store had reached the
   /// revision; empty if none is known.
   std::optional<Instant> TimeRevisionReached(int64_t revision) const;
   /// The newest `agreement_known_since` of all live instances; 0 if there is
@@ -200,7 +200,7 @@
 
  private:
   /// An instance whose key has disappeared from the store, and since when.
-  struct GoneInstance {
+  struct MissingInstance {
     LiveInstance instance;
     Instant since{};
   };
@@ -222,15 +222,15 @@
   /// Earliest time in `answers` of all instances that may take a lead; zero if
   /// the answer of one is missing, or if there is no such instance.
   Instant EarliestAnswer(const std::map<std::string, Instant>& answers) const;
-  /// Until when the answers to queries sent at `asked` are valid; zero if the
+  /// Until when the answers to queries sent at `sent_at` are valid; zero if the
   /// store answered this process later, or less than `store_silence_threshold`
   /// before.
-  Instant AnswersValidUntil(Instant asked) const;
-  void MarkGone(const LiveInstance& instance);
+  Instant AnswersValidUntil(Instant sent_at) const;
+  void MarkMissing(const LiveInstance& instance);
   void ApplyKnownInstance(const std::string& name, const StoreItem& item);
   /// True if the instance's key disappeared so recently that the instance may
   /// return and take a lead.
-  bool MayReturn(const GoneInstance& gone) const;
+  bool MayReturn(const MissingInstance& missing) const;
   void RemoveOneStaleKnownInstanceKey();
   /// Number of leads that this instance holds according to the directory.
   size_t CountOwnLeads() const;
@@ -255,7 +255,7 @@
   /// store had reached it; both in ascending order.
   std::deque<std::pair<int64_t, Instant>> revision_times_;
   std::map<std::string, LiveInstance> instances_;
-  std::map<std::string, GoneInstance> gone_;
+  std::map<std::string, MissingInstance> missing_instances_;
   /// By instance that has ever registered and was not removed as permanently
   /// gone: the revision of its `KnownInstanceKey`.
   std::map<std::string, int64_t> known_instances_;
@@ -263,11 +263,11 @@
   std::map<std::string, CellLead> leads_;
   /// Epoch of the newest known lead, by cell; kept after the lead has ended.
   std::map<std::string, int64_t> last_epochs_;
-  /// By instance: when the query was sent to which it last answered that it
-  /// cannot reach the store.
+  /// By instance whose newest answer was that it cannot reach the store: when
+  /// the query was sent.
   std::map<std::string, Instant> reported_no_contact_at_;
-  /// By instance: when the request was sent to which it last agreed, see
-  /// `RequestAgreement`.
+  /// By instance that agreed to the newest request of `RequestAgreement`: when
+  /// the request was sent.
   std::map<std::string, Instant> agreed_at_;
   bool needs_agreement_ = false;
   int64_t agreement_known_since_ = 0;
@@ -275,7 +275,8 @@
   uint64_t agreement_count_ = 0;
   /// When the store was last known to have this instance's key.
   Instant registered_at_{};
-  /// By instance: when it last answered that it reaches the store.
+  /// By instance whose newest answer was that it reaches the store: when the
+  /// answer arrived.
   std::map<std::string, Instant> reported_contact_at_;
   /// When the first of the consecutive failed renewals was sent; zero if the
   /// newest renewal succeeded.
--- a/src/include/doorwood/membership.h
+++ b/src/include/doorwood/membership.h
@@ -3,7 +3,8 @@
 /// \file
 /// Membership of entry instances and workers: combines the platform's lagging
 /// list with heartbeats between entry instances, and derives which instance
-/// should hold which worker and own which shard. docs/design/membership.md.
+/// should hold which worker and own which shard. Design:
+/// docs/design/membership.md.
 
 #ifndef DOORWOOD_MEMBERSHIP_H_
 #define DOORWOOD_MEMBERSHIP_H_
@@ -21,8 +22,8 @@
 namespace doorwood {
 
 struct MembershipOptions {
-  /// An instance of this data centre counts as gone after this long without a
-  /// heartbeat.
+  /// A peer of this data centre is removed after this long without a heartbeat;
+  /// a peer of another data centre after ten times as long.
   Millis heartbeat_timeout{2000};
   /// An instance becomes a candidate holder and owner only this long after its
   /// first heartbeat, so that an instance that repeatedly appears and
@@ -33,9 +34,8 @@
 };
 
 /// Returns the candidate that `key` is assigned to by rendezvous (highest
-/// random weight) hashing. When a candidate is removed, only its own keys are
-/// reassigned.
-/// Empty if there are no candidates.
+/// random weight) hashing; empty if there are no candidates. When a candidate
+/// is removed, only its own keys are reassigned.
 std::string ChooseByRendezvousHash(std::string_view key,
                                    std::span<const std::string> candidates);
 
@@ -62,7 +62,7 @@
   void Expire(Instant now);
   void set_leaving() { leaving_ = true; }
 
-  bool list_received() const { return list_known_; }
+  bool list_received() const { return list_received_; }
   const std::vector<InstanceInfo>& list() const { return list_; }
   const std::map<std::string, PeerState>& peers() const { return peers_; }
 
@@ -86,8 +86,8 @@
   /// leaving.
   std::vector<std::string> LeavingWorkers() const;
   /// Entry instances to send heartbeats to: all others of this data centre, and
-  /// one of each other data centre, rotated by `turn`.
-  std::vector<InstanceInfo> HeartbeatTargets(uint64_t turn) const;
+  /// one of each other data centre, in rotation by `round`.
+  std::vector<InstanceInfo> HeartbeatTargets(uint64_t round) const;
   /// Entry instances of a data centre without this one; those that send
   /// heartbeats come first.
   std::vector<InstanceInfo> EntryInstancesOf(
@@ -103,7 +103,7 @@
   InstanceInfo self_;
   Instant started_;
   bool leaving_ = false;
-  bool list_known_ = false;
+  bool list_received_ = false;
   std::vector<InstanceInfo> list_;
   std::map<std::string, PeerState> peers_;
   std::map<std::string, Instant> workers_last_listed_;
--- a/src/libdoorwood/membership/live_directory.cpp
+++ b/src/libdoorwood/membership/live_directory.cpp
@@ -277,7 +277,8 @@
               {"own_leads", CountOwnLeads()}});
   lease_.reset();
   registered_since_.reset();
-  // The leads were removed with the lease; the next lease holds none of them.
+  // The store removed the leads with the lease; none is attached to the next
+  // lease.
   std::erase_if(leads_, [this](const auto& lead) {
     return lead.second.instance == self_.name;
   });
@@ -380,9 +381,9 @@
     const std::string name(rest.substr(kInstanceFolder.size()));
     if (auto instance = DecodeInstance(name, item)) {
       instances_[name] = std::move(*instance);
-      gone_.erase(name);
+      missing_instances_.erase(name);
     } else if (const auto known = instances_.extract(name)) {
-      MarkGone(known.mapped());
+      MarkMissing(known.mapped());
     }
     return;
   }
@@ -415,15 +416,16 @@
   }
   known_instances_[name] = item.revision;
   if (!instances_.contains(name)) {
-    MarkGone(*instance);
+    MarkMissing(*instance);
   }
 }
 
-// The instance is kept in `gone_`, because the store may serve it again at any
-// time and let it lead, without this process learning of it.
-void LiveDirectory::MarkGone(const LiveInstance& instance) {
+// The instance is kept in `missing_instances_`, because the store may serve it
+// again at any time and let it lead, without this process learning of it.
+void LiveDirectory::MarkMissing(const LiveInstance& instance) {
   if (instance.name != self_.name) {
-    gone_.try_emplace(instance.name, GoneInstance{instance, executor_.Now()});
+    missing_instances_.try_emplace(instance.name,
+                                   MissingInstance{instance, executor_.Now()});
   }
 }
 
@@ -447,7 +449,7 @@
   }
   for (const auto& [name, instance] : before) {
     if (!instances_.contains(name)) {
-      MarkGone(instance);
+      MarkMissing(instance);
     }
   }
   loaded_ = true;
--- a/src/libdoorwood/membership/live_outage.cpp
+++ b/src/libdoorwood/membership/live_outage.cpp
@@ -10,8 +10,8 @@
 
 namespace doorwood {
 
-bool LiveDirectory::MayReturn(const GoneInstance& gone) const {
-  return executor_.Now() - gone.since <= options_.gone_retention;
+bool LiveDirectory::MayReturn(const MissingInstance& missing) const {
+  return executor_.Now() - missing.since <= options_.gone_retention;
 }
 
 Instant LiveDirectory::EarliestAnswer(
@@ -29,18 +29,18 @@
       include_answer(name);
     }
   }
-  for (const auto& [name, gone] : gone_) {
-    if (MayReturn(gone)) {
+  for (const auto& [name, missing] : missing_instances_) {
+    if (MayReturn(missing)) {
       include_answer(name);
     }
   }
   return earliest == Instant::max() ? Instant{} : earliest;
 }
 
-Instant LiveDirectory::AnswersValidUntil(Instant asked) const {
+Instant LiveDirectory::AnswersValidUntil(Instant sent_at) const {
   const bool contact_too_recent =
-      last_store_answer_at_ + options_.store_silence_threshold > asked;
-  return contact_too_recent ? Instant{} : asked + options_.answer_validity;
+      last_store_answer_at_ + options_.store_silence_threshold > sent_at;
+  return contact_too_recent ? Instant{} : sent_at + options_.answer_validity;
 }
 
 Instant LiveDirectory::OutageConfirmedUntil() const {
@@ -87,9 +87,9 @@
       QueryStoreContact(instance);
     }
   }
-  for (const auto& [name, gone] : gone_) {
-    if (MayReturn(gone)) {
-      QueryStoreContact(gone.instance);
+  for (const auto& [name, missing] : missing_instances_) {
+    if (MayReturn(missing)) {
+      QueryStoreContact(missing.instance);
     }
   }
 }
@@ -97,7 +97,7 @@
 // Removes the `KnownInstanceKey` of one instance that is permanently gone. Only
 // an instance that leads a cell does this.
 void LiveDirectory::RemoveOneStaleKnownInstanceKey() {
-  std::erase_if(gone_, [this](const auto& entry) {
+  std::erase_if(missing_instances_, [this](const auto& entry) {
     return !MayReturn(entry.second) && !known_instances_.contains(entry.first);
   });
   if (known_instance_removal_pending_ || CountOwnLeads() == 0 ||
@@ -105,9 +105,9 @@
     return;
   }
   const auto old = std::find_if(
-      gone_.begin(), gone_.end(),
+      missing_instances_.begin(), missing_instances_.end(),
       [this](const auto& entry) { return !MayReturn(entry.second); });
-  if (old == gone_.end()) {
+  if (old == missing_instances_.end()) {
     return;
   }
   known_instance_removal_pending_ = true;
--- a/src/libdoorwood/membership/membership.cpp
+++ b/src/libdoorwood/membership/membership.cpp
@@ -47,7 +47,7 @@
 void Membership::OnPlatformList(std::vector<InstanceInfo> list, Instant now) {
   UpdateLastDeparture(list, now);
   list_ = std::move(list);
-  list_known_ = true;
+  list_received_ = true;
   for (const InstanceInfo& info : list_) {
     if (info.role == InstanceRole::kWorker && IsInThisDataCentre(info)) {
       workers_last_listed_[info.id] = now;
@@ -58,9 +58,10 @@
   });
 }
 
-// An instance counts as departed once it neither sends heartbeats nor is
-// listed. Both events update the time of the last departure; this function
-// handles the list.
+// An instance has departed once it is no longer listed and its heartbeats have
+// timed out. Either event may be the later one, so both update
+// `last_departure_`: this function handles the list, and `Expire` the
+// heartbeats.
 void Membership::UpdateLastDeparture(const std::vector<InstanceInfo>& list,
                                      Instant now) {
   for (const InstanceInfo& old : list_) {
@@ -109,9 +110,9 @@
 
 std::vector<std::string> Membership::Candidates(Instant now) const {
   std::vector<std::string> candidates;
-  // This instance becomes a candidate only after the settle time of instances
-  // that started at the same time. Otherwise it would first take all workers
-  // and shards.
+  // This instance waits twice the settle time, so that instances that started
+  // at the same time are candidates by then. Otherwise it would first take all
+  // workers and shards.
   if (!leaving_ && now >= started_ + 2 * options_.settle_time) {
     candidates.push_back(self_.id);
   }
@@ -129,7 +130,7 @@
 std::vector<InstanceInfo> Membership::AssignedWorkers(Instant now) const {
   const std::vector<std::string> candidates = Candidates(now);
   const std::vector<std::string> leaving = LeavingWorkers();
-  std::vector<InstanceInfo> wanted;
+  std::vector<InstanceInfo> assigned;
   for (const InstanceInfo& info : list_) {
     if (info.role != InstanceRole::kWorker || !IsInThisDataCentre(info)) {
       continue;
@@ -140,22 +141,22 @@
     InstanceInfo worker = info;
     worker.leaving =
         std::find(leaving.begin(), leaving.end(), info.id) != leaving.end();
-    wanted.push_back(std::move(worker));
+    assigned.push_back(std::move(worker));
   }
-  return wanted;
+  return assigned;
 }
 
 std::vector<ShardId> Membership::AssignedShards(uint32_t shard_count,
                                                 Instant now) const {
   const std::vector<std::string> candidates = Candidates(now);
-  std::vector<ShardId> wanted;
+  std::vector<ShardId> assigned;
   for (uint32_t index = 0; index < shard_count; ++index) {
     const ShardId shard{self_.data_centre, index};
     if (ChooseByRendezvousHash(ToString(shard), candidates) == self_.id) {
-      wanted.push_back(shard);
+      assigned.push_back(shard);
     }
   }
-  return wanted;
+  return assigned;
 }
 
 std::vector<std::string> Membership::PossibleHolders() const {
@@ -175,8 +176,8 @@
 
 std::vector<std::string> Membership::RecentWorkers(Instant now) const {
   std::vector<std::string> workers;
-  for (const auto& [id, seen] : workers_last_listed_) {
-    if (seen + options_.worker_retention >= now) {
+  for (const auto& [id, last_listed] : workers_last_listed_) {
+    if (last_listed + options_.worker_retention >= now) {
       workers.push_back(id);
     }
   }
@@ -200,7 +201,7 @@
   return {leaving.begin(), leaving.end()};
 }
 
-std::vector<InstanceInfo> Membership::HeartbeatTargets(uint64_t turn) const {
+std::vector<InstanceInfo> Membership::HeartbeatTargets(uint64_t round) const {
   std::vector<InstanceInfo> targets;
   std::map<std::string, std::vector<InstanceInfo>> others;
   for (const InstanceInfo& info : list_) {
@@ -214,7 +215,7 @@
     }
   }
   for (const auto& [data_centre, instances] : others) {
-    targets.push_back(instances[turn % instances.size()]);
+    targets.push_back(instances[round % instances.size()]);
   }
   return targets;
 }
