--- a/src/include/doorwood/holder.h
+++ b/src/include/doorwood/holder.h
@@ -87,8 +87,8 @@
   /// for the same attempt gets the same answer.
   PlaceReply Place(const PlaceRequest& request);
   StopReply Stop(const StopRequest& request);
-  /// Fences the shard at the request's floor and returns the shard's attempts
-  /// on the held workers.
+  /// Fences the shard at the request's `min_attempt`, as `Fence` does, and
+  /// returns the shard's attempts on the held workers.
   CensusReply Census(const CensusRequest& request);
   /// The owner has logged the ends of these attempts; the workers may delete
   /// their records of them.
@@ -108,7 +108,14 @@
   size_t held_worker_count() const;
 
  private:
-  enum class HoldState { kAcquiring, kWaitingOut, kHeld, kReleasing };
+  enum class HoldState {
+    kAcquiring,
+    // Waits until the lease of the previous holder has expired, because the
+    // worker does not refuse orders of older epochs.
+    kAwaitingExpiry,
+    kHeld,
+    kReleasing
+  };
 
   struct Attempt {
     ShardId shard;
@@ -127,14 +134,15 @@
     InstanceInfo info;
     HoldState state = HoldState::kAcquiring;
     uint64_t epoch = 0;
-    uint64_t boot = 0;
+    uint64_t boot_id = 0;
     Ledger ledger;
     std::map<AttemptKey, Attempt> attempts;
     std::vector<WorkerOrder> pending_orders;
     bool call_in_flight = false;
     bool acquired_once = false;
-    // Local time at which the last answered renewal was sent. The lease is
-    // counted from here, so that it never ends later than on the worker.
+    // Local time at which the last successful acquisition or renewal was sent.
+    // The lease is counted from here, so that this instance never takes it for
+    // valid after it has expired on the worker.
     Instant lease_start{};
     // Local time at which the last renewal was sent, answered or not. Since
     // then this instance has sent nothing that extends the worker's task
@@ -164,8 +172,8 @@
                 std::ptrdiff_t order_count,
                 std::error_code error,
                 const WorkerAnswer& answer);
-  void OnNoAnswer(const std::shared_ptr<HeldWorker>& held,
-                  std::error_code error);
+  void OnRenewalFailed(const std::shared_ptr<HeldWorker>& held,
+                       std::error_code error);
   void ApplyAnswer(HeldWorker& held, const WorkerAnswer& answer);
   void ReleaseWorker(const std::shared_ptr<HeldWorker>& held);
   void StopHolding(const std::shared_ptr<HeldWorker>& held);
@@ -186,6 +194,8 @@
 
   bool HasValidLease(const HeldWorker& held) const;
   bool AcceptsNewAttempt(const HeldWorker& held, const TaskSpec& spec) const;
+  // False if the worker was released since `held` was created; callbacks then
+  // do nothing.
   bool IsCurrent(const std::shared_ptr<HeldWorker>& held) const;
   void SetTimer(const std::shared_ptr<HeldWorker>& held,
                 Millis delay,
--- a/src/include/doorwood/ledger.h
+++ b/src/include/doorwood/ledger.h
@@ -23,8 +23,9 @@
 };
 
 /// Reservations of a worker's capacity. A reservation is made before the start
-/// order is sent. It is released only when the worker has confirmed the end of
-/// the attempt or its lease has definitely expired.
+/// order is sent. It is released only when the worker reports that the attempt
+/// has ended or will never start, or when a new inventory of the worker
+/// replaces all reservations.
 class Ledger {
  public:
   void set_capacity(const Resources& capacity) { capacity_ = capacity; }
--- a/src/include/doorwood/placement.h
+++ b/src/include/doorwood/placement.h
@@ -38,7 +38,7 @@
 
 /// Decision of a policy about one attempt.
 struct Decision {
-  /// Index of the worker to start on; -1: none has enough free capacity now.
+  /// Index of the worker to start on; -1: the attempt cannot start now.
   int worker = -1;
   /// Attempts to evict in order to free capacity on `evict_on`.
   std::vector<AttemptKey> victims;
--- a/src/include/doorwood/worker.h
+++ b/src/include/doorwood/worker.h
@@ -4,8 +4,8 @@
 /// Interface to the platform's workers. A worker grants one control lease at a
 /// time, with an epoch that increases with each grant, and refuses orders of an
 /// older epoch. Tasks keep running for some time after the control lease has
-/// expired, so that the next holder can adopt them. A worker whose lease is not
-/// renewed by any holder eventually stops them by itself.
+/// expired, so that the next holder can adopt them. If no holder renews the
+/// lease, the worker eventually stops its tasks by itself.
 
 #ifndef DOORWOOD_WORKER_H_
 #define DOORWOOD_WORKER_H_
@@ -73,8 +73,9 @@
   std::string reason;
 };
 
-/// Answer to a batch: a result for each order, and the ended attempts that the
-/// worker was not told to forget. A batch without orders only renews the lease.
+/// Answer to a batch: a result for each order, and the ended attempts for which
+/// the worker has not received a kForget order. A batch without orders only
+/// renews the lease.
 struct WorkerAnswer {
   /// Incarnation number, as in the inventory. If it differs from the
   /// inventory's, the worker has restarted and lost its earlier attempts.
--- a/src/libdoorwood/holder/holder.cpp
+++ b/src/libdoorwood/holder/holder.cpp
@@ -117,15 +117,16 @@
     SetTimer(held, options_.acquire_retry, &WorkerHolder::Acquire);
     return;
   }
-  const bool must_wait =
-      !inventory.rejects_stale_epochs && held->state != HoldState::kWaitingOut;
+  const bool must_wait = !inventory.rejects_stale_epochs &&
+                         held->state != HoldState::kAwaitingExpiry;
   held->epoch = inventory.epoch;
-  held->boot = inventory.boot_id;
+  held->boot_id = inventory.boot_id;
   held->lease_start = sent;
   if (must_wait) {
-    // The worker would execute a delayed order of the previous holder. Wait
-    // until the lease has expired by that holder's clock, then acquire again.
-    held->state = HoldState::kWaitingOut;
+    // The worker would execute a delayed order of the previous holder, so this
+    // instance waits until the lease has expired by that holder's clock and
+    // then acquires the worker again.
+    held->state = HoldState::kAwaitingExpiry;
     SetTimer(held, options_.control_lease + options_.drift,
              &WorkerHolder::Acquire);
     return;
@@ -230,10 +231,10 @@
     return;
   }
   if (error) {
-    OnNoAnswer(held, error);
+    OnRenewalFailed(held, error);
     return;
   }
-  if (answer.boot_id != held->boot) {
+  if (answer.boot_id != held->boot_id) {
     // The worker has restarted since its inventory was taken.
     OnLeaseLost(held);
     return;
@@ -253,8 +254,8 @@
   SetTimer(held, options_.renew_interval, &WorkerHolder::Renew);
 }
 
-void WorkerHolder::OnNoAnswer(const std::shared_ptr<HeldWorker>& held,
-                              std::error_code error) {
+void WorkerHolder::OnRenewalFailed(const std::shared_ptr<HeldWorker>& held,
+                                   std::error_code error) {
   const bool stale = error == make_error_code(WorkerErrc::kStaleEpoch);
   if (stale || !HasValidLease(*held)) {
     OnLeaseLost(held);
@@ -295,7 +296,7 @@
 
 void WorkerHolder::ReleaseWorker(const std::shared_ptr<HeldWorker>& held) {
   if (held->state == HoldState::kAcquiring ||
-      held->state == HoldState::kWaitingOut) {
+      held->state == HoldState::kAwaitingExpiry) {
     StopHolding(held);
     return;
   }
--- a/src/libdoorwood/holder/placement.cpp
+++ b/src/libdoorwood/holder/placement.cpp
@@ -16,14 +16,14 @@
 // configurations and manifests, so the same texts recur often.
 class SelectorCache {
  public:
-  // Empty if the text is not a valid selector; such a selector matches no
+  // Returns nullopt if the text is not a valid selector, which matches no
   // labels.
   const std::optional<Selector>& Parsed(const std::string& text) {
     const auto known = parsed_.find(text);
     if (known != parsed_.end()) {
       return known->second;
     }
-    if (parsed_.size() >= kMostEntries) {
+    if (parsed_.size() >= kMaxEntries) {
       parsed_.clear();
     }
     std::string error;
@@ -39,7 +39,7 @@
   }
 
  private:
-  static constexpr size_t kMostEntries = 4096;
+  static constexpr size_t kMaxEntries = 4096;
 
   std::map<std::string, std::optional<Selector>> parsed_;
 };
@@ -88,8 +88,9 @@
          std::to_string(size.accelerators) + " accelerators";
 }
 
-// Decision if the task cannot start: either there is not enough free capacity
-// now, or the task can never run on these workers.
+// Decision if the task cannot start: either it cannot start now, because of a
+// lack of free capacity or of the tasks it would run beside, or it can never
+// run on these workers.
 Decision Refuse(const TaskSpec& spec,
                 std::span<const WorkerView> workers,
                 PlacementRules* rules) {
@@ -114,7 +115,8 @@
   return decision;
 }
 
-// The free share of the worker's scarcest resource, in thousandths.
+// The smaller one of the worker's free shares of CPU and memory, in
+// thousandths.
 int64_t FreePermille(const WorkerView& worker) {
   const Resources& capacity = worker.capacity;
   const Resources& free = worker.free;
