--- a/src/include/doorwood/shard_log.h
+++ b/src/include/doorwood/shard_log.h
@@ -3,7 +3,7 @@
 /// \file
 /// The log of a job shard in the key-value store. It has one writer at a time:
 /// a new owner seals the log by creating the entry at the next position, after
-/// which every append of an older owner fails. docs/design/job-shards.md.
+/// which every append of an older owner fails. See docs/design/job-shards.md.
 
 #ifndef DOORWOOD_SHARD_LOG_H_
 #define DOORWOOD_SHARD_LOG_H_
@@ -53,8 +53,8 @@
   /// Queues a record. `done` is called with success once it is written. With
   /// `refusable`, `done` is called early if the store does not answer:
   /// kStoreUnavailable (the record is dropped) or kOutcomeUnknown (it may be
-  /// written, and the write is retried). Without, `done` is called only once
-  /// the outcome is known.
+  /// written, and the write is retried). Without `refusable`, `done` is called
+  /// only once the outcome is known.
   void Append(LogRecord record, bool refusable, Done done);
 
   /// Releases the shard once all queued records are written. On failure the
@@ -63,22 +63,22 @@
 
   /// Checks whether the store still has this epoch; if it has a newer one, the
   /// log is fenced. Needed after this instance's registration has lapsed: an
-  /// owner that writes nothing would never learn that it was replaced. `done`
-  /// gets an error if the store did not answer.
+  /// owner that writes nothing would otherwise not notice that it was replaced.
+  /// `done` gets an error if the store did not answer.
   void Verify(Done done);
 
   /// Called once when another owner has sealed the log.
   void set_on_fenced(std::function<void()> on_fenced);
 
   /// Called for each record that this owner wrote, once it is applied to the
-  /// state. Also called if the caller already got kOutcomeUnknown.
+  /// state, even if the append was already reported as kOutcomeUnknown.
   void set_on_applied(std::function<void(const LogRecord&)> on_applied);
 
-  /// `lease_valid` returns whether this instance's registration is certain not
-  /// to have lapsed, by its own clock. While it may have lapsed, a successful
-  /// append is reported only after a read of the head confirms the owner: a
-  /// newer owner may have truncated the log, and then an old position can be
-  /// created again.
+  /// `lease_valid` returns true while this instance's registration is certain
+  /// to be valid by the instance's own clock. While it returns false, a
+  /// successful append is reported only after a read of the head confirms this
+  /// owner: a newer owner may have truncated the log, and then the write
+  /// succeeds because the position does not exist any more.
   void set_lease_valid(std::function<bool()> lease_valid);
 
   uint64_t epoch() const { return epoch_; }
@@ -148,7 +148,7 @@
   bool open_ = false;
   bool fenced_ = false;
   bool failing_ = false;
-  int replay_attempts_ = 0;
+  int takeover_retries_ = 0;
 
   std::vector<Pending> queue_;
   // The batch being written. Its value does not change once it may have been
--- a/src/include/doorwood/shard_owner.h
+++ b/src/include/doorwood/shard_owner.h
@@ -3,7 +3,7 @@
 /// \file
 /// Owner of one job shard: accepts jobs, decides which task runs and as which
 /// attempt, and determines the state of attempts after holders or workers fail.
-/// docs/design/job-shards.md.
+/// See docs/design/job-shards.md.
 
 #ifndef DOORWOOD_SHARD_OWNER_H_
 #define DOORWOOD_SHARD_OWNER_H_
@@ -46,7 +46,7 @@
   ShardLogOptions log;
 };
 
-/// A holder that can be asked to place tasks.
+/// Latest known state of an instance to which placements can be sent.
 struct HolderView {
   std::string instance;
   uint64_t incarnation = 0;
@@ -67,9 +67,9 @@
   /// Every instance of the data centre that may be running: its heartbeats are
   /// received, or it is still in the platform's list.
   virtual std::vector<std::string> PossibleHolders() const = 0;
-  /// When an instance was last observed to have departed, or when this instance
-  /// began to observe. No instance other than the possible holders has renewed
-  /// a worker's lease later than this.
+  /// When the latest departure of an instance was observed, or when this
+  /// instance started if there was none. Instances other than the possible
+  /// holders have renewed no worker's lease after this time.
   virtual Instant LastDeparture() const = 0;
   /// False until the platform's list has been received. Until then, absence
   /// from `PossibleHolders` and `Workers` proves nothing.
@@ -141,7 +141,8 @@
   void ClaimIdempotencyKey(const std::string& key,
                            const std::string& request,
                            Done done);
-  /// Withdraws a claim; the caller knows that the request did not run.
+  /// Withdraws a claim. May be called only if the request is certain not to
+  /// have run.
   void ReleaseIdempotencyKey(const std::string& key,
                              const std::string& request);
   /// Handles attempts that a holder reports as ended. `reply` is called with
@@ -186,10 +187,10 @@
     uint64_t holder_incarnation = 0;
     std::string worker;
     Instant not_before{};
-    Millis retry{0};
+    Millis retry_delay{0};
     std::string reason;
     std::set<std::string> unsuitable_holders;
-    uint64_t order = 0;
+    uint64_t sequence = 0;
   };
 
   // An attempt and the instance that reported it in a census round.
@@ -257,6 +258,7 @@
   void FinishCensus(CensusRound& round);
   void StopOrphans(const CensusRound& round);
   bool ResolveTask(Task& task, const CensusRound& round);
+  // True if no attempt can run on `worker` that the round's reports lack.
   bool IsAccountedFor(const std::string& worker,
                       const CensusRound& round) const;
   bool AllWorkersAccountedFor(const CensusRound& round) const;
@@ -276,8 +278,8 @@
   std::shared_ptr<ShardLog> log_;
   bool active_ = false;
   Instant opened_{};
-  uint64_t counter_ = 0;
-  uint64_t order_ = 0;
+  uint64_t last_attempt_counter_ = 0;
+  uint64_t last_sequence_ = 0;
   std::map<TaskId, Task> tasks_;
   int placing_ = 0;
   bool placement_scheduled_ = false;
--- a/src/include/doorwood/shard_state.h
+++ b/src/include/doorwood/shard_state.h
@@ -90,8 +90,8 @@
   std::string checkpoint;
   /// The newest attempt whose end is logged.
   AttemptId last_ended;
-  /// Attempt whose start is logged but whose end is not; set only for tasks
-  /// that must not be repeated.
+  /// Attempt whose intent to start is logged but whose end is not; set only for
+  /// tasks that must not be repeated.
   std::optional<AttemptId> intent;
 };
 
@@ -125,9 +125,13 @@
   void RecordFinishedJob(const std::string& job);
 
   std::map<std::string, JobState> jobs_;
-  // Oldest first; at most kFinishedJobsKept, the oldest is dropped first.
+  // Ids of the finished jobs, oldest first. Above kFinishedJobsKept, the oldest
+  // job is removed from the state.
   std::deque<std::string> finished_;
+  // By idempotency key: the request that claimed it.
   std::map<std::string, std::string> claims_;
+  // Keys of `claims_`, oldest first. Above kClaimsKept, the oldest claim is
+  // removed.
   std::deque<std::string> claim_order_;
 };
 
--- a/src/libdoorwood/owner/shard_census.cpp
+++ b/src/libdoorwood/owner/shard_census.cpp
@@ -2,7 +2,7 @@
 
 // The census of a shard owner: one mechanism that determines the state of
 // attempts after a change of owner, the failure of a holder, a lost answer or
-// the loss of a worker. docs/design/census.md.
+// the loss of a worker. See docs/design/census.md.
 
 #include <algorithm>
 
@@ -148,6 +148,8 @@
     const AttemptReport& report = reported->report;
     const bool runs_again = report.state == RunState::kEnded &&
                             report.end != AttemptEnd::kSucceeded;
+    // After a takeover a newer attempt may run on a worker that is not
+    // accounted for, and logging this end would start another one in parallel.
     const bool newer_possible = task.attempt.counter == 0 && runs_again;
     if (newer_possible && !AllWorkersAccountedFor(round)) {
       return false;
@@ -187,8 +189,9 @@
   if (task.attempt.counter != 0) {
     return nullptr;
   }
-  // After a takeover the newest attempt is not known. It is the reported
-  // attempt that runs, or else the newest one after the last logged end.
+  // After a takeover the newest attempt is not known. It is taken to be the
+  // reported attempt that runs or, if none runs, the newest reported one after
+  // the last logged end.
   const TaskState& state = *log_->state().FindTask(task.id);
   const HolderAttemptReport* newest = nullptr;
   for (const auto& [attempt, reported] : round.reports) {
--- a/src/libdoorwood/owner/shard_log.cpp
+++ b/src/libdoorwood/owner/shard_log.cpp
@@ -150,8 +150,9 @@
   RetryLater();
 }
 
-// Either an earlier write of this batch took effect and its answer was lost,
-// or another owner has sealed the log.
+// The position of the batch is already written: either an earlier write of this
+// batch took effect and its answer was lost, or another owner has sealed the
+// log.
 void ShardLog::OnPositionTaken() {
   batch_in_flight_ = true;
   kv_.Read(
@@ -183,8 +184,8 @@
     if (error) {
       self->failing_ = true;
       self->FailRefusableAppends(CoreErrc::kOutcomeUnknown);
-      // The retry of this write conflicts with the entry that it created, and
-      // is then confirmed.
+      // The write is retried, conflicts with the entry that it created, and is
+      // then confirmed by OnPositionTaken.
       self->RetryLater();
       return;
     }
@@ -239,7 +240,7 @@
   if (droppable) {
     std::erase_if(batch_, [](const Pending& item) { return item.refusable; });
   }
-  // Records queued behind the batch have not been sent.
+  // Records that are not yet part of a batch have not been sent.
   std::vector<Done> unsent;
   std::erase_if(queue_, [&unsent](Pending& pending) {
     if (!pending.refusable) {
@@ -411,8 +412,9 @@
   });
 }
 
-// A shard that could not be released stays with this owner: as long as the
-// head names this owner, no other instance takes the shard over.
+// A shard that could not be released stays with this owner: while the head
+// names this owner and its registration is valid, no other instance takes the
+// shard over.
 void ShardLog::FinishClose(std::error_code error) {
   open_ = static_cast<bool>(error);
   const Done done = std::move(on_closed_);
--- a/src/libdoorwood/owner/shard_log_entries.h
+++ b/src/libdoorwood/owner/shard_log_entries.h
@@ -14,7 +14,7 @@
 
 namespace doorwood::pvt {
 
-// Returns the position that ends the key of a log entry.
+// Returns the position of a log entry, which is the last part of its key.
 inline int64_t PositionOf(const KvEntry& entry) {
   return std::stoll(entry.key.substr(entry.key.rfind('/') + 1));
 }
--- a/src/libdoorwood/owner/shard_owner.cpp
+++ b/src/libdoorwood/owner/shard_owner.cpp
@@ -95,8 +95,8 @@
   Task item;
   item.id = {job.job.id, task.spec.name};
   item.stage = stage;
-  item.order = ++order_;
-  item.retry = options_.retry_first;
+  item.sequence = ++last_sequence_;
+  item.retry_delay = options_.retry_first;
   tasks_.emplace(item.id, std::move(item));
 }
 
@@ -115,7 +115,7 @@
 }
 
 AttemptId ShardOwner::NextAttempt() {
-  return {log_->epoch(), ++counter_};
+  return {log_->epoch(), ++last_attempt_counter_};
 }
 
 // --- Requests ---
@@ -128,8 +128,8 @@
   log_->Append(AcceptRecord{job}, /*refusable=*/true, std::move(done));
 }
 
-// Updates the open tasks for an applied record. The completion callbacks of
-// `Append` cannot do this: they may already have got kOutcomeUnknown.
+// Updates the open tasks for an applied record. The callbacks of `Append`
+// cannot do this: they may already have been called with kOutcomeUnknown.
 void ShardOwner::OnApplied(const LogRecord& record) {
   if (const auto* accept = std::get_if<AcceptRecord>(&record)) {
     ++counters_.accepted;
@@ -302,8 +302,8 @@
       continue;
     }
     // Right after a takeover the newest attempt is not known, and this may be
-    // an older one of which a holder still has a record. The census decides,
-    // and the holder repeats its report.
+    // an older one of which a holder still has a record. The report is ignored
+    // until a census has determined the newest attempt; the holder repeats it.
     const bool newest_unknown =
         task->stage == Stage::kUnresolved && task->attempt.counter == 0;
     if (newest_unknown) {
--- a/src/libdoorwood/owner/shard_placing.cpp
+++ b/src/libdoorwood/owner/shard_placing.cpp
@@ -42,7 +42,7 @@
     const auto rank = [this](const Task* task) {
       const TaskSpec& spec = SpecOf(*task);
       const bool batch = spec.work_class == WorkClass::kBatch;
-      return std::make_tuple(batch, spec.yields, task->order);
+      return std::make_tuple(batch, spec.yields, task->sequence);
     };
     return rank(a) < rank(b);
   });
@@ -69,7 +69,7 @@
   }
   task.holder = ChooseHolder(task, &task.holder_incarnation);
   if (task.holder.empty()) {
-    Requeue(task, task.retry, "no instance holds workers now");
+    Requeue(task, task.retry_delay, "no instance holds workers now");
     return false;
   }
   task.attempt = NextAttempt();
@@ -130,8 +130,9 @@
   return chosen.instance;
 }
 
-// Logs the intent before the start is requested: a task that must not be
-// repeated is started only under a logged intent.
+// Logs the intent before the start is requested, so that after a takeover the
+// new owner can tell that the task may have been started and must not be
+// repeated.
 void ShardOwner::LogIntent(Task& task) {
   task.stage = Stage::kLoggingIntent;
   const TaskId id = task.id;
@@ -202,7 +203,7 @@
   }
   task->stage = Stage::kRunning;
   task->worker = answer->worker;
-  task->retry = options_.retry_first;
+  task->retry_delay = options_.retry_first;
   task->reason.clear();
   task->unsuitable_holders.clear();
   ++counters_.placed;
@@ -216,8 +217,8 @@
 
 void ShardOwner::OnRefused(Task& task, const std::string& reason) {
   ++counters_.refused;
-  Millis pause = task.retry;
-  task.retry = std::min(task.retry * 2, options_.retry_longest);
+  Millis pause = task.retry_delay;
+  task.retry_delay = std::min(task.retry_delay * 2, options_.retry_longest);
   if (reason.starts_with("never: ")) {
     task.unsuitable_holders.insert(task.holder);
     bool all = true;
--- a/src/libdoorwood/owner/shard_takeover.cpp
+++ b/src/libdoorwood/owner/shard_takeover.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr int kMaxReplayAttempts = 5;
+constexpr int kMaxTakeoverRetries = 5;
 
 }  // namespace
 
@@ -146,7 +146,7 @@
     if (retry_seal) {
       // Either the old owner appended first, or the answer was lost. A second
       // seal of the same epoch is harmless.
-      if (++self->replay_attempts_ > kMaxReplayAttempts) {
+      if (++self->takeover_retries_ > kMaxTakeoverRetries) {
         done(CoreErrc::kOutcomeUnknown);
         return;
       }
@@ -158,7 +158,7 @@
       return;
     }
     self->position_ = position;
-    self->replay_attempts_ = 0;
+    self->takeover_retries_ = 0;
     self->Replay(done);
   });
 }
@@ -200,7 +200,7 @@
   }
   // The old owner truncated the log between the reads of the snapshot and of
   // the entries.
-  if (++replay_attempts_ > kMaxReplayAttempts) {
+  if (++takeover_retries_ > kMaxTakeoverRetries) {
     done(CoreErrc::kStoreUnavailable);
     return;
   }
