--- a/src/include/doorwood/instance.h
+++ b/src/include/doorwood/instance.h
@@ -219,8 +219,9 @@
   void ForwardToInstance(const std::string& instance,
                          const OperatorCall& call,
                          OperatorDone done);
-  /// Asks all known instances of this data centre and concatenates their
-  /// answers, which are JSON lists, with `own`.
+  /// Forwards the call to the peers of this data centre whose heartbeats are
+  /// received. Answers with `own`, a JSON list, and the rows of all replies in
+  /// one list, and names the instances that did not reply.
   void GatherFromPeers(const OperatorCall& call, Json own, OperatorDone done);
 
   InstanceOptions options_;
@@ -238,8 +239,8 @@
   std::map<ShardId, std::map<AttemptId, AttemptReport>> unreported_ends_;
   std::set<ShardId> sending_ends_;
   std::set<std::string> fetching_config_;
-  // Workers that are held only until the requests in progress on their backend
-  // servers are answered.
+  // Workers that are not assigned to this instance any more and are held only
+  // until the requests in progress on their backend servers are answered.
   std::set<std::string> closing_workers_;
   bool leaving_ = false;
   bool publish_scheduled_ = false;
--- a/src/include/doorwood/peer.h
+++ b/src/include/doorwood/peer.h
@@ -77,12 +77,13 @@
 };
 
 struct StopReply {
+  /// False: the receiver has no such attempt.
   bool known = false;
 };
 
-/// Sent by a shard's owner to every instance of the data centre: reject this
-/// shard's attempts below `min_attempt` from now on, and report all other known
-/// attempts.
+/// Sent by a shard's owner to every instance of the data centre: from now on
+/// refuse to place this shard's attempts below `min_attempt`, and report the
+/// shard's attempts on the workers that the receiver holds.
 struct CensusRequest {
   ShardId shard;
   AttemptId min_attempt;
--- a/src/libdoorwood/instance/instance.cpp
+++ b/src/libdoorwood/instance/instance.cpp
@@ -92,7 +92,8 @@
     const bool all_released =
         shards_released && holder_.DescribeHeldWorkers().empty();
     if (all_released || executor_.Now() >= deadline) {
-      // Notify peers immediately that this instance holds and owns nothing.
+      // Notifies the peers at once of the workers and shards that this instance
+      // has released.
       SendHeartbeats();
       done();
       *check_released = nullptr;
@@ -257,8 +258,8 @@
 }
 
 // The reply to a heartbeat contains the receiver's state, so only one instance
-// of a pair needs to send: the one whose id sorts first. The other instance
-// sends only if no heartbeat has arrived within the heartbeat interval.
+// of a pair needs to send: the one whose id sorts first. The other one sends
+// only if it has received no heartbeat within the heartbeat interval.
 bool Instance::IsPeerSendingHeartbeats(const std::string& peer) const {
   const auto known = membership_.peers().find(peer);
   const bool peer_sends = peer < options_.self.id;
@@ -354,8 +355,9 @@
         [&](const InstanceInfo& worker) { return worker.id == info.id; });
     const bool held = !wanted && info.role == InstanceRole::kWorker &&
                       holder_.IsHeld(info.id);
-    // A worker is released one round after closing at the earliest, so that a
-    // request that took a slot just before closing is counted.
+    // A worker is released one call of Rebalance after its backend servers were
+    // closed at the earliest, so that a request that took a slot just before is
+    // counted.
     const bool idle =
         closing.contains(info.id) && routes_.SlotsInUse(info.id) == 0;
     if (held && !idle) {
--- a/src/libdoorwood/instance/instance_operator.cpp
+++ b/src/libdoorwood/instance/instance_operator.cpp
@@ -128,8 +128,7 @@
     }
   } catch (const Json::exception&) {
     done(MakeErrorReply(CoreErrc::kInvalid,
-                        {"a member of the body has the wrong "
-                         "type"}));
+                        {"a field of the body has the wrong type"}));
   }
 }
 
--- a/src/libdoorwood/instance/instance_shards.cpp
+++ b/src/libdoorwood/instance/instance_shards.cpp
@@ -17,8 +17,8 @@
 void Instance::OpenShard(const ShardId& shard) {
   const Instant now = executor_.Now();
   const bool backing_off = now < next_open_attempt_[shard];
-  // While its owner sends heartbeats, the shard is opened only after the owner
-  // hands it over.
+  // A shard whose current owner sends heartbeats is opened only after that
+  // owner has handed it over.
   if (backing_off || !registered_ || !OwnerOf(shard).empty()) {
     return;
   }
@@ -131,8 +131,8 @@
   return active ? ownership->second.owner.get() : nullptr;
 }
 
-// Returns the known peer that owns a shard at the highest epoch, or an empty
-// string if there is none.
+// Returns the peer whose heartbeats report the shard as owned with the highest
+// epoch, or an empty string if there is none.
 std::string Instance::OwnerOf(const ShardId& shard) const {
   std::string best;
   uint64_t best_epoch = 0;
