--- a/src/celld/entry_daemon.h
+++ b/src/celld/entry_daemon.h
@@ -32,7 +32,7 @@
 
 class EntryDaemon {
  public:
-  /// `settings_path` is reloaded on SIGHUP and when the file changes.
+  /// The file at `settings_path` is reloaded on SIGHUP and when it changes.
   EntryDaemon(EntrySettings settings, std::string settings_path);
 
   /// Serves until SIGTERM or SIGINT. Returns after the planned shutdown, when
--- a/src/doorwoodd/daemon.cpp
+++ b/src/doorwoodd/daemon.cpp
@@ -90,10 +90,10 @@
   context_.run();
 }
 
-// Planned shutdown. The instance reports itself as not ready at once and hands
-// over control. It keeps serving for `shutdown_grace` so that the load balancer
-// can remove it from rotation; the listener stops once requests in progress
-// are answered.
+// Planned shutdown. The instance reports itself as not ready at once and
+// releases its workers and shards. Then it serves for another
+// `shutdown_grace`, so that the load balancer can remove it from rotation, and
+// stops the listener once the requests in progress are answered.
 void Daemon::OnSignal() {
   if (shutting_down_.exchange(true)) {
     return;
