--- a/src/http.adapter/http_call.cpp
+++ b/src/http.adapter/http_call.cpp
@@ -12,9 +12,9 @@
 constexpr Millis kMaxIdleTime{3000};
 constexpr int kHighestPort = 65535;
 
-// Bytes that the library adds to path, address and length: method, version, and
-// the headers Accept, Connection, Content-Length, Content-Type, Host and
-// User-Agent.
+// Bytes that the library sends besides the path, the address, the content
+// length and the body: the method, the version, and the headers Accept,
+// Connection, Content-Length, Content-Type, Host and User-Agent.
 constexpr uint64_t kFixedRequestBytes = 155;
 constexpr uint64_t kStatusLineBytes = 19;
 // ": " and the line end.
--- a/src/http.adapter/http_frontend.cpp
+++ b/src/http.adapter/http_frontend.cpp
@@ -216,8 +216,8 @@
   if (reply.wait_for(options_.operator_timeout) != std::future_status::ready) {
     response.status = kGatewayTimeout;
     response.set_content(Json{{"error",
-                               "no outcome in time; ask again with the same "
-                               "id"},
+                               "the call timed out and its outcome is unknown; "
+                               "retry with the same id"},
                               {"outcome", "unknown"}}
                              .dump(),
                          kJsonType);
@@ -254,10 +254,11 @@
   caller.repeatable = repeatable.empty() ? safe : repeatable == "yes";
   caller.forwarded = SecretsEqual(request.get_header_value(kForwardedHeader),
                                   options_.peer_token);
-  const int64_t asked = ParseNumber(request.get_header_value(kDeadlineHeader),
-                                    options_.default_deadline.count());
+  const int64_t requested_ms =
+      ParseNumber(request.get_header_value(kDeadlineHeader),
+                  options_.default_deadline.count());
   const Millis deadline =
-      std::clamp(Millis(asked), Millis(1), options_.max_deadline);
+      std::clamp(Millis(requested_ms), Millis(1), options_.max_deadline);
   caller.deadline = BootClock::now() + deadline;
   for (const auto& [name, value] : request.headers) {
     if (!IsNotForwarded(name)) {
--- a/src/http.adapter/http_sender.cpp
+++ b/src/http.adapter/http_sender.cpp
@@ -135,8 +135,8 @@
   }
   AttemptResult answered{AttemptOutcome::kAnswered, ResponseOf(*result)};
   if (reported_unknown) {
-    // The other instance reports that the outcome is unknown. That is a valid
-    // response, too.
+    // The other instance reports that the outcome of the request is unknown.
+    // Its report is a complete response, so the request is not sent again.
     answered.response.outcome = RequestOutcome::kUnknown;
   }
   std::erase_if(answered.response.headers, [](const HttpHeader& header) {
--- a/src/peer.adapter/peer_network.cpp
+++ b/src/peer.adapter/peer_network.cpp
@@ -64,17 +64,19 @@
     auto fulfiller =
         std::make_shared<kj::Own<kj::CrossThreadPromiseFulfiller<PeerReply>>>(
             kj::mv(paf.fulfiller));
-    executor_.Post([this_service = &service_, request = std::move(request),
-                    fulfiller]() {
-      PeerService* service = this_service->load();
-      if (service == nullptr) {
-        (*fulfiller)->reject(KJ_EXCEPTION(UNIMPLEMENTED, "not serving yet"));
-        return;
-      }
-      service->Handle(request, [fulfiller](PeerReply reply) {
-        (*fulfiller)->fulfill(kj::mv(reply));
-      });
-    });
+    executor_.Post(
+        [this_service = &service_, request = std::move(request), fulfiller]() {
+          PeerService* service = this_service->load();
+          if (service == nullptr) {
+            (*fulfiller)
+                ->reject(KJ_EXCEPTION(UNIMPLEMENTED,
+                                      "this instance is not serving calls"));
+            return;
+          }
+          service->Handle(request, [fulfiller](PeerReply reply) {
+            (*fulfiller)->fulfill(kj::mv(reply));
+          });
+        });
     return paf.promise.then(
         [this, context, kind, bytes](PeerReply reply) mutable {
           auto out = context.getResults().initReply();
