--- a/testsuite/platform-job/run.sh
+++ b/testsuite/platform-job/run.sh
@@ -29,6 +29,9 @@
 
 call c1 POST /jobs/00000000000000a3 '{"spec":"","steps":[{"count":2,"cpu":500,"memMb":64,"estRuntimeMs":50,"longRunning":true}]}'
 until_true state_is a1 00000000000000a3 running
+# An instance that does not lead answers with its latest summary of the leader.
+# The platform allows a count of pending jobs to be 2 s old.
+prints_within 2 '{"pending":0} 200' call a1 GET /jobs/
 call a1 GET /jobs/
 call b1 DELETE /jobs/00000000000000a3
 call c1 GET /jobs/00000000000000a3
--- a/testsuite/platform-lib.sh
+++ b/testsuite/platform-lib.sh
@@ -28,6 +28,21 @@
   fail "never true: $*"
 }
 
+# prints_within SECONDS VALUE COMMAND...: repeats the command until it prints
+# VALUE; fails if it has not done so SECONDS after the call.
+prints_within() {
+  local bound=$1 value=$2 output deadline_us
+  shift 2
+  deadline_us=$((${EPOCHREALTIME/[.,]/} + bound * 1000000))
+  while :; do
+    output=$("$@")
+    [ "${EPOCHREALTIME/[.,]/}" -le "$deadline_us" ] ||
+      fail "no output '$value' within $bound s, last '$output': $*"
+    [ "$output" = "$value" ] && return
+    sleep 0.1
+  done
+}
+
 # start_entry NAME DATA_CENTRE
 start_entry() {
   local name=$1 part
