--- a/src/fakes/cell_world.cpp
+++ b/src/fakes/cell_world.cpp
@@ -206,7 +206,7 @@
   }
 }
 
-double CellWorld::Chance() {
+double CellWorld::RandomFraction() {
   return std::uniform_real_distribution<double>(0, 1)(random_);
 }
 
@@ -316,8 +316,8 @@
   }
 }
 
-// A successor assumes that no task runs on a worker whose row in the workers'
-// record does not name it.
+// A successor of the leader assumes that a worker runs only tasks that its row
+// in the workers' record names.
 void CellWorld::CheckWorkersRecord(const std::string& worker,
                                    const std::string& task) {
   StoreItem record;
--- a/src/fakes/cell_world.h
+++ b/src/fakes/cell_world.h
@@ -61,11 +61,11 @@
   double lost_order_reply_share = 0;
   /// Number of further orders to machines that are executed but not answered.
   int machine_replies_to_lose = 0;
-  /// Workers that it cannot reach.
+  /// Workers that the instance cannot reach.
   std::set<std::string> unreachable_workers;
-  /// It is partitioned from all other instances.
+  /// The instance is partitioned from all other instances.
   bool partitioned_from_peers = false;
-  /// Instances that it is partitioned from, in both directions.
+  /// Instances that this one is partitioned from, in both directions.
   std::set<std::string> unreachable_instances;
   bool alive = true;
 };
@@ -80,8 +80,8 @@
   void OnStarted(const StartOrder&) override {}
   void OnEnded(const EndedRun& end) override;
   void OnEndAcknowledged(const EndedRun& end) override;
-  /// The task completed here, and the leader that holds the worker has not yet
-  /// acknowledged that.
+  /// The task completed on this worker, and no leader has acknowledged that
+  /// yet.
   bool IsUnacknowledged(const std::string& task) const {
     return unacknowledged_.contains(task);
   }
@@ -105,7 +105,7 @@
   /// Address in the directory entry, if it is not the worker's own: another
   /// process answers there.
   std::string listed_address;
-  /// Number of calls that reached it, and of runs that it started.
+  /// Number of calls that reached the worker, and of runs that it started.
   int calls_received = 0;
   int runs_started = 0;
   std::vector<Instant> start_times{};
@@ -210,7 +210,7 @@
   void StartUpkeep(const std::string& machine, int64_t wave);
   void OnStarted(const std::string& worker, const StartOrder& order, bool late);
   void AdvanceAll();
-  double Chance();
+  double RandomFraction();
   void CountMisdirectedCall() { ++misdirected_calls_; }
   void CountLogLine(const std::string& message) { ++log_counts_[message]; }
 
--- a/src/fakes/cell_world_ports.cpp
+++ b/src/fakes/cell_world_ports.cpp
@@ -98,7 +98,7 @@
       Answer<T>(kNoAnswer, KvErrc::kUnknown, {}, std::move(done));
       return;
     }
-    const double draw = writes ? world_.Chance() : 1.0;
+    const double draw = writes ? world_.RandomFraction() : 1.0;
     if (draw < faults.delayed_write_share) {
       world_.time().RunAt(world_.time().now() + kExecutionDelay,
                           [this, effect] {
@@ -117,7 +117,7 @@
       return;
     }
     // The jitter reorders answers, as if they came on different connections.
-    const auto jitter = Millis(static_cast<int>(world_.Chance() * 25));
+    const auto jitter = Millis(static_cast<int>(world_.RandomFraction() * 25));
     Answer<T>(kStoreDelay + jitter, error, std::move(value), std::move(done));
   }
 
@@ -229,7 +229,7 @@
       Fail<int64_t>(worker, std::move(done));
       return;
     }
-    const double draw = world_.Chance();
+    const double draw = world_.RandomFraction();
     if (draw < self_.delayed_order_share) {
       world_.time().RunAt(
           world_.time().now() + self_.order_delay, [this, worker, effect] {
--- a/src/fakes/contract_test.cpp
+++ b/src/fakes/contract_test.cpp
@@ -206,7 +206,7 @@
 
 BOOST_AUTO_TEST_SUITE(kv_contract)
 
-BOOST_AUTO_TEST_CASE(write_with_each_expected_version_takes_effect_or_not) {
+BOOST_AUTO_TEST_CASE(Write_OtherVersionExpected_IsConflict) {
   Contract it;
   BOOST_TEST(it.Read("c/a").error == make_error_code(KvErrc::kNotFound));
   const auto created = it.Write("c/a", "one", 0);
@@ -224,7 +224,7 @@
              make_error_code(KvErrc::kConflict));
 }
 
-BOOST_AUTO_TEST_CASE(list_gives_entries_of_the_prefix_in_order) {
+BOOST_AUTO_TEST_CASE(List_Prefix_GivesItsEntriesInOrder) {
   Contract it;
   for (const char* key : {"l/b", "l/a", "l2/a", "l/c"}) {
     it.Write(key, key, 0);
@@ -236,7 +236,7 @@
   BOOST_TEST(list.value[2].key == "l/c");
 }
 
-BOOST_AUTO_TEST_CASE(remove_with_version_removes_only_that_version) {
+BOOST_AUTO_TEST_CASE(Remove_OtherVersionExpected_IsConflict) {
   Contract it;
   const auto created = it.Write("r/a", "x", 0);
   BOOST_TEST(it.Remove("r/a", created.value + 1).error ==
@@ -246,7 +246,7 @@
   BOOST_TEST(!it.Write("r/a", "again", 0).error);
 }
 
-BOOST_AUTO_TEST_CASE(key_with_lease_is_removed_when_the_lease_expires) {
+BOOST_AUTO_TEST_CASE(Key_LeaseExpires_IsRemoved) {
   Contract it;
   const auto lease = it.Await<int64_t>(
       [&](auto done) { it.ports->kv().GrantLease(Millis(400), done); });
@@ -263,7 +263,7 @@
              make_error_code(KvErrc::kNotFound));
 }
 
-BOOST_AUTO_TEST_CASE(watch_ends_with_the_next_change) {
+BOOST_AUTO_TEST_CASE(Watch_NextChange_EndsWithNewEntries) {
   Contract it;
   const auto created = it.Write("w/a", "one", 0);
   bool seen = false;
@@ -282,7 +282,7 @@
   BOOST_TEST(seen);
 }
 
-BOOST_AUTO_TEST_CASE(long_value_is_read_back_unchanged) {
+BOOST_AUTO_TEST_CASE(Read_LongValue_IsUnchanged) {
   Contract it;
   std::string value = "\"quotes\" \\ \n \t \xc3\xa9 ";
   value.resize(900'000, 'x');
@@ -294,7 +294,7 @@
 
 BOOST_AUTO_TEST_SUITE(worker_contract)
 
-BOOST_AUTO_TEST_CASE(lease_is_held_by_one_and_its_epoch_rises) {
+BOOST_AUTO_TEST_CASE(Acquire_AfterRelease_EpochIsHigherAndOldOneFenced) {
   Contract it;
   const auto first = it.Acquire(true);
   BOOST_REQUIRE(!first.error);
@@ -317,7 +317,7 @@
   it.Release(true, third.value.epoch);
 }
 
-BOOST_AUTO_TEST_CASE(orders_are_idempotent_and_ends_are_kept_until_forgotten) {
+BOOST_AUTO_TEST_CASE(Send_RepeatedOrders_ActOnceAndEndIsListedUntilForgotten) {
   Contract it;
   const auto lease = it.Acquire(true);
   BOOST_REQUIRE(!lease.error);
@@ -343,7 +343,7 @@
   it.Release(true, epoch);
 }
 
-BOOST_AUTO_TEST_CASE(tasks_outlive_the_holder_and_end_with_the_task_lease) {
+BOOST_AUTO_TEST_CASE(Task_HolderLost_RunsUntilTaskLeaseExpires) {
   Contract it;
   const auto lease = it.Acquire(true);
   BOOST_REQUIRE(!lease.error);
--- a/src/fakes/fakes.cpp
+++ b/src/fakes/fakes.cpp
@@ -114,9 +114,9 @@
   for (auto& function : arrived) {
     Post(std::move(function));
   }
-  std::vector<std::function<void()>> held = std::move(deferred_);
+  std::vector<std::function<void()>> deferred = std::move(deferred_);
   deferred_.clear();
-  for (auto& function : held) {
+  for (auto& function : deferred) {
     Post(std::move(function));
   }
 }
@@ -244,17 +244,17 @@
         false, [](std::vector<KvEntry>*) { return std::error_code(); }, done);
     return;
   }
-  auto look = std::make_shared<std::function<void(int)>>();
-  *look = [this, prefix, after, done, look](int left) {
-    const bool news = model_.HighestVersionUnder(prefix) > after;
-    if (!news && left > 0 && fault_ == Fault::kNone) {
+  auto poll = std::make_shared<std::function<void(int)>>();
+  *poll = [this, prefix, after, done, poll](int left) {
+    const bool has_changes = model_.HighestVersionUnder(prefix) > after;
+    if (!has_changes && left > 0 && fault_ == Fault::kNone) {
       time_.RunAt(time_.now() + kWatchPollInterval,
-                  [look, left]() { (*look)(left - 1); });
+                  [poll, left]() { (*poll)(left - 1); });
       return;
     }
     List(prefix, done);
   };
-  (*look)(kMaxWatchPolls);
+  (*poll)(kMaxWatchPolls);
 }
 
 // --- Workers ----------------------------------------------------------------
@@ -381,7 +381,7 @@
                      PeerRequest request,
                      Millis timeout,
                      Callback done) {
-  // The first of answer and time-out completes the call.
+  // The call completes with the answer or the time-out, whichever is first.
   auto answered = std::make_shared<bool>(false);
   const auto answer = [this, answered, done](std::error_code error,
                                              const PeerReply& reply) {
--- a/src/fakes/fakes.h
+++ b/src/fakes/fakes.h
@@ -71,8 +71,8 @@
   void DeliverAnswer(Millis delay, std::function<void()> function);
   /// Defers all functions until `Thaw`.
   void Freeze() { frozen_ = true; }
-  /// Pauses the process for `pause` within its `call`th call of `Now` after
-  /// this one, in the middle of a function. Other processes run meanwhile.
+  /// Pauses the process for `pause` within the `call`th call of `Now` from here
+  /// on, that is, in the middle of a function. Other processes run meanwhile.
   void PauseInNowCall(int call, Millis pause);
   void Thaw();
   /// Drops all pending and future functions.
@@ -130,8 +130,7 @@
              Callback<std::vector<KvEntry>> done) override;
 
   void set_fault(Fault fault) { fault_ = fault; }
-  /// Limits the fault to the next `count` writes and no reads; -1 applies it to
-  /// all calls without a limit.
+  /// Applies the fault only to the next `count` writes; -1: to all calls.
   void LimitFaultToWrites(int count) { remaining_faulty_writes_ = count; }
   int64_t writes() const { return writes_; }
 
@@ -207,7 +206,7 @@
   /// Partitions or reconnects two addresses, in both directions.
   void SetPartitioned(const std::string& a, const std::string& b, bool cut);
   bool IsPartitioned(const std::string& a, const std::string& b) const;
-  /// Drops the next `count` replies.
+  /// Drops the next `count` replies to requests other than heartbeats.
   void DropReplies(int count) { replies_to_drop_ = count; }
   bool ConsumeDroppedReply();
   /// Delays the next `count` placement requests far beyond their time-out.
