--- a/src/soak/callers.cpp
+++ b/src/soak/callers.cpp
@@ -18,9 +18,10 @@
 constexpr int kGone = 410;
 constexpr int kTooMany = 429;
 constexpr int kUnavailable = 503;
-// One in this many callers gives up once it is rejected, or cancels its job.
-constexpr uint64_t kGivesUp = 3;
-constexpr uint64_t kCancels = 6;
+// One in this many callers stops submitting once its job is rejected, and one
+// in this many cancels its job.
+constexpr uint64_t kGiveUpOneIn = 3;
+constexpr uint64_t kCancelOneIn = 6;
 
 std::string HexId(uint64_t number) {
   constexpr int kDigits = 16;
@@ -42,10 +43,10 @@
 
 Callers::TrackedJob* Callers::Add(platform::SoakJob job) {
   job.id = HexId(random_());
-  TrackedJob& known = jobs_[job.id];
-  known.job = std::move(job);
-  world_.task_checker().OnSubmitted(known.job.id, known.job.tasks);
-  return &known;
+  TrackedJob& tracked = jobs_[job.id];
+  tracked.job = std::move(job);
+  world_.task_checker().OnSubmitted(tracked.job.id, tracked.job.tasks);
+  return &tracked;
 }
 
 void Callers::AddLongRunning(int jobs, int tasks, int cpu) {
@@ -61,18 +62,18 @@
   if (stopped_) {
     return;
   }
-  constexpr int kShortest = 100;
-  constexpr int kSpread = 1500;
+  constexpr int kMinTaskMillis = 100;
+  constexpr int kTaskMillisRange = 1500;
   platform::SoakJob job;
   job.tasks = 1 + static_cast<int>(Draw(4));
   job.second_step_tasks = Draw(3) == 0 ? 2 : 0;
   job.cpu = 500;
-  job.task_time = Millis(kShortest + Draw(kSpread));
+  job.task_time = Millis(kMinTaskMillis + Draw(kTaskMillisRange));
   job.failing_runs = Draw(5) == 0 ? 1 : 0;
-  TrackedJob* known = Add(std::move(job));
-  known->gives_up = Draw(kGivesUp) == 0;
-  known->cancels = Draw(kCancels) == 0;
-  Submit(known, kMaxAttempts);
+  TrackedJob* tracked = Add(std::move(job));
+  tracked->gives_up = Draw(kGiveUpOneIn) == 0;
+  tracked->cancels = Draw(kCancelOneIn) == 0;
+  Submit(tracked, kMaxAttempts);
   world_.After(pause, [this, pause] { SubmitPeriodically(pause); });
 }
 
@@ -81,25 +82,26 @@
     return;
   }
   constexpr uint64_t kMaxTasks = 3;
-  constexpr int kSpread = 1000;
+  constexpr int kMaxCrashMillis = 1000;
   platform::SoakJob job;
   job.tasks = 1 + static_cast<int>(crashing_random_() % kMaxTasks);
   job.cpu = 500;
   job.task_time = Millis(5000);
   const bool at_once = crashing_random_() % 2 == 0;
-  job.crash_delay = Millis(at_once ? 10 : 1 + crashing_random_() % kSpread);
+  job.crash_delay =
+      Millis(at_once ? 10 : 1 + crashing_random_() % kMaxCrashMillis);
   Submit(Add(std::move(job)), kMaxAttempts);
   world_.After(pause, [this, pause] { SubmitCrashingPeriodically(pause); });
 }
 
 void Callers::Call(std::string method,
-                   const TrackedJob& known,
+                   const TrackedJob& tracked,
                    std::string body,
                    ReplyHandler done) {
   HttpCall call;
   call.address = world_.ClientAddressOf(Draw(world_.instances()));
   call.method = std::move(method);
-  call.target = platform::kSoakPath + known.job.id;
+  call.target = platform::kSoakPath + tracked.job.id;
   call.headers = {{"Host", platform::kSoakHost}};
   call.body = std::move(body);
   call.timeout = kCallTimeout;
@@ -109,117 +111,122 @@
       std::move(call),
       [this, what = std::move(what), sent = world_.Now(),
        done = std::move(done)](std::error_code error, const HttpReply& reply) {
-        OnConnectionLost(what, error, Millis(world_.Now() - sent));
+        ReportIfConnectionLost(what, error, Millis(world_.Now() - sent));
         done(error ? HttpReply{} : reply);
       });
 }
 
-// By the platform's rule, a call that is lost within `kConnectionLossGrace` may
-// have been under way while the instance stopped, and is not a violation.
-void Callers::OnConnectionLost(const std::string& what,
-                               std::error_code error,
-                               Millis after) {
-  const bool broken_off = error == make_error_code(PeerErrc::kNoAnswer) &&
-                          after > kConnectionLossGrace && after < kCallTimeout;
-  if (expects_answers_ && broken_off) {
-    world_.ReportViolation("broken off after " + std::to_string(after.count()) +
-                           " ms: " + what);
+// The platform permits the loss of a call within `kConnectionLossGrace` after
+// it was sent: it may have been under way when the instance stopped. A call
+// that ends after `kCallTimeout` timed out and did not lose its connection.
+void Callers::ReportIfConnectionLost(const std::string& what,
+                                     std::error_code error,
+                                     Millis after) {
+  const bool connection_lost = error == make_error_code(PeerErrc::kNoAnswer) &&
+                               after > kConnectionLossGrace &&
+                               after < kCallTimeout;
+  if (expects_answers_ && connection_lost) {
+    world_.ReportViolation("connection lost after " +
+                           std::to_string(after.count()) + " ms: " + what);
   }
 }
 
-void Callers::Submit(TrackedJob* known, int attempts_left) {
+void Callers::Submit(TrackedJob* tracked, int attempts_left) {
   if (attempts_left == 0) {
     return;
   }
-  Call("POST", *known, platform::EncodeSoakJob(known->job),
-       [this, known, attempts_left](const HttpReply& reply) {
-         OnSubmitted(known, attempts_left - 1, reply);
+  Call("POST", *tracked, platform::EncodeSoakJob(tracked->job),
+       [this, tracked, attempts_left](const HttpReply& reply) {
+         OnSubmitted(tracked, attempts_left - 1, reply);
        });
 }
 
-void Callers::OnSubmitted(TrackedJob* known,
+void Callers::OnSubmitted(TrackedJob* tracked,
                           int attempts_left,
                           const HttpReply& reply) {
   const bool rejected = reply.status == kNotFound || reply.status == kTooMany ||
                         reply.status == kUnavailable;
-  world_.task_checker().OnSubmitAttempt(known->job.id, rejected);
-  known->may_be_accepted = known->may_be_accepted || !rejected;
+  world_.task_checker().OnSubmitAttempt(tracked->job.id, rejected);
+  tracked->may_be_accepted = tracked->may_be_accepted || !rejected;
   if (reply.status == kOk) {
-    known->accepted = true;
-    world_.Log("accepted " + known->job.id);
-    if (known->job.is_long_running()) {
-      world_.task_checker().OnLongRunning(known->job.id);
+    tracked->accepted = true;
+    world_.Log("accepted " + tracked->job.id);
+    if (tracked->job.is_long_running()) {
+      world_.task_checker().OnLongRunning(tracked->job.id);
     }
-    PollState(known);
-  } else if (known->may_be_accepted || !known->gives_up) {
-    world_.After(kRetryInterval, [this, known, attempts_left] {
-      Submit(known, attempts_left);
+    PollState(tracked);
+  } else if (tracked->may_be_accepted || !tracked->gives_up) {
+    world_.After(kRetryInterval, [this, tracked, attempts_left] {
+      Submit(tracked, attempts_left);
     });
   }
 }
 
-void Callers::PollState(TrackedJob* known) {
-  world_.After(kPollInterval, [this, known] {
-    if (known->cancels) {
-      Cancel(known);
+void Callers::PollState(TrackedJob* tracked) {
+  world_.After(kPollInterval, [this, tracked] {
+    if (tracked->cancels) {
+      Cancel(tracked);
       return;
     }
-    Call("GET", *known, "",
-         [this, known](const HttpReply& reply) { OnState(known, reply); });
+    Call("GET", *tracked, "",
+         [this, tracked](const HttpReply& reply) { OnState(tracked, reply); });
   });
 }
 
-void Callers::OnState(TrackedJob* known, const HttpReply& reply) {
+void Callers::OnState(TrackedJob* tracked, const HttpReply& reply) {
   if (reply.status == kGone) {
-    world_.ReportViolation("an accepted job is not known: " + known->job.id);
+    world_.ReportViolation("an accepted job is answered as unknown: " +
+                           tracked->job.id);
   }
   const std::string state = platform::DecodeSoakState(reply.body);
-  known->finished =
+  tracked->finished =
       state == "completed" || state == "failed" || state == "cancelled";
   if (state == "completed") {
     world_.task_checker().OnCompleted(
-        known->job.id, known->job.tasks + known->job.second_step_tasks);
-  } else if (known->finished && !IsExpectedFailure(*known, state)) {
-    world_.ReportViolation("job " + known->job.id + " is shown as " + state);
-  } else if (!known->finished) {
-    PollState(known);
+        tracked->job.id, tracked->job.tasks + tracked->job.second_step_tasks);
+  } else if (tracked->finished && !IsExpectedFailure(*tracked, state)) {
+    world_.ReportViolation("job " + tracked->job.id +
+                           " ended in the unexpected state " + state);
+  } else if (!tracked->finished) {
+    PollState(tracked);
   }
 }
 
-bool Callers::IsExpectedFailure(const TrackedJob& known,
+bool Callers::IsExpectedFailure(const TrackedJob& tracked,
                                 std::string_view state) {
-  return state == "failed" && known.job.crash_delay > Millis(0);
+  return state == "failed" && tracked.job.crash_delay > Millis(0);
 }
 
-void Callers::Cancel(TrackedJob* known) {
-  Call("DELETE", *known, "", [this, known](const HttpReply& reply) {
+void Callers::Cancel(TrackedJob* tracked) {
+  Call("DELETE", *tracked, "", [this, tracked](const HttpReply& reply) {
     if (reply.status == kOk || reply.status == kGone) {
-      known->cancelled = true;
-      known->finished = true;
+      tracked->cancelled = true;
+      tracked->finished = true;
       return;
     }
-    world_.After(kRetryInterval, [this, known] { Cancel(known); });
+    world_.After(kRetryInterval, [this, tracked] { Cancel(tracked); });
   });
 }
 
 bool Callers::AllLongRunningTasksRun() const {
   return std::all_of(jobs_.begin(), jobs_.end(), [this](const auto& entry) {
-    const TrackedJob& known = entry.second;
-    return !known.job.is_long_running() || (known.accepted && IsSettled(known));
+    const TrackedJob& tracked = entry.second;
+    return !tracked.job.is_long_running() ||
+           (tracked.accepted && IsSettled(tracked));
   });
 }
 
-bool Callers::IsSettled(const TrackedJob& known) const {
-  if (!known.accepted) {
+bool Callers::IsSettled(const TrackedJob& tracked) const {
+  if (!tracked.accepted) {
     return true;
   }
-  const size_t active = world_.task_checker().CountActiveTasks(known.job.id);
-  if (known.cancelled) {
+  const size_t active = world_.task_checker().CountActiveTasks(tracked.job.id);
+  if (tracked.cancelled) {
     return active == 0;
   }
-  return known.job.is_long_running()
-             ? active == static_cast<size_t>(known.job.tasks)
-             : known.finished;
+  return tracked.job.is_long_running()
+             ? active == static_cast<size_t>(tracked.job.tasks)
+             : tracked.finished;
 }
 
 void Callers::AwaitAll(Millis timeout, std::function<void()> done) {
@@ -236,13 +243,13 @@
                  [this, until, done] { AwaitUntil(until, done); });
     return;
   }
-  for (const auto& [id, known] : jobs_) {
-    if (!IsSettled(known)) {
+  for (const auto& [id, tracked] : jobs_) {
+    if (!IsSettled(tracked)) {
       world_.ReportViolation(
-          "job " + id + " is not as it must be: " +
+          "job " + id + " is not in its expected state: " +
           std::to_string(world_.task_checker().CountActiveTasks(id)) +
           " tasks run" +
-          (known.job.is_long_running() ? " of a lasting job" : ""));
+          (tracked.job.is_long_running() ? " of a long-running job" : ""));
     }
   }
   world_.task_checker().CheckRejected();
--- a/src/soak/callers.h
+++ b/src/soak/callers.h
@@ -59,28 +59,28 @@
   /// Called with status 0 if there was no answer.
   using ReplyHandler = std::function<void(const HttpReply&)>;
 
-  void Submit(TrackedJob* known, int attempts_left);
-  void OnSubmitted(TrackedJob* known,
+  void Submit(TrackedJob* tracked, int attempts_left);
+  void OnSubmitted(TrackedJob* tracked,
                    int attempts_left,
                    const HttpReply& reply);
-  void PollState(TrackedJob* known);
-  void OnState(TrackedJob* known, const HttpReply& reply);
-  void Cancel(TrackedJob* known);
+  void PollState(TrackedJob* tracked);
+  void OnState(TrackedJob* tracked, const HttpReply& reply);
+  void Cancel(TrackedJob* tracked);
   /// True if the job may end in this state although it did not complete.
-  static bool IsExpectedFailure(const TrackedJob& known,
+  static bool IsExpectedFailure(const TrackedJob& tracked,
                                 std::string_view state);
   void SubmitPeriodically(Millis pause);
   void SubmitCrashingPeriodically(Millis pause);
   void Call(std::string method,
-            const TrackedJob& known,
+            const TrackedJob& tracked,
             std::string body,
             ReplyHandler done);
-  void OnConnectionLost(const std::string& what,
-                        std::error_code error,
-                        Millis after);
+  void ReportIfConnectionLost(const std::string& what,
+                              std::error_code error,
+                              Millis after);
   void AwaitUntil(int64_t until, const std::function<void()>& done);
   TrackedJob* Add(platform::SoakJob job);
-  bool IsSettled(const TrackedJob& known) const;
+  bool IsSettled(const TrackedJob& tracked) const;
   uint64_t Draw(uint64_t below) { return random_() % below; }
 
   World& world_;
--- a/src/soak/child.cpp
+++ b/src/soak/child.cpp
@@ -24,7 +24,7 @@
       log_(std::move(log)) {}
 
 Child::~Child() {
-  if (runs()) {
+  if (IsRunning()) {
     Signal(SIGKILL);
     waitpid(pid_, nullptr, 0);
   }
@@ -50,13 +50,13 @@
 }
 
 void Child::Signal(int number) const {
-  if (runs()) {
+  if (IsRunning()) {
     kill(pid_, number);
   }
 }
 
-bool Child::HasEnded(int* status) {
-  if (!runs() || waitpid(pid_, status, WNOHANG) != pid_) {
+bool Child::ReapIfEnded(int* status) {
+  if (!IsRunning() || waitpid(pid_, status, WNOHANG) != pid_) {
     return false;
   }
   pid_ = 0;
--- a/src/soak/child.h
+++ b/src/soak/child.h
@@ -26,11 +26,11 @@
   bool Start();
   /// Does nothing if the process does not run.
   void Signal(int number) const;
-  /// Returns true once after the process has ended; `status` is that of
-  /// waitpid.
-  bool HasEnded(int* status);
+  /// If the process has ended, reaps it and returns true; `status` is that of
+  /// waitpid. Returns false while the process runs and after it was reaped.
+  bool ReapIfEnded(int* status);
 
-  bool runs() const { return pid_ > 0; }
+  bool IsRunning() const { return pid_ > 0; }
 
  private:
   const std::string program_;
--- a/src/soak/config_probe.cpp
+++ b/src/soak/config_probe.cpp
@@ -70,7 +70,7 @@
   if (reverted) {
     world_.ReportViolation(
         World::NameOf(probe.instance) + " served configuration " +
-        std::to_string(served.version) + " and does not know the route of " +
+        std::to_string(served.version) + " but answers 404 to the route of " +
         std::to_string(probe.version));
     served.version = 0;
   }
@@ -88,17 +88,17 @@
 }
 
 void ConfigProbe::AwaitUntil(int64_t until, const std::function<void()>& done) {
-  size_t behind = 0;
+  size_t outdated = 0;
   for (size_t instance = 0; instance < world_.instances(); ++instance) {
-    behind += ServesNewest(instance) ? 0 : 1;
+    outdated += ServesNewest(instance) ? 0 : 1;
   }
-  if (behind > 0 && world_.Now() < until) {
+  if (outdated > 0 && world_.Now() < until) {
     world_.After(kPollInterval,
                  [this, until, done] { AwaitUntil(until, done); });
     return;
   }
-  if (behind > 0) {
-    world_.ReportViolation(std::to_string(behind) +
+  if (outdated > 0) {
+    world_.ReportViolation(std::to_string(outdated) +
                            " instances do not serve configuration " +
                            std::to_string(world_.config_version()));
   }
--- a/src/soak/config_probe.h
+++ b/src/soak/config_probe.h
@@ -30,8 +30,9 @@
   struct Served {
     int restarts = 0;
     int version = 0;
-    /// Time at which the answer arrived: answers to earlier probes may arrive
-    /// later.
+    /// Time at which the answer for `version` arrived. An instance may have
+    /// answered earlier probes before it had this version, even if the answers
+    /// arrive later.
     int64_t confirmed_at = 0;
   };
   struct Probe {
--- a/src/soak/fault_plan.cpp
+++ b/src/soak/fault_plan.cpp
@@ -36,9 +36,9 @@
     "a new configuration",
     "settings are reloaded",
     "a worker is replaced"};
-// One fault in this many is a partition of a data centre that begins and heals
-// in steps (kCutCentreInSteps): it is rarer than the others because it takes
-// longer to have an effect.
+// In addition to its share as one of the kinds, one fault in this many is a
+// partition of a data centre that begins and heals in steps
+// (kCutCentreInSteps), because that takes longer to have an effect.
 constexpr uint64_t kSteppedCutOneIn = 8;
 constexpr uint64_t kShortestPause = 100;           // ms
 constexpr uint64_t kLongestPause = 1800;           // ms
@@ -61,13 +61,14 @@
 constexpr uint64_t kLongestReplacementInterval = 2000;  // ms
 constexpr uint64_t kShortestOverlap = 3000;             // ms
 constexpr uint64_t kLongestOverlap = 5000;              // ms
-// The tasks of a replaced worker move within this time after the replacement.
+// From the replacement of a worker to a fault of the leader, which thus occurs
+// while the tasks of that worker move.
 constexpr uint64_t kShortestMoveTime = 300;  // ms
 constexpr uint64_t kLongestMoveTime = 1300;  // ms
 // A series begins within the first quarter of the time planned for it.
 constexpr int kSeriesStartDivisor = 4;
 
-// How the leader changes while workers are replaced.
+// Repeated stops or kills while workers are replaced; `leader` as in `Fault`.
 struct LeaderChange {
   FaultKind kind;
   bool leader;
@@ -79,7 +80,7 @@
      {FaultKind::kPlannedStop, true, 3000, 6000},
      {FaultKind::kKill, true, 8000, 11'000},
      {FaultKind::kKill, true, 10'000, 14'000}}};
-// A stopped instance runs again after about 3.5 s.
+// A stopped instance runs again after about 3.5 s, so successive stops overlap.
 constexpr Millis kStopInterval{2500};
 
 // Random numbers that depend on the seed alone. The distributions of the
@@ -141,7 +142,7 @@
   return plan;
 }
 
-// Faults of the leader are placed while the tasks of a replaced worker move.
+// Places faults of the leader while the tasks of a replaced worker move.
 std::vector<Fault> DrawLeaderChanges(SeededRandom* random,
                                      const std::vector<Fault>& replaced,
                                      Millis from,
--- a/src/soak/fault_plan.h
+++ b/src/soak/fault_plan.h
@@ -27,7 +27,7 @@
   kStoreRefuses,
   kStoreRefusesAll,
   kStoreSlow,
-  kStoreSilent,
+  kStoreUnreachable,
   kCompactStore,
   kDropLeaseKeys,
   kKill,
--- a/src/soak/fault_plan_test.cpp
+++ b/src/soak/fault_plan_test.cpp
@@ -136,9 +136,10 @@
 
 BOOST_AUTO_TEST_CASE(Unplanned_KillsCutsAndTheStore_NotWhatOperatorsDo) {
   for (const FaultKind kind :
-       {FaultKind::kCutStore, FaultKind::kCutInstance, FaultKind::kStoreSilent,
-        FaultKind::kDropLeaseKeys, FaultKind::kKill, FaultKind::kPause,
-        FaultKind::kCrashWorker, FaultKind::kDropEntry}) {
+       {FaultKind::kCutStore, FaultKind::kCutInstance,
+        FaultKind::kStoreUnreachable, FaultKind::kDropLeaseKeys,
+        FaultKind::kKill, FaultKind::kPause, FaultKind::kCrashWorker,
+        FaultKind::kDropEntry}) {
     BOOST_TEST(IsUnplanned(kind), ToString(kind));
   }
   for (const FaultKind kind :
--- a/src/soak/fault_player.cpp
+++ b/src/soak/fault_player.cpp
@@ -26,10 +26,11 @@
 }
 
 bool IsCut(FaultKind kind) {
-  return kind <= FaultKind::kCutInstance || kind == FaultKind::kStoreSilent;
+  return kind <= FaultKind::kCutInstance ||
+         kind == FaultKind::kStoreUnreachable;
 }
 
-// The partition lasts longer than a successor needs for the takeover.
+// The full partition lasts longer than a successor needs for the takeover.
 StepwiseRecovery RecoveryOf(const Fault& fault) {
   StepwiseRecovery recovery;
   recovery.worker_partition_time = fault.duration * 2 / 5;
@@ -88,9 +89,10 @@
   const Undo undo = Begin(fault, instance);
   if (IsUnplanned(fault.kind)) {
     // A fault that needs no undo has no duration.
-    const Millis held = IsCut(fault.kind) ? fault.resume_delay : Millis(0);
+    const Millis resume_delay =
+        IsCut(fault.kind) ? fault.resume_delay : Millis(0);
     world_.task_checker().OnFaultBegins();
-    world_.After(undo ? fault.duration + held : Millis(0),
+    world_.After(undo ? fault.duration + resume_delay : Millis(0),
                  [this] { world_.task_checker().OnFaultEnds(world_.Now()); });
   }
   world_.After(fault.duration, [this, undo, what] {
@@ -184,7 +186,7 @@
     case FaultKind::kStoreSlow:
       store.SetAnswerDelay(kStoreDelay);
       return [&store] { store.SetAnswerDelay(Millis(0)); };
-    case FaultKind::kStoreSilent: {
+    case FaultKind::kStoreUnreachable: {
       Links links;
       for (size_t i = 0; i < world_.instances(); ++i) {
         links.push_back(world_.StoreLinks(i).front());
@@ -247,8 +249,9 @@
                [this, fault, worker] { CrashAndRestartWorker(fault, worker); });
 }
 
-// The worker restarts as another incarnation; the entry of the old one is
-// removed some time later.
+// The worker restarts as another incarnation. The entry of the old one is
+// removed at the restart or, if the fault is a crash, `kEntryTimeAfterCrash`
+// after the crash.
 void FaultPlayer::CrashAndRestartWorker(const Fault& fault, size_t worker) {
   const std::string id = world_.WorkerId(worker);
   world_.Log(id + " has ended");
@@ -256,17 +259,19 @@
   if (IsUnplanned(fault.kind)) {
     world_.task_checker().OnFaultEnds(world_.Now());
   }
-  const Millis back = fault.duration / 4;
-  world_.After(back, [this, worker] { world_.StartWorker(worker); });
+  const Millis restart_delay = fault.duration / 4;
+  world_.After(restart_delay, [this, worker] { world_.StartWorker(worker); });
   const bool crashed = fault.kind == FaultKind::kCrashWorker;
-  world_.After(crashed ? kEntryTimeAfterCrash : back, [this, worker, id] {
-    world_.RemoveEntry(id);
-    busy_workers_.erase(worker);
-    OnFinished();
-  });
+  world_.After(crashed ? kEntryTimeAfterCrash : restart_delay,
+               [this, worker, id] {
+                 world_.RemoveEntry(id);
+                 busy_workers_.erase(worker);
+                 OnFinished();
+               });
 }
 
-// Nothing answers at the old address until that worker joins again.
+// Starts a spare worker, and ends one of the serving workers later. Nothing
+// answers at the address of the ended worker until it is started again.
 void FaultPlayer::Replace(const Fault& fault) {
   const size_t old = replaced_ % world_.workers();
   const size_t fresh = (replaced_ + world_.serving()) % world_.workers();
--- a/src/soak/http_test_server.cpp
+++ b/src/soak/http_test_server.cpp
@@ -19,7 +19,7 @@
 
 using Message = http::request<http::string_body>;
 
-std::string ToNonEmptyString(boost::beast::string_view text) {
+std::string ToStdString(boost::beast::string_view text) {
   return {text.data(), text.size()};
 }
 
@@ -27,15 +27,14 @@
                        const std::string& incarnation_header) {
   HttpTestRequest decoded;
   HttpRequest& request = decoded.request;
-  request.method = ToNonEmptyString(message->method_string());
-  const std::string target = ToNonEmptyString(message->target());
+  request.method = ToStdString(message->method_string());
+  const std::string target = ToStdString(message->target());
   const size_t mark = target.find('?');
   request.path = target.substr(0, mark);
   if (mark != std::string::npos) {
     request.query = target.substr(mark + 1);
   }
-  decoded.expected_incarnation =
-      ToNonEmptyString((*message)[incarnation_header]);
+  decoded.expected_incarnation = ToStdString((*message)[incarnation_header]);
   request.body = std::move(message->body());
   return decoded;
 }
--- a/src/soak/main.cpp
+++ b/src/soak/main.cpp
@@ -2,7 +2,7 @@
 
 // doorwood-soak: runs entry instances as real processes against simulated
 // workers and a simulated store, with network partitions, signals and store
-// faults. Violations are printed as they are seen.
+// faults. Violations are printed as they are detected.
 
 #include <CLI/CLI.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -40,7 +40,8 @@
 constexpr Millis kBetweenJobsAtStops{50};
 constexpr Millis kBetweenCrashingJobs{3000};
 constexpr Millis kSettleTime{40'000};
-// Workers are replaced from the middle of the faults until this long after.
+// Workers are replaced from the middle of the fault plan until this long after
+// its end.
 constexpr Millis kReplacementsAfterFaults{20'000};
 
 std::vector<StepwiseRecovery> RecoveriesOf(const Options& options) {
@@ -84,7 +85,7 @@
       PlayFaults(MakeReplacePlan(options_.seed, Millis(0), length),
                  kBetweenJobs);
     } else {
-      PlayRecoveries(RecoveriesOf(options_), 0);
+      RunRecoveries(RecoveriesOf(options_), 0);
     }
   }
 
@@ -92,9 +93,10 @@
 
   void Summarize() const {
     std::cout << "seed " << options_.seed << ": " << callers_.accepted()
-              << " jobs accepted, " << callers_.not_accepted() << " not taken, "
-              << world_.task_checker().starts() << " starts, "
-              << world_.violations() << " broken; lasting work away for up to "
+              << " jobs accepted, " << callers_.not_accepted()
+              << " not accepted, " << world_.task_checker().starts()
+              << " starts, " << world_.violations()
+              << " broken; long-running tasks down for up to "
               << world_.task_checker().longest_downtime() << " ms; logs in "
               << options_.world.folder << std::endl;
   }
@@ -120,23 +122,23 @@
     });
   }
 
-  void PlayRecoveries(const std::vector<StepwiseRecovery>& recoveries,
-                      size_t next) {
+  void RunRecoveries(const std::vector<StepwiseRecovery>& recoveries,
+                     size_t next) {
     if (next == recoveries.size()) {
       Finish();
       return;
     }
     const StepwiseRecovery recovery = recoveries[next];
-    RunLeaderPartition(world_, callers_, recovery,
-                       [this, recoveries, next, recovery](size_t violations) {
-                         std::cout
-                             << "regained-store silent "
-                             << recovery.worker_partition_time.count()
-                             << " cut " << recovery.full_partition_time.count()
-                             << " old_after " << recovery.resume_delay.count()
-                             << ": " << violations << " broken" << std::endl;
-                         PlayRecoveries(recoveries, next + 1);
-                       });
+    PartitionLeaderDataCentre(
+        world_, callers_, recovery,
+        [this, recoveries, next, recovery](size_t violations) {
+          std::cout << "regained-store silent "
+                    << recovery.worker_partition_time.count() << " cut "
+                    << recovery.full_partition_time.count() << " old_after "
+                    << recovery.resume_delay.count() << ": " << violations
+                    << " broken" << std::endl;
+          RunRecoveries(recoveries, next + 1);
+        });
   }
 
   void Finish() {
@@ -163,7 +165,7 @@
   soak.Begin();
   boost::asio::signal_set signals(context, SIGTERM, SIGINT);
   signals.async_wait([&](const auto&, int) {
-    soak.world().ReportViolation("asked to stop before the end");
+    soak.world().ReportViolation("stopped by a signal before the end");
     context.stop();
   });
   context.run();
@@ -177,15 +179,16 @@
 int main(int argc, char** argv) {
   CLI::App app{"doorwood-soak: real entry instances under faults"};
   doorwood::soak::Options options;
-  app.add_option("--celld", options.world.program, "the program to play")
+  app.add_option("--celld", options.world.program,
+                 "program of the entry instances")
       ->required();
   app.add_option("--logs", options.world.folder, "folder for logs")->required();
   app.add_option("--seed", options.seed);
-  app.add_option("--seconds", options.seconds, "of random faults");
+  app.add_option("--seconds", options.seconds, "duration of the fault plan");
   app.add_option("--instances", options.world.instances);
   app.add_option("--workers", options.world.workers);
   app.add_option("--block", options.world.block,
-                 "third number of all addresses");
+                 "third octet of all addresses");
   app.add_option("--scenario", options.scenario,
                  "random, planned-stops, replaced-workers, changes or "
                  "regained-store")
@@ -195,10 +198,10 @@
       ->delimiter(',');
   app.add_option("--cut", options.cuts, "ms, each")->delimiter(',');
   app.add_option("--old-after", options.resume_delay,
-                 "ms until connections that lived through a cut move again");
+                 "ms after a cut until surviving connections transfer again");
   app.add_option("--lasting-jobs", options.long_running_jobs);
   app.add_flag("--crashing-jobs", options.crashing_jobs,
-               "also hand in jobs whose tasks take their workers down");
+               "also submit jobs whose tasks crash their workers");
   CLI11_PARSE(app, argc, argv);
   std::signal(SIGPIPE, SIG_IGN);
   return doorwood::soak::Run(options);
--- a/src/soak/scenario.cpp
+++ b/src/soak/scenario.cpp
@@ -9,7 +9,8 @@
 
 constexpr Millis kSteadyStateTimeout{40'000};
 constexpr Millis kPollInterval{100};
-// Time after the recovery for decisions that follow from it.
+// Waited in the steady state before the partition, and after the recovery for
+// the decisions that follow from it.
 constexpr Millis kSettleTime{3000};
 
 void CutAll(const Links& links) {
@@ -33,7 +34,7 @@
     return;
   }
   if (world.Now() >= until) {
-    world.ReportViolation("no calm to begin with");
+    world.ReportViolation("no steady state before the partition");
     done();
     return;
   }
@@ -55,47 +56,51 @@
                       size_t centre,
                       StepwiseRecovery recovery,
                       std::function<void()> done) {
-  const Links silent = world.LinksToWorkersInOtherDataCentres(centre);
-  const Links border = world.LinksAcrossDataCentre(centre);
-  Links stores;
+  const Links cross_worker_links =
+      world.LinksToWorkersInOtherDataCentres(centre);
+  const Links border_links = world.LinksAcrossDataCentre(centre);
+  Links store_links;
   for (size_t i = centre; i < world.instances(); i += kDataCentres) {
-    stores.push_back(world.StoreLinks(i).front());
+    store_links.push_back(world.StoreLinks(i).front());
   }
-  Links others;
-  for (Link* link : border) {
-    if (std::find(stores.begin(), stores.end(), link) == stores.end()) {
-      others.push_back(link);
+  Links other_links;
+  for (Link* link : border_links) {
+    if (std::find(store_links.begin(), store_links.end(), link) ==
+        store_links.end()) {
+      other_links.push_back(link);
     }
   }
-  const std::string who = "data centre " + std::to_string(centre + 1);
-  world.Log("workers in other data centres become unreachable for " + who);
-  CutAll(silent);
+  const std::string centre_name = "data centre " + std::to_string(centre + 1);
+  world.Log("workers in other data centres become unreachable for " +
+            centre_name);
+  CutAll(cross_worker_links);
   world.task_checker().OnFaultBegins();
   Millis at = recovery.worker_partition_time;
-  world.After(at, [&world, who, border] {
-    world.Log("partitioned: " + who);
-    CutAll(border);
+  world.After(at, [&world, centre_name, border_links] {
+    world.Log("partitioned: " + centre_name);
+    CutAll(border_links);
   });
   at += recovery.full_partition_time;
-  world.After(at, [&world, who, stores, recovery] {
-    world.Log("reconnected to the store: " + who);
-    HealAll(stores, recovery.resume_delay);
+  world.After(at, [&world, centre_name, store_links, recovery] {
+    world.Log("reconnected to the store: " + centre_name);
+    HealAll(store_links, recovery.resume_delay);
   });
   at += recovery.workers_delay;
-  world.After(at, [&world, who, others, silent, recovery, done] {
-    world.Log("fully reconnected: " + who);
-    HealAll(others, recovery.resume_delay);
-    HealAll(silent, recovery.resume_delay);
+  world.After(at, [&world, centre_name, other_links, cross_worker_links,
+                   recovery, done] {
+    world.Log("fully reconnected: " + centre_name);
+    HealAll(other_links, recovery.resume_delay);
+    HealAll(cross_worker_links, recovery.resume_delay);
     world.After(recovery.resume_delay,
                 [&world] { world.task_checker().OnFaultEnds(world.Now()); });
     done();
   });
 }
 
-void RunLeaderPartition(World& world,
-                        const Callers& callers,
-                        StepwiseRecovery recovery,
-                        std::function<void(size_t)> done) {
+void PartitionLeaderDataCentre(World& world,
+                               const Callers& callers,
+                               StepwiseRecovery recovery,
+                               std::function<void(size_t)> done) {
   const size_t before = world.violations();
   const auto after = [&world, before, done] {
     done(world.violations() - before);
--- a/src/soak/scenario.h
+++ b/src/soak/scenario.h
@@ -26,19 +26,20 @@
   Millis resume_delay{0};
 };
 
-/// Partitions a data centre in these steps; calls `done` once all is healed.
+/// Partitions a data centre in these steps; calls `done` once all links are
+/// healed.
 void PartitionInSteps(World& world,
                       size_t centre,
                       StepwiseRecovery recovery,
                       std::function<void()> done);
 
-/// Partitions the leader's data centre in these steps, from a steady state
-/// until some time after the recovery; `violations` is the number of violations
-/// during this time.
-void RunLeaderPartition(World& world,
-                        const Callers& callers,
-                        StepwiseRecovery recovery,
-                        std::function<void(size_t violations)> done);
+/// Waits for a steady state, then partitions the leader's data centre in these
+/// steps. Calls `done` 3 s after all links are healed; `violations` counts
+/// those since this function was called.
+void PartitionLeaderDataCentre(World& world,
+                               const Callers& callers,
+                               StepwiseRecovery recovery,
+                               std::function<void(size_t violations)> done);
 
 /// Waits until there is a leader and every long-running task runs; reports a
 /// violation if that takes too long.
--- a/src/soak/task_checker.cpp
+++ b/src/soak/task_checker.cpp
@@ -56,11 +56,12 @@
       ReportViolation("two runs at once of " + order.task + ": " +
                       Describe(run) + "; " + Describe(fresh));
     } else if (run.end == RunEnd::kDone && run.acknowledged) {
-      ReportViolation("started after a noted end of " + order.task + ": " +
-                      Describe(run) + "; " + Describe(fresh));
+      ReportViolation("started after an acknowledged completion of " +
+                      order.task + ": " + Describe(run) + "; " +
+                      Describe(fresh));
     }
   }
-  CheckOrder(order.task, fresh);
+  CheckStepOrder(order.task, fresh);
   CheckCrashes(order, fresh);
   earlier.push_back(std::move(fresh));
 }
@@ -73,19 +74,20 @@
     return;
   }
   const std::string& task = order.task;
-  constexpr int kCrashes = 3;
-  constexpr int kStartsMore = 3;
+  constexpr int kCrashLimit = 3;
+  constexpr int kMoreStarts = 3;
   const auto crashed = worker_crashes_.find(task);
-  if (crashed != worker_crashes_.end() && crashed->second >= kCrashes &&
-      ++starts_since_third_[task] == kStartsMore) {
+  if (crashed != worker_crashes_.end() && crashed->second >= kCrashLimit &&
+      ++starts_after_third_crash_[task] == kMoreStarts) {
     ReportViolation(
-        "started three times more after three workers had crashed under " +
+        "started three more times after three workers had crashed while "
+        "running " +
         task + ": " + Describe(fresh));
   }
 }
 
-void TaskChecker::CheckOrder(const std::string& task,
-                             const ObservedRun& fresh) {
+void TaskChecker::CheckStepOrder(const std::string& task,
+                                 const ObservedRun& fresh) {
   const std::string job = JobOf(task);
   const auto needed = first_tasks_.find(job);
   if (!task.starts_with(job + kSecondStep) || needed == first_tasks_.end()) {
@@ -93,9 +95,9 @@
   }
   const size_t done = CountDoneTasks(job + kFirstStep);
   if (done < static_cast<size_t>(needed->second)) {
-    ReportViolation("started before its turn: " + task + ": " +
-                    Describe(fresh) + "; of the step before, " +
-                    std::to_string(done) + " have ended so");
+    ReportViolation("started before the previous step completed: " + task +
+                    ": " + Describe(fresh) + "; of the previous step, " +
+                    std::to_string(done) + " tasks have completed");
   }
 }
 
@@ -143,8 +145,9 @@
   }
   for (const ObservedRun& other : runs_[end.task]) {
     if (other.from > run->until) {
-      ReportViolation("started before an end of " + end.task +
-                      " was noted: " + Describe(*run) + "; " + Describe(other));
+      ReportViolation("started before a completion of " + end.task +
+                      " was acknowledged: " + Describe(*run) + "; " +
+                      Describe(other));
     }
   }
 }
@@ -161,11 +164,11 @@
 
 void TaskChecker::OnCrashed(const std::string& incarnation) {
   for (const auto& [task, runs] : runs_) {
-    const bool there =
+    const bool was_running =
         std::any_of(runs.begin(), runs.end(), [&](const ObservedRun& run) {
           return run.incarnation == incarnation && run.active;
         });
-    if (there) {
+    if (was_running) {
       ++worker_crashes_[task];
     }
   }
@@ -190,9 +193,9 @@
 void TaskChecker::OnCompleted(const std::string& job, size_t tasks) {
   const size_t done = CountDoneTasks(job + ".");
   if (done < tasks) {
-    ReportViolation("shown as completed: " + job + ", of whose " +
+    ReportViolation("reported as completed: " + job + ", of whose " +
                     std::to_string(tasks) + " tasks " + std::to_string(done) +
-                    " have ended so");
+                    " have completed");
   }
 }
 
@@ -200,7 +203,7 @@
   for (const auto& [task, runs] : runs_) {
     const auto known = may_be_accepted_.find(JobOf(task));
     if (known != may_be_accepted_.end() && !known->second && !runs.empty()) {
-      ReportViolation("started though its job was refused: " + task + ": " +
+      ReportViolation("started although its job was rejected: " + task + ": " +
                       Describe(runs.front()));
     }
   }
--- a/src/soak/task_checker.h
+++ b/src/soak/task_checker.h
@@ -29,8 +29,8 @@
   int64_t until = 0;
   bool active = true;
   RunEnd end = RunEnd::kLeaseExpired;
-  /// The end of the run can still be acknowledged: the lease has not expired
-  /// since then.
+  /// False if the lease has expired since the run ended. A later
+  /// acknowledgement of the end is then ignored.
   bool can_be_acknowledged = true;
   bool acknowledged = false;
   /// A violation was reported because the task ran nowhere for too long after
@@ -70,8 +70,8 @@
   /// A call that submits the job was answered or failed; `rejected` if the
   /// answer excludes that the job was accepted.
   void OnSubmitAttempt(const std::string& job, bool rejected);
-  /// The second step of the job, if there is one, depends on `first_tasks`
-  /// tasks.
+  /// The first step of the job has `first_tasks` tasks. Its second step, if
+  /// there is one, depends on all of them.
   void OnSubmitted(const std::string& job, int first_tasks) {
     first_tasks_[job] = first_tasks;
   }
@@ -88,11 +88,13 @@
   void CheckLongRunning(int64_t now);
 
   // --- Called at the end ---
-  /// Checks that no task of a job whose every attempt was rejected has started.
+  /// Checks that no task has started of a job whose submissions were all
+  /// rejected.
   void CheckRejected();
 
   size_t starts() const { return starts_; }
-  /// Longest time in ms without a run of a long-running task while checked.
+  /// Longest time in ms for which `CheckLongRunning` found a long-running task
+  /// without a run.
   int64_t longest_downtime() const { return longest_downtime_; }
   size_t CountActiveTasks(const std::string& job) const;
   const std::map<std::string, std::vector<ObservedRun>>& runs() const {
@@ -102,7 +104,7 @@
  private:
   void ReportViolation(const std::string& sentence);
   void CheckDowntime(std::vector<ObservedRun>* runs, int64_t now);
-  void CheckOrder(const std::string& task, const ObservedRun& fresh);
+  void CheckStepOrder(const std::string& task, const ObservedRun& fresh);
   void CheckCrashes(const StartOrder& order, const ObservedRun& fresh);
   /// Number of completed tasks whose names begin with `prefix`.
   size_t CountDoneTasks(const std::string& prefix) const;
@@ -113,12 +115,13 @@
   std::map<std::string, std::vector<ObservedRun>> runs_;
   /// By job: whether any submission of it was not rejected.
   std::map<std::string, bool> may_be_accepted_;
+  /// By job: number of tasks of the first step.
   std::map<std::string, int> first_tasks_;
   std::set<std::string> long_running_;
   /// By task: workers that crashed while running it, and starts after the third
   /// crash.
   std::map<std::string, int> worker_crashes_;
-  std::map<std::string, int> starts_since_third_;
+  std::map<std::string, int> starts_after_third_crash_;
   size_t starts_ = 0;
   /// Active unplanned faults, and the last time at which one was active.
   size_t faults_ = 0;
--- a/src/soak/world.cpp
+++ b/src/soak/world.cpp
@@ -16,8 +16,8 @@
 namespace doorwood::soak {
 namespace {
 
-// From the crash of a worker by a task to the removal of its entry and to the
-// restart of its machine.
+// From the crash of a worker by a task to the removal of its directory entry,
+// and to the start of the worker's next incarnation.
 constexpr Millis kEntryRemovalDelay{800};
 constexpr Millis kWorkerRestartDelay{2500};
 constexpr const char* kDataCentreNames[kDataCentres] = {"plaka", "kerameikos",
@@ -26,11 +26,13 @@
 constexpr Millis kTick{20};
 constexpr Millis kRestartAfter{600};
 constexpr Millis kGraceSlack{150};
-// Addresses are 127.CALLER.BLOCK.NUMBER as a caller sees them.
+// A caller reaches a server at 127.CALLER.BLOCK.NUMBER, the address of the link
+// between the two. Instance i is caller kFirstCaller + i and itself listens at
+// 127.(kFirstCaller + i).BLOCK.(kFirstInstance + i).
 constexpr int kFirstCaller = 30;
-// The caller whose view is the real addresses of the servers (workers and
-// endpoints of the store), which are those in the store. It stands for no
-// instance.
+// Takes the place of the caller in the addresses on which the workers and the
+// endpoints of the store listen. The values in the store use these addresses;
+// the endpoints translate them to and from those of the calling instance.
 constexpr int kServerSide = 29;
 constexpr size_t kFirstWorker = 1;
 constexpr size_t kFirstInstance = 200;
@@ -116,12 +118,13 @@
 // --- Setting up ---
 
 void World::AddWorker(size_t worker) {
-  const double share = 1 - kMaxClockLag * static_cast<double>(worker % 3) / 2;
+  const double clock_rate =
+      1 - kMaxClockLag * static_cast<double>(worker % 3) / 2;
   workers_.push_back(std::make_unique<platform::SoakWorker>(
       context_, executor_,
       AddressOf(Host(kServerSide, kFirstWorker + worker), kWorkerPort),
-      "worker-" + std::to_string(worker + 1), share, [this] { return Now(); },
-      task_checker_, [this] { AdvanceWorkers(); },
+      "worker-" + std::to_string(worker + 1), clock_rate,
+      [this] { return Now(); }, task_checker_, [this] { AdvanceWorkers(); },
       [this, worker](const std::string& incarnation, Millis after) {
         CrashForTask(worker, incarnation, after);
       }));
@@ -213,17 +216,17 @@
       instance.stop_since > 0 &&
       Now() - instance.stop_since > (kGrace + kGraceSlack).count();
   if (late) {
-    ReportViolation(NameOf(index) + " has not ended in its grace time");
+    ReportViolation(NameOf(index) + " has not exited within its grace time");
     instance.stop_since = 0;
     instance.child.Signal(SIGKILL);
   }
   int status = 0;
-  if (!instance.child.HasEnded(&status)) {
+  if (!instance.child.ReapIfEnded(&status)) {
     return;
   }
-  Log(NameOf(index) + " has ended, status " + std::to_string(status));
+  Log(NameOf(index) + " has exited, status " + std::to_string(status));
   if (!instance.is_ending || (instance.stop_since > 0 && status != 0)) {
-    ReportViolation(NameOf(index) + " ended by itself, status " +
+    ReportViolation(NameOf(index) + " exited unexpectedly, status " +
                     std::to_string(status));
   }
   instance.is_ending = true;
@@ -250,7 +253,9 @@
 }
 
 void World::AwaitProcessExits(const std::function<void()>& done) {
-  const auto runs = [](const auto& instance) { return instance->child.runs(); };
+  const auto runs = [](const auto& instance) {
+    return instance->child.IsRunning();
+  };
   if (std::none_of(instances_.begin(), instances_.end(), runs)) {
     done();
     return;
@@ -340,7 +345,7 @@
 
 bool World::Kill(size_t index) {
   Instance& instance = *instances_[index];
-  if (!instance.child.runs() || instance.is_ending || instance.paused) {
+  if (!instance.child.IsRunning() || instance.is_ending || instance.paused) {
     return false;
   }
   instance.is_ending = true;
@@ -350,7 +355,7 @@
 
 bool World::Stop(size_t index) {
   Instance& instance = *instances_[index];
-  if (!instance.child.runs() || instance.is_ending || instance.paused) {
+  if (!instance.child.IsRunning() || instance.is_ending || instance.paused) {
     return false;
   }
   instance.is_ending = true;
@@ -361,7 +366,7 @@
 
 bool World::Pause(size_t index) {
   Instance& instance = *instances_[index];
-  if (!instance.child.runs() || instance.is_ending || instance.paused) {
+  if (!instance.child.IsRunning() || instance.is_ending || instance.paused) {
     return false;
   }
   instance.paused = true;
@@ -376,7 +381,7 @@
 
 bool World::ReloadSettings(size_t index) {
   Instance& instance = *instances_[index];
-  if (!instance.child.runs() || instance.is_ending || instance.paused) {
+  if (!instance.child.IsRunning() || instance.is_ending || instance.paused) {
     return false;
   }
   WriteSettings(index);
--- a/src/soak/world.h
+++ b/src/soak/world.h
@@ -65,7 +65,7 @@
   static std::string NameOf(size_t instance);
   std::string ClientAddressOf(size_t instance) const;
   bool IsUp(size_t instance) const {
-    return instances_[instance]->child.runs();
+    return instances_[instance]->child.IsRunning();
   }
   /// The instance that the leader key in the store names.
   std::optional<size_t> Leader() const;
@@ -113,8 +113,9 @@
   void CrashForTask(size_t worker,
                     const std::string& incarnation,
                     Millis after);
-  /// Marks the entry as leaving, or removes it without an announcement.
+  /// Marks the worker's directory entry as draining.
   void AnnounceLeaving(size_t worker);
+  /// Removes the directory entry of a worker incarnation.
   void RemoveEntry(const std::string& id);
   const std::string& WorkerId(size_t worker) const {
     return workers_[worker]->id();
