--- a/src/bench/load.cpp
+++ b/src/bench/load.cpp
@@ -107,11 +107,11 @@
     if (!result) {
       return IsNotSent(result.error()) ? kNoConnection : kBroken;
     }
-    const std::string fate = result->get_header_value(kOutcomeHeader);
-    if (fate == "not-run") {
+    const std::string outcome = result->get_header_value(kOutcomeHeader);
+    if (outcome == "not-run") {
       return kNotRun;
     }
-    if (fate == "unknown") {
+    if (outcome == "unknown") {
       return kUnknown;
     }
     return result->body.ends_with(" ran " + id + ": " + body) ? kCorrect
--- a/src/bench/main.cpp
+++ b/src/bench/main.cpp
@@ -18,10 +18,11 @@
   load_app->add_option("--prefix", load.prefix);
   load_app->add_option("--connections", load.connections)
       ->check(CLI::Range(1, 512));
-  load_app->add_option("--requests", load.requests, "of each connection");
+  load_app->add_option("--requests", load.requests, "per connection");
   load_app->add_option("--seconds", load.seconds)->check(CLI::Range(1, 600));
   load_app->add_option("--run-ms", load.run_ms);
-  load_app->add_flag("!--once", load.repeatable, "may not be repeated");
+  load_app->add_flag("!--once", load.repeatable,
+                     "mark the requests as not repeatable");
   load_app->add_flag("--keys", load.keys, "send idempotency keys");
   load_app->add_option("--deadline-ms", load.deadline_ms);
   load_app->add_option("--pause-ms", load.pause_ms);
--- a/src/standin/kv.cpp
+++ b/src/standin/kv.cpp
@@ -121,7 +121,7 @@
   bool stopping_ = false;
 };
 
-// Faults set by /fault, and call counts for /stats. Applies to all calls.
+// Faults set by /fault, and numbers of calls of each kind for /stats.
 struct Faults {
   std::mutex mutex;
   bool down = false;
--- a/src/standin/main.cpp
+++ b/src/standin/main.cpp
@@ -12,12 +12,12 @@
 using doorwood::standin::ServerOptions;
 
 void AddServerOptions(CLI::App* app, ServerOptions* options) {
-  app->add_option("--listen", options->listen, "IP number and port");
+  app->add_option("--listen", options->listen, "IP address and port");
   app->add_option("--lifetime-s", options->lifetime_s,
-                  "seconds after which the process ends by itself")
+                  "seconds after which the process exits")
       ->check(CLI::Range(1, 7200));
-  app->add_option("--record", options->record, "file for the record");
-  app->add_option("--threads", options->threads, "threads for calls");
+  app->add_option("--record", options->record, "file for the recorded events");
+  app->add_option("--threads", options->threads, "threads that handle calls");
 }
 
 }  // namespace
@@ -42,7 +42,7 @@
   worker_app->add_option("--memory-mib", worker.capacity.memory_mib);
   worker_app->add_option("--accelerators", worker.capacity.accelerators);
   worker_app->add_flag("!--no-fence", worker.fences,
-                       "obey orders of older epochs");
+                       "accept orders of older epochs");
   worker_app->callback([&]() { code = RunWorker(worker); });
 
   doorwood::standin::BackendRole backend;
@@ -57,13 +57,16 @@
   CLI::App* instances_app =
       app.add_subcommand("instances", "the list of instances");
   AddServerOptions(instances_app, &instances.server);
-  instances_app->add_option("--file", instances.file, "JSON list to begin with")
+  instances_app
+      ->add_option("--file", instances.file,
+                   "JSON array of the initial instances")
       ->required();
   instances_app->add_option("--lag-ms", instances.lag_ms);
   instances_app->callback([&]() { code = RunInstances(instances); });
 
   doorwood::standin::LinkRole link;
-  CLI::App* link_app = app.add_subcommand("link", "a way that can be cut");
+  CLI::App* link_app =
+      app.add_subcommand("link", "TCP proxy that can simulate a partition");
   AddServerOptions(link_app, &link.server);
   link_app->add_option("--target", link.target)->required();
   link_app->add_option("--control", link.control)->required();
--- a/src/standin/run_worker_model.cpp
+++ b/src/standin/run_worker_model.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int kFullProgress = 100;
-// Most completions that one report lists; the platform has the same limit.
+// Most ended runs that one report lists; the platform has the same limit.
 constexpr size_t kMaxEndsListed = 500;
 
 int64_t NumberAfter(const std::string& text, std::string_view word) {
--- a/src/standin/run_worker_model.h
+++ b/src/standin/run_worker_model.h
@@ -44,7 +44,7 @@
 
 class RunWorkerModel {
  public:
-  void SetObserver(RunObserver* watcher) { observer_ = watcher; }
+  void SetObserver(RunObserver* observer) { observer_ = observer; }
   /// Sets how long a run continues after a stop order.
   void SetStopDuration(Millis time) { stop_duration_ms_ = time.count(); }
 
@@ -62,9 +62,9 @@
   bool IsRunning(const std::string& task) const { return runs_.contains(task); }
   size_t running_count() const { return runs_.size(); }
   std::vector<std::string> running_tasks() const;
-  /// Sequence number of the last ended run that was listed when the lease
-  /// expired. Checks of completed tasks ignore acknowledgements of runs up to
-  /// it that arrive only later.
+  /// Sequence number of the last run that had ended when the lease expired.
+  /// Checks of completed tasks ignore later acknowledgements of this run and of
+  /// earlier ones.
   uint64_t last_end_at_lease_expiry() const {
     return last_end_at_lease_expiry_;
   }
@@ -84,6 +84,8 @@
     int64_t stops_at = 0;
   };
 
+  /// Returns true if `token` is older than the newest token so far; otherwise
+  /// adopts `token` as the newest.
   bool IsFenced(uint64_t token);
   void ExtendLease(int64_t until);
   void DropAcknowledgedEnds(uint64_t last_seen);
--- a/src/standin/standin.h
+++ b/src/standin/standin.h
@@ -21,7 +21,7 @@
 
 /// Options that all stand-ins share.
 struct ServerOptions {
-  /// IP number and port; port 0 picks a free one.
+  /// IP address and port; port 0 picks a free one.
   std::string listen = "127.0.0.1:0";
   /// Seconds after which the process exits, so that none outlives its test.
   int lifetime_s = 900;
@@ -88,7 +88,7 @@
   ServerOptions server;
   std::string name = "worker";
   Resources capacity{32000, 125 * 1024, 0};
-  /// Rejects orders of older epochs.
+  /// Rejects orders of other epochs and after the control lease has expired.
   bool fences = true;
 };
 struct BackendRole {
@@ -110,7 +110,7 @@
 /// TCP proxy in front of one address that can simulate a network partition.
 struct LinkRole {
   ServerOptions server;
-  /// IP number and port that connections are forwarded to.
+  /// IP address and port that connections are forwarded to.
   std::string target;
   /// Address of the calls that set faults; `server.listen` is the proxy's own.
   std::string control = "127.0.0.1:0";
--- a/src/standin/worker_model.h
+++ b/src/standin/worker_model.h
@@ -44,8 +44,8 @@
  public:
   using OnEvent = std::function<void(const WorkerEvent&)>;
 
-  /// With `fences` orders of an older epoch, or after the control lease has
-  /// expired, are rejected.
+  /// If `fences` is true, orders of another epoch and orders that arrive after
+  /// the control lease has expired are rejected.
   WorkerModel(std::string name,
               const Resources& capacity,
               bool fences,
