--- a/src/build-scripts/bench.sh
+++ b/src/build-scripts/bench.sh
@@ -10,7 +10,7 @@
 . testsuite/lib.sh
 
 page=docs/BENCHMARKS.md
-begin
+start_kv
 add_worker w1 plaka r1
 add_backend b1 plaka w1 listening-stream 100 --latency-ms 0 --threads 160
 add_entry plaka-1 plaka
--- a/src/build-scripts/capacity.sh
+++ b/src/build-scripts/capacity.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# Measures the cost of control at several sizes with small stand-ins, fits
-# slopes, and writes docs/capacity/tables.md, docs/capacity/points.tsv and the
+# Measures the cost of the control plane at several sizes with small stand-ins,
+# fits slopes, and writes docs/capacity/tables.md, docs/capacity/points.tsv and the
 # graphs that docs/CAPACITY.md uses.
 # Usage: capacity.sh BUILD [SECONDS a point]
 set -u
@@ -33,8 +33,8 @@
   echo "$(cpu_ticks "${PID[$1]}") $(metric doorwood_call_bytes worker) $(metric doorwood_call_bytes peer) $(metric doorwood_call_bytes directory) $(metric doorwood_call_bytes kv) $(jq '[.read, .list, .watch] | map(. // 0) | add' "$WORK/stats") $(jq '[.write, .renew, .grant, .remove] | map(. // 0) | add' "$WORK/stats")"
 }
 
-# point SERIES X ENTRY: prints one row, measured over the window.
-point() {
+# measure_point SERIES X ENTRY: appends one row, measured over the window.
+measure_point() {
   local before after rss
   before=$(snapshot "$3")
   sleep "$window"
@@ -53,7 +53,7 @@
   EXTRA_SETTINGS="${EXTRA:-}
 log_level: warn"
   . testsuite/lib.sh
-  begin
+  start_kv
   local n
   for n in $(seq "$1"); do add_worker "w$n" plaka "r$n" --threads 2; done
   for n in $(seq "$2"); do add_entry "plaka-$n" plaka; done
@@ -67,33 +67,33 @@
 
 series_workers() {
   cluster "$1" 1
-  point workers "$1" plaka-1
+  measure_point workers "$1" plaka-1
 }
 
 series_instances() {
   cluster 4 "$1"
-  point instances "$1" plaka-1
+  measure_point instances "$1" plaka-1
 }
 
 series_tasks() {
   cluster 16 1
-  job_file long 100 run-ms=600000
+  write_job long 100 run-ms=600000
   sed -i 's/cpu_millis: 1000/cpu_millis: 100/' "$WORK/long.yaml"
-  point tasks 0 plaka-1
+  measure_point tasks 0 plaka-1
   local total=0 n
   for n in 1 2 3; do
     submit plaka-1 long >/dev/null || fail "submit"
     total=$((total + 100))
     sleep 3
-    point tasks "$total" plaka-1
+    measure_point tasks "$total" plaka-1
   done
 }
 
 # Jobs of ten short tasks at given rates per second.
 series_starts() {
   cluster 16 1
-  job_file short 10 run-ms=50
-  point starts 0 plaka-1
+  write_job short 10 run-ms=50
+  measure_point starts 0 plaka-1
   local rate
   for rate in 1 2 4; do
     (
@@ -108,7 +108,7 @@
     sleep 2
     local before after
     before=$(jq -s '[.[] | select(.event == "start")] | length' "$WORK/workers.record")
-    point starts "$((rate * 10))" plaka-1
+    measure_point starts "$((rate * 10))" plaka-1
     after=$(jq -s '[.[] | select(.event == "start")] | length' "$WORK/workers.record")
     # The x value is the rate of starts measured in the window.
     awk -F'\t' -v OFS='\t' -v x="$(awk -v a="$before" -v b="$after" -v w="$window" 'BEGIN {printf "%.1f", (b - a) / w}')" \
@@ -136,7 +136,7 @@
       done
     ) &
     local feeder=$!
-    point config "$kb" plaka-2
+    measure_point config "$kb" plaka-2
     wait "$feeder"
   done
 }
@@ -155,7 +155,7 @@
       done
     ) &
     local feeder=$!
-    point changes "$rate" plaka-2
+    measure_point changes "$rate" plaka-2
     wait "$feeder"
   done
 }
@@ -170,7 +170,7 @@
       for n in $(seq "$count"); do echo "  - {name: team-$n, quota: {cpu_millis: 64000, memory_mib: 262144}}"; done
     } | cli plaka-1 apply -f - >/dev/null || fail "apply"
     sleep 1
-    point members "$count" plaka-1
+    measure_point members "$count" plaka-1
   done
 }
 
@@ -226,6 +226,6 @@
      "< grep '^workers' $points" using 2:8 with linespoints title "to the key-value service"
 set output "$out/cpu.svg"
 set ylabel "% of a core"
-plot "< grep '^workers' $points" using 2:3 with linespoints title "doorwoodd", 1.9 title "limit of letter 1"
+plot "< grep '^workers' $points" using 2:3 with linespoints title "doorwoodd", 1.9 title "limit"
 EOF
 cat "$out/tables.md"
--- a/src/build-scripts/compare-days.sh
+++ b/src/build-scripts/compare-days.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
-# Plays the same days with the same seeds in two checkouts, several at a time,
-# and prints the paired differences of their worth with mean and spread, so
-# that a change within the noise is recognizable.
+# Runs the same days with the same seeds in two checkouts, several at a time, and
+# prints the scores of each pair, the mean of the paired differences and its
+# standard error, so that a difference within the noise is recognizable.
 #
 #   BENCH=PROGRAM compare-days.sh BEFORE AFTER SITE "DAY..." "SEED..." [OPTION...]
 #
 # BENCH: the users' bench; BEFORE, AFTER: checkouts; SITE: a site file; OPTION:
-# passed on, for instance --no-cpu. JOBS (4): days played at a time.
+# passed on, for instance --no-cpu. JOBS (4): days run at a time.
 set -euo pipefail
 
 bench=${BENCH:?set BENCH to the bench program}
@@ -20,8 +20,8 @@
 out=$(mktemp -d)
 trap 'rm -rf "$out"' EXIT
 
-# play DIR NAME DAY SEED [OPTION...]: plays one day and stores its result line.
-play() {
+# run_day DIR NAME DAY SEED [OPTION...]: runs one day and stores its result line.
+run_day() {
   local dir=$1 name=$2 day=$3 seed=$4
   shift 4
   cd "$dir"
@@ -30,7 +30,7 @@
   grep "^$day " "$out/$name-$day-$seed.full" | head -1 \
     >"$out/$name-$day-$seed" || true
 }
-export -f play
+export -f run_day
 export bench site out
 
 for dir in "$before" "$after"; do
@@ -42,7 +42,7 @@
     echo "$before before $day $seed${*:+ $*}"
     echo "$after after $day $seed${*:+ $*}"
   done
-done | xargs -P "${JOBS:-4}" -L1 bash -c 'play "$@"' play
+done | xargs -P "${JOBS:-4}" -L1 bash -c 'run_day "$@"' run_day
 
 printf '%-12s %8s %8s %8s  %s\n' day seed before after broken
 for day in $days; do
--- a/src/build-scripts/demo.sh
+++ b/src/build-scripts/demo.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
 # SPDX-License-Identifier: Apache-2.0
 # Demonstration on stand-ins: two entry instances, three workers, two backend
-# servers. A batch job and requests run while one entry instance is killed.
+# servers. Requests go through both entry instances, and one of them is killed
+# while a batch job runs.
 set -u
 BIN="$(cd "${1:-build}/src" && pwd)"
 # shellcheck source=testsuite/lib.sh
@@ -10,7 +11,7 @@
 say() { printf '\n== %s\n' "$*"; }
 
 say "starting the stand-ins: key-value service, instance list, 3 workers, 2 backend servers"
-begin
+start_kv
 for n in 1 2 3; do add_worker "w$n" plaka "r$n" --cpu-millis 4000 --memory-mib 8192; done
 add_backend b1 plaka w1 listening-stream 8
 add_backend b2 plaka w2 listening-stream 8
@@ -65,11 +66,11 @@
 jq -r 'select(.event == "start") | "\(.worker) started \(.task) as attempt \(.attempt)"' "$WORK/workers.record"
 once=0
 for n in $(seq 0 5); do
-  [ "$(successes "$job/render-$n")" = 1 ] && once=$((once + 1))
+  [ "$(count_successes "$job/render-$n")" = 1 ] && once=$((once + 1))
 done
-echo "tasks that finished exactly once: $once of 6; in two places at once: $(double_runs | wc -l); overcommitments: $(overcommitments)"
+echo "tasks that finished exactly once: $once of 6; in two places at once: $(list_double_runs | wc -l); overcommitments: $(count_overcommitments)"
 
 say "service-level burn"
 cli plaka-1 report burn
-[ "$whole" = 20 ] && [ "$once" = 6 ] && [ -z "$(double_runs)" ] || fail "see above"
+[ "$whole" = 20 ] && [ "$once" = 6 ] && [ -z "$(list_double_runs)" ] || fail "see above"
 say "done"
--- a/src/build-scripts/soak.sh
+++ b/src/build-scripts/soak.sh
@@ -32,6 +32,6 @@
 done
 wait
 good=$(cat "$folder"/*.code | grep -c '^0$')
-echo "$good of $seeds seeds broke nothing"
+echo "$good of $seeds seeds had no violations"
 [ "$good" -eq "$seeds" ] || exit 1
 rm -rf "$folder"
--- a/testsuite/bad-input/run.sh
+++ b/testsuite/bad-input/run.sh
@@ -4,7 +4,7 @@
 set -u
 . "$(dirname "$0")/../lib.sh"
 
-begin
+start_kv
 add_worker w1 plaka r1
 add_entry plaka-1 plaka
 start_list
--- a/testsuite/cut/run.sh
+++ b/testsuite/cut/run.sh
@@ -14,12 +14,12 @@
   PID[$1]=${PID[$1.way]}
 }
 
-begin
+start_kv
 add_worker w1 plaka r1 --cpu-millis 8000 --memory-mib 16384
 add_entry plaka-1 plaka
 add_backend b1 plaka w1 listening-stream 4
 # Kerameikos reaches the platform and Plaka through relays that can be cut, and
-# Plaka reaches Kerameikos through another.
+# Plaka reaches Kerameikos through others.
 start_link way-kv "${PORT[kv]}"
 start_link way-list "${PORT[instances]}"
 add_worker w2 kerameikos r2 --cpu-millis 8000 --memory-mib 16384
@@ -58,7 +58,7 @@
 within 30 shards_owned kerameikos-1 8 || fail "kerameikos: shards not owned"
 apply_config plaka-1 && echo "configuration in force in both data centres"
 
-job_file away 2 run-ms=500 ""
+write_job away 2 run-ms=500 ""
 sed -i 's/^member: museum/member: museum\nhome: kerameikos/' "$WORK/away.yaml"
 away=$(submit plaka-1 away) || fail "submit to the other data centre"
 cli plaka-1 job wait "$away" --for 60 >/dev/null && echo "job of kerameikos, submitted and asked about through plaka, succeeded"
@@ -66,20 +66,20 @@
 revision_of() {
   [ "$(cli "$1" --output json status 2>/dev/null | jq --arg i "$1" '.[] | select(.instance == $i) | .revision')" = "$2" ]
 }
-job_file local 2 run-ms=9000
+write_job local 2 run-ms=9000
 local_job=$(submit kerameikos-1 local) || fail "submit"
 
 echo "== cut off from the platform"
-fault way-kv '{"cut": true}'
-fault way-list '{"cut": true}'
+set_fault way-kv '{"cut": true}'
+set_fault way-list '{"cut": true}'
 sed 's/200/250/' "$WORK/config.yaml" >"$WORK/second.yaml"
 cli plaka-1 apply -f "$WORK/second.yaml" --author test >/dev/null || fail "apply"
 applied=$(now)
 within 8 revision_of kerameikos-1 2 && echo "revision 2 reached kerameikos between peers"
-figure "configuration in force in a data centre cut off from the platform after $(seconds_since "$applied") s"
+record_figure "configuration in force in a data centre cut off from the platform after $(seconds_since "$applied") s"
 
 echo "== cut off from the platform and from plaka"
-for entry in plaka-1 kerameikos-1 kerameikos-2; do fault "way-$entry" '{"cut": true}'; done
+for entry in plaka-1 kerameikos-1 kerameikos-2; do set_fault "way-$entry" '{"cut": true}'; done
 sleep 1
 sed 's/200/260/' "$WORK/config.yaml" >"$WORK/third.yaml"
 cli plaka-1 apply -f "$WORK/third.yaml" --author test >/dev/null || fail "apply"
@@ -95,9 +95,9 @@
 sleep 4
 
 echo "== mended"
-for way in way-kv way-list way-plaka-1 way-kerameikos-1 way-kerameikos-2; do fault "$way" '{"cut": false}'; done
+for way in way-kv way-list way-plaka-1 way-kerameikos-1 way-kerameikos-2; do set_fault "$way" '{"cut": false}'; done
 mended=$(now)
 within 8 revision_of kerameikos-1 3 && within 8 revision_of kerameikos-2 3 && echo "revision 3 is in force in kerameikos"
-figure "after a cut: newest configuration in force after $(seconds_since "$mended") s"
+record_figure "after a cut: newest configuration in force after $(seconds_since "$mended") s"
 cli kerameikos-2 job wait "$local_job" --for 60 >/dev/null && echo "job of kerameikos succeeded"
-echo "tasks started twice: $(started_twice "$local_job"); in two places at once: $(double_runs | wc -l); overcommitments: $(overcommitments)"
+echo "tasks started twice: $(count_started_twice "$local_job"); in two places at once: $(list_double_runs | wc -l); overcommitments: $(count_overcommitments)"
--- a/testsuite/lib.sh
+++ b/testsuite/lib.sh
@@ -118,8 +118,8 @@
 EOF
 }
 
-# begin: starts the key-value store and reserves the port of the instance list.
-begin() {
+# start_kv: starts the key-value store and reserves the port of the instance list.
+start_kv() {
   start_standin kv kv --record "$WORK/kv.record"
   PORT[instances]=$(free_port)
 }
@@ -180,7 +180,8 @@
   [ "$held" = "$2" ]
 }
 
-# shards_owned NAME COUNT: the same for the job shards of that data centre.
+# shards_owned NAME COUNT: succeeds if the instances of the data centre of NAME
+# own COUNT job shards, as NAME reports.
 shards_owned() {
   local owned
   owned=$(cli "$1" --output json status 2>/dev/null |
@@ -190,8 +191,8 @@
 }
 declare -gA DC_OF
 
-# fault NAME JSON: sets the faults of a stand-in.
-fault() {
+# set_fault NAME JSON: sets the faults of a stand-in.
+set_fault() {
   curl -fs -m 5 -X POST -d "$2" "http://127.0.0.1:${PORT[$1]}/fault" >/dev/null
 }
 
@@ -203,7 +204,7 @@
 
 # Prints the tasks that ran twice at the same time. An attempt without an end
 # in the record ended with the process of its worker and is not considered.
-double_runs() {
+list_double_runs() {
   jq -s -r '
     [.[] | select(.event == "start" or .event == "end")]
     | group_by(.task)[]
@@ -221,16 +222,18 @@
     | .[]' "$WORK/workers.record" || echo "the record cannot be read"
 }
 
-overcommitments() {
+# Prints how many starts exceeded the capacity of their worker.
+count_overcommitments() {
   jq -s '[.[] | select(.event == "start" and .overcommitted)] | length' "$WORK/workers.record"
 }
 
-# Prints how often a task succeeded.
-successes() {
+# count_successes TASK: prints how often a task succeeded.
+count_successes() {
   jq -s --arg task "$1" '[.[] | select(.event == "end" and .task == $task and .how == "succeeded")] | length' "$WORK/workers.record"
 }
 
-starts() {
+# count_starts TASK: prints how often a task was started.
+count_starts() {
   jq -s --arg task "$1" '[.[] | select(.event == "start" and .task == $task)] | length' "$WORK/workers.record"
 }
 
@@ -247,34 +250,36 @@
   STARTED+=("$name")
 }
 
-# Prints how many requests of a load were answered "not run" although they ran.
-false_not_run() {
-  jq -r 'select(.outcome == "not_run") | .request' "$WORK/$1.requests" | sort >"$WORK/told"
+# count_false_not_run LOAD: prints how many requests of a load were answered
+# "not run" although they ran.
+count_false_not_run() {
+  jq -r 'select(.outcome == "not_run") | .request' "$WORK/$1.requests" | sort >"$WORK/not_run"
   jq -r 'select(.event == "run") | .request' "$WORK/backends.record" | sort >"$WORK/ran"
-  comm -12 "$WORK/told" "$WORK/ran" | wc -l
+  comm -12 "$WORK/not_run" "$WORK/ran" | wc -l
 }
 
-# Prints how many requests of a load ran more than once.
-duplicates_of() {
-  jq -r .request "$WORK/$1.requests" | sort -u >"$WORK/asked"
+# count_duplicates LOAD: prints how many requests of a load ran more than once.
+count_duplicates() {
+  jq -r .request "$WORK/$1.requests" | sort -u >"$WORK/sent"
   jq -r 'select(.event == "run") | .request' "$WORK/backends.record" | sort | uniq -d >"$WORK/twice"
-  comm -12 "$WORK/asked" "$WORK/twice" | wc -l
+  comm -12 "$WORK/sent" "$WORK/twice" | wc -l
 }
 
 # Prints the highest number of concurrent requests on one backend server.
-most_at_once() {
+max_concurrent_requests() {
   jq -s 'group_by(.backend) | map(reduce .[] as $e ({now: 0, most: 0};
       if $e.event == "run" then .now += 1 | .most = ([.most, .now] | max)
       elif $e.event == "ran" then .now -= 1 else . end) | .most) | max // 0' "$WORK/backends.record"
 }
 
+# outcome LOAD FIELD: prints a field of the results of a load.
 outcome() {
   jq ".$2" "$WORK/$1.json"
 }
 
-# figure NAME VALUE ...: appends a line for docs/PROOFS.md if FIGURES names a
+# record_figure NAME VALUE ...: appends a line for docs/PROOFS.md if FIGURES names a
 # file.
-figure() {
+record_figure() {
   [ -n "${FIGURES:-}" ] && echo "$*" >>"$FIGURES"
   return 0
 }
@@ -301,8 +306,8 @@
   cli "$1" apply -f "$WORK/config.yaml" --author test --wait --for 30 >/dev/null
 }
 
-# job_file NAME COUNT PAYLOAD [MORE]: writes a manifest.
-job_file() {
+# write_job NAME COUNT PAYLOAD [MORE]: writes a manifest.
+write_job() {
   cat >"$WORK/$1.yaml" <<EOF
 member: museum
 tasks:
@@ -328,8 +333,9 @@
   return 1
 }
 
-# Prints how many tasks of a job were started more than once.
-started_twice() {
+# count_started_twice JOB: prints how many tasks of a job were started more than
+# once.
+count_started_twice() {
   jq -r --arg job "$1/" 'select(.event == "start" and (.task | startswith($job))) | .task' \
     "$WORK/workers.record" | sort | uniq -d | wc -l
 }
--- a/testsuite/path/run.sh
+++ b/testsuite/path/run.sh
@@ -4,7 +4,7 @@
 set -u
 . "$(dirname "$0")/../lib.sh"
 
-begin
+start_kv
 add_worker w1 plaka r1 --cpu-millis 4000 --memory-mib 8192
 add_worker w2 plaka r2 --cpu-millis 4000 --memory-mib 8192
 add_backend b1 plaka w1 listening-stream 2
@@ -36,7 +36,7 @@
 cli plaka-1 job show "$job" | tail -3 | awk '{print $1, $2, $3}'
 cli plaka-1 job list | awk 'NR > 1 {print $2, $3, $4}'
 for n in 0 1 2; do
-  echo "render-$n started $(starts "$job/render-$n") time(s), succeeded $(successes "$job/render-$n")"
+  echo "render-$n started $(count_starts "$job/render-$n") time(s), succeeded $(count_successes "$job/render-$n")"
 done
 cli plaka-1 explain "$job/render-0" | awk 'NR > 1 {print $2}'
 
@@ -47,9 +47,9 @@
 curl -s -m 5 -o /dev/null -w '%{http_code}\n' "http://127.0.0.1:${PORT[plaka-1]}/svc/nothing/next"
 # A truncated answer is never forwarded: a repeatable request is retried, another
 # is answered as unknown.
-fault b1 '{"cut": 1}'
+set_fault b1 '{"cut": 1}'
 curl -s -m 5 -X POST -H 'X-Request-Id: cut-1' -D - -d x "http://127.0.0.1:${PORT[plaka-1]}/svc/listening-stream/next" | tr -d '\r' | grep -E '^(HTTP|X-Doorwood-Outcome)'
-fault b1 '{"cut": 1}'
+set_fault b1 '{"cut": 1}'
 curl -s -m 5 -H 'X-Request-Id: cut-2' "http://127.0.0.1:${PORT[plaka-1]}/svc/listening-stream/next"
 echo
 # Requests with the same idempotency key run once, also through the other
@@ -70,4 +70,4 @@
 echo
 wait "${PID[plaka-1]}"
 echo "plaka-1 ended with $?"
-echo "double runs: $(double_runs | wc -l), overcommitments: $(overcommitments)"
+echo "double runs: $(list_double_runs | wc -l), overcommitments: $(count_overcommitments)"
--- a/testsuite/platform-bad-input/run.sh
+++ b/testsuite/platform-bad-input/run.sh
@@ -51,7 +51,7 @@
 until_true state_is a1 00000000000000b2 completed
 call a1 GET /jobs/00000000000000b2
 is_ready a1 && echo "still ready"
-echo "entries told: $(grep -c 'rejected a directory entry' "$WORK/a1.log")"
+echo "rejected entries logged: $(grep -c 'rejected a directory entry' "$WORK/a1.log")"
 
 sed 's/^instance:.*/instence: a1/' "$WORK/a1.yaml" >"$WORK/bad.yaml"
 "$BIN/doorwood-celld" --settings "$WORK/bad.yaml" 2>&1 | sed "s#$WORK/##"
