--- a/src/include/doorwood/cell_journal.h
+++ b/src/include/doorwood/cell_journal.h
@@ -124,7 +124,8 @@
   virtual void OnWorkersRecorded(const std::vector<KnownWorker>& workers) = 0;
   /// A batch sent at that time found the lead key at the expected revision.
   virtual void OnLeadConfirmed(Instant sent) = 0;
-  /// Another instance leads, or none does.
+  /// The lead key or a chain key is not at the expected revision, so this
+  /// process no longer leads or must not rely on it.
   virtual void OnLeadLost(std::string_view reason) = 0;
 };
 
@@ -133,7 +134,8 @@
 class CellJournal {
  public:
   /// Errors: CoreErrc::kStoreUnavailable (certainly not accepted), kNoOwner
-  /// (leadership is lost; certainly not accepted) or kOutcomeUnknown.
+  /// (the journal is closed or sealed; certainly not accepted) or
+  /// kOutcomeUnknown.
   using AcceptCallback = std::function<void(std::error_code, AcceptOutcome)>;
 
   CellJournal(Executor& executor,
@@ -164,7 +166,8 @@
   /// After `Seal`: everything that still had to be recorded is in the store,
   /// and no batch is in flight.
   bool is_drained() const;
-  /// Sends a batch soon, even if there is nothing to record.
+  /// Sends a batch soon, even if there is nothing to record. Has no effect once
+  /// the journal is sealed.
   void RequestCommit();
   /// Removes all keys of a job that ended long ago.
   void RemoveJob(const std::string& job);
--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -52,8 +52,9 @@
   int64_t epoch = 0;
   /// Number of jobs of which no task has started yet, by queue.
   std::map<std::string, int> pending;
-  /// Estimated work of tasks that are not done, without long-running tasks, in
-  /// core-seconds; and processors of the listed workers.
+  /// Estimated work of tasks that are not done, in the first repetition of each
+  /// open job and without long-running tasks, in core-seconds; and processors
+  /// of the listed workers.
   double waiting_work = 0;
   double cores = 0;
 };
@@ -80,8 +81,8 @@
  public:
   using SubmitCallback = CellJournal::AcceptCallback;
   /// Errors: CoreErrc::kNotFound if the cell has no such job, kNoOwner if this
-  /// instance does not lead, kOutcomeUnknown if the cancellation was not
-  /// recorded in time.
+  /// instance does not lead or is about to release the lead, kOutcomeUnknown if
+  /// the cancellation was not recorded in time or this instance stepped down.
   using CancelCallback = std::function<void(std::error_code)>;
 
   /// `adviser` may be null: queues that need advice then start nothing.
@@ -99,15 +100,17 @@
   ~CellLeader() override;
 
   void Start();
-  /// Planned shutdown: records pending changes, releases the lead, then runs
-  /// `done`.
+  /// Planned shutdown: records pending changes (after 0.3 s, only new jobs and
+  /// urgent changes), releases the lead, then runs `done`. An instance that
+  /// does not lead runs `done` at once.
   void ShutDown(std::function<void()> done);
 
   void OnQueueTable(std::shared_ptr<const QueueTable> table);
   /// Called when instances, leads or the lease of this instance have changed.
   void OnLiveChange();
   /// Called when the leader of that epoch has stepped down but cannot remove
-  /// its key from the store. Removes the key in its place.
+  /// its key from the store. Removes the key in its place if this instance is
+  /// on standby.
   void OnLeadHandedOver(int64_t epoch);
 
   bool leading() const { return stage_ == Stage::kLeading; }
@@ -124,9 +127,13 @@
   int64_t epoch() const { return epoch_; }
   const std::string& cell() const { return options_.cell; }
 
+  /// Accepts a job. Errors: those of `CellJournal::AcceptCallback`; and
+  /// CoreErrc::kNoCapacity if all workers of the queue's service are in closed
+  /// data centres, or the service lacks capacity for the plan's long-running
+  /// tasks.
   void Submit(JobPlan plan, SubmitCallback done);
-  /// Cancels a job and stops its runs. `done` runs once the cancellation is
-  /// recorded.
+  /// Cancels a job and stops its runs. `done` runs without an error once the
+  /// job's outcome is recorded, also if the job had ended before.
   void Cancel(const std::string& job, CancelCallback done);
   std::optional<JobPhase> FindJobPhase(const std::string& job) const;
   /// The summary as of its last periodic update.
@@ -296,7 +303,7 @@
   bool IsInClosedDataCentre(const CellWorker& cell_worker) const;
   /// Whether the queue's service has workers, all of them in closed data
   /// centres.
-  bool AreAllWorkersClosed(const std::string& queue) const;
+  bool AreAllWorkersInClosedDataCentres(const std::string& queue) const;
   void OnWorkers(std::vector<WorkerIncarnation> incarnations);
   /// Applies a directory entry to a known worker, unless the entry is
   /// unreadable or contradicts what is known of this incarnation.
@@ -312,16 +319,16 @@
   /// Sets `CellWorker::unlisted_since` for workers without a directory entry.
   void MarkUnlistedWorkers();
   void AddWorker(const WorkerIncarnation& incarnation, bool from_takeover);
-  /// Removes workers that are dead or not listed, once no run, unrecorded end
-  /// or wait of a takeover is left there.
+  /// Removes workers that are dead or have no valid directory entry, once no
+  /// run, unrecorded end or wait of a takeover is left there.
   void RemoveGoneWorkers();
   // cell_worker_records.cpp: records of workers for a successor.
   /// Whether the workers' key in the store has the worker with its current
   /// address. Required before the worker gets any work.
   static bool IsAddressRecorded(const CellWorker& cell_worker);
-  /// Whether the worker was added from an earlier leader's record, has not
-  /// answered this leader, and its runs are not accounted for. This leader has
-  /// extended no lease there.
+  /// Whether the worker was added from an earlier leader's record, has answered
+  /// no poll of this leader, is not proven to have ended, and the takeover
+  /// still waits for runs. This leader has extended no lease there.
   bool IsUncontacted(const CellWorker& cell_worker) const;
   /// Whether the worker was in contact, but its newest poll failed and no order
   /// extended a lease there for `CellOptions::unresponsive_record_delay`.
@@ -556,8 +563,8 @@
   void LogOverdueRuns();
   /// Writes at most `*lines` log lines and subtracts their number.
   void LogOverdueRunsOf(WorkerSession& session, int* lines);
-  /// Whether the run takes far longer than `*expected`, which is set, and was
-  /// not logged recently.
+  /// Whether the run is not long-running, takes far longer than `*expected`,
+  /// and was not logged recently. Sets `*expected` if it returns true.
   bool IsOverdue(const Run& run, Millis* expected) const;
 
   // cell_scheduling.cpp: starting and moving tasks; cell_places.cpp: free
--- a/src/include/doorwood/cell_options.h
+++ b/src/include/doorwood/cell_options.h
@@ -70,8 +70,8 @@
   Millis unresponsive_record_delay{4000};
   /// Maximum total size of the task names under the workers' key, in bytes: a
   /// third of the largest value that the store accepts. If the names are
-  /// longer, the workers with the most names are recorded without a list, and a
-  /// successor assumes that any task may run there.
+  /// longer, the workers with the longest lists in bytes are recorded without a
+  /// list, and a successor assumes that any task may run there.
   size_t max_name_bytes = 320'000;
   /// Maximum rate of worker polls for observing interference, per second: in a
   /// large cell each worker is polled less often. A poll costs a leader about
@@ -89,8 +89,9 @@
   uint64_t starts_refused = 0;
   uint64_t ends_done = 0;
   uint64_t ends_failed = 0;
-  /// Counted ends of any other kind: stopped runs, expired leases, and ends of
-  /// gangs.
+  /// Counted ends of any other kind: stopped runs, expired leases, and runs of
+  /// gangs that ended because another member ended or the gang did not start
+  /// completely.
   uint64_t ends_lost = 0;
   /// Unexpected crashes of workers that had runs, and jobs that were given up
   /// because of them.
--- a/src/include/doorwood/commit_flow.h
+++ b/src/include/doorwood/commit_flow.h
@@ -38,8 +38,8 @@
   /// flight.
   double stall_factor = 3.0;
   Millis min_stall_time{100};
-  /// A store that has not answered for this long is treated as unresponsive.
-  /// Slow stores answer within 0.4 s.
+  /// A store that has answered none of the commits in flight for this long is
+  /// treated as unresponsive. Slow stores answer within 0.4 s.
   Millis unresponsive_after{700};
   /// A record that is expected to take longer is refused at once. Callers have
   /// 3 s in all, so another attempt can still succeed.
@@ -57,7 +57,7 @@
   void OnSent(size_t lane, Instant now);
   /// The commit was answered, with any result, or is no longer awaited.
   void OnAnswered(size_t lane, Instant now);
-  /// The commit timed out without an answer and is sent again.
+  /// The commit, whose outcome is unknown, is sent again on its lane.
   void OnResent(size_t lane, Instant now);
   void Clear();
 
--- a/src/include/doorwood/job_table.h
+++ b/src/include/doorwood/job_table.h
@@ -135,7 +135,7 @@
   const CrashNote* FindTrial(uint32_t run) const;
 
   const StepPlan& plan() const;
-  /// "JOB.TIME.STEP.INDEX"
+  /// "JOB.REPETITION.STEP.INDEX"
   std::string name() const;
 };
 
@@ -178,7 +178,7 @@
   bool crash_unrecorded = false;
 };
 
-/// "JOB.TIME.STEP"
+/// "JOB.REPETITION.STEP"
 std::string StepName(const Job& job, int repetition, int step);
 
 /// When the steps of the given repetition may start, in milliseconds since
@@ -193,7 +193,7 @@
 /// Calls `each` with every task of every repetition of the job.
 void ForEachTask(Job* job, const std::function<void(Task*)>& each);
 
-/// The parts of "JOB.TIME.STEP.INDEX".
+/// The parts of "JOB.REPETITION.STEP.INDEX".
 struct TaskName {
   std::string_view job;
   int repetition = 0;
--- a/src/include/doorwood/lead_proof.h
+++ b/src/include/doorwood/lead_proof.h
@@ -56,10 +56,10 @@
   void NoteConfirmed(Instant sent);
   /// Reads the key as soon as possible, because a decision depends on the
   /// proof. A read already under way was sent too early, so another one follows
-  /// it.
+  /// once it succeeds; if it fails, the next `Tick` reads.
   void RequestRead();
   /// Reads the key if it was last confirmed `LeadProofOptions::interval` ago or
-  /// earlier. To be called several times a second.
+  /// earlier and no read is under way. To be called several times a second.
   void Tick();
 
   /// Latest time at which the key is known to have existed; zero: none.
--- a/src/include/doorwood/live_directory.h
+++ b/src/include/doorwood/live_directory.h
@@ -90,9 +90,9 @@
   /// Interval of full reads, which find changes that a watch has missed.
   Millis list_interval{2500};
   Millis retry_pause{150};
-  /// Once the store has not answered for `store_silence_threshold`, the other
-  /// instances are queried every `query_interval` whether they reach it.
-  Millis store_silence_threshold{800};
+  /// Once the store has not answered for `store_unresponsive_threshold`, the
+  /// other instances are queried every `query_interval` whether they reach it.
+  Millis store_unresponsive_threshold{800};
   Millis query_interval{400};
   /// How long an answer of another instance is valid, from the time of the
   /// query.
@@ -180,7 +180,7 @@
   }
   /// True if the store has not answered this process for so long that the other
   /// instances are queried.
-  bool IsStoreSilent(Instant now) const;
+  bool IsStoreUnresponsive(Instant now) const;
   /// When the store last answered this process.
   Instant last_store_answer_at() const { return last_store_answer_at_; }
 
@@ -223,8 +223,8 @@
   /// the answer of one is missing, or if there is no such instance.
   Instant EarliestAnswer(const std::map<std::string, Instant>& answers) const;
   /// Until when the answers to queries sent at `sent_at` are valid; zero if the
-  /// store answered this process later, or less than `store_silence_threshold`
-  /// before.
+  /// store answered this process later, or less than
+  /// `store_unresponsive_threshold` before.
   Instant AnswersValidUntil(Instant sent_at) const;
   void MarkMissing(const LiveInstance& instance);
   void ApplyKnownInstance(const std::string& name, const StoreItem& item);
--- a/src/include/doorwood/ticket_book.h
+++ b/src/include/doorwood/ticket_book.h
@@ -3,7 +3,8 @@
 /// \file
 /// Permissions (tickets) for queues whose policy is known only to an external
 /// adviser: which workers may run a step. Tickets are requested in small
-/// batches, kept while they are valid, and requested again after they expire.
+/// batches, kept while they are valid, and requested again once they are
+/// about to expire.
 
 #ifndef DOORWOOD_TICKET_BOOK_H_
 #define DOORWOOD_TICKET_BOOK_H_
@@ -67,12 +68,15 @@
              const TicketOptions& options,
              std::function<void()> on_change);
 
-  /// The ticket for the step on the worker; empty: there is no valid one.
+  /// The ticket for the step on the worker; empty: there is none, or it expires
+  /// within `TicketOptions::expiry_margin`.
   std::string Find(const std::string& step, const std::string& worker) const;
   /// Requests tickets for the step on those workers for which there is no
-  /// answer, or one that expires soon. Does nothing while a request for the
-  /// step is pending, while too many requests are, or shortly after one for the
-  /// step has failed.
+  /// answer, or one that expires within `TicketOptions::expiry_margin`; for at
+  /// most the first `TicketOptions::workers_per_request` of them. Does nothing
+  /// without an adviser, while a request for the step or
+  /// `TicketOptions::max_pending_requests` in all are pending, or within
+  /// `TicketOptions::retry_pause` after one for the step has failed.
   void RequestTickets(const std::string& step,
                       const std::vector<std::string>& workers);
   void Clear();
--- a/src/include/doorwood/worker_session.h
+++ b/src/include/doorwood/worker_session.h
@@ -64,7 +64,7 @@
   Millis estimate{0};
   /// Index in the leader's interference model; set by the leader.
   ImageId image_id = 0;
-  /// "JOB.TIME.STEP"; used to limit the tasks of a step on one worker.
+  /// "JOB.REPETITION.STEP"; used to limit the tasks of a step on one worker.
   std::string step;
 
   int progress = 0;
@@ -122,7 +122,8 @@
   /// Without a correction, each entry that names another worker's address is
   /// polled only about twice in 10 s.
   Millis other_incarnation_pause{8000};
-  /// A worker that has not responded for this long gets no new work.
+  /// A worker that has not responded for this long plus `long_poll_wait` gets
+  /// no new work, unless it is idle and was not polled since.
   Millis unresponsive_after{1500};
   /// A stop is sent again if the worker has not listed the end after this time.
   Millis stop_resend_delay{1200};
@@ -136,8 +137,10 @@
   virtual ~WorkerSessionListener() = default;
 
   /// The run has ended and is removed from the session. `end` is what the
-  /// worker reported, or kLeaseExpired where only the expired lease or the
-  /// worker's death proves the end.
+  /// worker reported; kStopped if the start was deferred and never sent; and
+  /// kLeaseExpired if the worker is lost (see `OnWorkerLost`) or a complete
+  /// report no longer lists the run. `reported_by_worker` is false only for
+  /// that kLeaseExpired.
   virtual void OnRunEnded(WorkerSession& session,
                           const Run& run,
                           RunEnd end,
@@ -196,8 +199,8 @@
   /// a flag, so that it also holds after the process was paused and before
   /// anything else runs.
   void SetLeaseExtensionEnd(Instant until) { lease_extension_end_ = until; }
-  /// Polls at once, in addition to a poll in flight that may have been sent
-  /// before lease extension was allowed.
+  /// Polls at once if there are runs, in addition to a poll in flight that may
+  /// have been sent before lease extension was allowed.
   void PollNow();
   /// Sets the time up to which this leader provably led, so that no other
   /// leader can have extended a lease there before. A lease that expired before
@@ -230,8 +233,8 @@
   /// An earlier leader recorded that this incarnation answered at the current
   /// address.
   void MarkAddressVerified();
-  /// To be called a few times a second: ends runs whose end is proved and sends
-  /// orders again.
+  /// To be called a few times a second: calls `EndRunsIfWorkerLost`, and sends
+  /// stops and paces again that have not taken effect.
   void Tick();
 
   const WorkerIncarnation& incarnation() const { return incarnation_; }
@@ -251,21 +254,24 @@
   bool has_unwanted_runs() const { return !unwanted_tasks_.empty(); }
   /// Increases with each change of `OutstandingTasks`.
   uint64_t tasks_version() const { return tasks_version_; }
-  /// The worker has answered this leader at least once.
+  /// The worker has answered a poll of this leader at least once.
   bool fenced() const { return fenced_; }
   /// The worker has listed all its ends to this leader; one report lists only a
   /// limited number.
   bool all_ends_listed() const { return all_ends_listed_; }
   /// This incarnation has ended: another one answers at its address.
   bool dead() const { return dead_; }
-  /// The worker responded recently, or is idle and was not polled since its
-  /// last answer.
+  /// The worker has answered a poll of this leader, this incarnation is not
+  /// known to have ended, and the worker responded recently or is idle and was
+  /// not polled since its last answer.
   bool responsive() const;
   Instant last_response_at() const { return last_response_at_; }
-  /// The newest poll failed, so no lease is extended there.
+  /// The poll that completed last failed. Until one succeeds, polls extend no
+  /// lease there.
   bool last_poll_failed() const { return last_poll_failed_; }
-  /// When the latest order was sent that may have extended a lease there; zero:
-  /// none was.
+  /// When the latest order was sent that may have extended a lease there. The
+  /// first answer to a poll counts as such an order, since an earlier leader
+  /// may have extended leases until then. Zero: none was sent.
   Instant last_lease_order_at() const { return last_lease_order_at_; }
   /// When the worker began to respond again after being unresponsive; zero: it
   /// never was.
@@ -278,7 +284,8 @@
   /// Processors reserved by serving tasks.
   int64_t serving_cpu() const { return serving_cpu_; }
   int best_effort_runs() const { return best_effort_runs_; }
-  int CountOfStep(const std::string& step) const;
+  /// Number of runs there, in any phase, whose `Run::step` is `step`.
+  int CountRunsOfStep(const std::string& step) const;
   /// Time between the worker's confirmation of the run and its last response.
   Millis ObservedRunTime(const Run& run) const;
 
@@ -332,8 +339,9 @@
   /// When, on this process's clock, all leases there have expired if no other
   /// leader extends them; empty: the worker's clock is not known.
   std::optional<Instant> LeasesExpireAt() const;
-  /// Time since which this incarnation, or all its runs, have ended, provided
-  /// that this leader still led at that time; empty: no end was observed.
+  /// Time since which this incarnation has ended or, if it has runs, all leases
+  /// there have expired, provided that this leader still led at that time.
+  /// Empty: neither is known, or the session is closed.
   std::optional<Instant> EndedSince() const;
   Millis NextPollWait() const;
   /// Adds (`sign` 1) or subtracts (-1) what the run reserves.
@@ -398,7 +406,8 @@
   /// The worker's clock as last reported, and when that was received.
   int64_t worker_clock_ = 0;
   Instant worker_clock_at_{};
-  /// The latest lease end that any order has carried.
+  /// The latest lease end that any order has carried, or that an earlier leader
+  /// may have granted before the first answer to this one.
   int64_t latest_lease_end_ = 0;
   Instant last_lease_order_at_{};
 };
--- a/src/libdoorwood/cell/cell_calls.cpp
+++ b/src/libdoorwood/cell/cell_calls.cpp
@@ -36,7 +36,8 @@
   }
   // A job that may have been accepted already is never refused.
   if (!journal_.IsRecording(plan.id) &&
-      (AreAllWorkersClosed(plan.queue) || !HasLongRunningCapacity(plan))) {
+      (AreAllWorkersInClosedDataCentres(plan.queue) ||
+       !HasLongRunningCapacity(plan))) {
     done(CoreErrc::kNoCapacity, {});
     return;
   }
--- a/src/libdoorwood/cell/cell_foreign_entries_test.cpp
+++ b/src/libdoorwood/cell/cell_foreign_entries_test.cpp
@@ -158,7 +158,10 @@
     world.foreign_entries().push_back(copy);
   }
   world.Run(Millis(10000));
-  BOOST_TEST(world.log_count("a worker is gone") <= kCopies);
+  BOOST_TEST(
+      world.log_count(
+          "removed a worker that is dead or has no valid directory entry") <=
+      kCopies);
   BOOST_TEST(world.misdirected_calls() <= 2 * kCopies);
   SubmitLargeTasks();
   world.Run(Millis(3000));
--- a/src/libdoorwood/cell/cell_journal_answers.cpp
+++ b/src/libdoorwood/cell/cell_journal_answers.cpp
@@ -120,7 +120,7 @@
   store_unavailable_ = false;
   const StoreItem* lead = FindItem(commit, LeadKey(cell_));
   if (RevisionOf(lead) != lead_revision_) {
-    owner_.OnLeadLost("another revision of the lead key stands");
+    owner_.OnLeadLost("the lead key was changed or removed");
     return;
   }
   const StoreItem* chain = FindItem(commit, ChainKey(cell_, lane));
--- a/src/libdoorwood/cell/cell_leader.cpp
+++ b/src/libdoorwood/cell/cell_leader.cpp
@@ -14,8 +14,8 @@
 // Interval at which a leader that shuts down checks whether everything is
 // recorded.
 constexpr Millis kShutdownCheckInterval{30};
-// After this time a leader that shuts down waits only for records that callers
-// wait for. Workers report the rest to its successor.
+// After this time a leader that shuts down waits only for the records of new
+// jobs and for urgent ones. Workers report the rest to its successor.
 constexpr Millis kFullRecordTimeout{300};
 // Intervals at which all jobs are visited: to remove old ones, which are kept
 // for minutes, and to update the summary, which each other instance requests
@@ -146,7 +146,7 @@
   const int64_t epoch = epoch_;
   log_.Write("warn", "cell", "handing the lead over to another instance",
              {{"cell", options_.cell}, {"epoch", epoch}, {"to", target.name}});
-  StepDown("the store turns this instance away");
+  StepDown("this instance cannot reach the store, but another one can");
   live_.HandOverLead(target, options_.cell, epoch);
 }
 
@@ -251,7 +251,7 @@
 
 std::optional<Millis> CellLeader::TimeSinceStoreAnswer(Instant now) const {
   const bool may_lead = stage_ != Stage::kStandby && stage_ != Stage::kShutDown;
-  if (may_lead && live_.IsStoreSilent(now)) {
+  if (may_lead && live_.IsStoreUnresponsive(now)) {
     return std::nullopt;
   }
   return std::chrono::duration_cast<Millis>(now - live_.last_store_answer_at());
--- a/src/libdoorwood/cell/cell_places.cpp
+++ b/src/libdoorwood/cell/cell_places.cpp
@@ -90,7 +90,7 @@
                                    int step) const {
   const std::string name = StepName(job, repetition, step);
   for (const auto& [id, cell_worker] : cell_workers_) {
-    if (cell_worker.session->CountOfStep(name) > 0) {
+    if (cell_worker.session->CountRunsOfStep(name) > 0) {
       return std::string(RackOf(cell_worker.session->incarnation()));
     }
   }
@@ -110,7 +110,7 @@
   }
   const auto cell_worker = cell_workers_.find(std::string(candidate.id));
   const std::string step = StepName(*ready.job, ready.repetition, ready.step);
-  const int on_worker = cell_worker->second.session->CountOfStep(step);
+  const int on_worker = cell_worker->second.session->CountRunsOfStep(step);
   if (on_worker > 0) {
     places->Evaluate(place, need, on_worker + planned);
   }
--- a/src/libdoorwood/cell/cell_restarted_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_restarted_leader_test.cpp
@@ -3,9 +3,10 @@
 // Guards against a restarted leader that takes a partial outage of the store
 // for an outage for all instances. The store refuses one instance until the
 // instance's key has expired. Meanwhile the leader restarts, so it never knows
-// that instance. Then the store serves only that instance. All that the leader
-// knows are refused, so it keeps extending leases, while the other instance
-// leads and starts the same tasks. All in virtual time.
+// that instance. Then the store serves only that instance. All instances
+// that the leader knows then confirm an outage. If it relied on them alone, it
+// would keep extending leases while the other instance leads and starts the
+// same tasks. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -38,11 +39,12 @@
   scenario->old_leader = &restarted;
 }
 
-// The instance that becomes leader waits for longer than any lease that it must
-// expect, and then starts tasks that the old leader still runs. Found in
-// cell_random_restarts_test, seed 927: the old leader restarted at 1076.9 s,
-// asked one instance out of six, and extended leases until 1090.9 s; another
-// instance led from 1082.5 s.
+// The instance that becomes leader waits until every lease that it must expect
+// has expired, and then starts the tasks. The restarted leader must not extend
+// leases beyond that. It did so in cell_random_restarts_test, seed 927: it
+// restarted at 1076.9 s, asked only one instance out of six whether it reaches
+// the store, and extended leases until 1090.9 s, while another instance led
+// from 1082.5 s.
 BOOST_AUTO_TEST_CASE(
     RestartedLeader_StoreServesUnknownInstance_NothingRunsTwice) {
   ViolationReport violation_report;
--- a/src/libdoorwood/cell/cell_stale_record_test.cpp
+++ b/src/libdoorwood/cell/cell_stale_record_test.cpp
@@ -64,7 +64,9 @@
   old->store_faults.lost_reply_share = 1.0;
   for (int i = 0; i < 700 && old->alive; i += 50) {
     RunInMillisecondSteps(world, 50);
-    if (world.log_count("a worker is gone") > 0) {
+    if (world.log_count(
+            "removed a worker that is dead or has no valid directory entry") >
+        0) {
       w1.listed = true;
     }
   }
--- a/src/libdoorwood/cell/cell_suspects.cpp
+++ b/src/libdoorwood/cell/cell_suspects.cpp
@@ -152,7 +152,7 @@
   CandidateWorker reserved_candidate = cell_worker->second.candidate;
   reserved_candidate.accepts_work = true;
   const StepPlan& plan = task->plan();
-  const int tasks_on_worker = cell_worker->second.session->CountOfStep(
+  const int tasks_on_worker = cell_worker->second.session->CountRunsOfStep(
       StepName(*ready.job, ready.repetition, ready.step));
   const bool fits =
       FindPlaceProblem(plan, need, reserved_candidate,
--- a/src/libdoorwood/cell/cell_three_leaders_test.cpp
+++ b/src/libdoorwood/cell/cell_three_leaders_test.cpp
@@ -104,8 +104,12 @@
   bool third_reaches;
 };
 
-// Cases within the wait after which the runs of a not yet contacted worker have
-// ended, counted over both leaders, or cases beyond it.
+// A leader that has not contacted a worker waits until the runs there have
+// ended; the third leader deducts what the second has waited. With
+// `within_wait`, returns the cases in which the third leader reaches the worker
+// before that wait is over. Otherwise, returns those in which it reaches the
+// worker after the wait, and those in which it does not reach the worker until
+// it has settled, for each time that the second leads.
 std::vector<AttemptsRow> AttemptsRows(bool within_wait) {
   std::vector<AttemptsRow> rows;
   for (int second_leads_ms = 500; second_leads_ms <= 11'000;
--- a/src/libdoorwood/cell/cell_worker_records.cpp
+++ b/src/libdoorwood/cell/cell_worker_records.cpp
@@ -31,8 +31,8 @@
   return bytes;
 }
 
-// If the task names exceed `most_bytes`, drops the lists of the workers with
-// the most names: any task may then run there.
+// If the task names exceed `most_bytes`, drops the lists that are longest in
+// bytes: any task may then run on their workers.
 void LimitNameBytes(size_t most_bytes, std::vector<KnownWorker>* workers) {
   std::vector<std::pair<size_t, KnownWorker*>> fewest_first;
   for (KnownWorker& worker : *workers) {
--- a/src/libdoorwood/cell/cell_workers.cpp
+++ b/src/libdoorwood/cell/cell_workers.cpp
@@ -87,7 +87,8 @@
       cell_worker.session->incarnation().data_centre);
 }
 
-bool CellLeader::AreAllWorkersClosed(const std::string& queue) const {
+bool CellLeader::AreAllWorkersInClosedDataCentres(
+    const std::string& queue) const {
   const auto known = known_queues_.find(queue);
   if (closed_data_centres_.empty() || known == known_queues_.end()) {
     return false;
@@ -241,8 +242,10 @@
                                  session.has_unrecorded_ends() ||
                                  IsUncontacted(it->second);
     if (is_gone && !is_still_needed) {
-      log_.Write("info", "cell", "a worker is gone",
-                 {{"worker", it->first}, {"dead", session.dead()}});
+      log_.Write(
+          "info", "cell",
+          "removed a worker that is dead or has no valid directory entry",
+          {{"worker", it->first}, {"dead", session.dead()}});
       if (session.dead()) {
         listed_dead_workers_[it->first] = session.incarnation().address;
       }
--- a/src/libdoorwood/cell/worker_session.cpp
+++ b/src/libdoorwood/cell/worker_session.cpp
@@ -86,7 +86,7 @@
   return found == runs_.end() ? nullptr : &found->second;
 }
 
-int WorkerSession::CountOfStep(const std::string& step) const {
+int WorkerSession::CountRunsOfStep(const std::string& step) const {
   return static_cast<int>(std::count_if(
       runs_.begin(), runs_.end(),
       [&](const auto& entry) { return entry.second.step == step; }));
@@ -218,8 +218,8 @@
   if (closed_ || dead_) {
     return;
   }
-  // An extra poll may run beside the regular one; only the newest schedules the
-  // next.
+  // An extra poll may run beside the regular one; when answered, only the
+  // newest schedules the next.
   const bool newest = sequence == poll_sequence_;
   if (newest) {
     poll_in_flight_ = false;
--- a/src/libdoorwood/membership/live_directory.cpp
+++ b/src/libdoorwood/membership/live_directory.cpp
@@ -133,8 +133,8 @@
   return lease_.has_value() && executor_.Now() < lease_valid_until_;
 }
 
-bool LiveDirectory::IsStoreSilent(Instant now) const {
-  return now - last_store_answer_at_ >= options_.store_silence_threshold;
+bool LiveDirectory::IsStoreUnresponsive(Instant now) const {
+  return now - last_store_answer_at_ >= options_.store_unresponsive_threshold;
 }
 
 // --- Lease of this process ---
@@ -212,7 +212,7 @@
 }
 
 bool LiveDirectory::AgreeToUnrecordedStarts() {
-  if (!IsStoreSilent(executor_.Now())) {
+  if (!IsStoreUnresponsive(executor_.Now())) {
     return false;
   }
   ++agreement_count_;
--- a/src/libdoorwood/membership/live_outage.cpp
+++ b/src/libdoorwood/membership/live_outage.cpp
@@ -39,7 +39,7 @@
 
 Instant LiveDirectory::AnswersValidUntil(Instant sent_at) const {
   const bool contact_too_recent =
-      last_store_answer_at_ + options_.store_silence_threshold > sent_at;
+      last_store_answer_at_ + options_.store_unresponsive_threshold > sent_at;
   return contact_too_recent ? Instant{} : sent_at + options_.answer_validity;
 }
 
@@ -62,7 +62,7 @@
     const auto answer = reported_contact_at_.find(name);
     const bool reaches_store =
         answer != reported_contact_at_.end() &&
-        now - answer->second < options_.store_silence_threshold;
+        now - answer->second < options_.store_unresponsive_threshold;
     if (reaches_store && !instance.leaving &&
         (best == nullptr || instance.cpu_share > best->cpu_share)) {
       best = &instance;
@@ -79,7 +79,7 @@
   const Instant now = executor_.Now();
   RemoveOneStaleKnownInstanceKey();
   if (failing_since_ == Instant{} &&
-      now - last_store_answer_at_ < options_.store_silence_threshold) {
+      now - last_store_answer_at_ < options_.store_unresponsive_threshold) {
     return;
   }
   for (const auto& [name, instance] : instances_) {
@@ -101,7 +101,7 @@
     return !MayReturn(entry.second) && !known_instances_.contains(entry.first);
   });
   if (known_instance_removal_pending_ || CountOwnLeads() == 0 ||
-      IsStoreSilent(executor_.Now())) {
+      IsStoreUnresponsive(executor_.Now())) {
     return;
   }
   const auto old = std::find_if(
@@ -142,7 +142,7 @@
 }
 
 void LiveDirectory::QueryStoreContact(const LiveInstance& instance) {
-  if (needs_agreement_ && IsStoreSilent(executor_.Now())) {
+  if (needs_agreement_ && IsStoreUnresponsive(executor_.Now())) {
     RequestAgreement(instance);
   }
   const Instant sent = executor_.Now();
@@ -161,7 +161,7 @@
         }
         // The answer is valid from the time of the query, because it may have
         // been queued while this process was paused.
-        if (age >= options_.store_silence_threshold) {
+        if (age >= options_.store_unresponsive_threshold) {
           reported_no_contact_at_[name] = sent;
         } else {
           reported_no_contact_at_.erase(name);
--- a/src/soak/task_checker.cpp
+++ b/src/soak/task_checker.cpp
@@ -10,7 +10,7 @@
 namespace doorwood::soak {
 namespace {
 
-// A task's name is JOB.TIME.STEP.INDEX.
+// A task's name is JOB.REPETITION.STEP.INDEX.
 constexpr char kFirstStep[] = ".0.0.";
 constexpr char kSecondStep[] = ".0.1.";
 // ms; see CheckLongRunning.
