--- a/src/include/doorwood/cell_policy.h
+++ b/src/include/doorwood/cell_policy.h
@@ -39,7 +39,8 @@
   Millis failure_window{6000};
   Millis quarantine_period{4000};
   /// After its quarantine a worker gets one start per interval until a run
-  /// succeeds there.
+  /// succeeds there, or until a start comes more than `failure_window` after
+  /// the end of the quarantine or of the last interval.
   Millis probe_interval{1000};
   /// Best-effort work is placed beside serving tasks, or sped up, only where
   /// their tail latency is then expected below this share of its target.
@@ -153,7 +154,8 @@
 /// Why a worker cannot take a task now.
 enum class PlaceProblem {
   kNone,
-  /// The worker is leaving, unresponsive, quarantined or not recorded yet.
+  /// The worker accepts no new work, for example because it is leaving,
+  /// unresponsive, quarantined, reserved for a trial or not recorded yet.
   kClosed,
   kOtherService,
   /// The worker already has `max_per_worker` tasks of the step.
@@ -191,7 +193,7 @@
 
 /// By how much the worst-off serving tasks of a worker would exceed their
 /// allowed utilization if best-effort work of `image` using `cores` were added.
-/// Negative values are headroom.
+/// Negative values are headroom; -1 if there are no serving tasks.
 double ExcessUtilization(const CandidateWorker& worker,
                          ImageId image,
                          double cores,
--- a/src/include/doorwood/crash_policy.h
+++ b/src/include/doorwood/crash_policy.h
@@ -46,7 +46,7 @@
   double max_culprit_trial_share = 0.1;
   /// When this many workers crash within `mass_crash_window`, the cause lies
   /// outside their tasks, or there are several causes. None of these crashes
-  /// then counts as evidence against a task.
+  /// then counts towards giving a task up.
   size_t mass_crash_size = 3;
   Millis mass_crash_window{1500};
   /// How long a worker stays reserved for a trial that does not start.
@@ -110,7 +110,7 @@
                      const CrashOptions& options);
 
 /// Delay before a likely culprit is restarted after its newest crash. `jitter`
-/// lies between 0 and 1.
+/// lies between 0 and 1 and changes the delay by up to a quarter either way.
 Millis RestartDelay(size_t crashes, double jitter, const CrashOptions& options);
 
 /// Distinguishes isolated crashes from simultaneous crashes of many workers.
--- a/src/include/doorwood/long_running_admission.h
+++ b/src/include/doorwood/long_running_admission.h
@@ -21,7 +21,8 @@
 
 struct LongRunningAdmissionOptions {
   /// Share of a service's processors that long-running work may reserve before
-  /// the demand of other work is known.
+  /// the demand of other work is known, and while its peak use is above
+  /// `low_use`.
   double initial_share = 0.6;
   /// The share once other work was observed to leave capacity free. In trials
   /// on three deployments the total value for callers was highest at 0.8 (in
--- a/src/include/doorwood/pacing.h
+++ b/src/include/doorwood/pacing.h
@@ -46,8 +46,9 @@
 /// the worst serving task, until the model expects its tail latency at the
 /// wanted share of the target. If all tail latencies are low, tasks with the
 /// smallest effect are sped up first, by one step each. Once a serving task has
-/// been over its target for `max_over_target_time`, all best-effort tasks stop,
-/// whatever the model expects.
+/// been over its target for `max_over_target_time`, or if the highest tail
+/// latency is above `stop_tail_share` of its target, all best-effort tasks
+/// stop, whatever the model expects.
 std::vector<PaceDecision> DecidePaces(
     const std::vector<PacedServingTask>& serving,
     const std::vector<PacedBestEffortTask>& best_effort,
--- a/src/libdoorwood/policy/cell_policy_test.cpp
+++ b/src/libdoorwood/policy/cell_policy_test.cpp
@@ -128,9 +128,11 @@
   BOOST_TEST(rank(6001, false) == 3);
 }
 
-// Twenty jobs of one size where ten fit in time: ordered by the latest start,
-// all progress together and all are late; ordered by remaining work, ten
-// finish in time.
+// Two equal jobs that are both on time; one has finished its first step and is
+// ranked first. With more work than capacity, ordering by remaining work lets
+// some jobs finish in time: ten of twenty equal jobs where capacity suffices
+// for ten. Ordering by latest start advances all of them together, and all are
+// late.
 BOOST_AUTO_TEST_CASE(RankStep_MoreThanCapacity_LeastWorkLeftGoesFirst) {
   JobPlan plan = fakes::MakePlan(kId, 2, 10, "");
   const std::vector<Millis> run_times{Millis(300), Millis(300)};
