--- a/src/include/doorwood/upkeep_wave_controller.h
+++ b/src/include/doorwood/upkeep_wave_controller.h
@@ -32,8 +32,9 @@
   /// `EntrySettings::machine_holder_lease`, the minimum time before another
   /// leader may take over the handling of a machine.
   Millis holder_lease{3000};
-  /// How long work that neither saves its progress nor is long-running may
-  /// continue before its machine is taken down.
+  /// From this long after its evacuation began, a machine may be taken down
+  /// although Occupancy::kRestartable work still runs there, which is mostly
+  /// work that does not save its progress.
   Millis evacuation_grace{6000};
   /// Delay before an order is sent again.
   Millis retry_pause{500};
--- a/src/libdoorwood/pool/upkeep_wave_controller.cpp
+++ b/src/libdoorwood/pool/upkeep_wave_controller.cpp
@@ -283,8 +283,9 @@
       executor_.Now() - progress->since < options_.evacuation_grace;
   const bool may_stop = occupancy == Occupancy::kEmpty ||
                         (occupancy == Occupancy::kRestartable && !in_grace);
-  // A machine of the wave that is down for another reason also counts towards
-  // the wave's limit.
+  // A machine of the wave that is listed in upkeep without a current order of
+  // this leader, for example after an order of an earlier leader, also counts
+  // towards the wave's limit.
   int down = CountInStages(*wave, {Stage::kOrdered, Stage::kDown});
   for (const auto& [id, other] : wave->machines) {
     const auto listed_other = machines_.find(id);
@@ -320,7 +321,7 @@
   Wave& wave = waves_.at(number);
   Progress& progress = wave.machines.at(machine);
   progress.order_in_flight = false;
-  log_.Write(error ? "warn" : "info", "pool", "upkeep order sent",
+  log_.Write(error ? "warn" : "info", "pool", "upkeep order result",
              {{"wave", number},
               {"machine", machine},
               {"epoch", epoch_},
