--- a/src/include/doorwood/job_plan.h
+++ b/src/include/doorwood/job_plan.h
@@ -19,6 +19,7 @@
 namespace doorwood {
 
 /// Limits on a plan, so that a single job cannot exhaust an instance's memory.
+/// `kMaxTasksPerJob` counts the tasks of one repetition.
 constexpr int kMaxTasksPerJob = 20'000;
 constexpr int kMaxStepsPerJob = 200;
 constexpr int kMaxRepetitionsPerJob = 10'000;
--- a/src/include/doorwood/job_table.h
+++ b/src/include/doorwood/job_table.h
@@ -172,7 +172,7 @@
   /// A task of the job has started.
   bool started = false;
   int repetitions_done = 0;
-  /// The newest state is not recorded in the store yet.
+  /// The state has changed since it was last encoded for the store.
   bool dirty = false;
   /// A task of the job waits until its newest crash is recorded in the store.
   bool crash_unrecorded = false;
@@ -205,9 +205,13 @@
 
 /// Consequence of the end of a run for its task.
 enum class EndEffect {
-  /// The end was already counted, the run was given up before, or the task is
-  /// done.
+  /// The task was done already. Or the run had been given up, or its end or
+  /// that of a later run had been counted, and this end neither completes the
+  /// task nor makes the job fail; its failure may have been counted all the
+  /// same, and its checkpoint kept.
   kIgnored,
+  /// The task, or its whole gang, is done; also through a run that was given
+  /// up before.
   kDone,
   /// The task waits for another run.
   kRetry,
@@ -263,8 +267,10 @@
  private:
   /// Counts a failure of `run`. Returns true if the attempts are used up.
   static bool CountFailure(Task* task, uint32_t run, int max_attempts);
-  void MarkDone(Task* task);
-  void MarkOneDone(Task* task);
+  /// Marks the task as done; for a task of a gang, all tasks of the gang.
+  void MarkTaskOrGangDone(Task* task);
+  /// Marks one task as done, and finishes the job if no task is left.
+  void MarkTaskDone(Task* task);
 
   std::unordered_map<std::string, std::unique_ptr<Job>> jobs_;
   /// Every open job, and jobs that have finished since the last call of
@@ -275,7 +281,8 @@
 /// Encodes the part of a job's state that is kept in the store.
 std::string EncodeJobState(const Job& job);
 /// Restores the state of a newly added job from `text`. Returns false if the
-/// text is malformed; the part before the fault is restored.
+/// text is malformed; the fields and tasks before the fault are then restored,
+/// but the job stays open.
 bool DecodeJobState(std::string_view text, Job* job);
 
 }  // namespace doorwood
--- a/src/libdoorwood/job/job_plan.cpp
+++ b/src/libdoorwood/job/job_plan.cpp
@@ -32,10 +32,12 @@
     return FieldPath(index, "cpu") + " and other sizes may not be negative";
   }
   if (step.estimate < Millis(0)) {
-    return FieldPath(index, "estimate") + " may not be negative";
+    return FieldPath(index, "estimate") +
+           " (expected run time of a task) may not be negative";
   }
   if (step.max_per_worker < 0) {
-    return FieldPath(index, "most_per_worker") + " may not be negative";
+    return FieldPath(index, "most_per_worker") +
+           " (tasks of the step on one worker) may not be negative";
   }
   for (const int earlier : step.depends_on) {
     if (earlier < 0 || static_cast<size_t>(earlier) >= index) {
@@ -43,7 +45,9 @@
     }
   }
   if (step.long_running && plan.repeat_count > 0) {
-    return FieldPath(index, "lasting") + " may not be combined with times";
+    return FieldPath(index, "lasting") +
+           " (run until cancelled) may not be combined with times (repeated "
+           "runs)";
   }
   return std::nullopt;
 }
@@ -55,7 +59,7 @@
     return "id must be 16 hexadecimal digits";
   }
   if (plan.payload.size() > kMaxPayloadBytes) {
-    return "payload may hold at most 4000 bytes";
+    return "payload (text for the workers) may hold at most 4000 bytes";
   }
   if (plan.steps.empty()) {
     return "steps must hold at least one step";
@@ -64,10 +68,11 @@
     return "steps may hold at most 200 steps";
   }
   if (plan.repeat_count < 0 || plan.repeat_count > kMaxRepetitionsPerJob) {
-    return "times must lie between 0 and 10000";
+    return "times (number of runs) must lie between 0 and 10000";
   }
   if (plan.repeat_count > 1 && plan.interval <= Millis(0)) {
-    return "interval must be above 0 where times is above 1";
+    return "interval (time between runs) must be above 0 where times (number "
+           "of runs) is above 1";
   }
   int64_t tasks = 0;
   for (size_t i = 0; i < plan.steps.size(); ++i) {
--- a/src/libdoorwood/job/job_table.cpp
+++ b/src/libdoorwood/job/job_table.cpp
@@ -211,7 +211,7 @@
   });
 }
 
-void JobTable::MarkOneDone(Task* task) {
+void JobTable::MarkTaskDone(Task* task) {
   if (task->done) {
     return;
   }
@@ -235,14 +235,14 @@
   }
 }
 
-void JobTable::MarkDone(Task* task) {
+void JobTable::MarkTaskOrGangDone(Task* task) {
   if (!task->plan().gang) {
-    MarkOneDone(task);
+    MarkTaskDone(task);
     return;
   }
   for (Task& member :
        task->job->repetitions[task->repetition].steps[task->step].tasks) {
-    MarkOneDone(&member);
+    MarkTaskDone(&member);
   }
 }
 
@@ -289,7 +289,7 @@
   // (five simulated runs, counted in the leader's log).
   if (end == RunEnd::kDone && !task->plan().long_running) {
     job->dirty = true;
-    MarkDone(task);
+    MarkTaskOrGangDone(task);
     return EndEffect::kDone;
   }
   const bool newest = run == task->counted_run && !task->placed;
@@ -374,7 +374,7 @@
      {JobOutcome::kFailed, 'f'},
      {JobOutcome::kCancelled, 'c'}}};
 
-bool HasStoredState(const Task& task) {
+bool HasStateToStore(const Task& task) {
   return task.done || task.last_run > 0;
 }
 
@@ -440,7 +440,7 @@
     for (const RepetitionState& repetition : job.repetitions) {
       for (const StepState& step : repetition.steps) {
         for (const Task& task : step.tasks) {
-          if (HasStoredState(task)) {
+          if (HasStateToStore(task)) {
             tasks.push_back(EncodeTask(task));
           }
         }
