--- a/src/doorwoodd/daemon.cpp
+++ b/src/doorwoodd/daemon.cpp
@@ -252,8 +252,8 @@
 
 void Daemon::OnRequestFinished(const CallerRequest& request,
                                const CallerResponse& response,
-                               Millis took) {
-  metrics_.OnRequest(request, response, took);
+                               Millis duration) {
+  metrics_.OnRequest(request, response, duration);
   // Answered requests are logged at debug level only, to limit log volume.
   const bool answered = response.outcome == RequestOutcome::kAnswered;
   const char* level = answered ? "debug" : "info";
@@ -265,7 +265,7 @@
               {"service", request.service},
               {"member", request.member},
               {"status", response.status},
-              {"took_ms", took.count()}});
+              {"took_ms", duration.count()}});
 }
 
 }  // namespace doorwood
--- a/src/doorwoodd/daemon.h
+++ b/src/doorwoodd/daemon.h
@@ -66,7 +66,7 @@
   // RequestObserver:
   void OnRequestFinished(const CallerRequest& request,
                          const CallerResponse& response,
-                         Millis took) override;
+                         Millis duration) override;
 
   void OnSignal();
   void FinishShutdown();
--- a/src/include/doorwood/router.h
+++ b/src/include/doorwood/router.h
@@ -63,8 +63,8 @@
   bool repeatable = false;
   std::string idempotency_key;
   Instant deadline{};
-  /// True if another entry instance has forwarded the request. A request is
-  /// forwarded at most once.
+  /// True if another entry instance has forwarded the request. This instance
+  /// then does not forward it again.
   bool forwarded = false;
 };
 
@@ -90,7 +90,7 @@
   std::vector<HttpHeader> headers;
   std::string body;
   std::string content_type;
-  /// Seconds after which the caller may retry; 0: a retry is of no use.
+  /// Seconds after which the caller may retry; 0: no retry is suggested.
   int retry_after = 0;
 };
 
@@ -199,7 +199,7 @@
 
   Backend* PickBackendLocked(const std::string& service,
                              const std::string& avoid);
-  int OpenSlotCountLocked(const std::string& service) const;
+  int SlotCountOfOpenBackendsLocked(const std::string& service) const;
   bool IsListedLocked(const std::string& service) const;
   void GrantToWaitersLocked(const std::string& service);
   std::list<Waiter*>::iterator NextWaiterLocked(Service* service);
@@ -229,11 +229,12 @@
 
   virtual void OnRequestFinished(const CallerRequest& request,
                                  const CallerResponse& response,
-                                 Millis took) = 0;
+                                 Millis duration) = 0;
 };
 
 /// Outcome of recording an idempotency key. kAlreadyUsed: another request has
-/// used the key. kUnknown: the record may or may not have been written.
+/// used the key. kNotRecorded: the record was definitely not written. kUnknown:
+/// the record may or may not have been written.
 enum class ClaimOutcome { kClaimed, kAlreadyUsed, kNotRecorded, kUnknown };
 
 /// Interface to the records of used idempotency keys. The owner of a key's
@@ -261,7 +262,9 @@
          IdempotencyKeyStore& claims);
 
   /// Executes a request and returns its response. Blocks until the deadline
-  /// at the latest; a refusal is returned without delay.
+  /// at the latest. Waits for a slot only if the queue has room and the
+  /// estimated wait ends before the deadline; while all backend servers of the
+  /// service are closed, for at most 4 s and half of the time to the deadline.
   CallerResponse Handle(const CallerRequest& request);
 
   SlotTable& slots() { return slots_; }
--- a/src/libdoorwood/routing/router.cpp
+++ b/src/libdoorwood/routing/router.cpp
@@ -11,8 +11,9 @@
 // Upper limit of a service's retry budget.
 constexpr double kMaxRetryBudget = 10;
 constexpr int kRetryAfterSeconds = 1;
-// A request waits for at most kMaxClosedWait while all backend servers are
-// closed, and looks for a peer every kPeerPollInterval in the meantime.
+// While all local backend servers of its service are closed, a request waits
+// for at most kMaxClosedWait, or half of the time to its deadline if that is
+// less, and tries a peer again every kPeerPollInterval.
 constexpr Millis kMaxClosedWait{4000};
 constexpr Millis kPeerPollInterval{50};
 
@@ -47,7 +48,8 @@
   response.outcome = RequestOutcome::kUnknown;
   response.status = kStatusBadGateway;
   response.content_type = "text/plain";
-  response.body = "not known whether it ran: " + std::string(reason) + "\n";
+  response.body =
+      "not known whether the request ran: " + std::string(reason) + "\n";
   return response;
 }
 
@@ -158,8 +160,9 @@
   const auto now = BootClock::now();
   progress.no_backend_deadline =
       std::min(now + (request.deadline - now) / 2, now + kMaxClosedWait);
-  progress.last = NotRunResponse(
-      kStatusUnavailable, "no backend server is open now", kRetryAfterSeconds);
+  progress.last =
+      NotRunResponse(kStatusUnavailable, "the deadline had already passed",
+                     kRetryAfterSeconds);
   for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     if (TimeUntil(request.deadline) <= Millis(0)) {
       break;
@@ -219,9 +222,10 @@
   }
 }
 
-// Waits for a local slot, and regularly looks for a peer that has one. While a
-// worker moves from one holder to the next, no instance has a slot on it for a
-// short time.
+// Tries a peer, then waits for a local slot. While all local backend servers
+// of the service are closed, a peer is tried again every kPeerPollInterval:
+// while a worker moves from one holder to the next, no instance has a slot on
+// it for a short time.
 SlotGrant Router::WaitForSlot(const ServiceConfig& service,
                               const CallerRequest& request,
                               Progress* progress) {
@@ -265,13 +269,14 @@
       progress->claimed = true;
       return true;
     case ClaimOutcome::kAlreadyUsed:
-      progress->last = UnknownResponse("another request has used this key");
+      progress->last =
+          UnknownResponse("another request has used its idempotency key");
       progress->last.status = kStatusKeyUsed;
       return false;
     case ClaimOutcome::kNotRecorded:
-      progress->RecordRefusal(NotRunResponse(kStatusUnavailable,
-                                             "the key cannot be recorded now",
-                                             kRetryAfterSeconds));
+      progress->RecordRefusal(NotRunResponse(
+          kStatusUnavailable, "the idempotency key cannot be recorded now",
+          kRetryAfterSeconds));
       return false;
     case ClaimOutcome::kUnknown:
       break;
@@ -279,14 +284,16 @@
   // The record may still be written and would use up the key, so it counts as
   // claimed and is released afterwards.
   progress->claimed = true;
-  progress->RecordRefusal(NotRunResponse(
-      kStatusUnavailable, "it is not known whether the key was recorded",
-      kRetryAfterSeconds));
+  progress->RecordRefusal(
+      NotRunResponse(kStatusUnavailable,
+                     "it is not known whether the idempotency key was recorded",
+                     kRetryAfterSeconds));
   return false;
 }
 
-// Returns true if a peer determined the final outcome of the request. A request
-// is forwarded once at most.
+// Returns true if a peer determined the final outcome of the request. After a
+// peer that did not receive or that refused the request, a later call may try
+// the same or another one; after a peer whose response is incomplete, none.
 bool Router::TryPeer(const CallerRequest& request, Progress* progress) {
   if (request.forwarded || progress->peer_outcome_unknown) {
     return false;
--- a/src/libdoorwood/routing/slot_table.cpp
+++ b/src/libdoorwood/routing/slot_table.cpp
@@ -58,7 +58,7 @@
                              Instant deadline) {
   std::unique_lock<std::mutex> lock(mutex_);
   Service& state = services_[service];
-  const int slots = OpenSlotCountLocked(service);
+  const int slots = SlotCountOfOpenBackendsLocked(service);
   SlotGrant grant;
   if (slots == 0 && !IsListedLocked(service)) {
     grant.refusal = SlotRefusal::kNoBackend;
@@ -117,7 +117,7 @@
 
 bool SlotTable::HasOpenBackend(const std::string& service) const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return OpenSlotCountLocked(service) > 0;
+  return SlotCountOfOpenBackendsLocked(service) > 0;
 }
 
 std::vector<std::string> SlotTable::ServicesWithFreeSlots() const {
@@ -188,7 +188,7 @@
   });
 }
 
-int SlotTable::OpenSlotCountLocked(const std::string& service) const {
+int SlotTable::SlotCountOfOpenBackendsLocked(const std::string& service) const {
   int slots = 0;
   for (const auto& [id, backend] : backends_) {
     if (backend.target.service == service && backend.target.open) {
