--- a/src/include/doorwood/kv_budget.h
+++ b/src/include/doorwood/kv_budget.h
@@ -59,7 +59,8 @@
 
  private:
   // Calls `start` now or, in priority order, once a token is available. Posts
-  // `refuse` instead if too many calls wait.
+  // `refuse` instead if `queue_limit` calls wait, unless `priority` is
+  // KvPriority::kLease.
   void Admit(KvPriority priority,
              std::function<void()> start,
              std::function<void()> refuse);
