--- a/src/include/doorwood/ingress.h
+++ b/src/include/doorwood/ingress.h
@@ -61,8 +61,8 @@
   /// This instance sends no calls to a leader that has not answered for this
   /// long, counted from the leader's last answer or from the first request to
   /// it. Callers are refused immediately and can call an instance that can
-  /// reach the leader. The value allows for two requests and the time of one
-  /// answer.
+  /// reach the leader. The default is two `summary_interval`s plus 300 ms
+  /// for an answer.
   Millis leader_answer_timeout{1500};
   /// Maximum number of jobs whose cell is cached.
   size_t max_cached_jobs = 20'000;
@@ -86,15 +86,18 @@
   /// Starts polling the cells' leaders for summaries.
   void Start();
 
-  /// Submits a job to the cell with the least load. Failure:
-  /// CoreErrc::kNoOwner or kStoreUnavailable (definitely not accepted), or
+  /// Submits a job to the cell with the least load, or to the next one while a
+  /// cell has no reachable leader or no capacity. A job whose cell is cached is
+  /// submitted to that cell only. Failure: CoreErrc::kNoOwner,
+  /// kStoreUnavailable or kNoCapacity (definitely not accepted), or
   /// kOutcomeUnknown (the caller may submit the same job again).
   void Submit(JobPlan plan, SubmitCallback done);
   /// Cancel and FetchJobState fail with kNotFound only if the store has no such
   /// job.
   void Cancel(const std::string& job, CancelCallback done);
   void FetchJobState(const std::string& job, StateCallback done);
-  /// Number of jobs of a queue that have no started task, over all cells.
+  /// Number of jobs of a queue that have no started task, over all cells, as
+  /// of their latest summaries.
   int PendingJobCount(const std::string& queue) const;
   /// True if at least one cell has a leader that this instance can reach.
   bool HasReachableLeader() const;
@@ -123,17 +126,18 @@
   std::vector<std::string> CellsByLoad() const;
   /// Waiting work per processor core, in seconds; 0: not known.
   double Load(const std::string& cell) const;
-  /// Submits to the first of `cells`, and to the next one if the job was
-  /// definitely not accepted there.
+  /// Submits to the first of `cells`, and to the next one if the first has no
+  /// reachable leader or no capacity. Other errors are passed to `done`.
   void SubmitToNextCell(std::shared_ptr<JobPlan> plan,
                         std::vector<std::string> cells,
                         SubmitCallback done);
   void SubmitTo(const std::string& cell,
                 const JobPlan& plan,
                 SubmitCallback done);
-  /// If only one cell has a leader and the cell of the job is not cached:
-  /// that leader. It most likely has the job, and it answers even if the store
-  /// is slow or unavailable. Null: look the cell up in the store.
+  /// The leader to ask about a job before its cell is looked up: the only known
+  /// leader, if it is reachable on another instance and the job's cell is not
+  /// cached. It most likely has the job, and it answers even if the store is
+  /// slow or unavailable. Null: there is none; look the cell up.
   const CellLead* LeadToAskBeforeStore(const std::string& job) const;
   void CancelInRecordedCell(const std::string& job, CancelCallback done);
   void FetchStateFromRecordedCell(const std::string& job, StateCallback done);
