--- a/src/fakes/cell_world.cpp
+++ b/src/fakes/cell_world.cpp
@@ -199,7 +199,7 @@
   return found == log_counts_.end() ? 0 : found->second;
 }
 
-void CellWorld::AdvanceAll() {
+void CellWorld::AdvanceModelsToNow() {
   store_.Advance(time_.now_ms());
   for (const auto& [id, worker] : workers_) {
     worker->model.Advance(time_.now_ms());
@@ -212,7 +212,7 @@
 
 void CellWorld::RunExactly(Millis duration) {
   time_.Run(duration);
-  AdvanceAll();
+  AdvanceModelsToNow();
 }
 
 void CellWorld::Run(Millis duration) {
@@ -276,7 +276,7 @@
   tickets_[order.task] = order.ticket;
   Trace("world: " + order.task + " run " + std::to_string(order.run) +
         " starts on " + worker);
-  AdvanceAll();
+  AdvanceModelsToNow();
   CheckSingleRun(order.task);
   CheckWorkersRecord(worker, order.task);
   CheckCrashLimit(order.task);
--- a/src/fakes/cell_world.h
+++ b/src/fakes/cell_world.h
@@ -209,7 +209,9 @@
   // Called by the fake ports.
   void StartUpkeep(const std::string& machine, int64_t wave);
   void OnStarted(const std::string& worker, const StartOrder& order, bool late);
-  void AdvanceAll();
+  /// Advances the models of the store and of all workers to the current virtual
+  /// time, so that leases and runs that are due end.
+  void AdvanceModelsToNow();
   double RandomFraction();
   void CountMisdirectedCall() { ++misdirected_calls_; }
   void CountLogLine(const std::string& message) { ++log_counts_[message]; }
--- a/src/fakes/cell_world_ports.cpp
+++ b/src/fakes/cell_world_ports.cpp
@@ -41,7 +41,7 @@
       Answer<StoreItems>(kNoAnswer, KvErrc::kUnknown, {}, std::move(done));
       return;
     }
-    world_.AdvanceAll();
+    world_.AdvanceModelsToNow();
     const auto error = world_.store().ChangesAfter(prefix, after, &events);
     if (error || !events.items.empty() || wait <= Millis(0)) {
       Answer<StoreItems>(kStoreDelay, error, events, std::move(done));
@@ -103,13 +103,13 @@
       world_.time().RunAt(world_.time().now() + kExecutionDelay,
                           [this, effect] {
                             T ignored{};
-                            world_.AdvanceAll();
+                            world_.AdvanceModelsToNow();
                             effect(&ignored);
                           });
       Answer<T>(kNoAnswer, KvErrc::kUnknown, {}, std::move(done));
       return;
     }
-    world_.AdvanceAll();
+    world_.AdvanceModelsToNow();
     T value{};
     const std::error_code error = effect(&value);
     if (draw < faults.delayed_write_share + faults.lost_reply_share) {
@@ -234,7 +234,7 @@
       world_.time().RunAt(
           world_.time().now() + self_.order_delay, [this, worker, effect] {
             if (WorldWorker* later = FindReachableWorker(worker)) {
-              world_.AdvanceAll();
+              world_.AdvanceModelsToNow();
               effect(*later, /*late=*/true);
             }
           });
--- a/src/fakes/fakes.cpp
+++ b/src/fakes/fakes.cpp
@@ -43,7 +43,9 @@
   const Instant end = now_ + duration;
   while (Step(end)) {
   }
-  now_ = std::max(now_, end);  // a step may have advanced the clock
+  // The last step may have run past `end`, if a process paused in it; see
+  // `FakeExecutor::PauseInNowCall`.
+  now_ = std::max(now_, end);
 }
 
 void FakeExecutor::Post(std::function<void()> function) {
--- a/src/libdoorwood/cell/cell_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_leader_test.cpp
@@ -238,7 +238,7 @@
       int consecutive = 0;
       for (int sample = 0; sample < 60; ++sample) {
         world.Run(Millis(100));
-        world.AdvanceAll();
+        world.AdvanceModelsToNow();
         bool runs = false;
         for (const auto& [id, worker] : world.workers()) {
           runs = runs || worker->model.running_count() > 0;
--- a/src/libdoorwood/cell/cell_leaving_test.cpp
+++ b/src/libdoorwood/cell/cell_leaving_test.cpp
@@ -41,7 +41,7 @@
     for (Millis passed{0}; passed < duration; passed += kStep) {
       SubmitJob();
       world.time().Run(kStep);
-      world.AdvanceAll();
+      world.AdvanceModelsToNow();
     }
   }
 
--- a/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
+++ b/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
@@ -106,7 +106,7 @@
     constexpr Millis kStep{25};
     for (Millis passed{0}; passed < duration; passed += kStep) {
       world.time().Run(kStep);
-      world.AdvanceAll();
+      world.AdvanceModelsToNow();
       downtime =
           WorkerRunning(world, kTask).empty() ? downtime + kStep : Millis(0);
       longest_downtime = std::max(longest_downtime, downtime);
@@ -326,7 +326,7 @@
         plan.accepted_at = world.time().now_ms();
         old->cell->Submit(plan, [](std::error_code, AcceptOutcome) {});
         world.time().Run(kSubmitInterval);
-        world.AdvanceAll();
+        world.AdvanceModelsToNow();
       }
     };
     run_with_load(Millis(1500));
@@ -502,7 +502,7 @@
       WorldInstance* second = nullptr;
       for (int i = 0; i < 2000 && second == nullptr; ++i) {
         scenario.world.time().Run(kFineStep);
-        scenario.world.AdvanceAll();
+        scenario.world.AdvanceModelsToNow();
         second = scenario.world.Leader();
       }
       BOOST_REQUIRE(second != nullptr);
--- a/src/libdoorwood/cell/cell_stale_record_test.cpp
+++ b/src/libdoorwood/cell/cell_stale_record_test.cpp
@@ -33,7 +33,7 @@
 void RunInMillisecondSteps(CellWorld& world, int millis) {
   for (int i = 0; i < millis; ++i) {
     world.time().Run(Millis(1));
-    world.AdvanceAll();
+    world.AdvanceModelsToNow();
   }
 }
 
