--- a/src/http.adapter/http_call.cpp
+++ b/src/http.adapter/http_call.cpp
@@ -101,15 +101,15 @@
 CallAnswer HttpCaller::Post(const std::string& address,
                             const std::string& path,
                             const Json& body) {
-  return PostAndWait(address, path, body, read_timeout_);
+  return PostWithTimeout(address, path, body, read_timeout_);
 }
 
-CallAnswer HttpCaller::PostAndWait(const std::string& address,
-                                   const std::string& path,
-                                   const Json& body,
-                                   Millis wait) {
+CallAnswer HttpCaller::PostWithTimeout(const std::string& address,
+                                       const std::string& path,
+                                       const Json& body,
+                                       Millis timeout) {
   std::unique_ptr<httplib::Client> client = clients_.Take(address);
-  client->set_read_timeout(wait);
+  client->set_read_timeout(timeout);
   client->set_write_timeout(read_timeout_);
   const std::string text = body.dump();
   CallAnswer answer;
--- a/src/http.adapter/http_call.h
+++ b/src/http.adapter/http_call.h
@@ -83,15 +83,16 @@
  public:
   HttpCaller(Millis connect_timeout, Millis read_timeout);
 
-  /// Posts a JSON body and blocks until the JSON response arrives.
+  /// Posts a JSON body and blocks until the response arrives or a timeout
+  /// elapses. The body of the answer is null if the response is not JSON.
   CallAnswer Post(const std::string& address,
                   const std::string& path,
                   const Json& body);
-  /// Like `Post`, but with `wait` instead of the read timeout.
-  CallAnswer PostAndWait(const std::string& address,
-                         const std::string& path,
-                         const Json& body,
-                         Millis wait);
+  /// Like `Post`, but `timeout` replaces the read timeout.
+  CallAnswer PostWithTimeout(const std::string& address,
+                             const std::string& path,
+                             const Json& body,
+                             Millis timeout);
 
   /// Cancels the calls in progress; later calls fail at once.
   void Stop();
--- a/src/kv.adapter/http_kv.cpp
+++ b/src/kv.adapter/http_kv.cpp
@@ -74,7 +74,8 @@
                    Finish finish) {
   pool.Run([this, path, body = std::move(body), wait, mutates,
             finish = std::move(finish)]() {
-    CallAnswer answer = caller_.PostAndWait(options_.address, path, body, wait);
+    CallAnswer answer =
+        caller_.PostWithTimeout(options_.address, path, body, wait);
     const std::error_code error = ErrorOf(answer, mutates);
     executor_.Post([finish, error, json = std::move(answer.body)]() {
       finish(error, json);
