--- a/src/loop.adapter/http_peers.cpp
+++ b/src/loop.adapter/http_peers.cpp
@@ -128,8 +128,8 @@
   });
 }
 
-// Upper bound of the reported time. An instance that has no cells or has had
-// no contact with the store reports this value.
+// Upper bound of the reported time. An instance that has no cells reports this
+// value.
 constexpr Millis kMaxAge{86'400'000};
 
 std::optional<Millis> DecodeAge(std::string_view text) {
--- a/src/loop.adapter/http_server.cpp
+++ b/src/loop.adapter/http_server.cpp
@@ -178,7 +178,7 @@
     : shared_(std::make_shared<ServerState>(context, std::move(handler))) {}
 
 HttpServer::~HttpServer() {
-  Close();
+  StopListening();
 }
 
 void HttpServer::Listen(const std::string& address) {
@@ -229,7 +229,7 @@
   shared_->draining = true;
 }
 
-void HttpServer::Close() {
+void HttpServer::StopListening() {
   error_code ignored;
   shared_->acceptor.close(ignored);
 }
--- a/src/loop.adapter/http_server.h
+++ b/src/loop.adapter/http_server.h
@@ -35,7 +35,8 @@
 };
 
 /// Limits on connections and requests. Connections of clients that are too
-/// slow are closed; requests that are too large are answered with status 400.
+/// slow, and those above `max_connections`, are closed; requests that are too
+/// large are answered with status 400.
 struct HttpServerLimits {
   size_t header_bytes = 16 * 1024;
   size_t body_bytes = 1024 * 1024;
@@ -60,7 +61,8 @@
   void SetLimits(const HttpServerLimits& limits);
   /// After this call, each connection is closed after its next response.
   void Drain();
-  void Close();
+  /// Closes the listening socket. Open connections continue to be served.
+  void StopListening();
 
   size_t open_requests() const;
   size_t connections() const;
