--- a/src/celld/entry_daemon.cpp
+++ b/src/celld/entry_daemon.cpp
@@ -128,7 +128,7 @@
   ingress_.Start();
   WaitForSignal();
   WaitForReload();
-  CheckSettingsFile();
+  ReloadChangedSettingsPeriodically();
   FlushLogPeriodically();
   context_.run();
   FlushLog();
@@ -176,11 +176,12 @@
       });
 }
 
-void EntryDaemon::CheckSettingsFile() {
+void EntryDaemon::ReloadChangedSettingsPeriodically() {
   if (ReadTextFile(settings_path_).value_or("") != settings_text_) {
     Reload("the file changed");
   }
-  executor_.Schedule(kSettingsCheckInterval, [this] { CheckSettingsFile(); });
+  executor_.Schedule(kSettingsCheckInterval,
+                     [this] { ReloadChangedSettingsPeriodically(); });
 }
 
 void EntryDaemon::Reload(std::string_view cause) {
--- a/src/celld/entry_daemon.h
+++ b/src/celld/entry_daemon.h
@@ -35,15 +35,17 @@
   /// The file at `settings_path` is reloaded on SIGHUP and when it changes.
   EntryDaemon(EntrySettings settings, std::string settings_path);
 
-  /// Serves until SIGTERM or SIGINT. Returns after the planned shutdown, when
-  /// open requests are finished or the grace time has elapsed.
+  /// Serves until SIGTERM or SIGINT, then performs a planned shutdown. Returns
+  /// once requests are answered and the lead is released, but not before the
+  /// balancer has had the time to remove the instance; at the latest, shortly
+  /// before the grace time elapses.
   void Run();
 
  private:
   void WaitForSignal();
   void WaitForReload();
   void Reload(std::string_view cause);
-  void CheckSettingsFile();
+  void ReloadChangedSettingsPeriodically();
   void FlushLogPeriodically();
   void BeginShutdown();
   void FinishWhenIdle();
--- a/src/celld/main.cpp
+++ b/src/celld/main.cpp
@@ -57,10 +57,12 @@
     doorwood::EntryDaemon daemon(*settings, file);
     pthread_sigmask(SIG_UNBLOCK, &signals, nullptr);
     daemon.Run();
-    // By now all answers are sent, the lease is released and the log is
-    // flushed. quick_exit skips the destructors of the libraries' static
-    // objects, which wait for the log's threads: with a normal exit, processes
-    // hung until they were killed at the end of their grace time.
+    // Either all requests are answered and the lead is released, or the grace
+    // time has almost elapsed; the log is flushed as far as standard output
+    // accepts it without blocking. quick_exit skips the destructors of the
+    // libraries' static objects, which wait for the log's threads: with a
+    // normal exit, processes hung until they were killed at the end of their
+    // grace time.
     std::quick_exit(0);
   } catch (const std::exception& e) {
     std::cerr << "doorwood-celld: " << e.what() << "\n";
