--- a/src/doorwood/main.cpp
+++ b/src/doorwood/main.cpp
@@ -326,7 +326,9 @@
                                {{"worker", *name}, {"drained", !*undo}});
     context->code = answer.code;
     if (answer.code == doorwood::client::kDone) {
-      std::cout << *name << (*undo ? " accepts work again\n" : " is drained\n");
+      std::cout << *name
+                << (*undo ? " is no longer marked as drained\n"
+                          : " is marked as drained\n");
     }
   });
 }
