--- a/src/soak/callers.cpp
+++ b/src/soak/callers.cpp
@@ -18,8 +18,8 @@
 constexpr int kGone = 410;
 constexpr int kTooMany = 429;
 constexpr int kUnavailable = 503;
-// One in this many callers stops submitting once its job is rejected, and one
-// in this many cancels its job.
+// One in this many callers stops submitting once its job is rejected, unless an
+// earlier attempt may have been accepted; and one in this many cancels its job.
 constexpr uint64_t kGiveUpOneIn = 3;
 constexpr uint64_t kCancelOneIn = 6;
 
--- a/src/soak/callers.h
+++ b/src/soak/callers.h
@@ -30,13 +30,16 @@
   /// Submits a job whose tasks crash their workers every `pause` until `Stop`.
   void StartCrashing(Millis pause) { SubmitCrashingPeriodically(pause); }
   void Stop() { stopped_ = true; }
-  /// After this call, reports a call whose connection is lost without an answer
-  /// as a violation. For periods whose only faults are planned stops.
+  /// From now on, reports a call whose connection is lost without an answer as
+  /// a violation, unless that happens within 200 ms of sending; a call that
+  /// gets no answer until its time-out of 3 s is not reported. For periods
+  /// whose only faults are planned stops.
   void ExpectAnswers() { expects_answers_ = true; }
   /// Waits until every accepted job is in its expected state; reports jobs
-  /// that are not within the time-out as violations.
+  /// that are not within the time-out as violations. Then checks that no task
+  /// of a rejected job has started, and calls `done`.
   void AwaitAll(Millis timeout, std::function<void()> done);
-  /// True if every long-running task runs.
+  /// True if every long-running job is accepted and all its tasks run.
   bool AllLongRunningTasksRun() const;
 
   size_t accepted() const;
@@ -47,8 +50,9 @@
     platform::SoakJob job;
     bool accepted = false;
     bool cancelled = false;
-    /// Whether the caller stops submitting once all attempts were rejected, and
-    /// whether it cancels the job once it is accepted.
+    /// Whether the caller stops submitting after a rejection, unless an earlier
+    /// attempt may have been accepted; and whether it cancels the job some time
+    /// after it is accepted.
     bool gives_up = false;
     bool cancels = false;
     /// At least one submission was not rejected.
--- a/src/soak/fault_plan.cpp
+++ b/src/soak/fault_plan.cpp
@@ -142,7 +142,9 @@
   return plan;
 }
 
-// Places faults of the leader while the tasks of a replaced worker move.
+// Picks one of `kLeaderChanges` and repeats it at random intervals. If it
+// targets the leader, each fault is placed while the tasks of a replaced worker
+// move, as long as workers are replaced.
 std::vector<Fault> DrawLeaderChanges(SeededRandom* random,
                                      const std::vector<Fault>& replaced,
                                      Millis from,
--- a/src/soak/fault_player.cpp
+++ b/src/soak/fault_player.cpp
@@ -30,12 +30,13 @@
          kind == FaultKind::kStoreUnreachable;
 }
 
-// The full partition lasts longer than a successor needs for the takeover.
+// Unless the end of the plan shortens the fault, the full partition lasts
+// longer than a successor needs for the takeover.
 StepwiseRecovery RecoveryOf(const Fault& fault) {
   StepwiseRecovery recovery;
   recovery.worker_partition_time = fault.duration * 2 / 5;
   recovery.full_partition_time = fault.duration * 2 / 5;
-  recovery.workers_delay = fault.duration / 5;
+  recovery.other_links_delay = fault.duration / 5;
   recovery.resume_delay = fault.resume_delay;
   return recovery;
 }
@@ -79,7 +80,7 @@
   world_.Log("fault begins: " + what + ", " +
              std::to_string(fault.duration.count()) + " ms, direction " +
              std::to_string(static_cast<int>(fault.direction)) +
-             ", old connections resume after " +
+             ", ms from healing until surviving connections transfer again: " +
              std::to_string(fault.resume_delay.count()));
   if (fault.kind == FaultKind::kCutCentreInSteps) {
     PartitionInSteps(world_, World::DataCentreOf(instance), RecoveryOf(fault),
@@ -104,7 +105,7 @@
   });
 }
 
-Links FaultPlayer::CutLinks(const Fault& fault, size_t instance) const {
+Links FaultPlayer::LinksToCut(const Fault& fault, size_t instance) const {
   switch (fault.kind) {
     case FaultKind::kCutStore:
       return world_.StoreLinks(instance);
@@ -138,7 +139,7 @@
     case FaultKind::kCutCentre:
     case FaultKind::kCutPeers:
     case FaultKind::kCutInstance:
-      return Cut(fault, CutLinks(fault, instance));
+      return Cut(fault, LinksToCut(fault, instance));
     case FaultKind::kResetInstance:
       for (Link* link : world_.AllLinks(instance)) {
         link->Reset();
--- a/src/soak/fault_player.h
+++ b/src/soak/fault_player.h
@@ -35,7 +35,7 @@
   Undo BeginStoreFault(const Fault& fault, size_t instance);
   Undo BeginProcessFault(const Fault& fault, size_t instance);
   Undo Cut(const Fault& fault, Links links);
-  Links CutLinks(const Fault& fault, size_t instance) const;
+  Links LinksToCut(const Fault& fault, size_t instance) const;
   void InjectWorkerFault(const Fault& fault);
   void Replace(const Fault& fault);
   void CrashAndRestartWorker(const Fault& fault, size_t worker);
--- a/src/soak/main.cpp
+++ b/src/soak/main.cpp
@@ -96,7 +96,7 @@
               << " jobs accepted, " << callers_.not_accepted()
               << " not accepted, " << world_.task_checker().starts()
               << " starts, " << world_.violations()
-              << " broken; long-running tasks down for up to "
+              << " violations; long-running tasks down for up to "
               << world_.task_checker().longest_downtime() << " ms; logs in "
               << options_.world.folder << std::endl;
   }
@@ -132,11 +132,13 @@
     PartitionLeaderDataCentre(
         world_, callers_, recovery,
         [this, recoveries, next, recovery](size_t violations) {
-          std::cout << "regained-store silent "
-                    << recovery.worker_partition_time.count() << " cut "
-                    << recovery.full_partition_time.count() << " old_after "
-                    << recovery.resume_delay.count() << ": " << violations
-                    << " broken" << std::endl;
+          std::cout << "regained-store: workers elsewhere unreachable for "
+                    << recovery.worker_partition_time.count()
+                    << " ms, then everything outside for "
+                    << recovery.full_partition_time.count()
+                    << " ms, surviving connections transfer again after "
+                    << recovery.resume_delay.count() << " ms; " << violations
+                    << " violations" << std::endl;
           RunRecoveries(recoveries, next + 1);
         });
   }
@@ -194,9 +196,14 @@
                  "regained-store")
       ->check(CLI::IsMember({"random", "planned-stops", "replaced-workers",
                              "changes", "regained-store"}));
-  app.add_option("--silent-before", options.worker_partition_time, "ms, each")
+  app.add_option("--silent-before", options.worker_partition_time,
+                 "ms each, from the loss of the workers in other data centres "
+                 "to the full partition")
+      ->delimiter(',');
+  app.add_option(
+         "--cut", options.cuts,
+         "ms each, from the full partition until the store is reachable again")
       ->delimiter(',');
-  app.add_option("--cut", options.cuts, "ms, each")->delimiter(',');
   app.add_option("--old-after", options.resume_delay,
                  "ms after a cut until surviving connections transfer again");
   app.add_option("--lasting-jobs", options.long_running_jobs);
--- a/src/soak/scenario.cpp
+++ b/src/soak/scenario.cpp
@@ -34,7 +34,7 @@
     return;
   }
   if (world.Now() >= until) {
-    world.ReportViolation("no steady state before the partition");
+    world.ReportViolation("no steady state within 40 s before the faults");
     done();
     return;
   }
@@ -85,7 +85,7 @@
     world.Log("reconnected to the store: " + centre_name);
     HealAll(store_links, recovery.resume_delay);
   });
-  at += recovery.workers_delay;
+  at += recovery.other_links_delay;
   world.After(at, [&world, centre_name, other_links, cross_worker_links,
                    recovery, done] {
     world.Log("fully reconnected: " + centre_name);
--- a/src/soak/scenario.h
+++ b/src/soak/scenario.h
@@ -20,8 +20,8 @@
   Millis worker_partition_time{2000};
   /// From the full partition until the store is reachable again.
   Millis full_partition_time{4000};
-  /// From then until everything else is reachable again.
-  Millis workers_delay{2000};
+  /// From then until everything else, workers and peers, is reachable again.
+  Millis other_links_delay{2000};
   /// Connections that survived the partition transfer again this much later.
   Millis resume_delay{0};
 };
@@ -41,8 +41,8 @@
                                StepwiseRecovery recovery,
                                std::function<void(size_t violations)> done);
 
-/// Waits until there is a leader and every long-running task runs; reports a
-/// violation if that takes too long.
+/// Calls `done` once there is a leader and every long-running task runs. If
+/// that is not so within 40 s, reports a violation and calls `done` anyway.
 void AwaitSteadyState(World& world,
                       const Callers& callers,
                       std::function<void()> done);
--- a/src/soak/task_checker.cpp
+++ b/src/soak/task_checker.cpp
@@ -145,8 +145,8 @@
   }
   for (const ObservedRun& other : runs_[end.task]) {
     if (other.from > run->until) {
-      ReportViolation("started before a completion of " + end.task +
-                      " was acknowledged: " + Describe(*run) + "; " +
+      ReportViolation("started between a completion of " + end.task +
+                      " and its acknowledgement: " + Describe(*run) + "; " +
                       Describe(other));
     }
   }
--- a/src/soak/task_checker.h
+++ b/src/soak/task_checker.h
@@ -55,7 +55,8 @@
   void OnEndAcknowledged(const std::string& incarnation, const EndedRun& end);
   /// The lease of all runs on the worker has expired.
   void OnLeaseExpired(const std::string& incarnation);
-  /// The worker is about to crash because of a task that it runs.
+  /// The worker is about to crash because of a task. Must be called before
+  /// `OnIncarnationEnded`, because only active runs are counted.
   void OnCrashed(const std::string& incarnation);
   /// This incarnation of the worker has ended, with all its runs.
   void OnIncarnationEnded(const std::string& incarnation, int64_t at);
--- a/src/soak/world.cpp
+++ b/src/soak/world.cpp
@@ -97,7 +97,7 @@
 
 void World::ReportViolation(const std::string& sentence) {
   ++violations_;
-  Log("BROKEN " + sentence);
+  Log("VIOLATION " + sentence);
   std::cout << Now() << " ms: " << sentence << std::endl;
 }
 
@@ -224,9 +224,10 @@
   if (!instance.child.ReapIfEnded(&status)) {
     return;
   }
-  Log(NameOf(index) + " has exited, status " + std::to_string(status));
+  Log(NameOf(index) + " has exited, waitpid status " + std::to_string(status));
   if (!instance.is_ending || (instance.stop_since > 0 && status != 0)) {
-    ReportViolation(NameOf(index) + " exited unexpectedly, status " +
+    ReportViolation(NameOf(index) +
+                    " exited unexpectedly or with an error, waitpid status " +
                     std::to_string(status));
   }
   instance.is_ending = true;
--- a/testsuite/soak/run.sh
+++ b/testsuite/soak/run.sh
@@ -29,7 +29,7 @@
 start_soak crashing "$((block + 5))" --scenario changes --crashing-jobs --seed 3 --seconds 20
 for name in early late random stops replaced crashing; do
   wait "${PID[$name]}"
-  echo "$name: exit $?, $(sed -n 's/.* starts, \([0-9]* broken\);.*/\1/p' "$WORK/$name.out")"
+  echo "$name: exit $?, $(sed -n 's/.* starts, \([0-9]* violations\);.*/\1/p' "$WORK/$name.out")"
   grep ' ms: ' "$WORK/$name.out" | head -5 >&2
 done
 exit 0
