--- a/src/bench/main.cpp
+++ b/src/bench/main.cpp
@@ -42,8 +42,8 @@
   decisions_app->callback([&]() { code = doorwood::bench::RunDecisions(); });
 
   doorwood::bench::CellBenchOptions cell;
-  CLI::App* cell_app =
-      app.add_subcommand("cell", "cost of a cell's leader, in virtual time");
+  CLI::App* cell_app = app.add_subcommand(
+      "cell", "real time that simulating a cell under one leader takes");
   cell_app->add_option("--workers", cell.workers)->check(CLI::Range(1, 3000));
   cell_app->add_option("--jobs-per-second", cell.jobs_per_second);
   cell_app->add_option("--seconds", cell.seconds)->check(CLI::Range(1, 600));
--- a/src/standin/main.cpp
+++ b/src/standin/main.cpp
@@ -41,8 +41,9 @@
   worker_app->add_option("--cpu-millis", worker.capacity.cpu_millis);
   worker_app->add_option("--memory-mib", worker.capacity.memory_mib);
   worker_app->add_option("--accelerators", worker.capacity.accelerators);
-  worker_app->add_flag("!--no-fence", worker.fences,
-                       "accept orders of older epochs");
+  worker_app->add_flag(
+      "!--no-fence", worker.fences,
+      "accept orders of other epochs and after the lease has expired");
   worker_app->callback([&]() { code = RunWorker(worker); });
 
   doorwood::standin::BackendRole backend;
--- a/src/standin/standin.h
+++ b/src/standin/standin.h
@@ -61,8 +61,8 @@
   explicit Server(const ServerOptions& options);
 
   httplib::Server& http() { return http_; }
-  /// Handles POST requests to `path`. The reply is 400 if the body is not JSON
-  /// or lacks a field that the handler needs.
+  /// Handles POST requests to `path`. The reply is 400 if the body is not JSON,
+  /// or if a field that the handler needs is missing or has the wrong type.
   void AddCall(const std::string& path, Handler handler);
   /// Sets a callback that runs just before the server stops; it ends blocked
   /// calls.
