--- a/src/include/doorwood/holder.h
+++ b/src/include/doorwood/holder.h
@@ -83,8 +83,8 @@
   /// and their repeatable attempts are evicted.
   void SetDrainedWorkers(std::set<std::string> workers);
 
-  /// Reserves capacity and starts the attempt. Idempotent: a repeated request
-  /// for the same attempt gets the same answer.
+  /// Reserves capacity and starts the attempt. A request for an attempt that is
+  /// already on a held worker starts nothing and is answered with that worker.
   PlaceReply Place(const PlaceRequest& request);
   StopReply Stop(const StopRequest& request);
   /// Fences the shard at the request's `min_attempt`, as `Fence` does, and
@@ -166,7 +166,10 @@
                   std::error_code error,
                   const WorkerInventory& inventory);
   void ApplyInventory(HeldWorker& held, const WorkerInventory& inventory);
-  void Renew(const std::shared_ptr<HeldWorker>& held);
+  // Sends the pending orders, up to a maximum per call, which also renews the
+  // lease. No effect while a call is in flight. If the lease has expired, sends
+  // nothing and handles its loss.
+  void RenewAndSendOrders(const std::shared_ptr<HeldWorker>& held);
   void OnAnswer(const std::shared_ptr<HeldWorker>& held,
                 Instant sent,
                 std::ptrdiff_t order_count,
@@ -200,7 +203,8 @@
   void SetTimer(const std::shared_ptr<HeldWorker>& held,
                 Millis delay,
                 void (WorkerHolder::*step)(const std::shared_ptr<HeldWorker>&));
-  std::shared_ptr<HeldWorker> FindAttempt(const AttemptKey& key) const;
+  // Null if no held worker has the attempt.
+  std::shared_ptr<HeldWorker> FindWorkerOfAttempt(const AttemptKey& key) const;
   AttemptReport MakeAttemptReport(const HeldWorker& held,
                                   const Attempt& attempt) const;
 
--- a/src/include/doorwood/peer.h
+++ b/src/include/doorwood/peer.h
@@ -48,7 +48,7 @@
   std::vector<std::string> leaving_workers;
   /// Services for which the sender has backend servers with open slots.
   std::vector<std::string> open_services;
-  /// Address for requests that a peer forwards.
+  /// The sender's own address, to which peers forward HTTP requests.
   std::string http_address;
 };
 
@@ -62,7 +62,7 @@
   std::string checkpoint;
 };
 
-/// If `placed` is false, the holder has not started the attempt and never will.
+/// If `placed` is false, this request has not started the attempt and will not.
 struct PlaceReply {
   bool placed = false;
   std::string worker;
--- a/src/include/doorwood/placement.h
+++ b/src/include/doorwood/placement.h
@@ -44,8 +44,8 @@
   std::vector<AttemptKey> victims;
   /// Index of the worker to evict from; -1: nothing to evict.
   int evict_on = -1;
-  /// True if the task would not fit on any of the workers even if they were
-  /// empty.
+  /// True if no worker's labels match the task's selector `on`, or if the task
+  /// is larger than the total capacity of each worker that they match.
   bool impossible = false;
   /// Explanation for the decision record.
   std::string reason;
--- a/src/include/doorwood/worker.h
+++ b/src/include/doorwood/worker.h
@@ -2,10 +2,11 @@
 
 /// \file
 /// Interface to the platform's workers. A worker grants one control lease at a
-/// time, with an epoch that increases with each grant, and refuses orders of an
-/// older epoch. Tasks keep running for some time after the control lease has
-/// expired, so that the next holder can adopt them. If no holder renews the
-/// lease, the worker eventually stops its tasks by itself.
+/// time, with an epoch that increases with each grant. It refuses orders of an
+/// older epoch unless its `WorkerInventory::rejects_stale_epochs` is false.
+/// Tasks keep running for some time after the control lease has expired, so
+/// that the next holder can adopt them. If no holder renews the lease, the
+/// worker eventually stops its tasks by itself.
 
 #ifndef DOORWOOD_WORKER_H_
 #define DOORWOOD_WORKER_H_
--- a/src/libdoorwood/holder/holder.cpp
+++ b/src/libdoorwood/holder/holder.cpp
@@ -143,7 +143,7 @@
   listener_.OnHeldWorkersChanged();
   // An acquisition does not extend the task leases of running tasks; only a
   // renewal does.
-  Renew(held);
+  RenewAndSendOrders(held);
 }
 
 void WorkerHolder::ApplyInventory(HeldWorker& held,
@@ -188,7 +188,7 @@
 
 // --- Renewals and orders ---
 
-void WorkerHolder::Renew(const std::shared_ptr<HeldWorker>& held) {
+void WorkerHolder::RenewAndSendOrders(const std::shared_ptr<HeldWorker>& held) {
   if (held->call_in_flight || !IsCurrent(held)) {
     return;
   }
@@ -244,14 +244,14 @@
                              held->pending_orders.begin() + order_count);
   ApplyAnswer(*held, answer);
   if (!held->pending_orders.empty()) {
-    Renew(held);
+    RenewAndSendOrders(held);
     return;
   }
   if (held->state == HoldState::kReleasing) {
     ReleaseWorker(held);
     return;
   }
-  SetTimer(held, options_.renew_interval, &WorkerHolder::Renew);
+  SetTimer(held, options_.renew_interval, &WorkerHolder::RenewAndSendOrders);
 }
 
 void WorkerHolder::OnRenewalFailed(const std::shared_ptr<HeldWorker>& held,
@@ -263,7 +263,7 @@
   }
   // The orders stay pending and their reservations stay in the ledger, because
   // the worker may have received them.
-  SetTimer(held, options_.acquire_retry, &WorkerHolder::Renew);
+  SetTimer(held, options_.acquire_retry, &WorkerHolder::RenewAndSendOrders);
 }
 
 void WorkerHolder::ApplyAnswer(HeldWorker& held, const WorkerAnswer& answer) {
@@ -308,7 +308,7 @@
     return;
   }
   if (!held->pending_orders.empty() && HasValidLease(*held)) {
-    Renew(held);
+    RenewAndSendOrders(held);
     return;
   }
   control_.Release(held->info, held->epoch, [](std::error_code, bool) {});
@@ -346,7 +346,7 @@
     }
   }
   if (held->state == HoldState::kHeld) {
-    Renew(held);
+    RenewAndSendOrders(held);
   }
 }
 
@@ -436,7 +436,7 @@
   });
 }
 
-std::shared_ptr<WorkerHolder::HeldWorker> WorkerHolder::FindAttempt(
+std::shared_ptr<WorkerHolder::HeldWorker> WorkerHolder::FindWorkerOfAttempt(
     const AttemptKey& key) const {
   const auto place = worker_of_.find(key);
   if (place == worker_of_.end()) {
--- a/src/libdoorwood/holder/holder_attempts.cpp
+++ b/src/libdoorwood/holder/holder_attempts.cpp
@@ -18,7 +18,7 @@
 
 PlaceReply WorkerHolder::Place(const PlaceRequest& request) {
   const AttemptKey key{request.shard, request.attempt};
-  if (const auto held = FindAttempt(key)) {
+  if (const auto held = FindWorkerOfAttempt(key)) {
     return {.placed = true, .worker = held->info.id};
   }
   const auto floor = fence_floors_.find(request.shard);
@@ -70,7 +70,7 @@
                                   .spec = request.spec,
                                   .checkpoint = request.checkpoint});
   RebuildResidents(*held);
-  Renew(held);
+  RenewAndSendOrders(held);
   return {.placed = true, .worker = held->info.id};
 }
 
@@ -83,19 +83,19 @@
     }
   }
   held->reserved_until = executor_.Now() + kServiceReservation;
-  Renew(held);
+  RenewAndSendOrders(held);
   return {.placed = false, .reason = decision.reason};
 }
 
 StopReply WorkerHolder::Stop(const StopRequest& request) {
   const AttemptKey key{request.shard, request.attempt};
-  const auto held = FindAttempt(key);
+  const auto held = FindWorkerOfAttempt(key);
   if (!held) {
     return {.known = false};
   }
   QueueStopOrder(*held, held->attempts.at(key), request.take_checkpoint);
   if (held->state == HoldState::kHeld) {
-    Renew(held);
+    RenewAndSendOrders(held);
   }
   return {.known = true};
 }
@@ -134,7 +134,7 @@
                                    std::span<const AttemptId> attempts) {
   for (const AttemptId& attempt : attempts) {
     const AttemptKey key{shard, attempt};
-    const auto held = FindAttempt(key);
+    const auto held = FindWorkerOfAttempt(key);
     if (!held || held->attempts.at(key).state != RunState::kEnded) {
       continue;
     }
--- a/src/libdoorwood/holder/placement.cpp
+++ b/src/libdoorwood/holder/placement.cpp
@@ -88,9 +88,9 @@
          std::to_string(size.accelerators) + " accelerators";
 }
 
-// Decision if the task cannot start: either it cannot start now, because of a
-// lack of free capacity or of the tasks it would run beside, or it can never
-// run on these workers.
+// Decision if the task cannot start now. It is marked as impossible if the task
+// could not run on any of these workers even if they were empty: the labels of
+// none match its selector `on`, or it is larger than each one that matches.
 Decision Refuse(const TaskSpec& spec,
                 std::span<const WorkerView> workers,
                 PlacementRules* rules) {
@@ -109,9 +109,11 @@
     return decision;
   }
   decision.impossible = true;
-  decision.reason = selectable ? "larger than any worker it may use: needs " +
-                                     ResourcesToString(spec.size)
-                               : "no worker matches on: '" + spec.on + "'";
+  decision.reason = selectable
+                        ? "larger than any worker it may use: needs " +
+                              ResourcesToString(spec.size)
+                        : "no worker's labels match the task's selector on: '" +
+                              spec.on + "'";
   return decision;
 }
 
@@ -195,7 +197,8 @@
 
   // Batch attempts to evict, highest `yields` first. An empty list: enough
   // attempts are already stopping. Nullopt: evicting all of them would not free
-  // enough capacity.
+  // enough capacity, or an attempt that cannot be evicted may not run beside
+  // the task.
   std::optional<std::vector<AttemptKey>> SelectVictims(
       const TaskSpec& spec,
       const WorkerView& worker) {
