--- a/src/include/doorwood/shard_log.h
+++ b/src/include/doorwood/shard_log.h
@@ -67,7 +67,8 @@
   /// `done` gets an error if the store did not answer.
   void Verify(Done done);
 
-  /// Called once when another owner has sealed the log.
+  /// Called once when this owner finds that another one has taken over the
+  /// shard.
   void set_on_fenced(std::function<void()> on_fenced);
 
   /// Called for each record that this owner wrote, once it is applied to the
@@ -122,7 +123,7 @@
   void RetryLater();
   void BecomeFenced();
   void MaybeSnapshot();
-  void TruncateBelow(int64_t position);
+  void TruncateUpTo(int64_t position);
   void WriteClosedHead();
   void ConfirmClosed();
   void FinishClose(std::error_code error);
--- a/src/include/doorwood/shard_owner.h
+++ b/src/include/doorwood/shard_owner.h
@@ -258,7 +258,7 @@
   void FinishCensus(CensusRound& round);
   void StopOrphans(const CensusRound& round);
   bool ResolveTask(Task& task, const CensusRound& round);
-  // True if no attempt can run on `worker` that the round's reports lack.
+  // True if every attempt that may run on `worker` is in the round's reports.
   bool IsAccountedFor(const std::string& worker,
                       const CensusRound& round) const;
   bool AllWorkersAccountedFor(const CensusRound& round) const;
--- a/src/libdoorwood/owner/shard_log.cpp
+++ b/src/libdoorwood/owner/shard_log.cpp
@@ -332,7 +332,7 @@
       self->snapshot_version_ = version;
       const int64_t old = self->snapshot_position_;
       self->snapshot_position_ = position;
-      self->TruncateBelow(old);
+      self->TruncateUpTo(old);
       return;
     }
     const bool read_back =
@@ -350,8 +350,10 @@
   });
 }
 
-// Removes entries that are covered by the snapshot before the newest one.
-void ShardLog::TruncateBelow(int64_t position) {
+// Removes the log entry at `position` and the `snapshot_after` entries before
+// it. `position` is that of the snapshot before the newest one, which covers
+// them all.
+void ShardLog::TruncateUpTo(int64_t position) {
   for (int64_t old = position; old > 0; --old) {
     if (position - old > options_.snapshot_after) {
       return;
--- a/src/libdoorwood/owner/shard_owner.cpp
+++ b/src/libdoorwood/owner/shard_owner.cpp
@@ -273,7 +273,9 @@
     const auto spread = static_cast<uint64_t>(backoff.count() / 2 + 1);
     backoff += Millis(static_cast<int64_t>(executor_.Random() % spread));
   }
-  Requeue(*task, backoff, "runs again after: " + std::string(ToString(end)));
+  Requeue(
+      *task, backoff,
+      "queued again; the last attempt ended as: " + std::string(ToString(end)));
 }
 
 void ShardOwner::OnEndReport(const EndReport& report,
--- a/src/libdoorwood/owner/shard_placing.cpp
+++ b/src/libdoorwood/owner/shard_placing.cpp
@@ -64,7 +64,7 @@
     return false;
   }
   if (!WithinQuota(task)) {
-    Requeue(task, options_.retry_longest, "the member's quota is used up");
+    Requeue(task, options_.retry_longest, "would exceed the workspace's quota");
     return false;
   }
   task.holder = ChooseHolder(task, &task.holder_incarnation);
