--- a/src/include/doorwood/live_directory.h
+++ b/src/include/doorwood/live_directory.h
@@ -29,8 +29,11 @@
 /// stays in the store when the instance's own key expires.
 std::string KnownInstanceKey(std::string_view instance);
 std::string LeadKey(std::string_view cell);
-/// Key that changes with each record of workers not yet contacted, so that all
-/// instances learn the age of that record.
+/// Key that the leader writes in the same transaction as a record that contains
+/// workers not yet contacted. Instances watch only the directory's keys;
+/// through this one they learn when the store reached the revision of the
+/// record. A later leader computes the record's age from that time, see
+/// LiveDirectory::TimeRevisionReached.
 std::string UncontactedWorkersKey(std::string_view cell);
 
 struct LiveInstance {
@@ -38,11 +41,12 @@
   std::string data_centre;
   /// IP address and port for calls between instances.
   std::string address;
-  /// Share of a processor that is available to the machine.
+  /// CPU share available to the instance, in processors.
   double cpu_share = 1.0;
   bool leaving = false;
-  /// See LiveDirectory::agreement_known_since.
-  int64_t agreement_known_since = 0;
+  /// See LiveDirectory::no_agreement_since. If the instance wrote 0, this is
+  /// the revision of the key that holds this record.
+  int64_t no_agreement_since = 0;
 };
 
 struct CellLead {
@@ -104,7 +108,8 @@
   Millis gone_retention{60'000};
   /// The store counts as refusing this instance but serving others if it has
   /// not answered this instance for this long, a renewal has failed, and
-  /// another instance reaches the store. This is the time of two renewals.
+  /// another instance reaches the store. Longer than `lease_renewal_interval`,
+  /// so that a renewal is due in it.
   Millis isolation_threshold{600};
   /// Another instance counts as reaching the store if the store answered it
   /// more than this long after this instance's renewals began to fail. The
@@ -140,12 +145,13 @@
   /// When the store confirmed this instance's key; empty while the key is not
   /// known to be in the store.
   std::optional<Instant> registered_since() const { return registered_since_; }
-  /// Store revision of a registration of this process. Every leader that has
-  /// read the directory up to this revision asks this process to agree before
-  /// that leader makes unrecorded starts: since then this process has neither
-  /// agreed to them nor been unregistered for so long that leaders may no
-  /// longer query it. 0: not registered yet, or it has agreed since.
-  int64_t agreement_known_since() const { return agreement_known_since_; }
+  /// Store revision of a registration of this process. Since then this process
+  /// has not agreed to unrecorded starts, and its key has not been missing for
+  /// so long that leaders may have stopped querying it. So a leader that has
+  /// read the directory up to this revision has made no unrecorded start after
+  /// that read: it would have needed this process's agreement. 0: not
+  /// registered yet, or not registered again since it agreed.
+  int64_t no_agreement_since() const { return no_agreement_since_; }
   /// Agrees to unrecorded starts for as long as this instance cannot reach the
   /// store. Returns false, without agreeing, if it can.
   bool AgreeToUnrecordedStarts();
@@ -159,9 +165,9 @@
   /// Earliest time in `revision_times_` by which the store had reached the
   /// revision; empty if none is known.
   std::optional<Instant> TimeRevisionReached(int64_t revision) const;
-  /// The newest `agreement_known_since` of all live instances; 0 if there is
+  /// The newest `no_agreement_since` of all live instances; 0 if there is
   /// none.
-  int64_t NewestAgreementRevision() const;
+  int64_t NewestNoAgreementSince() const;
   /// Epoch of the newest leader of the cell that this process knows of; 0 if
   /// there is none.
   int64_t NewestKnownEpoch(const std::string& cell) const;
@@ -270,7 +276,7 @@
   /// the request was sent.
   std::map<std::string, Instant> agreed_at_;
   bool needs_agreement_ = false;
-  int64_t agreement_known_since_ = 0;
+  int64_t no_agreement_since_ = 0;
   /// Number of times that this instance has agreed to unrecorded starts.
   uint64_t agreement_count_ = 0;
   /// When the store was last known to have this instance's key.
--- a/src/include/doorwood/membership.h
+++ b/src/include/doorwood/membership.h
@@ -88,7 +88,7 @@
   /// Entry instances to send heartbeats to: all others of this data centre, and
   /// one of each other data centre, in rotation by `round`.
   std::vector<InstanceInfo> HeartbeatTargets(uint64_t round) const;
-  /// Entry instances of a data centre without this one; those that send
+  /// Entry instances of `data_centre` other than this one; those that send
   /// heartbeats come first.
   std::vector<InstanceInfo> EntryInstancesOf(
       std::string_view data_centre) const;
--- a/src/libdoorwood/cell/cell_campaign.cpp
+++ b/src/libdoorwood/cell/cell_campaign.cpp
@@ -34,9 +34,8 @@
   int rank = 0;
   const LiveInstance& self = live_.self();
   const int64_t last_epoch = live_.NewestKnownEpoch(options_.cell);
-  const bool must_ignore_placements =
-      live_.agreement_known_since() == 0 ||
-      live_.agreement_known_since() > last_epoch;
+  const bool must_ignore_placements = live_.no_agreement_since() == 0 ||
+                                      live_.no_agreement_since() > last_epoch;
   for (const auto& [name, other] : live_.instances()) {
     if (!BelongsToCell(other.data_centre) || other.leaving ||
         name == self.name) {
@@ -45,7 +44,7 @@
     const bool stronger = other.cpu_share > self.cpu_share;
     const bool equal = other.cpu_share == self.cpu_share;
     const bool other_must_ignore_placements =
-        other.agreement_known_since > last_epoch;
+        other.no_agreement_since > last_epoch;
     const bool ranks_first =
         must_ignore_placements == other_must_ignore_placements
             ? name < self.name
@@ -272,8 +271,8 @@
   placements_valid_to_ =
       newest == nullptr ? 0 : DecodePlacementsValidTo(newest->value);
   placements_valid_at_takeover_ =
-      live_.agreement_known_since() != 0 &&
-      live_.agreement_known_since() <= placements_valid_to_;
+      live_.no_agreement_since() != 0 &&
+      live_.no_agreement_since() <= placements_valid_to_;
   if (newest == nullptr || !KeepsToTaskLists(newest->value)) {
     // A leader of an older version may have started tasks that these lists
     // exclude.
@@ -312,7 +311,7 @@
               {"chains", chains.size()},
               {"workers", known.size()},
               {"places_hold_to", placements_valid_to_},
-              {"agreeing_since", live_.agreement_known_since()}});
+              {"agreeing_since", live_.no_agreement_since()}});
   journal_.Open(epoch_, chains);
   for (const KnownWorker& worker : known) {
     WorkerIncarnation incarnation;
--- a/src/libdoorwood/cell/cell_placement_records.cpp
+++ b/src/libdoorwood/cell/cell_placement_records.cpp
@@ -86,7 +86,7 @@
 
 void CellLeader::PublishRecordedPlacements() {
   if (ArePlacementsRecorded() &&
-      live_.NewestAgreementRevision() > placements_valid_to_ &&
+      live_.NewestNoAgreementSince() > placements_valid_to_ &&
       IsLeadConfirmed()) {
     journal_.RequestCommit();
   }
--- a/src/libdoorwood/membership/live_directory.cpp
+++ b/src/libdoorwood/membership/live_directory.cpp
@@ -29,7 +29,7 @@
               {"address", instance.address},
               {"cpu_share", instance.cpu_share},
               {"leaving", instance.leaving},
-              {"agreeing_since", instance.agreement_known_since}}
+              {"agreeing_since", instance.no_agreement_since}}
       .dump();
 }
 
@@ -45,8 +45,8 @@
                           json.value("cpu_share", 1.0),
                           json.value("leaving", false),
                           ReadIntegerOr(json, "agreeing_since", 0)};
-    if (instance.agreement_known_since == 0) {
-      instance.agreement_known_since = item.revision;  // first registration
+    if (instance.no_agreement_since == 0) {
+      instance.no_agreement_since = item.revision;  // as OnRegistered sets it
     }
     if (!IsVisibleAscii(instance.address)) {
       throw FieldError("address");
@@ -168,7 +168,7 @@
 
 void LiveDirectory::Register() {
   StoreTransaction transaction;
-  self_.agreement_known_since = agreement_known_since_;
+  self_.no_agreement_since = no_agreement_since_;
   transaction.puts.push_back(
       {InstanceKey(self_.name), EncodeInstance(self_), *lease_});
   transaction.puts.push_back(
@@ -195,14 +195,15 @@
 }
 
 // Leaders no longer ask an instance to agree once its key has been missing for
-// `gone_retention`. After such an absence, `agreement_known_since_` is set to
-// the revision of the new registration.
+// `gone_retention`. If this instance was not registered for more than that time
+// divided by `kGoneRetentionDivisor`, leaders may have made unrecorded starts
+// without asking it, so `no_agreement_since_` restarts at this registration.
 void LiveDirectory::OnRegistered(int64_t revision) {
   const Instant now = executor_.Now();
   const bool was_unregistered_for_long =
       now - registered_at_ > options_.gone_retention / kGoneRetentionDivisor;
-  if (agreement_known_since_ == 0 || was_unregistered_for_long) {
-    agreement_known_since_ = revision;
+  if (no_agreement_since_ == 0 || was_unregistered_for_long) {
+    no_agreement_since_ = revision;
   }
   registered_at_ = now;
   if (!registered_since_) {
@@ -216,15 +217,15 @@
     return false;
   }
   ++agreement_count_;
-  agreement_known_since_ = 0;
+  no_agreement_since_ = 0;
   registered_since_.reset();  // registers again once the store answers
   return true;
 }
 
-int64_t LiveDirectory::NewestAgreementRevision() const {
+int64_t LiveDirectory::NewestNoAgreementSince() const {
   int64_t newest = 0;
   for (const auto& [name, instance] : instances_) {
-    newest = std::max(newest, instance.agreement_known_since);
+    newest = std::max(newest, instance.no_agreement_since);
   }
   return newest;
 }
--- a/src/libdoorwood/membership/live_outage.cpp
+++ b/src/libdoorwood/membership/live_outage.cpp
@@ -94,8 +94,9 @@
   }
 }
 
-// Removes the `KnownInstanceKey` of one instance that is permanently gone. Only
-// an instance that leads a cell does this.
+// Tries to remove the `KnownInstanceKey` of one instance whose own key has been
+// missing for longer than `gone_retention`. Only an instance that leads a cell
+// and reaches the store does this.
 void LiveDirectory::RemoveOneStaleKnownInstanceKey() {
   std::erase_if(missing_instances_, [this](const auto& entry) {
     return !MayReturn(entry.second) && !known_instances_.contains(entry.first);
@@ -121,7 +122,7 @@
                                                        const StoreCommit&) {
     known_instance_removal_pending_ = false;
     log_.Write("info", "live",
-               "removed the record of a permanently gone instance",
+               "tried to remove the record of a permanently missing instance",
                {{"instance", name}, {"forgotten", !error}});
     if (!error) {
       known_instances_.erase(name);
