--- a/src/doorwood/client.cpp
+++ b/src/doorwood/client.cpp
@@ -111,8 +111,8 @@
   const HostPort target = ParseHostPort(connection.address);
   if (target.port == 0) {
     PrintError("'" + connection.address +
-               "' is not an address; write an IP number and port, as "
-               "127.0.0.1:7300");
+               "' is not an address; write an IP number and port, for "
+               "example 127.0.0.1:7300");
     return {kUsage, {}};
   }
   httplib::Client client(target.host, target.port);
--- a/src/include/doorwood/entry_settings.h
+++ b/src/include/doorwood/entry_settings.h
@@ -45,7 +45,8 @@
   std::string machine_service_address;
   std::string log_level = "info";
   CellScope cell_scope = CellScope::kEverywhere;
-  /// CPU share of the machine, in processors.
+  /// CPU share available to this entry instance, in processors. Instances with
+  /// a larger share campaign for a cell's lead earlier.
   double cpu_share = 1.0;
   /// Time between the request to stop and forced termination.
   Millis shutdown_grace{6000};
--- a/src/include/doorwood/settings.h
+++ b/src/include/doorwood/settings.h
@@ -36,11 +36,12 @@
   int64_t max_body_bytes = 8 * 1024 * 1024;
   /// Maximum number of calls to the key-value service per second.
   int kv_calls = 50;
-  /// Maximum duration of a planned shutdown. After it the process stops without
-  /// waiting for work that is still unfinished.
+  /// Maximum time, from the start of a planned shutdown, to wait until all
+  /// workers and shards are released. `shutdown_grace` follows.
   Millis shutdown_timeout{20000};
-  /// Time for which requests are still accepted after a planned shutdown began,
-  /// until the load balancer has detected that this instance is not ready.
+  /// Time for which requests are still accepted after the workers and shards
+  /// are released or `shutdown_timeout` has elapsed, so that the load balancer
+  /// can detect that this instance is not ready.
   Millis shutdown_grace{1000};
   int shard_count = 8;
   Millis heartbeat_interval{500};
--- a/src/libdoorwood/config/settings.cpp
+++ b/src/libdoorwood/config/settings.cpp
@@ -43,7 +43,8 @@
   reader->Require(key);
   reader->Read(key, out);
   if (!out->empty() && !IsAddress(*out)) {
-    reader->AddProblem(key, "must be an IP number and port, as 127.0.0.1:7300");
+    reader->AddProblem(
+        key, "must be an IP number and port, for example 127.0.0.1:7300");
   }
 }
 
@@ -85,9 +86,10 @@
   reader->Read("drift_ms", kShortMillis, &settings->drift);
   if (settings->renew_interval * 2 + settings->drift >
       settings->control_lease) {
-    reader->AddProblem("renew_interval_ms",
-                       "must leave room for two renewals and the drift in "
-                       "control_lease_ms");
+    reader->AddProblem(
+        "renew_interval_ms",
+        "is too long: twice renew_interval_ms plus drift_ms must "
+        "not exceed control_lease_ms");
   }
   if (settings->task_lease < settings->control_lease * 2) {
     reader->AddProblem("task_lease_ms",
