--- a/src/include/doorwood/instance.h
+++ b/src/include/doorwood/instance.h
@@ -176,7 +176,10 @@
   void MarkAllShardsUnverified();
   void VerifyShard(const ShardId& shard);
   ShardOwner* ActiveOwner(const ShardId& shard);
-  std::string OwnerOf(const ShardId& shard) const;
+  // Returns the peer whose heartbeats report the shard as owned with the
+  // highest epoch; empty if there is none, also when this instance owns the
+  // shard.
+  std::string FindOwningPeer(const ShardId& shard) const;
 
   // Attempt ends that are reported to the shards' owners.
   void SendEnds(const ShardId& shard);
@@ -220,8 +223,9 @@
                          const OperatorCall& call,
                          OperatorDone done);
   /// Forwards the call to the peers of this data centre whose heartbeats are
-  /// received. Answers with `own`, a JSON list, and the rows of all replies in
-  /// one list, and names the instances that did not reply.
+  /// received; a call that was itself forwarded goes no further. Answers with
+  /// `own`, a JSON list, and the rows of all replies in one list, and names the
+  /// instances that did not reply.
   void GatherFromPeers(const OperatorCall& call, Json own, OperatorDone done);
 
   InstanceOptions options_;
@@ -252,9 +256,9 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-/// Returns the index of the shard for a workspace's jobs or for an idempotency
-/// key.
-uint32_t ShardOfMember(std::string_view member, uint32_t shard_count);
+/// Returns the index of the shard that keeps the jobs of a workspace or an
+/// idempotency key; `key` is the workspace's name or the idempotency key.
+uint32_t ShardIndexOf(std::string_view key, uint32_t shard_count);
 
 }  // namespace doorwood
 
--- a/src/libdoorwood/instance/instance.cpp
+++ b/src/libdoorwood/instance/instance.cpp
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-uint32_t ShardOfMember(std::string_view member, uint32_t shard_count) {
-  return XXH3_64bits(member.data(), member.size()) % shard_count;
+uint32_t ShardIndexOf(std::string_view key, uint32_t shard_count) {
+  return XXH3_64bits(key.data(), key.size()) % shard_count;
 }
 
 // --- Start and planned shutdown ---
@@ -399,7 +399,7 @@
     return;
   }
   const std::string owner =
-      ActiveOwner(shard) != nullptr ? options_.self.id : OwnerOf(shard);
+      ActiveOwner(shard) != nullptr ? options_.self.id : FindOwningPeer(shard);
   if (owner.empty()) {
     return;
   }
@@ -552,7 +552,8 @@
 // --- Request routing ---
 
 void Instance::OnConfigChanged() {
-  log_.Write("info", "config", "new configuration in force",
+  log_.Write("info", "config",
+             "new configuration or set of drained workers in force",
              {{"revision", config_->revision()}});
   routes_.OnConfiguration(config_->shared_configuration());
   holder_.SetDrainedWorkers(config_->drained());
--- a/src/libdoorwood/instance/instance_operator.cpp
+++ b/src/libdoorwood/instance/instance_operator.cpp
@@ -172,7 +172,7 @@
     job->home = options_.self.data_centre;
   }
   const ShardId shard{job->home,
-                      ShardOfMember(job->member, options_.shard_count)};
+                      ShardIndexOf(job->member, options_.shard_count)};
   job->id = shard.data_centre + "." + std::to_string(shard.index) + "." + token;
   ForwardToOwner(shard, {call.method, Json{{"job", *job}}.dump(), call.hops},
                  done);
@@ -194,7 +194,7 @@
                              OperatorDone done) {
   const std::string key = body.value("key", "");
   ForwardToOwner(
-      {options_.self.data_centre, ShardOfMember(key, options_.shard_count)},
+      {options_.self.data_centre, ShardIndexOf(key, options_.shard_count)},
       call, done);
 }
 
@@ -384,7 +384,7 @@
     AnswerAsOwner(*owner, call, Json::parse(call.body), done);
     return;
   }
-  const std::string owner = OwnerOf(shard);
+  const std::string owner = FindOwningPeer(shard);
   if (owner.empty()) {
     done(MakeErrorReply(CoreErrc::kNoOwner));
     return;
--- a/src/libdoorwood/instance/instance_shards.cpp
+++ b/src/libdoorwood/instance/instance_shards.cpp
@@ -19,7 +19,7 @@
   const bool backing_off = now < next_open_attempt_[shard];
   // A shard whose current owner sends heartbeats is opened only after that
   // owner has handed it over.
-  if (backing_off || !registered_ || !OwnerOf(shard).empty()) {
+  if (backing_off || !registered_ || !FindOwningPeer(shard).empty()) {
     return;
   }
   next_open_attempt_[shard] = now + kOpenRetry;
@@ -131,9 +131,7 @@
   return active ? ownership->second.owner.get() : nullptr;
 }
 
-// Returns the peer whose heartbeats report the shard as owned with the highest
-// epoch, or an empty string if there is none.
-std::string Instance::OwnerOf(const ShardId& shard) const {
+std::string Instance::FindOwningPeer(const ShardId& shard) const {
   std::string best;
   uint64_t best_epoch = 0;
   for (const auto& [id, peer] : membership_.peers()) {
