--- a/src/celld/entry_daemon.cpp
+++ b/src/celld/entry_daemon.cpp
@@ -278,7 +278,7 @@
       {"doorwood_connects_total", client_.connect_attempts()},
       {"doorwood_log_lines_dropped_total", DroppedLogLines()},
       {"doorwood_entries_refused",
-       directory_.rejected_entries().remembered_count()},
+       directory_.rejected_entries().distinct_rejection_count()},
       {"doorwood_entries_refused_total",
        directory_.rejected_entries().rejection_count()},
       {"doorwood_leading", cell_.leading() ? 1U : 0U},
--- a/src/include/doorwood/error.h
+++ b/src/include/doorwood/error.h
@@ -28,7 +28,8 @@
   kCompacted,
 };
 
-/// Errors of the worker interface.
+/// Errors of WorkerControl, the interface to workers that grant a control lease
+/// with an epoch.
 enum class WorkerErrc {
   /// No answer; the order may or may not have been received.
   kUnreachable = 1,
--- a/src/include/doorwood/rejected_entry_log.h
+++ b/src/include/doorwood/rejected_entry_log.h
@@ -20,7 +20,7 @@
 class RejectedEntryLog {
  public:
   /// Maximum number of different pairs of entry and reason that are logged.
-  static constexpr size_t kMaxRemembered = 256;
+  static constexpr size_t kMaxDistinctRejections = 256;
 
   /// `component` is the log component of the list's reader.
   RejectedEntryLog(EventLog& log, std::string component)
@@ -30,8 +30,9 @@
   /// new.
   void Record(const std::string& id, std::string_view reason);
 
-  /// Number of different pairs of entry and reason, up to `kMaxRemembered`.
-  size_t remembered_count() const { return logged_entries_.size(); }
+  /// Number of different pairs of entry and reason, up to
+  /// `kMaxDistinctRejections`.
+  size_t distinct_rejection_count() const { return logged_entries_.size(); }
   /// Total number of rejections; an entry is counted again each time it is
   /// read.
   uint64_t rejection_count() const { return rejection_count_; }
--- a/src/include/doorwood/types.h
+++ b/src/include/doorwood/types.h
@@ -112,7 +112,8 @@
   /// owner.
   std::string id;
   std::string member;
-  /// The data centre whose owner schedules the job.
+  /// Data centre in which the job runs; the owner of its shard there schedules
+  /// it. Empty in a submitted job: that of the instance that receives it.
   std::string home;
   std::vector<TaskSpec> tasks;
 };
@@ -128,7 +129,8 @@
 /// "JOB/TASK"
 std::string ToString(const TaskId& task);
 
-/// How an attempt ended, as reported by the worker that ran it.
+/// How an attempt ended, as reported by its worker or concluded by the worker's
+/// holder or the shard's owner.
 enum class AttemptEnd {
   /// Exited with code 0.
   kSucceeded,
--- a/src/libdoorwood/base/json_codec.cpp
+++ b/src/libdoorwood/base/json_codec.cpp
@@ -38,9 +38,10 @@
   return false;
 }
 
+// Returns 0, the first name, for an unknown name.
 template <size_t kSize>
-size_t IndexOf(const std::array<std::string_view, kSize>& names,
-               std::string_view name) {
+size_t IndexOrZero(const std::array<std::string_view, kSize>& names,
+                   std::string_view name) {
   for (size_t i = 0; i < kSize; ++i) {
     if (names[i] == name) {
       return i;
@@ -175,7 +176,7 @@
 void from_json(const Json& json, InstanceInfo& value) {
   ReadIfPresent(json, "id", &value.id);
   const std::string role = json.value("role", "worker");
-  value.role = static_cast<InstanceRole>(IndexOf(kRoles, role));
+  value.role = static_cast<InstanceRole>(IndexOrZero(kRoles, role));
   ReadIfPresent(json, "data_centre", &value.data_centre);
   ReadIfPresent(json, "rack", &value.rack);
   ReadIfPresent(json, "address", &value.address);
@@ -244,7 +245,7 @@
 
 void from_json(const Json& json, WorkerOrder& value) {
   const std::string order = json.value("order", "");
-  value.kind = static_cast<OrderKind>(IndexOf(kOrders, order));
+  value.kind = static_cast<OrderKind>(IndexOrZero(kOrders, order));
   ReadIfPresent(json, "shard", &value.shard);
   ReadIfPresent(json, "attempt", &value.attempt);
   ReadIfPresent(json, "task", &value.task);
--- a/src/libdoorwood/base/rejected_entry_log.cpp
+++ b/src/libdoorwood/base/rejected_entry_log.cpp
@@ -10,7 +10,7 @@
   if (logged_entries_.contains(pair)) {
     return;
   }
-  if (logged_entries_.size() < kMaxRemembered) {
+  if (logged_entries_.size() < kMaxDistinctRejections) {
     logged_entries_.insert(std::move(pair));
     log_.Write("warn", component_, "rejected a directory entry",
                {{"id", id}, {"reason", reason}});
@@ -20,7 +20,7 @@
     limit_logged_ = true;
     log_.Write("warn", component_,
                "further rejected directory entries are not logged",
-               {{"told", kMaxRemembered}});
+               {{"told", kMaxDistinctRejections}});
   }
 }
 
