--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -459,10 +459,12 @@
 
   // cell_crashes.cpp: worker crashes, and the crash notes of tasks.
   static std::string MachineOf(const WorkerIncarnation& incarnation);
-  /// Evidence that the worker crashed. Empty: it did not, or its machine was to
-  /// be taken down.
+  /// Evidence that the worker crashed. Empty: there is none, or its machine may
+  /// be down for maintenance.
   std::optional<CrashEvidence> DetectCrash(const WorkerSession& session) const;
-  /// Runs of open jobs that had started on the worker.
+  /// Runs of open jobs that may have begun on the worker: those that it has
+  /// confirmed and, if the session is dead, also those whose start order was
+  /// sent.
   std::vector<const Run*> RunsAtCrash(const WorkerSession& session);
   /// Notes for the runs there that may have caused the crash, and for
   /// bystanders.
@@ -503,26 +505,33 @@
   int ChooseTrialWorker(const Task& task,
                         const StepCandidates& places,
                         const std::vector<CandidateWorker*>& candidates) const;
-  /// Whether an earlier leader may have started the task after the last crash
-  /// that it recorded.
+  /// Whether the recorded task is a suspect that is not done, and its last
+  /// crash note is not an unconfirmed one: an earlier leader may then have
+  /// started the task after the last crash that it recorded.
   static bool MayHaveUnconfirmedCrash(const Task& task);
   /// Notes an unconfirmed crash if an earlier leader may have started the task
   /// after the last crash that it recorded. Returns false if there is none to
   /// note.
   bool NoteUnconfirmedCrash(Task* task);
-  /// Records that the task's next trial run is on this worker. Returns false if
-  /// the start has to wait for the record.
+  /// Records that the task's next trial run is on this worker, if the task has
+  /// at least two crash notes. Returns false if the start has to wait for the
+  /// record.
   bool RecordTrial(Task* task, const WorkerIncarnation& incarnation);
-  /// Index of the worker where the suspect may be started now; empty: it has to
-  /// wait. `candidates` are the workers that `places` evaluates.
-  std::optional<int> PlaceSuspect(
+  /// Returns the index of the worker where the suspect may be started now;
+  /// empty: it has to wait. `candidates` are the workers that `places`
+  /// evaluates. If the suspect has no reserved worker, reserves one, closes it
+  /// to other work and schedules a poll of it. Ends the reservation if the
+  /// reserved worker may no longer get work. First notes, and then waits for
+  /// the record of, an unconfirmed crash (see `NoteUnconfirmedCrash`).
+  std::optional<int> ReserveTrialPlace(
       const ReadyStep& ready,
       Task* task,
       const TaskRequirements& need,
       const std::vector<CandidateWorker*>& candidates,
       StepCandidates* places);
   /// Closes workers with new runs to a gang that has a suspect task. Returns
-  /// false if the gang has to wait.
+  /// false, and closes none, if the gang has to wait for the record of an
+  /// unconfirmed crash or for a free trial slot.
   bool CloseWorkersWithNewRuns(std::vector<Task>* gang,
                                std::vector<CandidateWorker>* candidates);
   void BeginTrial(const Task& task,
@@ -531,15 +540,17 @@
   /// `active_for`.
   void ScheduleTrialPoll(const std::shared_ptr<WorkerSession>& session,
                          Millis active_for);
-  /// Ends trials whose task has ended, and notes which suspects were observed
-  /// running for long enough.
+  /// Ends trials that have expired, or whose task is done, job has ended, or
+  /// worker or run is gone. Marks the trials of suspects that were observed
+  /// running for long enough as passed, and later clears their crash notes.
   void UpdateTrials();
   void ClearCrashes(Task* task);
   void OnCrashesRecorded(Job* job);
 
   // cell_placement_records.cpp: recorded placements of long-running tasks.
   /// Requests a record that the long-running task may run on the worker.
-  /// Returns false if the start has to be deferred until it is stored.
+  /// Returns false if the start has to be deferred until it is stored or all
+  /// other instances agree to unrecorded starts.
   bool RequestPlacementRecord(Task* task, const std::string& worker);
   /// Requests a record that the long-running task, whose run is already active
   /// on the worker, may run there.
@@ -548,10 +559,10 @@
   /// recorded: no instance can reach the store, and all of them agreed.
   bool MayStartUnrecorded() const;
   /// Sends the deferred starts whose placement is recorded or need not be, and
-  /// drops those whose worker no longer accepts orders.
+  /// drops those that may no longer be ordered or whose task or worker is gone.
   void SendDeferredStarts();
-  /// Whether a deferred start may still be ordered on the worker: nothing has
-  /// closed the worker since it was chosen.
+  /// Whether a deferred start may still be ordered on the worker: this leader
+  /// may send orders, and nothing has closed the worker since it was chosen.
   bool MaySendDeferredStart(const CellWorker& cell_worker) const;
   /// Whether, as far as this leader can know, the store has the placement of
   /// every long-running task.
@@ -574,7 +585,7 @@
   void RunSchedulingPass();
   std::vector<ReadyStep> CollectReadySteps();
   void SortReadySteps(std::vector<ReadyStep>* ready) const;
-  /// Sets when tasks that are ready for the first time became ready.
+  /// Sets `Task::ready_since` for those tasks of the steps that have none yet.
   void RecordReadySince(const std::vector<ReadyStep>& ready);
   /// Brings the free capacity of all workers up to date and returns it.
   std::vector<CandidateWorker*> CollectCandidates();
@@ -616,14 +627,14 @@
                  CandidateWorker* candidate,
                  const std::string& ticket);
   /// Returns a copy of `candidates` in which workers without a ticket for the
-  /// step are closed, and requests the missing tickets.
+  /// step are closed, and requests tickets for those that were open.
   std::vector<CandidateWorker> CandidatesWithTickets(
       const ReadyStep& ready,
       const std::vector<CandidateWorker*>& candidates);
   /// Sets the paces of the worker's best-effort runs after a report.
   void UpdatePaces(WorkerSession& session);
-  /// Stops best-effort runs that were throttled for long, so that they continue
-  /// from their checkpoints on other workers.
+  /// Stops best-effort runs with checkpoints, except long-running ones, that
+  /// were throttled for long, so that they continue on other workers.
   void MoveStuckBestEffortRuns(WorkerSession& session);
   /// Utilization of each serving task on the worker, including the interference
   /// of best-effort runs.
@@ -656,8 +667,9 @@
   const CellOptions options_;
 
   Stage stage_ = Stage::kStandby;
-  /// Increases with each change of stage. Answers to calls of an earlier
-  /// generation are dropped.
+  /// Increases with each campaign, each read of the records, and each begin and
+  /// end of a term as leader. Answers to calls of an earlier generation are
+  /// dropped.
   uint64_t generation_ = 0;
   int64_t epoch_ = 0;
   /// Written with the lead key, to recognize a win whose answer was lost. Drawn
--- a/src/libdoorwood/cell/cell_scheduling.cpp
+++ b/src/libdoorwood/cell/cell_scheduling.cpp
@@ -216,8 +216,9 @@
     }
     const bool suspect = IsSuspect(task);
     const auto trial_place =
-        suspect ? PlaceSuspect(ready, &task, need, usable_candidates, &places)
-                : std::nullopt;
+        suspect
+            ? ReserveTrialPlace(ready, &task, need, usable_candidates, &places)
+            : std::nullopt;
     if (suspect && !trial_place) {
       continue;
     }
--- a/src/libdoorwood/cell/cell_suspects.cpp
+++ b/src/libdoorwood/cell/cell_suspects.cpp
@@ -16,8 +16,8 @@
 // Weight of a long-running task, relative to any other run, in the cost of
 // losing the worker on which a suspect is tried.
 constexpr int kLongRunningWeight = 10;
-// Added to the time for which a run has to be active before the worker is
-// polled to observe it.
+// Margin of the additional poll of a trial after the time for which a run has
+// to be active, so that the answer shows the run active for long enough.
 constexpr Millis kTrialCheckDelay{30};
 // From this many noted crashes on, a trial run is recorded before it begins, in
 // case the leader fails together with the worker.
@@ -38,7 +38,8 @@
                      });
 }
 
-// The cost of a crash of the worker, in runs that would be lost.
+// The cost of a crash of the worker: the number of runs that would be lost,
+// with a long-running one counted kLongRunningWeight times.
 int CellLeader::CrashCost(const WorkerSession& session) {
   int cost = 0;
   for (const auto& [name, run] : session.runs()) {
@@ -108,9 +109,10 @@
   return true;
 }
 
-// Reserves a worker first, and allows the start once no other run on that
-// worker is new: the cause of the next crash is then known.
-std::optional<int> CellLeader::PlaceSuspect(
+// Reserves a worker first, and allows the start once the task fits there, no
+// other run on that worker is new, and the trial is recorded where required:
+// the cause of the next crash is then known.
+std::optional<int> CellLeader::ReserveTrialPlace(
     const ReadyStep& ready,
     Task* task,
     const TaskRequirements& need,
