--- a/src/include/doorwood/cell_journal.h
+++ b/src/include/doorwood/cell_journal.h
@@ -263,7 +263,8 @@
   const std::string cell_;
 
   bool open_ = false;
-  /// Increases with each opening, so that answers to earlier ones are dropped.
+  /// Increases with each `Open` and `Close`; answers to earlier batches are
+  /// dropped.
   uint64_t generation_ = 0;
   int64_t lead_revision_ = 0;
   std::vector<Lane> lanes_;
@@ -273,8 +274,8 @@
   bool workers_changed_ = false;
   /// A batch in flight carries the workers.
   bool workers_in_flight_ = false;
-  /// The next batch is sent even if it is empty, to find out whether the store
-  /// accepts batches again.
+  /// The next batch is sent even if it is empty: to find out whether the store
+  /// accepts batches again, or after `RequestCommit`.
   bool force_commit_ = false;
   std::deque<PendingAccept> accepts_;
   /// Jobs whose state is to be recorded, and the order in which they changed.
@@ -289,7 +290,8 @@
   std::set<std::string> in_flight_jobs_;
   std::set<std::string> to_remove_;
   std::optional<EndsToRecord> ends_;
-  /// According to its newest answer the store does not accept batches.
+  /// The store has refused a batch or did not answer it, and has neither
+  /// accepted one nor reported a conflict since.
   bool store_unavailable_ = false;
   Instant last_success_{};
   uint64_t commits_ = 0;
--- a/src/include/doorwood/cell_options.h
+++ b/src/include/doorwood/cell_options.h
@@ -42,8 +42,8 @@
   /// Delay of a campaign after the instance has registered, so that it sees the
   /// keys of instances that registered at the same time. Machines start within
   /// 0.3 s of each other. Without the delay an instance on a weak machine can
-  /// win: while one with 0.12 processors led 540 workers, instead of one with
-  /// 0.5, the total value for callers was halved.
+  /// win: while one with 0.12 processors led 540 workers, callers got half as
+  /// many results as while one with 0.5 led.
   Millis campaign_registration_delay{300};
   /// Delay before the next attempt after a failed campaign, a failed read of
   /// the records, or a step-down.
--- a/src/include/doorwood/ticket_book.h
+++ b/src/include/doorwood/ticket_book.h
@@ -61,7 +61,7 @@
 class TicketBook {
  public:
   /// `adviser` may be null: then nothing is ever permitted. `on_change` runs
-  /// after tickets were received.
+  /// after the adviser has answered a request, also if it permits nothing.
   TicketBook(Executor& executor,
              Adviser* adviser,
              EventLog& log,
--- a/src/include/doorwood/worker_session.h
+++ b/src/include/doorwood/worker_session.h
@@ -25,7 +25,7 @@
 namespace doorwood {
 
 enum class RunPhase {
-  /// The start order was sent and is not answered yet.
+  /// The start order was sent and is not answered yet, or is still deferred.
   kStarting,
   /// The start order got no answer, so the worker may carry it out now or
   /// later; or it was refused as too old, so the run may already have ended.
@@ -47,7 +47,8 @@
   /// Times at which the start was ordered and the worker confirmed the run.
   Instant ordered{};
   Instant confirmed{};
-  /// The worker has confirmed the stop and refuses this run from now on.
+  /// The worker has confirmed the stop, or has refused the start as too old. It
+  /// refuses this run from now on.
   bool stop_confirmed = false;
   Instant stop_confirmed_at{};
   bool stop_in_flight = false;
@@ -72,9 +73,10 @@
   /// For a serving task: its own load without best-effort work on the same
   /// worker; negative: not known yet.
   double load = -1;
-  /// Mean of the most recent measurements; negative: none yet.
+  /// Moving average of a serving task's measurements; negative: none yet.
   double mean_measurement = -1;
-  /// Time since which the mean exceeds the target; zero: it does not.
+  /// Time since which `mean_measurement` has been at or above
+  /// `PolicyOptions::over_target_tail_share` of the target; zero: it is below.
   Instant above_target_since{};
   std::string checkpoint;
   /// Share of its full speed, in percent, that the run may use: as wanted, and
@@ -107,9 +109,9 @@
   /// platform's longest run lease; see docs/CONFIGURATION.md.
   Millis run_lease{6000};
   /// Longest wait of a poll that watches interference between tasks, in a small
-  /// cell. Simulations of a day with little load, without a charge for
-  /// processors, gave results of 0.677 and 0.658 (two deployments, 5 and 3
-  /// seeds) at 500 ms, and better ones of 0.712 and 0.666 at 250 ms.
+  /// cell. Simulations of a day with little load in two deployments (5 and 3
+  /// seeds) scored 0.677 and 0.658 at 500 ms, and 0.712 and 0.666 at 250 ms, in
+  /// the users' benchmark without its charge for processors; higher is better.
   Millis short_poll_wait{250};
   /// Longest wait of any other poll.
   Millis long_poll_wait{1200};
@@ -271,7 +273,8 @@
   bool last_poll_failed() const { return last_poll_failed_; }
   /// When the latest order was sent that may have extended a lease there. The
   /// first answer to a poll counts as such an order, since an earlier leader
-  /// may have extended leases until then. Zero: none was sent.
+  /// may have extended leases until then, and so does a deferred start. Zero:
+  /// none was sent.
   Instant last_lease_order_at() const { return last_lease_order_at_; }
   /// When the worker began to respond again after being unresponsive; zero: it
   /// never was.
@@ -328,8 +331,7 @@
   void OnNextAddressResponse(const std::string& address, std::error_code error);
   void NoteOtherIncarnation(const std::string& address);
   /// Interprets the answer to a call to `address`. An answer of another
-  /// incarnation is treated as no answer if this incarnation has not answered
-  /// at that address before.
+  /// incarnation is treated as no answer unless `address` is `answered_at_`.
   std::error_code ClassifyResponse(const std::string& address,
                                    std::error_code error);
   void RecordClock(int64_t clock);
@@ -358,8 +360,9 @@
   const WorkerSessionOptions options_;
   WorkerIncarnation incarnation_;
   const uint64_t token_;
-  /// Address at which this incarnation has answered. If empty, it has answered
-  /// nowhere yet, and `incarnation_` has the address to call.
+  /// Newest address at which this incarnation has answered this leader, or an
+  /// earlier one according to its record. If empty, there is none, and
+  /// `incarnation_` has the address to call.
   std::optional<std::string> answered_at_;
   std::optional<NextAddress> next_address_;
   /// Another incarnation answers at the address of this one, which has never
--- a/src/libdoorwood/cell/cell_campaign.cpp
+++ b/src/libdoorwood/cell/cell_campaign.cpp
@@ -11,8 +11,8 @@
 namespace doorwood {
 namespace {
 
-// Run numbers after a takeover start this far above the highest known one, so
-// that they differ from those of runs that were never recorded.
+// Run numbers after a takeover exceed a task's recorded one by more than this,
+// so that they differ from those of runs that were never recorded.
 constexpr uint32_t kRunNumberGap = 16;
 
 }  // namespace
@@ -30,7 +30,7 @@
 
 Instant CellLeader::EarliestCampaignTime() const {
   // Instances on stronger machines come first; among equally strong ones, those
-  // that may rely on recorded placements; among these, by name.
+  // that may rely on recorded placements; among otherwise equal ones, by name.
   int rank = 0;
   const LiveInstance& self = live_.self();
   const int64_t last_epoch = live_.NewestKnownEpoch(options_.cell);
@@ -84,9 +84,9 @@
   ScheduleCampaign();
 }
 
-// The delay counts from when the lead became vacant. If it counted while
-// another instance led, this instance could campaign before stronger ones at
-// the next vacancy.
+// The delay for the rank counts from when this instance may campaign for the
+// vacant lead. If it counted while another instance led, this instance could
+// campaign before stronger ones at the next vacancy.
 void CellLeader::ScheduleCampaign() {
   if (campaign_timer_ != 0) {
     executor_.Cancel(campaign_timer_);
@@ -103,8 +103,7 @@
   }
   const Millis left = std::chrono::ceil<Millis>(EarliestCampaignTime() - now);
   if (first) {
-    log_.Write("info", "cell",
-               "no leader; campaigning after the delay for this rank",
+    log_.Write("info", "cell", "no leader; campaigning after a delay",
                {{"cell", options_.cell},
                 {"delay_ms", left.count()},
                 {"instances", live_.instances().size()}});
--- a/src/libdoorwood/cell/cell_campaign_test.cpp
+++ b/src/libdoorwood/cell/cell_campaign_test.cpp
@@ -11,7 +11,7 @@
 
 // A large site with a few strong and many weak machines. The weak ones campaign
 // only seconds after the lead becomes vacant. While a weak machine leads all
-// workers, callers get only half as many results.
+// workers, callers get half as many results as while a strong one leads.
 struct LargeSiteFixture {
   explicit LargeSiteFixture(int seed) : world(seed) {
     world.SetTable({fakes::MakeQueue("queue", 3)});
--- a/src/libdoorwood/cell/cell_crashes.cpp
+++ b/src/libdoorwood/cell/cell_crashes.cpp
@@ -11,8 +11,9 @@
 namespace doorwood {
 namespace {
 
-// A worker that disappears this soon after it was evacuated is assumed to be
-// down for its machine's maintenance, not crashed.
+// A worker that disappears before this much time has passed since
+// `CellWorker::evacuated_until` is assumed to be down for its machine's
+// maintenance, not crashed.
 constexpr Millis kUpkeepStartWindow{10'000};
 // A missing entry proves that a worker is gone only if the list of workers is
 // no older than this.
@@ -122,8 +123,9 @@
 }
 
 // A crash is proved only once another incarnation of the worker answers. The
-// leader may fail before that, so it records for its successor which runs were
-// new on the worker.
+// leader may fail before that, so it records for its successor which tasks
+// would be suspects of that crash. A trial run that is already recorded needs
+// no second note.
 void CellLeader::OnPollFailed(WorkerSession& session) {
   if (session.incarnation().draining) {
     return;
@@ -191,8 +193,9 @@
 
 // The previous leader failed before it could record the crash, so it is not
 // known what ran on the worker. Every task that may have run there is noted as
-// a bystander; two such notes make it a suspect. A task is noted once for each
-// takeover, because each note refers to the task's newest run.
+// a bystander; two such notes make it a suspect. A task gets at most one such
+// note per takeover, because the note refers to the task's newest run, and a
+// task has one note per run.
 void CellLeader::NoteCrashOfUncontactedWorker(const std::string& worker,
                                               const CellWorker& cell_worker) {
   if (!cell_worker.from_takeover || cell_worker.session->fenced()) {
--- a/src/libdoorwood/cell/cell_journal_build.cpp
+++ b/src/libdoorwood/cell/cell_journal_build.cpp
@@ -10,13 +10,13 @@
 namespace doorwood {
 namespace {
 
-// Jobs whose keys are removed in one batch; three keys each.
+// Maximum number of jobs whose keys are removed in one batch; three keys each.
 constexpr size_t kRemovalsPerBatch = 4;
 // Entries needed to accept one job: one expectation, two puts.
 constexpr size_t kEntriesPerAccept = 3;
 constexpr size_t kEntriesPerRemoval = 3;
-// Entries of a batch that new jobs leave free for pending states, so that ends
-// are recorded even while many jobs arrive.
+// Maximum number of entries of a batch that new jobs leave free for pending
+// states, so that ends are recorded even while many jobs arrive.
 constexpr size_t kEntriesReservedForStates = 8;
 
 }  // namespace
--- a/src/libdoorwood/cell/cell_overdue.cpp
+++ b/src/libdoorwood/cell/cell_overdue.cpp
@@ -10,8 +10,8 @@
 namespace doorwood {
 namespace {
 
-// Interval between searches for such runs, and minimum interval between two log
-// lines about the same run.
+// Minimum interval between searches for overdue runs, and between two log lines
+// about the same run.
 constexpr Millis kSearchInterval{1000};
 constexpr Millis kLogInterval{5000};
 // A run is overdue after this multiple of its expected run time, and at least
--- a/src/libdoorwood/cell/cell_pacing.cpp
+++ b/src/libdoorwood/cell/cell_pacing.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Best-effort work next to latency-critical services: collects the inputs for
-// policy/ and sends the paces that it decides on.
+// policy/, sends the paces that it decides on, and moves runs that stay
+// throttled.
 
 #include <algorithm>
 #include <utility>
@@ -11,12 +12,13 @@
 namespace doorwood {
 namespace {
 
-// Age at which a run's measurements are certain to cover its load: a worker's
+// Age from which a run's measurements are taken to cover its load: a worker's
 // measurements cover the last half second, and the report itself may be that
 // old.
 constexpr Millis kMeasurementDelay{900};
-// Best-effort work with checkpoints that has been throttled to kStuckPace or
-// less for longer than kStuckDuration is moved to another worker.
+// Best-effort work with checkpoints is moved to another worker if its wanted
+// pace is at most kStuckPace and it has been below its full speed, at any pace,
+// for longer than kStuckDuration.
 constexpr int kStuckPace = 20;
 constexpr Millis kStuckDuration{900};
 constexpr double kMillisPerCore = 1000.0;
@@ -24,8 +26,8 @@
 constexpr double kNewestMeasurementWeight = 0.5;
 
 // Adds the reported measurement to the run's moving average. Returns for how
-// long the average has been at or above `over_target_tail_share` times the
-// target.
+// long the average has been at or above `over_target_share` times the target;
+// zero: it is below.
 Millis UpdateTimeOverTarget(Run* run, Instant now, double over_target_share) {
   const auto measurement = static_cast<double>(run->measurement);
   run->mean_measurement =
--- a/src/libdoorwood/cell/cell_placement_records.cpp
+++ b/src/libdoorwood/cell/cell_placement_records.cpp
@@ -2,7 +2,8 @@
 
 // Records on which worker a long-running task may run. This is recorded before
 // the start is ordered, so that a successor that cannot reach other workers
-// need not assume that the task may be running on one of them.
+// need not assume that the task may be running on one of them. Only while all
+// instances agree to unrecorded starts is the start ordered first.
 
 #include <utility>
 
--- a/src/libdoorwood/cell/cell_places.cpp
+++ b/src/libdoorwood/cell/cell_places.cpp
@@ -14,7 +14,8 @@
 // A worker's free capacity is recomputed at least this often, even without a
 // new report, because the estimated load of a new run changes with its age.
 constexpr Millis kMaxCandidateAge{200};
-// Interval between log lines about the same step that can't be placed.
+// Minimum interval between log lines about the same step that can't be placed,
+// and before the first of them.
 constexpr Millis kWaitLogInterval{1500};
 // Minimum pause between such lines of any step. Each line evaluates all workers
 // once more, which must stay a small part of the cost of scheduling passes.
@@ -154,7 +155,7 @@
   for (const auto& [problem, count] : problems) {
     counts[std::string(ToString(problem))] = count;
   }
-  log_.Write("info", "cell", "step is waiting for a worker with free capacity",
+  log_.Write("info", "cell", "step is waiting for a suitable worker",
              {{"task", task.name()},
               {"rank", rank.urgency_class},
               {"steps_ahead", waiting_steps_ - 1},
--- a/src/libdoorwood/cell/cell_run_ends.cpp
+++ b/src/libdoorwood/cell/cell_run_ends.cpp
@@ -47,9 +47,10 @@
   const EndEffect effect =
       jobs_.CountEnd(task, run, end, checkpoint, MaxAttempts(*job));
   if (effect == EndEffect::kIgnored) {
-    // The failure count may have changed nevertheless.
+    // The failure count or the checkpoint may have changed nevertheless.
     MarkDirty(job, /*urgent=*/false);
-    log_.Write("info", "cell", "end of a run not counted",
+    log_.Write("info", "cell",
+               "late end of a run neither completes its task nor fails its job",
                {{"task", task->name()},
                 {"run", run},
                 {"counted_run", task->counted_run},
--- a/src/libdoorwood/cell/cell_takeover.cpp
+++ b/src/libdoorwood/cell/cell_takeover.cpp
@@ -58,8 +58,9 @@
 }
 
 // A task is held back as long as any worker that is still waited for may run
-// it. For a worker that was leaving or gone, the tasks that may run there are
-// recorded; on any other, every task may run.
+// it. For a worker that was closed to new work, the record lists the tasks that
+// may run there, unless the lists were too long; on any other, every task may
+// run.
 void CellLeader::ReleaseTasks() {
   UncontactedWorkers uncontacted = FindUncontacted();
   size_t freed = 0;
--- a/src/libdoorwood/cell/cell_worker_records.cpp
+++ b/src/libdoorwood/cell/cell_worker_records.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 // The key is written as a whole. To bound the load on a small machine's network
-// link, the next write waits this long for each worker and each task in the
-// value.
+// link, the next write for changed task lists alone waits this long for each
+// worker and each task in the value.
 constexpr std::chrono::microseconds kWriteDelayPerEntry{250};
 
 size_t CountTasks(const KnownWorker& worker) {
--- a/src/libdoorwood/cell/ticket_book.cpp
+++ b/src/libdoorwood/cell/ticket_book.cpp
@@ -88,7 +88,7 @@
   for (const Ticket& ticket : grant.tickets) {
     entry.answers[ticket.worker] = {ticket.token, expires_at};
   }
-  log_.Write("info", "tickets", "tickets received from adviser",
+  log_.Write("info", "tickets", "adviser answered a request for tickets",
              {{"step", step},
               {"asked", requested.size()},
               {"permitted", grant.tickets.size()},
--- a/src/libdoorwood/cell/worker_address.cpp
+++ b/src/libdoorwood/cell/worker_address.cpp
@@ -69,7 +69,7 @@
     if (!next_address_->failure_logged) {
       next_address_->failure_logged = true;
       log_.Write("warn", "worker",
-                 "worker does not answer at the address in its directory entry",
+                 "poll failed at the address in the worker's directory entry",
                  {{"worker", incarnation_.id},
                   {"named", address},
                   {"error", error.message()}});
