--- a/src/libdoorwood/cell/cell_crashing_task_test.cpp
+++ b/src/libdoorwood/cell/cell_crashing_task_test.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // A task crashes every worker that starts it. Its job must fail, and jobs that
-// ran on the same workers must not. All tests run in virtual time.
+// ran on the same workers must not. Nor must jobs whose workers crash for
+// another reason, such as a faulty machine. All tests run in virtual time.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -53,7 +54,8 @@
     BOOST_REQUIRE(world.Submit(plan));
     world.Run(Millis(3000));
   }
-  /// Crashes eight of sixteen workers.
+  /// Crashes the first eight workers that are up, half of sixteen. Their
+  /// machines start other incarnations.
   void CrashHalfOfWorkers() {
     std::vector<std::string> half;
     for (const auto& [id, worker] : world.workers()) {
@@ -321,9 +323,10 @@
   }
 }
 
-// Eight times: waits for a crash, for which it polls every `poll_ms`
-// milliseconds, and kills and restarts the leader `delay_ms` milliseconds
-// later.
+// Submits a crashing and a long-running job. Eight times: waits up to 10 s for
+// a crash, for which it polls every `poll_ms` milliseconds, kills the leader
+// `delay_ms` milliseconds later, and restarts it after 1 s. Then expects that
+// only the crashing job has failed.
 void RestartLeaderAfterEachCrash(CrashFixture* fixture,
                                  int delay_ms,
                                  int poll_ms = 50) {
--- a/src/libdoorwood/cell/cell_foreign_entries_test.cpp
+++ b/src/libdoorwood/cell/cell_foreign_entries_test.cpp
@@ -148,8 +148,9 @@
 }
 
 // Entries at whose address another incarnation answers: copies of a worker's
-// entry under other ids.
-BOOST_FIXTURE_TEST_CASE(Workers_CopiesOfAnEntry_AreCalledOnce,
+// entry under other ids. In 10 s there are at most two calls a
+// copy on average.
+BOOST_FIXTURE_TEST_CASE(Workers_CopiesOfAnEntry_AreCalledAtMostTwice,
                         ForeignEntriesFixture) {
   constexpr int kCopies = 20;
   for (int n = 0; n < kCopies; ++n) {
--- a/src/libdoorwood/cell/cell_journal_load_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_load_test.cpp
@@ -2,8 +2,8 @@
 
 // The journal of a busy cell while the store is slow, unresponsive, or
 // alternates between both, in virtual time. The load is that of 540 workers: 40
-// new jobs a second, 250 open jobs that each change ten times a second, and an
-// occasional cancel.
+// new jobs a second, 250 open jobs that each change about ten times a second,
+// and an occasional cancel.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -118,14 +118,14 @@
   // Generates the load for `length`, with `arrivals` new jobs a second.
   void GenerateLoad(Millis length, int arrivals = 40, int open_jobs = 250) {
     constexpr Millis kStep{25};
-    constexpr int kChangesEachStep = 4;
+    constexpr int kStepsForAllJobs = 4;
     const Instant end = executor.Now() + length;
     int due = 0;
     for (int step = 0; executor.Now() < end; ++step) {
       for (due += arrivals; due >= 1000 / kStep.count(); due -= 40) {
         Accept(++jobs_made);
       }
-      for (int i = 0; i < open_jobs / kChangesEachStep; ++i) {
+      for (int i = 0; i < open_jobs / kStepsForAllJobs; ++i) {
         const std::string job =
             "open" + std::to_string(next_change++ % open_jobs);
         ++changed[job];
@@ -207,7 +207,7 @@
       BOOST_TEST(std::max_element(fixture.cancel_times.begin(),
                                   fixture.cancel_times.end())
                      ->count() <= row.cancel_within.count());
-      // The store has the newest state of every job in the end.
+      // In the end the newest state of every job has been encoded for a batch.
       BOOST_TEST((fixture.encoded == fixture.changed));
       BOOST_TEST(fixture.recorded_end == fixture.highest_end);
       BOOST_TEST(!fixture.lead_lost);
@@ -243,9 +243,10 @@
   fixture.store.unresponsive = false;
   fixture.GenerateLoad(Millis(2000));
   fixture.time.Run(Millis(2000));
-  // The outcome is unknown only for jobs sent before the store was found to be
-  // unresponsive. All others are refused at once, or within the time it takes
-  // to find that out.
+  // Of the jobs submitted during the outage, the outcome is unknown only for
+  // those that were sent to the store before it was found to be unresponsive.
+  // The others are refused at once, or within the time it takes to find that
+  // out.
   BOOST_TEST(fixture.CountAnswers(outcome_unknown) <= 10);
   BOOST_TEST(fixture.SlowestAnswerTime(store_unavailable).count() <= 800);
   // Jobs are accepted again once the calls that were in flight during the
--- a/src/libdoorwood/cell/cell_late_campaign_test.cpp
+++ b/src/libdoorwood/cell/cell_late_campaign_test.cpp
@@ -56,8 +56,8 @@
   }
 }
 
-// One write is late and the next one wins the lead, which is lost before the
-// late write takes effect.
+// Writes are late, and take effect 6 s after they were sent. A later write wins
+// the lead, which is lost 0.2 to 6 s after that.
 BOOST_AUTO_TEST_CASE(Campaign_LateWriteAfterLostLead_CellGetsALeader) {
   for (int led = 200; led <= 6000; led += 100) {
     Fixture fixture;
--- a/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
@@ -123,7 +123,8 @@
 // again. The next successor's wait must count from the last lease granted to
 // the worker, not from the older record. If the store is unreachable when the
 // worker answers, no lease is extended. Leaders with a planned shutdown are
-// succeeded at once, which leaves the least time.
+// succeeded at once, which leaves the least time; a leader that cannot reach
+// the store is killed instead.
 struct ContactedAndLost {
   int not_contacted_ms;
   int contacted_ms;
@@ -193,8 +194,9 @@
 }
 
 // Runs 1 and 2 fail, both or only the second while the store is unreachable, so
-// that one or both failures are not recorded. The successor cannot reach the
-// worker of one of them. The limit of four attempts must still hold.
+// that one or both failures are not recorded. For 1 to 8 s the successor
+// cannot reach the worker of one of them. The limit of four attempts must still
+// hold.
 struct UnreportedFailure {
   int recorded;
   int partitioned_run;
--- a/src/libdoorwood/cell/cell_pause_test.cpp
+++ b/src/libdoorwood/cell/cell_pause_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A leader's process is paused for 1 to 12 s. Meanwhile a successor leads,
+// A leader's process is paused for 0.25 to 12 s. Meanwhile a successor leads,
 // waits until the runs on workers that it has not contacted must have ended,
 // and starts the tasks again. On resuming, the old leader handles answers that
 // waited in its sockets before the tick that detects the pause, and may send an
@@ -76,7 +76,8 @@
 }
 
 // The old leader cannot reach the store and the other instances. It continues
-// to lead for 3 s and is paused around the end of that time.
+// to send orders for 3 s after its last confirmation, and is paused 3 to 5.34 s
+// after the partition.
 BOOST_AUTO_TEST_CASE(PartitionedLeader_Paused_NothingRunsTwice) {
   ViolationReport violation_report;
   for (const bool partitioned : {false, true}) {
--- a/src/libdoorwood/cell/cell_placement_records_test.cpp
+++ b/src/libdoorwood/cell/cell_placement_records_test.cpp
@@ -156,7 +156,7 @@
 }
 
 // The first change of leader (2.5 s), one wait for a worker that is gone (run
-// lease / 0.98 + 3.5 s) and one reading of the directory.
+// lease / 0.98 + 3.5 s), one reading of the directory, and a margin.
 constexpr Millis kMaxSingleWait{15'000};
 
 // Guards against each successive leader starting the wait from the beginning.
--- a/src/libdoorwood/cell/cell_random_replacement_test.cpp
+++ b/src/libdoorwood/cell/cell_random_replacement_test.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The random walk of cell_random_restarts_test in which workers are also
-// replaced: one joins, and another, which may announce that it drains, keeps
-// running for a while and ends; its entry is removed before or after its end.
-// Leaders are shut down or killed, sometimes two in a row, and stops of tasks
-// take time. Short tasks beside the long-running ones show whether a completed
-// task is started again.
+// The random walk of cell_long_running_fault_walk_test with lost and late
+// replies and orders, in which workers are also replaced: one joins, and
+// another, which may announce that it drains, keeps running for a while and
+// ends; its entry is removed before or after its end. Leaders are shut down or
+// killed, sometimes two in a row, and stops of tasks take time. Short tasks
+// beside the long-running ones show whether a completed task is started again.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -182,8 +182,9 @@
     KillLeader();
   }
 
-  // Starts are executed, but the leader gets no reply; then it is lost, and no
-  // other instance reaches the worker.
+  // Starts are executed, but the leader gets no reply, and it can no longer
+  // reach one of the workers. Then it is lost, and no other instance reaches
+  // that worker.
   void LoseStartRepliesAndKillLeader() {
     auto* leader = world_.Leader();
     if (leader == nullptr) {
--- a/src/libdoorwood/cell/cell_random_restarts_test.cpp
+++ b/src/libdoorwood/cell/cell_random_restarts_test.cpp
@@ -47,7 +47,8 @@
     }
   }
 
-  // Restarts an instance under its name, with the same partitions.
+  // Restarts an instance under its name. It cannot reach the same workers and
+  // instances as before; its other faults end.
   void RestartInstance() {
     auto& before = LeaderOrRandomInstance();
     const std::string name = before.name;
--- a/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
+++ b/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // The workers' record names the tasks that may run on each draining worker. In
-// these tests the leader is lost right before or after a row is confirmed, its
-// successors can or cannot reach the worker, and drains are cancelled. No task
-// may run twice, no completed task may be started again, and tasks must restart
-// in time. All in virtual time.
+// these tests the leader is lost right before or after the record that names a
+// task is confirmed, its successors can or cannot reach the worker, and drains
+// are cancelled. No task may run twice, no completed task may be started again,
+// and tasks must restart in time. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <functional>
@@ -186,7 +186,7 @@
 }
 
 // The leader is lost 0 to 1.5 s after the worker's entry says that it drains,
-// so before or after the row that names the task is confirmed.
+// so before or after the workers' record that names the task is confirmed.
 BOOST_AUTO_TEST_CASE(NamedRun_LeaderLostAroundItsRecord_RunsOnceAndInTime) {
   ViolationReport violation_report;
   Millis longest_reachable{0};
@@ -218,8 +218,9 @@
                      << longest_unreachable.count());
 }
 
-// A waiting job that the row does not name must not be delayed: a worker with
-// enough capacity joins while the successor cannot reach the draining one.
+// A waiting job whose task the workers' record does not name must not be
+// delayed: a worker with enough capacity joins while the successor cannot reach
+// the draining one.
 BOOST_AUTO_TEST_CASE(OtherTask_RowNamesWhatMayRun_StartsWithoutWait) {
   ViolationReport violation_report;
   for (const LeaderLoss loss :
@@ -244,9 +245,9 @@
   }
 }
 
-// A task whose run a worker has reported as ended is no longer named in that
-// worker's row, so it is not delayed when its next worker is lost together with
-// the leader.
+// A task whose run a worker has reported as ended is no longer named in the
+// record of that worker, so it is not delayed when its next worker is lost
+// together with the leader.
 BOOST_AUTO_TEST_CASE(MovedTask_NoLongerInRow_StartsWithoutWait) {
   ViolationReport violation_report;
   for (int at = 3500; at <= 6500; at += 100) {
@@ -297,8 +298,8 @@
 }
 
 // In a busy cell replies of the store are lost, so that the newer states of
-// some jobs are delayed while a row of the workers' record overtakes them and
-// is confirmed: according to the store a task has not ended, although no worker
+// some jobs are delayed while the record of a worker overtakes them and is
+// confirmed: according to the store a task has not ended, although no worker
 // runs it. The successor cannot reach the worker on which the task ended.
 BOOST_AUTO_TEST_CASE(NamedRun_RowOvertakesCompletion_NotStartedAgain) {
   constexpr int kSeeds = 600;
@@ -347,8 +348,8 @@
 }
 
 // A start is executed but not answered. Only then the leader loses contact with
-// the worker, the worker drains, both, or neither. The worker's row, if it
-// names tasks, must name this one.
+// the worker, the worker drains, both, or neither. The record of the worker,
+// if it names tasks, must name this one.
 BOOST_AUTO_TEST_CASE(UnansweredStart_WorkerClosedToNewTasks_NotStartedAgain) {
   ViolationReport violation_report;
   int new_task_starts = 0;
@@ -458,8 +459,7 @@
       NamedRunsScenario scenario(fakes::MakePlan(kJob, 1, 1, ""), Millis(0),
                                  /*stays=*/false);
       scenario.world.Submit(UnboundedPlan(kNewJob, 12'000));
-      // A joining worker causes a new record, which includes the row of
-      // "leaves".
+      // A joining worker causes a new record, which includes "leaves".
       scenario.old->store_faults.lost_reply_share = 1;
       scenario.world.AddWorker("joins", 500);
       scenario.Run(Millis(500));
@@ -482,9 +482,9 @@
   }
 }
 
-// The same with a second leader, which alone reaches the worker: the row that
-// it reads names the tasks there, and the entry no longer says that the worker
-// drains.
+// The same with a second leader, which alone reaches the worker: the record
+// that it reads names the tasks there, and the entry no longer says that the
+// worker drains.
 BOOST_AUTO_TEST_CASE(DrainCancelled_SecondLeaderCannotRecord_NothingRunsTwice) {
   constexpr Millis kFineStep{5};
   ViolationReport violation_report;
@@ -527,12 +527,14 @@
   bool third_reaches;
 };
 
-// The second leader reads the row of a worker that it can or cannot reach, and
-// is lost 0.5 to 14 s later; the third reads the row that the second wrote.
+// The second leader reads the record of a worker that it can or cannot reach,
+// and is lost 0.5 to 14 s later; the third reads the record that the second
+// wrote.
 BOOST_AUTO_TEST_CASE(ThirdLeader_ReadsRowOfSecond_RunsOnceAndInTime) {
   ViolationReport violation_report;
-  // The bound for both successors together, with one second for each record of
-  // the wait.
+  // The third leader continues the wait of the second, which is recorded once a
+  // second. The second change of leader adds 4.5 s: up to 3 s without a leader,
+  // and 1.5 s until the third leader starts tasks.
   constexpr Millis kBothSuccessorsBound = kUnreachableBound + Millis(4500);
   const ReachabilityRow rows[] = {
       {true, true}, {true, false}, {false, true}, {false, false}};
--- a/src/libdoorwood/cell/cell_returning_instance_test.cpp
+++ b/src/libdoorwood/cell/cell_returning_instance_test.cpp
@@ -3,9 +3,10 @@
 // A leader that the store refuses has an outdated copy of the directory of
 // instances. In the first test it no longer knows an instance. In the others an
 // instance shuts down as planned and restarts under its name meanwhile, so the
-// copy still lists it as leaving. The leader then does not ask this instance
-// whether the store is down for all, and disregards its answer even if the
-// instance reaches the store. All in virtual time.
+// copy still lists it as leaving. Guards against a leader that does not ask
+// such instances whether the store is down for all: it would take an outage as
+// confirmed although the restarted instance reaches the store and may lead. All
+// in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
--- a/src/libdoorwood/cell/cell_stale_record_test.cpp
+++ b/src/libdoorwood/cell/cell_stale_record_test.cpp
@@ -38,10 +38,10 @@
 }
 
 // The worker's run has ended and the worker is not listed; its entry comes back
-// once the leader has dropped the worker. After `lost_from` ms, replies of the
-// store are lost for 0.7 s; the store is unresponsive `unresponsive_from` ms
-// after that. Returns the number of violated invariants, or -1 if nothing was
-// started on the worker.
+// if the leader drops the worker while replies of the store are lost, which is
+// for 0.7 s from `lost_from` ms after the run's end. `unresponsive_from` ms
+// after that, the store becomes unresponsive. Returns the number of violated
+// rules, or -1 if nothing was started on the worker within 1.5 s.
 int DropAndReadmitWorker(int lost_from, int unresponsive_from) {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
--- a/src/libdoorwood/cell/cell_takeover_wait_test.cpp
+++ b/src/libdoorwood/cell/cell_takeover_wait_test.cpp
@@ -85,8 +85,8 @@
   BOOST_TEST(WaitAfterLeaderLoss(true, true, 3) <= kWaitBoundMs);
 }
 
-// A task fails just after its second takeover. A drained worker is gone, and
-// its row in the workers' record names only another task.
+// A task fails after the second takeover. A draining worker is gone, and its
+// record names only another task.
 BOOST_AUTO_TEST_CASE(Retry_RowOfLostWorkerNamesAnotherTask_IsNotDelayed) {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
--- a/src/libdoorwood/cell/cell_three_leaders_test.cpp
+++ b/src/libdoorwood/cell/cell_three_leaders_test.cpp
@@ -2,7 +2,8 @@
 
 // Three leaders in a row, in virtual time. The third leader does not repeat a
 // wait for a not yet contacted worker that the second one has completed, and
-// failures that were not recorded count as attempts. Neither rule may hide runs
+// failures that were not recorded count as attempts if they are acknowledged
+// before the worker's lease expires. Neither rule may hide runs
 // that the second leader started on a worker that only it could reach, or that
 // joined through the directory while it led.
 
--- a/src/libdoorwood/cell/cell_workers_record_test.cpp
+++ b/src/libdoorwood/cell/cell_workers_record_test.cpp
@@ -168,7 +168,7 @@
   BOOST_TEST(DecodeWorkers(text).size() == workers.size());
 }
 
-/// Workers with the given numbers of tasks, all of which are draining.
+/// Draining workers with the given numbers of tasks.
 struct LargeCell {
   explicit LargeCell(const std::vector<int>& tasks) : world(5) {
     world.SetTable({fakes::MakeQueue("queue", 4)});
@@ -209,8 +209,8 @@
   std::vector<int> named;
 };
 
-// With its quotes and a comma a name takes 25 bytes for the first ten tasks of
-// a step, and 28 bytes from the thousandth on.
+// With its quotes and a comma a name takes 25 bytes for tasks 0 to 9 of a step,
+// and 28 bytes for tasks 1000 to 9999.
 BOOST_AUTO_TEST_CASE(Record_ManyTasks_LargestRowsLoseTheirNames) {
   const BoundRow rows[] = {
       {{100, 3518}, {100, 3518}},
--- a/src/libdoorwood/cell/long_running_fault_walk.h
+++ b/src/libdoorwood/cell/long_running_fault_walk.h
@@ -38,8 +38,8 @@
   LongRunningFaultWalk(const LongRunningFaultWalk&) = delete;
   LongRunningFaultWalk& operator=(const LongRunningFaultWalk&) = delete;
 
-  /// Makes `steps` steps, then removes all faults and runs the world for 12 s,
-  /// in which the cell recovers.
+  /// Makes `steps` steps, then calls `Heal` and runs the world for 12 s, in
+  /// which the cell recovers.
   void Run(int steps) {
     for (int i = 0; i < steps; ++i) {
       InjectFaultOrSubmit();
@@ -184,8 +184,9 @@
   }
 
   // Partitions the cell. Each worker is reachable either by the leader or by
-  // all other instances. The store serves only some of the other instances, and
-  // the leader reaches neither the store nor those instances.
+  // all other instances. The store refuses the leader or does not answer it. It
+  // serves a random part of the other instances, which the leader cannot reach.
+  // The rest it refuses only if it refuses the leader.
   void PartitionLeader() {
     auto* leader = world_.Leader();
     if (leader == nullptr) {
@@ -227,6 +228,8 @@
     }
   }
 
+  // Ends the faults of the store, the partitions, and late orders. Lost replies
+  // to orders and changed directory entries, which derived walks add, stay.
   void Heal() {
     for (const auto& [name, instance] : world_.instances()) {
       instance->store_faults = {};
--- a/src/libdoorwood/cell/worker_session_test.cpp
+++ b/src/libdoorwood/cell/worker_session_test.cpp
@@ -329,8 +329,9 @@
   AdvanceTime(Millis(12'000));
   BOOST_REQUIRE(ends.size() == 1U);
   BOOST_TEST(ends[0] == "t lapsed inferred");
-  // At most one lease of 7 s on a clock that runs 2% slow, counted from the
-  // last answer. The worker itself must have ended the run before.
+  // Counted from the last answer: the lease of 6 s on a clock that runs 2%
+  // slow, the session's margin, and the time until it notices. The worker
+  // itself must have ended the run before.
   BOOST_TEST(ended_at - unresponsive_since < 9000);
   workers.Advance();
   BOOST_TEST(!workers.model.IsRunning("t"));
