--- a/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
+++ b/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
@@ -221,7 +221,7 @@
 // A waiting job whose task the workers' record does not name must not be
 // delayed: a worker with enough capacity joins while the successor cannot reach
 // the draining one.
-BOOST_AUTO_TEST_CASE(OtherTask_RowNamesWhatMayRun_StartsWithoutWait) {
+BOOST_AUTO_TEST_CASE(OtherTask_RecordNamesWhatMayRun_StartsWithoutWait) {
   ViolationReport violation_report;
   for (const LeaderLoss loss :
        {LeaderLoss::kKilled, LeaderLoss::kPartitioned}) {
@@ -248,7 +248,7 @@
 // A task whose run a worker has reported as ended is no longer named in the
 // record of that worker, so it is not delayed when its next worker is lost
 // together with the leader.
-BOOST_AUTO_TEST_CASE(MovedTask_NoLongerInRow_StartsWithoutWait) {
+BOOST_AUTO_TEST_CASE(MovedTask_NoLongerInRecord_StartsWithoutWait) {
   ViolationReport violation_report;
   for (int at = 3500; at <= 6500; at += 100) {
     NamedRunsScenario scenario(LongRunningPlan(), Millis(1500));
@@ -301,7 +301,7 @@
 // some jobs are delayed while the record of a worker overtakes them and is
 // confirmed: according to the store a task has not ended, although no worker
 // runs it. The successor cannot reach the worker on which the task ended.
-BOOST_AUTO_TEST_CASE(NamedRun_RowOvertakesCompletion_NotStartedAgain) {
+BOOST_AUTO_TEST_CASE(NamedRun_RecordOvertakesCompletion_NotStartedAgain) {
   constexpr int kSeeds = 600;
   constexpr Millis kSubmitInterval{40};
   ViolationReport violation_report;
@@ -530,7 +530,7 @@
 // The second leader reads the record of a worker that it can or cannot reach,
 // and is lost 0.5 to 14 s later; the third reads the record that the second
 // wrote.
-BOOST_AUTO_TEST_CASE(ThirdLeader_ReadsRowOfSecond_RunsOnceAndInTime) {
+BOOST_AUTO_TEST_CASE(ThirdLeader_ReadsRecordOfSecond_RunsOnceAndInTime) {
   ViolationReport violation_report;
   // The third leader continues the wait of the second, which is recorded once a
   // second. The second change of leader adds 4.5 s: up to 3 s without a leader,
--- a/src/libdoorwood/cell/cell_takeover_wait_test.cpp
+++ b/src/libdoorwood/cell/cell_takeover_wait_test.cpp
@@ -87,7 +87,7 @@
 
 // A task fails after the second takeover. A draining worker is gone, and its
 // record names only another task.
-BOOST_AUTO_TEST_CASE(Retry_RowOfLostWorkerNamesAnotherTask_IsNotDelayed) {
+BOOST_AUTO_TEST_CASE(Retry_RecordOfLostWorkerNamesAnotherTask_IsNotDelayed) {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
   world.AddWorker("leaves", 8000);
