--- a/src/include/doorwood/burn.h
+++ b/src/include/doorwood/burn.h
@@ -34,7 +34,8 @@
   double objective = 0;
 
   /// Fraction of bad requests divided by the fraction that is allowed. At 1 the
-  /// error budget lasts exactly for the window.
+  /// error budget lasts exactly for the window. 0 if there were no requests or
+  /// the objective allows no bad ones.
   double burn_rate() const;
   /// Remaining fraction of the window's error budget; negative if the budget is
   /// exceeded.
@@ -44,7 +45,8 @@
 void to_json(Json& json, const BurnRow& row);
 void from_json(const Json& json, BurnRow& row);
 
-/// Sums up the rows of the same service and window.
+/// Sums up the rows of the same service and window. Each sum has the objective
+/// of the first of its rows.
 std::vector<BurnRow> MergeBurnRows(const std::vector<BurnRow>& rows);
 
 /// Returns an HTML page with a table of the rows and a bar chart in each.
