--- a/src/include/doorwood/live_directory.h
+++ b/src/include/doorwood/live_directory.h
@@ -61,7 +61,8 @@
 };
 
 /// Port to other instances: queries how long ago the store last answered them,
-/// and hands over a lead when this instance can no longer reach the store.
+/// asks them to agree to starts that are not recorded in the store, and hands
+/// over a lead when this instance can no longer reach the store.
 class StoreContactPort {
  public:
   using Callback = std::function<void(std::error_code, Millis age)>;
@@ -94,8 +95,9 @@
   /// Interval of full reads, which find changes that a watch has missed.
   Millis list_interval{2500};
   Millis retry_pause{150};
-  /// Once the store has not answered for `store_unresponsive_threshold`, the
-  /// other instances are queried every `query_interval` whether they reach it.
+  /// Once the store has not answered for `store_unresponsive_threshold`, or as
+  /// soon as a renewal of the lease has failed, the other instances are queried
+  /// every `query_interval` whether they reach it.
   Millis store_unresponsive_threshold{800};
   Millis query_interval{400};
   /// How long an answer of another instance is valid, from the time of the
@@ -176,16 +178,19 @@
   /// either. An answer is valid from the time of its query. Zero if this does
   /// not hold.
   Instant OutageConfirmedUntil() const;
-  /// An instance that recently answered that it reaches the store, while this
-  /// one cannot. Null if this one can, or if no such instance is known.
+  /// Of the instances that recently answered that they reach the store, and
+  /// that are not leaving, the one with the largest `cpu_share`. Null if there
+  /// is none, if no renewal of this instance has failed since the last
+  /// successful one, or if the store answered this instance within
+  /// `isolation_threshold`.
   const LiveInstance* FindInstanceWithStoreContact() const;
   void HandOverLead(const LiveInstance& instance,
                     const std::string& cell,
                     int64_t epoch) {
     store_contact_.HandOverLead(instance, cell, epoch);
   }
-  /// True if the store has not answered this process for so long that the other
-  /// instances are queried.
+  /// True if the store has not answered this process for
+  /// `store_unresponsive_threshold`.
   bool IsStoreUnresponsive(Instant now) const;
   /// When the store last answered this process.
   Instant last_store_answer_at() const { return last_store_answer_at_; }
