--- a/src/include/doorwood/holder.h
+++ b/src/include/doorwood/holder.h
@@ -219,7 +219,8 @@
   std::map<AttemptKey, std::string> worker_of_;
   std::set<std::string> drained_;
   std::map<ShardId, AttemptId> fence_floors_;
-  // When the last renewal was sent to each worker that is no longer held.
+  // By worker that this instance has stopped holding: when it sent the last
+  // renewal before that. An entry stays if the worker is held again.
   std::map<std::string, Instant> last_renewal_sent_;
   // False after destruction; checked by callbacks that may outlive the holder.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/include/doorwood/placement.h
+++ b/src/include/doorwood/placement.h
@@ -30,8 +30,10 @@
   const InstanceInfo* info = nullptr;
   Resources capacity;
   Resources free;
-  /// False: no new attempt may start there, because the worker is leaving or
-  /// drained, or its lease may have expired.
+  /// False: the attempt may not start there, because the worker is not held
+  /// (still being acquired, or being released), its lease may have expired, it
+  /// is leaving or drained, or its free capacity is reserved for a service and
+  /// the attempt is batch work.
   bool open = true;
   std::span<const ResidentAttempt> residents;
 };
--- a/src/libdoorwood/holder/placement.cpp
+++ b/src/libdoorwood/holder/placement.cpp
@@ -109,11 +109,11 @@
     return decision;
   }
   decision.impossible = true;
-  decision.reason = selectable
-                        ? "larger than any worker it may use: needs " +
-                              ResourcesToString(spec.size)
-                        : "no worker's labels match the task's selector on: '" +
-                              spec.on + "'";
+  decision.reason =
+      selectable ? "larger than any worker it may use: needs " +
+                       ResourcesToString(spec.size)
+                 : "no worker's labels match the task's `on` selector '" +
+                       spec.on + "'";
   return decision;
 }
 
