--- a/src/libdoorwood/owner/shard_placing.cpp
+++ b/src/libdoorwood/owner/shard_placing.cpp
@@ -69,7 +69,8 @@
   }
   task.holder = ChooseHolder(task, &task.holder_incarnation);
   if (task.holder.empty()) {
-    Requeue(task, task.retry_delay, "no instance holds workers now");
+    Requeue(task, task.retry_delay,
+            "no instance that may be able to run the task holds workers now");
     return false;
   }
   task.attempt = NextAttempt();
@@ -154,7 +155,7 @@
                  // The intent may still be in the log, but its attempt is
                  // never started: the next attempt has a new id.
                  self->Requeue(*found, self->options_.retry_longest,
-                               "the intent could not be logged");
+                               "the intent was not confirmed as logged");
                });
 }
 
