--- a/src/include/doorwood/ingress.h
+++ b/src/include/doorwood/ingress.h
@@ -141,11 +141,12 @@
   const CellLead* LeadToAskBeforeStore(const std::string& job) const;
   void CancelInRecordedCell(const std::string& job, CancelCallback done);
   void FetchStateFromRecordedCell(const std::string& job, StateCallback done);
-  /// Translates a leader's answer to a cancellation of a job that the store
-  /// has into the error for the caller.
+  /// Translates a leader's answer to a cancellation into the error for the
+  /// caller. kNotFound becomes kNoOwner, so it may be passed only if the job is
+  /// known to be in the cell.
   static std::error_code CancelResult(std::error_code error);
   /// Looks up the cell of a job. Fails with CoreErrc::kNotFound if the store
-  /// has no such job.
+  /// has no such job, and with kStoreUnavailable if the store cannot be read.
   void FindCell(const std::string& job, CellCallback done);
   void CacheCell(const std::string& job, const std::string& cell);
   void PollSummaries();
--- a/src/libdoorwood/ingress/ingress.cpp
+++ b/src/libdoorwood/ingress/ingress.cpp
@@ -159,7 +159,7 @@
         if (not_submitted) {
           log_.Write(
               "info", "ingress",
-              "job not accepted: cell has no reachable leader",
+              "job not submitted to this cell: it has no reachable leader",
               {{"job", plan->id}, {"cell", cell}, {"error", error.message()}});
           live_.Refresh();
           SubmitToNextCell(plan, std::move(cells), std::move(done));
