--- a/src/include/doorwood/router.h
+++ b/src/include/doorwood/router.h
@@ -200,7 +200,7 @@
   Backend* PickBackendLocked(const std::string& service,
                              const std::string& avoid);
   int SlotCountOfOpenBackendsLocked(const std::string& service) const;
-  bool IsListedLocked(const std::string& service) const;
+  bool HasListedBackendLocked(const std::string& service) const;
   void GrantToWaitersLocked(const std::string& service);
   std::list<Waiter*>::iterator NextWaiterLocked(Service* service);
 
@@ -279,8 +279,8 @@
     std::string avoid;
     bool may_have_run = false;
     bool claimed = false;
-    // A peer accepted the request and sent no complete response. No other
-    // peer is tried.
+    // The request was forwarded to a peer, which may have executed it but sent
+    // no complete response. No other peer is tried.
     bool peer_outcome_unknown = false;
     // A peer determined the final outcome.
     bool ended_by_peer = false;
--- a/src/libdoorwood/routing/router.cpp
+++ b/src/libdoorwood/routing/router.cpp
@@ -313,8 +313,8 @@
   }
   progress->may_have_run = true;
   progress->peer_outcome_unknown = true;
-  progress->last =
-      UnknownResponse("no complete response from the peer that accepted it");
+  progress->last = UnknownResponse(
+      "no complete response from the peer that it was forwarded to");
   return !request.repeatable;
 }
 
--- a/src/libdoorwood/routing/slot_table.cpp
+++ b/src/libdoorwood/routing/slot_table.cpp
@@ -60,7 +60,7 @@
   Service& state = services_[service];
   const int slots = SlotCountOfOpenBackendsLocked(service);
   SlotGrant grant;
-  if (slots == 0 && !IsListedLocked(service)) {
+  if (slots == 0 && !HasListedBackendLocked(service)) {
     grant.refusal = SlotRefusal::kNoBackend;
     return grant;
   }
@@ -182,7 +182,7 @@
   return best != nullptr ? best : avoided;
 }
 
-bool SlotTable::IsListedLocked(const std::string& service) const {
+bool SlotTable::HasListedBackendLocked(const std::string& service) const {
   return std::any_of(backends_.begin(), backends_.end(), [&](const auto& item) {
     return item.second.listed && item.second.target.service == service;
   });
