--- a/src/libdoorwood/job/job_plan.cpp
+++ b/src/libdoorwood/job/job_plan.cpp
@@ -29,7 +29,8 @@
   }
   const Resources& size = step.size;
   if (size.cpu_millis < 0 || size.memory_mib < 0 || size.accelerators < 0) {
-    return FieldPath(index, "cpu") + " and other sizes may not be negative";
+    return FieldPath(index, "cpu") +
+           ", memory and accelerators may not be negative";
   }
   if (step.estimate < Millis(0)) {
     return FieldPath(index, "estimate") +
