--- a/src/soak/callers.cpp
+++ b/src/soak/callers.cpp
@@ -248,8 +248,8 @@
       world_.ReportViolation(
           "job " + id + " is not in its expected state: " +
           std::to_string(world_.task_checker().CountActiveTasks(id)) +
-          " tasks run" +
-          (tracked.job.is_long_running() ? " of a long-running job" : ""));
+          " tasks are running" +
+          (tracked.job.is_long_running() ? "; the job is long-running" : ""));
     }
   }
   world_.task_checker().CheckRejected();
--- a/src/soak/callers.h
+++ b/src/soak/callers.h
@@ -25,10 +25,10 @@
   /// Submits `jobs` long-running jobs with `tasks` tasks each; `cpu` is the
   /// CPU demand of a task.
   void AddLongRunning(int jobs, int tasks, int cpu);
-  /// Submits a finite job (not long-running) every `pause` until `Stop`.
+  /// Every `pause` until `Stop`, submits a finite job (not long-running).
   void Start(Millis pause) { SubmitPeriodically(pause); }
-  /// Submits a job whose tasks crash their workers every `pause` until `Stop`.
-  void StartCrashing(Millis pause) { SubmitCrashingPeriodically(pause); }
+  /// Every `pause` until `Stop`, submits a job whose tasks crash their workers.
+  void StartCrashingJobs(Millis pause) { SubmitCrashingPeriodically(pause); }
   void Stop() { stopped_ = true; }
   /// From now on, reports a call whose connection is lost without an answer as
   /// a violation, unless that happens within 200 ms of sending; a call that
--- a/src/soak/config_probe.h
+++ b/src/soak/config_probe.h
@@ -14,8 +14,8 @@
 
 namespace doorwood::soak {
 
-/// Each version adds one route to the previous version. Checks that a process
-/// that has served a route continues to serve it.
+/// Each version of the configuration adds one route to the previous version.
+/// Checks that a process that has served a route continues to serve it.
 class ConfigProbe {
  public:
   explicit ConfigProbe(World& world);
@@ -30,9 +30,9 @@
   struct Served {
     int restarts = 0;
     int version = 0;
-    /// Time at which the answer for `version` arrived. An instance may have
-    /// answered earlier probes before it had this version, even if the answers
-    /// arrive later.
+    /// Time at which the answer for `version` arrived. A 404 is a violation
+    /// only if its probe was sent at this time or later: an earlier probe may
+    /// have been answered before the instance had this version.
     int64_t confirmed_at = 0;
   };
   struct Probe {
--- a/src/soak/fault_player.cpp
+++ b/src/soak/fault_player.cpp
@@ -78,7 +78,8 @@
                            world_.NameOf(instance) +
                            (world_.Leader() == instance ? " (leads)" : "");
   world_.Log("fault begins: " + what + ", " +
-             std::to_string(fault.duration.count()) + " ms, direction " +
+             std::to_string(fault.duration.count()) +
+             " ms, direction (0 to server, 1 to caller, 2 both): " +
              std::to_string(static_cast<int>(fault.direction)) +
              ", ms from healing until surviving connections transfer again: " +
              std::to_string(fault.resume_delay.count()));
--- a/src/soak/fault_player.h
+++ b/src/soak/fault_player.h
@@ -42,7 +42,8 @@
 
   World& world_;
   std::set<size_t> busy_workers_;
-  /// Number of workers replaced so far; they alternate with the spare ones.
+  /// Number of replacements so far. Workers are replaced in the order of their
+  /// indexes, wrapping around; the new one is `serving()` indexes further on.
   size_t replaced_ = 0;
   /// Faults that have not ended yet.
   size_t outstanding_ = 0;
--- a/src/soak/main.cpp
+++ b/src/soak/main.cpp
@@ -116,7 +116,7 @@
     AwaitSteadyState(world_, callers_, [this, plan, between_jobs] {
       callers_.Start(between_jobs);
       if (options_.crashing_jobs) {
-        callers_.StartCrashing(kBetweenCrashingJobs);
+        callers_.StartCrashingJobs(kBetweenCrashingJobs);
       }
       faults_.Play(plan, [this] { Finish(); });
     });
