--- a/src/fakes/cell_world.h
+++ b/src/fakes/cell_world.h
@@ -28,9 +28,10 @@
 
 /// Faults between one instance and the store.
 struct StoreFaults {
-  /// Calls fail at once as unavailable.
+  /// Calls fail at once as unavailable, except that watches time out.
   bool unavailable = false;
-  /// Calls are neither answered nor executed; they time out.
+  /// Calls are neither answered nor executed; they time out, except that the
+  /// lists of workers and of closed data centres fail at once.
   bool unresponsive = false;
   /// Share (0 to 1) of writes that are executed but not answered, and of those
   /// that are not answered and executed seconds later, if their conditions
@@ -105,7 +106,9 @@
   /// Address in the directory entry, if it is not the worker's own: another
   /// process answers there.
   std::string listed_address;
-  /// Number of calls that reached the worker, and of runs that it started.
+  /// Number of calls that reached the worker, and of runs that it started. A
+  /// poll that waits counts again every 20 ms, and a delayed order counts again
+  /// when it is executed.
   int calls_received = 0;
   int runs_started = 0;
   std::vector<Instant> start_times{};
--- a/src/fakes/fakes.h
+++ b/src/fakes/fakes.h
@@ -206,7 +206,8 @@
   /// Partitions or reconnects two addresses, in both directions.
   void SetPartitioned(const std::string& a, const std::string& b, bool cut);
   bool IsPartitioned(const std::string& a, const std::string& b) const;
-  /// Drops the next `count` replies to requests other than heartbeats.
+  /// Drops the replies to the next `count` requests, other than heartbeats,
+  /// that reach an instance.
   void DropReplies(int count) { replies_to_drop_ = count; }
   bool ConsumeDroppedReply();
   /// Delays the next `count` placement requests far beyond their time-out.
--- a/src/fakes/mutator.h
+++ b/src/fakes/mutator.h
@@ -24,8 +24,8 @@
     return bound == 0 ? 0 : random_() % bound;
   }
 
-  /// Applies one to three mutations to the bytes of `good` or, if it is JSON,
-  /// to its values.
+  /// Applies one to three mutations to `good`. Each changes the bytes or, in
+  /// two of three cases if the text is still JSON, a value.
   std::string Mutate(const std::string& good) {
     std::string text = good;
     const size_t changes = 1 + RandomBelow(3);
--- a/src/fakes/world.h
+++ b/src/fakes/world.h
@@ -50,8 +50,9 @@
   void Kill(const std::string& id);
   void Freeze(const std::string& id) { EntryOf(id).executor->Freeze(); }
   void Thaw(const std::string& id) { EntryOf(id).executor->Thaw(); }
+  /// Set the fault injected into all calls to the store, or to one worker, of
+  /// the instances that run now. Instances that start later get no fault.
   void SetKvFault(Fault fault);
-  /// Sets the fault injected into all instances' calls to one worker.
   void SetWorkerFault(const std::string& worker, Fault fault);
   /// Removes an instance or worker from the platform's list, or marks it as
   /// leaving there.
@@ -62,13 +63,15 @@
   /// Runs until `condition` holds; returns false if it does not within `limit`.
   bool RunUntil(Millis limit, const std::function<bool()>& condition);
 
-  /// Calls an operator method at an instance and runs until it is answered.
+  /// Calls an operator method at an instance and runs until it is answered;
+  /// returns status 0 if there is no answer within 20 s.
   OperatorReply CallOperatorMethod(const std::string& id,
                                    const std::string& method,
                                    const Json& body);
   /// Applies a configuration with the member "museum".
   void Configure(const std::string& id);
-  /// Submits a manifest of `count` tasks and returns the id of the job.
+  /// Submits a manifest of `count` tasks and returns the id of the job; empty
+  /// if it is refused.
   std::string Submit(const std::string& id,
                      int count,
                      const std::string& payload,
@@ -88,11 +91,11 @@
   /// Violations so far, derived from the events of the workers alone.
   const std::vector<std::string>& violations();
   const std::vector<standin::WorkerEvent>& events() const { return events_; }
-  /// Reply bodies of refused submissions.
+  /// Reply bodies of the submissions that did not get status 200.
   const std::vector<std::string>& rejections() const { return rejections_; }
   int StartCount(const std::string& task_name) const;
   int SuccessCount(const std::string& task_name) const;
-  /// The instance to which the worker last granted its lease.
+  /// The instance to which the worker last granted its lease; empty if none.
   std::string LeaseHolderOf(const std::string& worker) const;
 
  private:
