--- a/src/standin/instances.cpp
+++ b/src/standin/instances.cpp
@@ -94,7 +94,8 @@
   text << in.rdbuf();
   const auto json = ParseJson(text.str());
   if (!json || !json->is_array()) {
-    std::cerr << role.file << ": not a JSON list of instances\n";
+    std::cerr << role.file
+              << ": cannot be read or is not a JSON array of instances\n";
     return 2;
   }
   list.Load(*json);
--- a/src/standin/kv.cpp
+++ b/src/standin/kv.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Stand-in for the platform's key-value service. Faults: `down` (all calls get
-// status 503), `slow_ms` (delays every call), `lose` (number of further writes
-// and removals that take effect but are answered too late).
+// status 503 and have no effect), `slow_ms` (delays every call), `lose` (number
+// of further writes and removals that are executed but answered too late).
 
 #include <chrono>
 #include <condition_variable>
--- a/src/standin/record_store_model.h
+++ b/src/standin/record_store_model.h
@@ -31,8 +31,10 @@
   std::error_code ChangesAfter(const std::string& prefix,
                                int64_t after,
                                StoreItems* events) const;
-  /// Applies the transaction if all expected revisions match. On a conflict
-  /// `commit->current` lists the expected keys that exist.
+  /// Applies the transaction if all expected revisions match and the leases of
+  /// all puts exist. KvErrc::kConflict: a revision differs, and
+  /// `commit->current` lists the expected keys that exist. KvErrc::kNotFound: a
+  /// lease does not exist.
   std::error_code Commit(const StoreTransaction& transaction,
                          StoreCommit* commit);
   /// Grants a lease of `lifetime` milliseconds and returns its id.
--- a/src/standin/standin.h
+++ b/src/standin/standin.h
@@ -2,8 +2,9 @@
 
 /// \file
 /// Common parts of the stand-ins: small programs that replace the platform's
-/// services in tests and in the demo. Each records the events it observes, so
-/// that tests can check them independently of what doorwood reports.
+/// services in tests and in the demo. The key-value store, workers and backend
+/// servers record the events they observe, so that tests can check them
+/// independently of what doorwood reports.
 
 #ifndef DOORWOOD_STANDIN_STANDIN_H_
 #define DOORWOOD_STANDIN_STANDIN_H_
--- a/src/standin/worker_model.h
+++ b/src/standin/worker_model.h
@@ -63,7 +63,8 @@
   std::error_code Release(uint64_t epoch);
   /// Ends finished attempts, and all attempts if the task lease has expired.
   void Tick(int64_t now);
-  /// Simulates a process restart, which loses all tasks but keeps the epoch.
+  /// Simulates a process restart: all tasks are lost, the control lease ends
+  /// and the boot id increases, but the epoch is kept.
   void Restart(int64_t now);
 
   void set_incarnation(uint64_t boot) { boot_ = boot; }
