--- a/src/bench/load.cpp
+++ b/src/bench/load.cpp
@@ -30,9 +30,10 @@
   kWrong,
   kNotRun,
   kUnknown,
-  // The connection broke before a reply; the request may have run.
+  // The connection broke or timed out before a complete reply; the request may
+  // have run.
   kBroken,
-  // No connection was made; the next address is tried.
+  // No connection was made, so the request did not run.
   kNoConnection,
   kOutcomeCount,
 };
--- a/src/directory.adapter/http_directory.cpp
+++ b/src/directory.adapter/http_directory.cpp
@@ -38,7 +38,8 @@
         error.clear();
       }
     } catch (const Json::exception&) {
-      // The response is not a valid list, so the previous one is kept.
+      // The response is not a valid list; the next fetch requests the full
+      // list.
       version_ = -1;
     }
     executor_.Post([done, error, list = list_]() { done(error, list); });
--- a/src/worker.adapter/http_workers.h
+++ b/src/worker.adapter/http_workers.h
@@ -22,8 +22,8 @@
   Millis task_lease{10000};
   Millis connect_timeout{300};
   Millis call_timeout{800};
-  /// Number of threads for calls. An unresponsive worker occupies one of them
-  /// for the timeout of the call.
+  /// Number of threads for calls. Each call to an unresponsive worker occupies
+  /// one of them until it times out.
   size_t threads = 16;
 };
 
