--- a/src/include/doorwood/cell_journal.h
+++ b/src/include/doorwood/cell_journal.h
@@ -11,9 +11,11 @@
 /// attempt never will; or the chain key already has its number, and then the
 /// earlier attempt took effect.
 ///
-/// Until a batch's outcome is known, no other lane carries any of its keys. A
-/// store that answers in milliseconds gets one batch at a time; one that
-/// answers slowly, or loses answers, gets several (commit_flow.h).
+/// Until a batch's outcome is known, no other lane writes or removes the states
+/// and the workers' key that it carries. A job that was submitted twice may be
+/// in batches on two lanes, but only one of them can take effect. A store that
+/// answers in milliseconds gets one batch at a time; one that answers slowly,
+/// or loses answers, gets several (commit_flow.h).
 
 #ifndef DOORWOOD_CELL_JOURNAL_H_
 #define DOORWOOD_CELL_JOURNAL_H_
@@ -60,8 +62,8 @@
   /// that it found at its takeover, plus the time that it has led. If the
   /// worker became unresponsive to the recording leader: the time since that
   /// leader's last order that extended a lease there, plus
-  /// `CellOptions::order_grace`, which a successor would wait for its orders
-  /// after that.
+  /// `CellOptions::order_grace`. A successor's wait includes that time for
+  /// later orders, but this leader sends the worker none that extend a lease.
   Millis not_contacted_for{0};
   /// All tasks that may run there or whose end there is not recorded. No leader
   /// starts another task there until a newer record has no such list. Empty
@@ -77,8 +79,8 @@
 
 /// The value of a chain key: the number of its lane's newest batch, and
 /// JournalOwner::PlacementsValidTo.
-std::string EncodeSequence(uint64_t sequence, int64_t placements_valid_to);
-/// Returns 0 if the text is not of that form.
+std::string EncodeChainValue(uint64_t sequence, int64_t placements_valid_to);
+/// The batch number in a chain key's value; 0 if the text is not of that form.
 uint64_t DecodeSequence(std::string_view text);
 /// Whether the leader that wrote this chain key starts no task that
 /// `KnownWorker::tasks` excludes. Versions that did not know these task lists
@@ -111,15 +113,17 @@
   /// registered in the store up to this revision; 0: for none.
   virtual int64_t PlacementsValidTo() = 0;
   /// For each worker with ends that are not recorded yet, the number of the
-  /// newest end that it has listed. All jobs changed by those ends are marked
-  /// dirty.
+  /// newest end that it has listed. Every job that these ends
+  /// changed has been passed to `CellJournal::MarkDirty`.
   virtual std::map<std::string, uint64_t> HighestUnrecordedEnds() = 0;
 
   virtual void OnAccepted(const JobPlan& plan) = 0;
-  /// The state is stored as it was last encoded; a newer one may be pending.
-  virtual void OnStateWritten(const std::string& job) = 0;
-  /// The newest state is stored.
-  virtual void OnStateRecorded(const std::string& job) = 0;
+  /// The state that `EncodeState` last returned for the job is stored. The job
+  /// may have changed since.
+  virtual void OnEncodedStateStored(const std::string& job) = 0;
+  /// Called after `OnEncodedStateStored` if the job was not marked dirty since
+  /// its state was encoded.
+  virtual void OnNewestStateStored(const std::string& job) = 0;
   virtual void OnEndsRecorded(const std::map<std::string, uint64_t>& ends) = 0;
   virtual void OnWorkersRecorded(const std::vector<KnownWorker>& workers) = 0;
   /// A batch sent at that time found the lead key at the expected revision.
@@ -290,8 +294,9 @@
   std::set<std::string> in_flight_jobs_;
   std::set<std::string> to_remove_;
   std::optional<EndsToRecord> ends_;
-  /// The store has refused a batch or did not answer it, and has neither
-  /// accepted one nor reported a conflict since.
+  /// Set if the store refuses a batch, or does not answer one and has accepted
+  /// none since that one was sent. Cleared when it accepts a batch or reports a
+  /// conflict.
   bool store_unavailable_ = false;
   Instant last_success_{};
   uint64_t commits_ = 0;
--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -164,8 +164,8 @@
   int64_t PlacementsValidTo() override;
   std::map<std::string, uint64_t> HighestUnrecordedEnds() override;
   void OnAccepted(const JobPlan& plan) override;
-  void OnStateWritten(const std::string& job) override;
-  void OnStateRecorded(const std::string& job) override;
+  void OnEncodedStateStored(const std::string& job) override;
+  void OnNewestStateStored(const std::string& job) override;
   void OnEndsRecorded(const std::map<std::string, uint64_t>& ends) override;
   void OnWorkersRecorded(const std::vector<KnownWorker>& workers) override;
   void OnLeadConfirmed(Instant sent) override;
@@ -362,11 +362,11 @@
   /// Time until which orders may be sent and leases extended; zero while this
   /// process does not lead, or was paused and its lead is not confirmed again.
   Instant OrderDeadline() const;
-  /// Extends `order_deadline_` to `CellOptions::order_grace` after the lead key
-  /// was last confirmed, or for as long as the other instances' answers that
-  /// none of them can lead are valid. Those answers count only before the
-  /// current deadline: once it has passed, another instance may have led, and
-  /// only the lead key proves the lead.
+  /// Extends `order_deadline_` to the later of two times: `order_grace` after
+  /// the lead key was last confirmed, and the time that
+  /// `LiveDirectory::OutageConfirmedUntil` returns. The second counts only
+  /// before the current deadline: once it has passed, another instance may have
+  /// led, and only the lead key proves the lead.
   void ExtendOrderDeadline();
   bool MaySendOrders() const;
   /// Whether the lead key was confirmed within
@@ -382,7 +382,8 @@
   /// Removes jobs that ended more than `CellOptions::finished_job_retention`
   /// ago.
   void RemoveOldJobs();
-  /// Answers callers whose cancellation was not recorded in time.
+  /// Answers callers whose cancellation was not recorded in time with
+  /// kOutcomeUnknown.
   void ExpireCancels();
   /// Whether the long-running steps of the plan fit on the workers of its
   /// service; true if this is not known.
--- a/src/include/doorwood/commit_flow.h
+++ b/src/include/doorwood/commit_flow.h
@@ -41,8 +41,8 @@
   /// A store that has answered none of the commits in flight for this long is
   /// treated as unresponsive. Slow stores answer within 0.4 s.
   Millis unresponsive_after{700};
-  /// A record that is expected to take longer is refused at once. Callers have
-  /// 3 s in all, so another attempt can still succeed.
+  /// A new job whose record is expected to take longer is refused at once.
+  /// Callers have 3 s in all, so another attempt can still succeed.
   Millis max_record_wait{1200};
   /// Records of new jobs that one commit carries.
   size_t records_per_commit = 8;
@@ -72,7 +72,7 @@
   /// Expected time until a record is stored if `ahead` other records are queued
   /// before it.
   Millis ExpectedWait(size_t ahead) const;
-  bool IsWithinDeadline(size_t ahead) const {
+  bool IsWithinMaxRecordWait(size_t ahead) const {
     return ExpectedWait(ahead) <= options_.max_record_wait;
   }
 
--- a/src/libdoorwood/cell/cell_journal.cpp
+++ b/src/libdoorwood/cell/cell_journal.cpp
@@ -17,7 +17,8 @@
 constexpr const char* kKeepsToTaskListsField = "keeps_to_names";
 constexpr const char* kPlacementsValidField = "places_hold_to";
 
-// If the list is not of the form that leaders write, any task may run there.
+// Returns an empty optional, which means that any task may run there, if the
+// list is not of the form that leaders write.
 std::optional<std::vector<std::string>> DecodeTasks(const Json& row) {
   std::vector<std::string> runs;
   for (const Json& name : row) {
@@ -92,7 +93,7 @@
   return std::string(kJobKeyPrefix) + std::string(job);
 }
 
-std::string EncodeSequence(uint64_t sequence, int64_t placements_valid_to) {
+std::string EncodeChainValue(uint64_t sequence, int64_t placements_valid_to) {
   return Json{{"sequence", sequence},
               {kKeepsToTaskListsField, true},
               {kPlacementsValidField, placements_valid_to}}
@@ -168,8 +169,8 @@
   lead_revision_ = lead_revision;
   lanes_.assign(options_.flow.max_lanes, Lane{});
   for (const auto& [lane, chain] : chains) {
-    // Another version may have used more lanes. Their chain keys are no longer
-    // written.
+    // Another version may have used more lanes. The chain keys of the
+    // additional lanes are no longer written.
     if (lane < lanes_.size()) {
       lanes_[lane].chain = chain;
     }
@@ -270,7 +271,7 @@
   // accepted.
   const Instant now = executor_.Now();
   const bool too_late = store_unavailable_ || flow_.IsUnresponsive(now) ||
-                        !flow_.IsWithinDeadline(accepts_.size());
+                        !flow_.IsWithinMaxRecordWait(accepts_.size());
   if (too_late && !IsRecording(plan.id)) {
     done(CoreErrc::kStoreUnavailable, {});
     return;
@@ -340,7 +341,8 @@
   if (!may_send) {
     return std::nullopt;
   }
-  // Prefers a free lane that has to send to the first free one.
+  // Returns a free lane whose next batch is forced, or else the first free
+  // lane.
   std::optional<size_t> first;
   for (size_t lane = 0; lane < lanes_.size(); ++lane) {
     if (lanes_[lane].batch) {
@@ -403,8 +405,8 @@
                     OnAnswer(lane, error, commit);
                   }
                 });
-  // The rest is sent on another lane. The timer also answers callers in time if
-  // the store does not respond.
+  // What the batch does not carry is sent on another lane. The timer also
+  // answers callers in time if the store does not respond.
   ScheduleSend(HasPendingWork() ? options_.flow.send_interval
                                 : options_.flow.unresponsive_after);
 }
--- a/src/libdoorwood/cell/cell_journal_answers.cpp
+++ b/src/libdoorwood/cell/cell_journal_answers.cpp
@@ -39,7 +39,8 @@
   }
   const bool unknown = error == make_error_code(KvErrc::kUnknown);
   Batch& batch = *lanes_[lane].batch;
-  // If one answer was lost while others arrived, the store is not unresponsive.
+  // A lost answer does not make the store unavailable if another batch was
+  // stored after this one was sent.
   const bool no_success_since_sent = last_success_ < batch.sent;
   if (!store_unavailable_ && (!unknown || no_success_since_sent)) {
     log_.Write("warn", "journal", "store refused a batch or did not answer",
@@ -166,9 +167,9 @@
     CompleteAccept(&accept, {}, AcceptOutcome::kAccepted);
   }
   for (const std::string& job : batch.states) {
-    owner_.OnStateWritten(job);
+    owner_.OnEncodedStateStored(job);
     if (!dirty_.contains(job)) {
-      owner_.OnStateRecorded(job);
+      owner_.OnNewestStateStored(job);
     }
   }
   UpdateRecordedEnds(batch);
--- a/src/libdoorwood/cell/cell_journal_build.cpp
+++ b/src/libdoorwood/cell/cell_journal_build.cpp
@@ -31,7 +31,7 @@
   transaction.expected.push_back({ChainKey(cell_, lane), chain.revision});
   transaction.puts.push_back(
       {ChainKey(cell_, lane),
-       EncodeSequence(sequence, owner_.PlacementsValidTo())});
+       EncodeChainValue(sequence, owner_.PlacementsValidTo())});
   const size_t base_entries = transaction.entries();
   CaptureEnds();
   AddWorkers(&batch);
--- a/src/libdoorwood/cell/cell_journal_load_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_load_test.cpp
@@ -86,8 +86,8 @@
   }
   void OnAccepted(const JobPlan& plan) override { accepted.insert(plan.id); }
   int64_t PlacementsValidTo() override { return 0; }
-  void OnStateWritten(const std::string&) override {}
-  void OnStateRecorded(const std::string& job) override {
+  void OnEncodedStateStored(const std::string&) override {}
+  void OnNewestStateStored(const std::string& job) override {
     const auto entry = cancelled.find(job);
     if (entry != cancelled.end()) {
       cancel_times.push_back(Since(entry->second));
--- a/src/libdoorwood/cell/cell_journal_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_test.cpp
@@ -75,8 +75,8 @@
   }
   void OnAccepted(const JobPlan& plan) override { accepted.push_back(plan.id); }
   int64_t PlacementsValidTo() override { return 0; }
-  void OnStateWritten(const std::string&) override {}
-  void OnStateRecorded(const std::string& job) override {
+  void OnEncodedStateStored(const std::string&) override {}
+  void OnNewestStateStored(const std::string& job) override {
     recorded.push_back(job);
   }
   void OnEndsRecorded(const std::map<std::string, uint64_t>& ends) override {
--- a/src/libdoorwood/cell/cell_leader.cpp
+++ b/src/libdoorwood/cell/cell_leader.cpp
@@ -140,7 +140,8 @@
 }
 
 // The store answers other instances, but not this leader. Instead of waiting
-// until its lease expires, it asks one of them to remove the key.
+// until the lease of its lead key expires, it asks one of them to remove the
+// key.
 void CellLeader::HandOverLead(const LiveInstance& successor) {
   const LiveInstance target = successor;
   const int64_t epoch = epoch_;
@@ -160,7 +161,7 @@
   store_.Commit(transaction, [this, epoch](std::error_code error,
                                            const StoreCommit&) {
     log_.Write("info", "cell",
-               "removal of the lead key of a leader that stepped down",
+               "tried to remove the lead key of a leader that stepped down",
                {{"cell", options_.cell},
                 {"epoch", epoch},
                 {"outcome", error ? error.message() : "removed"}});
@@ -212,8 +213,8 @@
     shutdown_since_ = executor_.Now();
   }
   // A busy leader never has everything recorded, since runs keep ending.
-  // Without a limit it would lead until its grace period has elapsed, and exit
-  // with records in flight.
+  // Without a limit it would lead until the shutdown grace period has
+  // elapsed, and exit with records in flight.
   if (IsInLastShutdownPhase()) {
     journal_.Seal();
   }
--- a/src/libdoorwood/cell/cell_placement_records.cpp
+++ b/src/libdoorwood/cell/cell_placement_records.cpp
@@ -93,7 +93,7 @@
   }
 }
 
-void CellLeader::OnStateWritten(const std::string& id) {
+void CellLeader::OnEncodedStateStored(const std::string& id) {
   Job* job = jobs_.Find(id);
   if (job == nullptr) {
     return;
--- a/src/libdoorwood/cell/cell_run_ends.cpp
+++ b/src/libdoorwood/cell/cell_run_ends.cpp
@@ -382,7 +382,7 @@
   }
 }
 
-void CellLeader::OnStateRecorded(const std::string& id) {
+void CellLeader::OnNewestStateStored(const std::string& id) {
   Job* job = jobs_.Find(id);
   if (job == nullptr || job->dirty) {
     return;
--- a/src/libdoorwood/cell/commit_flow_test.cpp
+++ b/src/libdoorwood/cell/commit_flow_test.cpp
@@ -99,7 +99,7 @@
     fixture.SendAndAnswer(row.answer_ms);
     BOOST_TEST_CONTEXT(row.answer_ms << " ms, " << row.ahead << " ahead") {
       BOOST_TEST(fixture.flow.ExpectedWait(row.ahead).count() == row.wait);
-      BOOST_TEST(fixture.flow.IsWithinDeadline(row.ahead) == row.in_time);
+      BOOST_TEST(fixture.flow.IsWithinMaxRecordWait(row.ahead) == row.in_time);
     }
   }
 }
