--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -409,22 +409,22 @@
   /// is accounted for.
   Millis RemainingWait(const CellWorker& cell_worker) const;
   /// Workers that are still waited for, and the tasks that may run there.
-  struct UncontactedWorkers {
+  struct UnaccountedWorkers {
     std::set<std::string_view> workers;
     /// Any task may run on some of them.
     bool any_task = false;
     std::set<std::string> tasks;
   };
-  UncontactedWorkers FindUncontacted() const;
-  static void AddUncontacted(std::string_view worker,
-                             const CellWorker& cell_worker,
-                             UncontactedWorkers* uncontacted);
+  UnaccountedWorkers FindUnaccountedWorkers() const;
+  static void AddUnaccountedWorker(std::string_view worker,
+                                   const CellWorker& cell_worker,
+                                   UnaccountedWorkers* unaccounted);
   /// Whether one of these workers may run the task, or may have ended it
   /// without having reported this.
-  bool MayRunOn(const Task& task, const UncontactedWorkers& uncontacted) const;
+  bool MayRunOn(const Task& task, const UnaccountedWorkers& unaccounted) const;
   /// Whether a worker that is still waited for may run the task, or may have
   /// ended it without having reported this.
-  bool MayRunOnUncontacted(const Task& task) const;
+  bool MayRunOnUnaccountedWorker(const Task& task) const;
   /// Logs which workers the takeover waits for.
   void LogWait();
 
--- a/src/include/doorwood/lead_proof.h
+++ b/src/include/doorwood/lead_proof.h
@@ -35,7 +35,7 @@
 
   /// Called when `confirmed_at` has increased.
   virtual void OnLeadProved() = 0;
-  /// Called when the key of this epoch no longer exists.
+  /// Called when a read shows that the key of this epoch no longer exists.
   virtual void OnLeadDisproved(std::string_view reason) = 0;
 };
 
@@ -55,14 +55,15 @@
   /// Notes that a call to the store, sent at `sent`, found the key in place.
   void NoteConfirmed(Instant sent);
   /// Reads the key as soon as possible, because a decision depends on the
-  /// proof. A read already under way was sent too early, so another one follows
-  /// once it succeeds; if it fails, the next `Tick` reads.
+  /// proof. A read already under way proves the lead only up to an earlier
+  /// time, so another one follows once that read succeeds; if it fails, the
+  /// next `Tick` reads.
   void RequestRead();
   /// Reads the key if it was last confirmed `LeadProofOptions::interval` ago or
   /// earlier and no read is under way. To be called several times a second.
   void Tick();
 
-  /// Latest time at which the key is known to have existed; zero: none.
+  /// When the latest call was sent that found the key in place; zero: none has.
   Instant confirmed_at() const { return confirmed_at_; }
 
  private:
--- a/src/include/doorwood/record_store.h
+++ b/src/include/doorwood/record_store.h
@@ -43,7 +43,8 @@
   int64_t lease = 0;
 };
 
-/// Takes effect completely or not at all.
+/// Takes effect completely if all `expected` conditions hold, otherwise not at
+/// all.
 struct StoreTransaction {
   std::vector<ExpectedRevision> expected;
   std::vector<StorePut> puts;
--- a/src/include/doorwood/ticket_book.h
+++ b/src/include/doorwood/ticket_book.h
@@ -33,8 +33,8 @@
   Millis valid_for{0};
 };
 
-/// Port to the adviser. Fails with PeerErrc, or with CoreErrc::kNoOwner if the
-/// adviser is too busy.
+/// Port to the adviser. Requests fail with PeerErrc, or with
+/// CoreErrc::kNoOwner if the adviser is too busy.
 class Adviser {
  public:
   using Callback = std::function<void(std::error_code, TicketGrant)>;
@@ -50,11 +50,12 @@
   /// Maximum number of workers named in one request; each adds to the adviser's
   /// answer time.
   size_t workers_per_request = 30;
-  /// Maximum number of pending requests: the adviser handles one at a time for
-  /// each caller.
+  /// Maximum number of pending requests, for all steps together. More would not
+  /// be answered sooner: the adviser handles one at a time for each caller.
   int max_pending_requests = 4;
   /// A ticket is not used if it expires within this time.
   Millis expiry_margin{200};
+  /// Delay after a failed request for a step before the next one for that step.
   Millis retry_pause{250};
 };
 
@@ -79,6 +80,7 @@
   /// `TicketOptions::retry_pause` after one for the step has failed.
   void RequestTickets(const std::string& step,
                       const std::vector<std::string>& workers);
+  /// Drops all tickets, and ignores the answers to pending requests.
   void Clear();
 
  private:
@@ -93,11 +95,11 @@
     Instant retry_at{};
   };
 
-  void OnAdvice(const std::string& step,
-                const std::vector<std::string>& requested,
-                Instant sent,
-                std::error_code error,
-                const TicketGrant& grant);
+  void OnTicketResponse(const std::string& step,
+                        const std::vector<std::string>& requested,
+                        Instant sent,
+                        std::error_code error,
+                        const TicketGrant& grant);
 
   Executor& executor_;
   Adviser* const adviser_;
--- a/src/include/doorwood/worker_session.h
+++ b/src/include/doorwood/worker_session.h
@@ -28,7 +28,8 @@
   /// The start order was sent and is not answered yet, or is still deferred.
   kStarting,
   /// The start order got no answer, so the worker may carry it out now or
-  /// later; or it was refused as too old, so the run may already have ended.
+  /// later; or the worker refused it with `RunErrc::kStaleRun`, so the run may
+  /// already have ended.
   kUnresolved,
   kRunning,
   /// A stop was ordered; the worker has not listed the end yet.
@@ -47,14 +48,14 @@
   /// Times at which the start was ordered and the worker confirmed the run.
   Instant ordered{};
   Instant confirmed{};
-  /// The worker has confirmed the stop, or has refused the start as too old. It
-  /// refuses this run from now on.
+  /// The worker has confirmed the stop, or has refused the start with
+  /// `RunErrc::kStaleRun`. Either way it refuses any later start of this run.
   bool stop_confirmed = false;
   Instant stop_confirmed_at{};
   bool stop_in_flight = false;
   Instant stop_sent{};
-  /// The worker refused the start because the run number is too old. If the
-  /// order was delivered twice, this run itself may already have ended there.
+  /// The worker refused the start with `RunErrc::kStaleRun`. If the order was
+  /// delivered twice, this run itself may already have ended there.
   bool refused_as_old = false;
 
   /// Copied from the step, since a run may outlive its job.
@@ -68,6 +69,7 @@
   /// "JOB.REPETITION.STEP"; used to limit the tasks of a step on one worker.
   std::string step;
 
+  /// Last reported values; see `ActiveRun`.
   int progress = 0;
   int64_t measurement = -1;
   /// For a serving task: its own load without best-effort work on the same
@@ -76,7 +78,8 @@
   /// Moving average of a serving task's measurements; negative: none yet.
   double mean_measurement = -1;
   /// Time since which `mean_measurement` has been at or above
-  /// `PolicyOptions::over_target_tail_share` of the target; zero: it is below.
+  /// `PolicyOptions::over_target_tail_share` of `latency_target`; zero: it is
+  /// below.
   Instant above_target_since{};
   std::string checkpoint;
   /// Share of its full speed, in percent, that the run may use: as wanted, and
@@ -108,12 +111,14 @@
   /// How long runs continue without contact with a leader. Bounded by the
   /// platform's longest run lease; see docs/CONFIGURATION.md.
   Millis run_lease{6000};
-  /// Longest wait of a poll that watches interference between tasks, in a small
-  /// cell. Simulations of a day with little load in two deployments (5 and 3
-  /// seeds) scored 0.677 and 0.658 at 500 ms, and 0.712 and 0.666 at 250 ms, in
-  /// the users' benchmark without its charge for processors; higher is better.
+  /// Longest time for which a worker with both serving tasks and best-effort
+  /// work may delay its answer to a poll. Used in a small cell; larger cells
+  /// use `WorkerSession::SetShortPollWait`. Simulations of a day with little
+  /// load in two deployments (5 and 3 seeds) scored 0.677 and 0.658 at 500 ms,
+  /// and 0.712 and 0.666 at 250 ms, in the users' benchmark without its charge
+  /// for processors; higher is better.
   Millis short_poll_wait{250};
-  /// Longest wait of any other poll.
+  /// Longest time for which any other worker may delay its answer to a poll.
   Millis long_poll_wait{1200};
   /// Delay between polls while ends are waiting to be recorded.
   Millis unrecorded_pause{150};
@@ -121,11 +126,12 @@
   Millis retry_pause{150};
   /// Delay after a poll that another incarnation answered, if this one has
   /// never answered. A corrected directory entry ends the delay at once.
-  /// Without a correction, each entry that names another worker's address is
-  /// polled only about twice in 10 s.
+  /// Without a correction, an entry that names another worker's address causes
+  /// at most two polls there in 10 s.
   Millis other_incarnation_pause{8000};
   /// A worker that has not responded for this long plus `long_poll_wait` gets
-  /// no new work, unless it is idle and was not polled since.
+  /// no new work. A worker without runs is not polled regularly, so it is
+  /// exempt unless a poll is in flight or the last one failed.
   Millis unresponsive_after{1500};
   /// A stop is sent again if the worker has not listed the end after this time.
   Millis stop_resend_delay{1200};
@@ -147,9 +153,9 @@
                           const Run& run,
                           RunEnd end,
                           bool reported_by_worker) = 0;
-  /// All runs on the worker have ended without its report, since it is dead or
-  /// was unresponsive until the lease expired. `OnRunEnded` follows for each of
-  /// them.
+  /// All runs on the worker have ended, although the worker did not report it:
+  /// another incarnation has replaced it, or all leases there have expired.
+  /// `OnRunEnded` follows for each run.
   virtual void OnWorkerLost(WorkerSession& session) = 0;
   /// A poll failed, and the one before succeeded or there was none.
   virtual void OnPollFailed(WorkerSession& session) = 0;
@@ -157,8 +163,9 @@
   virtual void OnPollRecovered(WorkerSession& session) = 0;
   /// The worker lists the end of a run that this session does not know.
   virtual void OnUnknownEnd(WorkerSession& session, const EndedRun& end) = 0;
-  /// The worker lists an active run that this session does not know. Returns
-  /// the run to adopt; if empty, the session stops it.
+  /// The worker lists an active run of a task of which this session has no run.
+  /// Returns the run to adopt; if empty, the session orders the worker to stop
+  /// the listed run.
   virtual std::optional<Run> OnUnknownRun(WorkerSession& session,
                                           const ActiveRun& run) = 0;
   /// The start was refused; it is certain that the run did not begin.
@@ -167,7 +174,7 @@
                               std::error_code error) = 0;
   /// A report was processed.
   virtual void OnReport(WorkerSession& session) = 0;
-  /// The worker has seen a higher fencing token.
+  /// The worker has seen a higher fencing token. Called at most once.
   virtual void OnFenced(WorkerSession& session) = 0;
 };
 
@@ -183,26 +190,30 @@
                 WorkerIncarnation incarnation,
                 uint64_t token);
 
-  /// Sends the first poll, which fences off all lower tokens.
+  /// Sends the first poll. Once the worker has received it, the worker refuses
+  /// orders with lower fencing tokens.
   void Open();
   void Close();
 
-  /// Starts a run. If `run.start_deferred` is set, only reserves its resources.
+  /// Reserves the run's resources and, unless `run.start_deferred` is set,
+  /// sends its start order.
   void Start(Run run, std::string payload, std::string ticket);
   /// Sends the start order of a run whose start was deferred.
   void SendDeferredStart(const std::string& task);
   void Stop(const std::string& task);
+  /// Limits the run's speed to `percent` of its full speed.
   void SetPace(const std::string& task, int percent);
 
-  /// Sets the longest wait of a poll that watches interference between tasks.
+  /// Replaces `WorkerSessionOptions::short_poll_wait`.
   void SetShortPollWait(Millis wait) { short_wait_ = wait; }
   /// From `until` on, no lease is extended, and no order carries a later lease
-  /// end than one sent at `until`; a successor relies on it. A time rather than
-  /// a flag, so that it also holds after the process was paused and before
-  /// anything else runs.
+  /// end than one sent at `until`. A successor relies on this when it computes
+  /// how long runs may continue. A time rather than a flag, so that the limit
+  /// also holds after a pause of the process that the leader has not noticed
+  /// yet.
   void SetLeaseExtensionEnd(Instant until) { lease_extension_end_ = until; }
-  /// Polls at once if there are runs, in addition to a poll in flight that may
-  /// have been sent before lease extension was allowed.
+  /// Polls at once if there are runs, even if a poll is in flight: that poll
+  /// may have been sent while leases were not allowed to be extended.
   void PollNow();
   /// Sets the time up to which this leader provably led, so that no other
   /// leader can have extended a lease there before. A lease that expired before
@@ -216,8 +227,8 @@
   bool awaits_lead_confirmation() const {
     return EndedSince() >= lead_confirmed_until_;
   }
-  /// This incarnation has ended, and no other instance led before this leader
-  /// noticed it.
+  /// Another incarnation has answered, at a time up to which leadership is
+  /// confirmed.
   bool confirmed_dead() const {
     return dead_ && dead_since_ < lead_confirmed_until_;
   }
@@ -225,8 +236,8 @@
   /// expired, before the time up to which leadership is confirmed. Otherwise
   /// does nothing.
   void EndRunsIfWorkerLost();
-  /// All ends up to `end_number` are recorded; the worker may discard only
-  /// these.
+  /// Notes that all ends up to `end_number` are recorded in the store. Later
+  /// polls allow the worker to discard these ends and no others.
   void MarkRecorded(uint64_t end_number);
   /// Takes a newer directory entry; `incarnation.id` stays the same. If this
   /// incarnation has already answered somewhere, a different address is used
@@ -242,9 +253,10 @@
   const WorkerIncarnation& incarnation() const { return incarnation_; }
   const std::map<std::string, Run>& runs() const { return runs_; }
   Run* FindRun(const std::string& task);
-  /// Increases with each report, each change of the runs there and each
-  /// directory entry.
+  /// Increases with each report that is not outdated, each change of the runs
+  /// there, each directory entry and each change of the address.
   uint64_t version() const { return version_; }
+  /// `EndedRun::number` of the latest end that the worker has listed.
   uint64_t last_end() const { return last_end_; }
   bool has_unrecorded_ends() const { return last_end_ > recorded_end_; }
   /// Tasks that may run there and tasks whose ends there are not recorded. Once
@@ -256,7 +268,8 @@
   bool has_unwanted_runs() const { return !unwanted_tasks_.empty(); }
   /// Increases with each change of `OutstandingTasks`.
   uint64_t tasks_version() const { return tasks_version_; }
-  /// The worker has answered a poll of this leader at least once.
+  /// The worker has answered a poll of this leader at least once, so it refuses
+  /// orders of earlier leaders.
   bool fenced() const { return fenced_; }
   /// The worker has listed all its ends to this leader; one report lists only a
   /// limited number.
@@ -264,9 +277,11 @@
   /// This incarnation has ended: another one answers at its address.
   bool dead() const { return dead_; }
   /// The worker has answered a poll of this leader, this incarnation is not
-  /// known to have ended, and the worker responded recently or is idle and was
-  /// not polled since its last answer.
+  /// known to have ended, and the worker either responded recently, or has no
+  /// runs, answered the last poll, and has no poll in flight.
   bool responsive() const;
+  /// When the worker last responded or, if later, when the session was opened
+  /// or the worker got a run while it had none.
   Instant last_response_at() const { return last_response_at_; }
   /// The poll that completed last failed. Until one succeeds, polls extend no
   /// lease there.
@@ -276,20 +291,23 @@
   /// may have extended leases until then, and so does a deferred start. Zero:
   /// none was sent.
   Instant last_lease_order_at() const { return last_lease_order_at_; }
-  /// When the worker began to respond again after being unresponsive; zero: it
-  /// never was.
+  /// When the worker last responded again after it was logged as unresponsive;
+  /// zero: it never was.
   Instant responsive_since() const { return responsive_since_; }
   /// Reserved processors, memory and accelerators. Best-effort work reserves no
   /// processors.
   const Resources& reserved() const { return reserved_; }
+  /// Processors that best-effort runs ask for, in thousandths.
   int64_t best_effort_cpu() const { return best_effort_cpu_; }
+  /// Number of runs with a latency target.
   int serving_runs() const { return serving_runs_; }
-  /// Processors reserved by serving tasks.
+  /// Processors reserved by serving tasks, in thousandths.
   int64_t serving_cpu() const { return serving_cpu_; }
   int best_effort_runs() const { return best_effort_runs_; }
   /// Number of runs there, in any phase, whose `Run::step` is `step`.
   int CountRunsOfStep(const std::string& step) const;
-  /// Time between the worker's confirmation of the run and its last response.
+  /// Time from the worker's confirmation of the run to `last_response_at`; zero
+  /// if the run is not confirmed.
   Millis ObservedRunTime(const Run& run) const;
 
  private:
@@ -326,15 +344,24 @@
   void SendStart(Run* run, StartArguments arguments);
   void SendStop(const std::string& task, uint32_t number);
   void SendPace(Run* run);
+  /// Notes that another incarnation has replaced this one. The runs end only
+  /// with `EndRunsIfWorkerLost`.
   void MarkDead();
+  /// Polls at `next_address_` without extending leases, unless such a poll is
+  /// in flight.
   void ProbeNextAddress();
   void OnNextAddressResponse(const std::string& address, std::error_code error);
+  /// Notes and logs that another incarnation answers at `address`, if this is
+  /// the listed address of the worker and this incarnation has never answered.
   void NoteOtherIncarnation(const std::string& address);
-  /// Interprets the answer to a call to `address`. An answer of another
-  /// incarnation is treated as no answer unless `address` is `answered_at_`.
+  /// Returns the error to handle after a call to `address` completed with
+  /// `error`: an answer of another incarnation counts as no answer unless
+  /// `address` is `answered_at_`. Sets `answered_at_` on the first success.
   std::error_code ClassifyResponse(const std::string& address,
                                    std::error_code error);
-  void RecordClock(int64_t clock);
+  /// Notes that the worker responded just now, and takes over its `clock`
+  /// unless that is 0 (not reported). Logs if the worker was unresponsive.
+  void NoteResponse(int64_t clock);
   /// Returns the lease end, on the worker's clock, for an order sent at `at`,
   /// and records it as granted. Returns 0 if the worker's clock is not known.
   int64_t RecordLeaseGrant(Instant at);
@@ -345,12 +372,15 @@
   /// there have expired, provided that this leader still led at that time.
   /// Empty: neither is known, or the session is closed.
   std::optional<Instant> EndedSince() const;
+  /// How long the worker may delay its answer to the next poll.
   Millis NextPollWait() const;
   /// Adds (`sign` 1) or subtracts (-1) what the run reserves.
   void AdjustReservations(const Run& run, int sign);
   void Insert(Run run);
   std::optional<Run> RemoveRun(const std::string& task);
+  /// Removes the run, if there is one, and notifies the leader of its end.
   void EndRun(const std::string& task, RunEnd end, bool reported_by_worker);
+  /// Notifies the leader that the worker is lost, and ends all runs there.
   void EndAllRuns();
 
   Executor& executor_;
@@ -360,9 +390,9 @@
   const WorkerSessionOptions options_;
   WorkerIncarnation incarnation_;
   const uint64_t token_;
-  /// Newest address at which this incarnation has answered this leader, or an
-  /// earlier one according to its record. If empty, there is none, and
-  /// `incarnation_` has the address to call.
+  /// Newest address at which this incarnation has answered this leader or,
+  /// according to the records, an earlier leader. Empty: there is none, and the
+  /// listed address in `incarnation_` is called.
   std::optional<std::string> answered_at_;
   std::optional<NextAddress> next_address_;
   /// Another incarnation answers at the address of this one, which has never
@@ -377,7 +407,8 @@
   /// When another incarnation was noticed.
   Instant dead_since_{};
   bool fenced_ = false;
-  bool fenced_reported_ = false;
+  /// `OnFenced` was called: the worker has seen a higher token than `token_`.
+  bool higher_token_reported_ = false;
   bool all_ends_listed_ = false;
   bool unresponsive_logged_ = false;
   std::map<std::string, Run> runs_;
@@ -395,7 +426,8 @@
   uint64_t recorded_end_ = 0;
   /// Tasks whose ends are not recorded, by the number of the end.
   std::map<uint64_t, std::string> unrecorded_ends_;
-  /// Tasks that the newest report lists and this leader is stopping.
+  /// Tasks of those runs that the newest report lists and `runs_` does not
+  /// have; this leader is stopping these runs.
   std::vector<std::string> unwanted_tasks_;
   bool poll_in_flight_ = false;
   /// The poll that completed last failed.
@@ -409,8 +441,9 @@
   /// The worker's clock as last reported, and when that was received.
   int64_t worker_clock_ = 0;
   Instant worker_clock_at_{};
-  /// The latest lease end that any order has carried, or that an earlier leader
-  /// may have granted before the first answer to this one.
+  /// The latest lease end, on the worker's clock, that any order of this leader
+  /// has carried, or that an earlier leader may have granted before the worker
+  /// first answered this one.
   int64_t latest_lease_end_ = 0;
   Instant last_lease_order_at_{};
 };
--- a/src/libdoorwood/cell/cell_campaign.cpp
+++ b/src/libdoorwood/cell/cell_campaign.cpp
@@ -11,8 +11,9 @@
 namespace doorwood {
 namespace {
 
-// Run numbers after a takeover exceed a task's recorded one by more than this,
-// so that they differ from those of runs that were never recorded.
+// After a takeover, new run numbers exceed the task's recorded run number by
+// more than this, so that they differ from the numbers of runs that an earlier
+// leader started but did not record.
 constexpr uint32_t kRunNumberGap = 16;
 
 }  // namespace
@@ -52,7 +53,8 @@
     rank += (stronger || (equal && ranks_first)) ? 1 : 0;
   }
   // If all instances register at once, on the first start or after a store
-  // outage that removed their keys, the first one does not know the others yet.
+  // outage that removed their keys, the first one does not know the others yet,
+  // so each also waits for some time after its own registration.
   return std::max(
       vacant_since_ + options_.campaign_delay_per_rank * rank,
       *live_.registered_since() + options_.campaign_registration_delay);
@@ -137,8 +139,8 @@
       OnCampaignWon(commit.revision);
       return;
     }
-    // If the write was not answered, the key may be this instance's. The
-    // directory shows it.
+    // If the write was not answered, it may have taken effect. The refreshed
+    // live directory shows who holds the key.
     stage_ = Stage::kStandby;
     live_.Refresh();
     executor_.Schedule(options_.retry_pause, [this] { OnLiveChange(); });
@@ -243,8 +245,8 @@
   for (const StoreItem& item : items.items) {
     if (item.key == WorkersKey(options_.cell)) {
       std::vector<KnownWorker> known = DecodeWorkers(item.value);
-      // No leader since this record was written has extended a lease on a
-      // worker that it states as not in contact.
+      // Since this record was written, no leader has extended a lease on the
+      // workers that the record lists as out of contact.
       const Millis age = AgeOfRecord(item.revision);
       for (KnownWorker& worker : known) {
         worker.not_contacted_for +=
@@ -273,8 +275,8 @@
       live_.no_agreement_since() != 0 &&
       live_.no_agreement_since() <= placements_valid_to_;
   if (newest == nullptr || !KeepsToTaskLists(newest->value)) {
-    // A leader of an older version may have started tasks that these lists
-    // exclude.
+    // A leader of an older version may have started tasks on these workers that
+    // the recorded task lists do not name.
     for (KnownWorker& worker : known) {
       worker.tasks.reset();
     }
@@ -316,7 +318,7 @@
     WorkerIncarnation incarnation;
     incarnation.id = worker.id;
     incarnation.address = worker.address;
-    // Not yet confirmed by the directory, so it gets no new work.
+    // Gets no new work until the directory lists it.
     incarnation.draining = true;
     AddWorker(incarnation, /*from_takeover=*/true);
     CellWorker& cell_worker = cell_workers_.at(worker.id);
--- a/src/libdoorwood/cell/cell_crashes.cpp
+++ b/src/libdoorwood/cell/cell_crashes.cpp
@@ -175,15 +175,15 @@
     const CellWorker& cell_worker) {
   std::vector<Task*> tasks;
   const int64_t now = unix_millis_();
-  UncontactedWorkers uncontacted;
-  AddUncontacted(worker, cell_worker, &uncontacted);
+  UnaccountedWorkers unaccounted;
+  AddUnaccountedWorker(worker, cell_worker, &unaccounted);
   for (Job* job : std::vector<Job*>(jobs_.OpenJobs())) {
     ForEachTask(job, [&](Task* task) {
       const bool may_run =
           task->may_still_run && !task->placed && !task->done &&
           IsDue(*job, task->repetition, now) &&
           JobTable::IsUnblocked(*job, task->repetition, task->step);
-      if (may_run && MayRunOn(*task, uncontacted)) {
+      if (may_run && MayRunOn(*task, unaccounted)) {
         tasks.push_back(task);
       }
     });
--- a/src/libdoorwood/cell/cell_large_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_large_takeover_test.cpp
@@ -49,7 +49,7 @@
   world.Run(Millis(3000));
   BOOST_REQUIRE(world.Submit(fakes::MakePlan(kJob, 1, 1, "ms=1")));
   const char* release_message =
-      "released tasks that cannot run on workers not yet contacted";
+      "released tasks that cannot be running on workers not yet accounted for";
   const int before = world.log_count(release_message);
   world.Kill(world.Leader()->name);
   for (const auto& [id, worker] : world.workers()) {
--- a/src/libdoorwood/cell/cell_scheduling.cpp
+++ b/src/libdoorwood/cell/cell_scheduling.cpp
@@ -73,7 +73,7 @@
 // leases have expired, or the worker's record does not name the task.
 bool CellLeader::MayHaveUsedUpAttempts(const Task& task) const {
   const uint32_t unreported_ends =
-      MayRunOnUncontacted(task) ? task.CountUnreportedEnds() : 0;
+      MayRunOnUnaccountedWorker(task) ? task.CountUnreportedEnds() : 0;
   if (unreported_ends == 0 || task.plan().long_running) {
     return false;
   }
--- a/src/libdoorwood/cell/cell_takeover.cpp
+++ b/src/libdoorwood/cell/cell_takeover.cpp
@@ -29,54 +29,57 @@
          kLastOrderMargin;
 }
 
-// A report lists a limited number of ends. Any task may be among those that it
-// does not list.
+// A report lists a limited number of ends. Until the worker has listed all of
+// them, any task may be among those still missing.
 bool CellLeader::HasUnlistedEnds(const CellWorker& cell_worker) const {
   const WorkerSession& session = *cell_worker.session;
   return cell_worker.from_takeover && !all_runs_accounted_ &&
          session.fenced() && !session.all_ends_listed() && !session.dead();
 }
 
-// After the last proof of the lead, another leader may have adopted the runs
-// that are waited for, so only the time up to that proof is deducted.
 Millis CellLeader::RemainingWait(const CellWorker& cell_worker) const {
   if (HasUnlistedEnds(cell_worker)) {
+    // While the worker responds, it is waited for until it has listed all its
+    // ends; if it stops responding, until no run can be active there.
     const auto without_response = std::chrono::duration_cast<Millis>(
         executor_.Now() - cell_worker.session->last_response_at());
     return std::max(MaxRunTimeAfterLeadLoss() - without_response, Millis(0));
   }
-  // Nothing runs on a worker that left after all its ends were recorded.
+  // Nothing runs on a worker whose recorded task list is empty.
   const bool is_empty =
       cell_worker.inherited_tasks && cell_worker.inherited_tasks->empty();
   if (!IsUncontacted(cell_worker) || is_empty) {
     return Millis(0);
   }
+  // After the last proof of the lead, another leader may have adopted the runs
+  // on the worker, so only the time up to that proof is deducted.
   const auto proved =
       std::chrono::duration_cast<Millis>(proof_.confirmed_at() - led_since_);
   const Millis waited = cell_worker.predecessors_waited + proved;
   return std::max(MaxRunTimeAfterLeadLoss() + Millis(1) - waited, Millis(0));
 }
 
-// A task is held back as long as any worker that is still waited for may run
-// it. For a worker that was closed to new work, the record lists the tasks that
-// may run there, unless the lists were too long; on any other, every task may
-// run.
+// A task is held back as long as it may be active, or have ended unreported, on
+// any worker that is still waited for. For a worker that was closed to new
+// work, the record lists the tasks for which this is possible, unless the lists
+// were too long to record; on any other worker it is possible for every task.
 void CellLeader::ReleaseTasks() {
-  UncontactedWorkers uncontacted = FindUncontacted();
+  UnaccountedWorkers unaccounted = FindUnaccountedWorkers();
   size_t freed = 0;
   size_t held = 0;
   for (Job* job : jobs_.OpenJobs()) {
     ForEachTask(job, [&](Task* task) {
       if (task->may_still_run) {
-        task->may_still_run = MayRunOn(*task, uncontacted);
+        task->may_still_run = MayRunOn(*task, unaccounted);
         ++(task->may_still_run ? held : freed);
       }
     });
   }
-  const bool first = !tasks_released_ && !uncontacted.any_task;
+  const bool first = !tasks_released_ && !unaccounted.any_task;
   if (freed > 0 || first) {
     log_.Write("info", "cell",
-               "released tasks that cannot run on workers not yet contacted",
+               "released tasks that cannot be running on workers not yet "
+               "accounted for",
                {{"cell", options_.cell},
                 {"epoch", epoch_},
                 {"after_ms", TimeLeading().count()},
@@ -84,46 +87,46 @@
                 {"held", held}});
     RequestSchedulingPass();
   }
-  if (!uncontacted.any_task) {
+  if (!unaccounted.any_task) {
     tasks_released_ = true;
-    tasks_held_back_ = std::move(uncontacted.tasks);
+    tasks_held_back_ = std::move(unaccounted.tasks);
   }
 }
 
-CellLeader::UncontactedWorkers CellLeader::FindUncontacted() const {
-  UncontactedWorkers uncontacted;
+CellLeader::UnaccountedWorkers CellLeader::FindUnaccountedWorkers() const {
+  UnaccountedWorkers unaccounted;
   for (const auto& [id, cell_worker] : cell_workers_) {
     if (RemainingWait(cell_worker) == Millis(0)) {
       continue;
     }
-    AddUncontacted(id, cell_worker, &uncontacted);
+    AddUnaccountedWorker(id, cell_worker, &unaccounted);
   }
-  return uncontacted;
+  return unaccounted;
 }
 
-void CellLeader::AddUncontacted(std::string_view worker,
-                                const CellWorker& cell_worker,
-                                UncontactedWorkers* uncontacted) {
-  uncontacted->workers.insert(worker);
+void CellLeader::AddUnaccountedWorker(std::string_view worker,
+                                      const CellWorker& cell_worker,
+                                      UnaccountedWorkers* unaccounted) {
+  unaccounted->workers.insert(worker);
   if (cell_worker.inherited_tasks) {
-    uncontacted->tasks.insert(cell_worker.inherited_tasks->begin(),
+    unaccounted->tasks.insert(cell_worker.inherited_tasks->begin(),
                               cell_worker.inherited_tasks->end());
   } else {
-    uncontacted->any_task = true;
+    unaccounted->any_task = true;
   }
 }
 
 bool CellLeader::MayRunOn(const Task& task,
-                          const UncontactedWorkers& uncontacted) const {
+                          const UnaccountedWorkers& unaccounted) const {
   const bool may_be =
-      uncontacted.any_task || uncontacted.tasks.contains(task.name());
+      unaccounted.any_task || unaccounted.tasks.contains(task.name());
   const bool has_recorded_placement =
       placements_valid_at_takeover_ && task.plan().long_running;
   return may_be && (!has_recorded_placement ||
-                    uncontacted.workers.contains(task.assigned_worker));
+                    unaccounted.workers.contains(task.assigned_worker));
 }
 
-bool CellLeader::MayRunOnUncontacted(const Task& task) const {
+bool CellLeader::MayRunOnUnaccountedWorker(const Task& task) const {
   if (all_runs_accounted_) {
     return false;
   }
@@ -190,7 +193,8 @@
       }
     }
   }
-  log_.Write("info", "cell", "waiting for workers that are not yet contacted",
+  log_.Write("info", "cell",
+             "waiting for workers whose runs are not yet accounted for",
              {{"cell", options_.cell},
               {"epoch", epoch_},
               {"led_ms", TimeLeading().count()},
--- a/src/libdoorwood/cell/cell_worker_replacement_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_replacement_test.cpp
@@ -188,10 +188,10 @@
 
 // The next leader delayed all tasks of all jobs until the longest lease that
 // any predecessor may have granted had expired: 9.6 s here, 12.2 s where runs
-// continue for longer. Seen as "waiting for workers that are not yet contacted"
-// with two such workers and 650 tasks held back, and "all runs of earlier
-// leaders are accounted for" 12.2 s later with all_heard false; all waiting
-// tasks were started at that moment.
+// continue for longer. Seen as "waiting for workers whose runs are not yet
+// accounted for" with two such workers and 650 tasks held back, and "all runs
+// of earlier leaders are accounted for" 12.2 s later with all_heard false; all
+// waiting tasks were started at that moment.
 BOOST_AUTO_TEST_CASE(LongRunningTasks_LeadersShutDownInTurn_RestartInTime) {
   for (const int interval : {2000, 3100, 5300, 9700}) {
     RunAllSeeds(Millis(interval), ShutDownLeader);
--- a/src/libdoorwood/cell/ticket_book.cpp
+++ b/src/libdoorwood/cell/ticket_book.cpp
@@ -59,16 +59,16 @@
           std::error_code error, const TicketGrant& grant) {
         if (generation == generation_) {
           --pending_requests_;
-          OnAdvice(step, requested, now, error, grant);
+          OnTicketResponse(step, requested, now, error, grant);
         }
       });
 }
 
-void TicketBook::OnAdvice(const std::string& step,
-                          const std::vector<std::string>& requested,
-                          Instant sent,
-                          std::error_code error,
-                          const TicketGrant& grant) {
+void TicketBook::OnTicketResponse(const std::string& step,
+                                  const std::vector<std::string>& requested,
+                                  Instant sent,
+                                  std::error_code error,
+                                  const TicketGrant& grant) {
   Step& entry = steps_[step];
   entry.request_pending = false;
   if (error) {
@@ -78,9 +78,10 @@
                {{"step", step}, {"error", error.message()}});
     return;
   }
-  // A ticket's validity starts with the adviser's answer. Counted from the
-  // request, it may end too early, but never too late. A refusal is cached for
-  // as long, since the workers that may run a step do not change.
+  // A ticket is valid from the adviser's answer on. Its time is counted from
+  // the request here, so it may be dropped too early, but is never used too
+  // late. A refusal is cached for as long, since the workers that may run a
+  // step do not change.
   const Instant expires_at = sent + grant.valid_for;
   for (const std::string& worker : requested) {
     entry.answers[worker] = {"", expires_at};
--- a/src/libdoorwood/cell/worker_address.cpp
+++ b/src/libdoorwood/cell/worker_address.cpp
@@ -108,7 +108,8 @@
     answered_at_ = address;
     other_incarnation_answers_ = false;
     if (incarnation_.address != address) {
-      // The entry changed while the first call was in flight.
+      // The entry changed while the call was in flight. The address now listed
+      // has to be verified before it is used.
       next_address_ = NextAddress{std::exchange(incarnation_.address, address)};
     }
   }
--- a/src/libdoorwood/cell/worker_orders.cpp
+++ b/src/libdoorwood/cell/worker_orders.cpp
@@ -57,6 +57,8 @@
 void WorkerSession::Start(Run run, std::string payload, std::string ticket) {
   const Instant now = executor_.Now();
   if (runs_.empty()) {
+    // A worker without runs is not polled regularly, so an old last response
+    // does not mean that it is unresponsive.
     last_response_at_ = now;
   }
   run.ordered = now;
@@ -117,7 +119,7 @@
     return;
   }
   if (error != make_error_code(RunErrc::kNoAnswer)) {
-    RecordClock(clock);
+    NoteResponse(clock);
   }
   Run* run = FindRun(task);
   if (run == nullptr || run->number != number) {
@@ -149,13 +151,13 @@
     Poll(Millis(0));
     return;
   }
-  // Definitely refused: nothing runs. Remove the run before notifying the
-  // leader.
+  // The worker refused the order, so the run did not begin. Remove it before
+  // notifying the leader.
   const Run refused = *RemoveRun(task);
   listener_.OnStartRefused(*this, refused, error);
   if (error == make_error_code(RunErrc::kFenced) && !closed_ &&
-      !fenced_reported_) {
-    fenced_reported_ = true;
+      !higher_token_reported_) {
+    higher_token_reported_ = true;
     listener_.OnFenced(*this);
   }
 }
@@ -200,7 +202,7 @@
         if (error) {
           return;
         }
-        self->RecordClock(clock);
+        self->NoteResponse(clock);
         if (!known) {
           return;
         }
@@ -251,7 +253,7 @@
         if (error) {
           return;  // Tick sends it again.
         }
-        self->RecordClock(clock);
+        self->NoteResponse(clock);
         paced->pace = order.percent;
         self->SendPace(paced);
       });
--- a/src/libdoorwood/cell/worker_session.cpp
+++ b/src/libdoorwood/cell/worker_session.cpp
@@ -103,10 +103,11 @@
   if (dead_ || !fenced_) {
     return false;
   }
-  // An idle worker is not polled. A worker whose runs were just ended because
-  // it was unresponsive is idle too, but its last poll failed: in simulations
-  // with partitions, up to 814 starts a day went to such workers, and each of
-  // them was lost until its lease of 6 s had expired.
+  // A worker without runs is not polled regularly, so it needs no recent
+  // response. A worker whose runs were just ended because it was unresponsive
+  // has none either, but its last poll failed. When that was not checked, up to
+  // 814 starts a day went to such workers in simulations with partitions, and
+  // each started run was lost until its lease of 6 s had expired.
   if (runs_.empty() && !poll_in_flight_ && !last_poll_failed_) {
     return true;
   }
@@ -116,7 +117,7 @@
 
 // --- Leases ---
 
-void WorkerSession::RecordClock(int64_t clock) {
+void WorkerSession::NoteResponse(int64_t clock) {
   last_response_at_ = executor_.Now();
   if (unresponsive_logged_) {
     unresponsive_logged_ = false;
@@ -134,9 +135,10 @@
   if (worker_clock_ == 0) {
     return 0;
   }
-  // The last reported clock of an idle worker may be old, since it is not
-  // polled. The time since then is counted at the slowest clock rate: the lease
-  // may end earlier than intended, but never later than a successor waits.
+  // The last reported clock of an idle worker may be old, since the worker is
+  // not polled. The time since then is counted at the slowest clock rate, so
+  // the lease may end earlier than intended, but never after the time for which
+  // a successor waits.
   const auto age = MinElapsedOnWorkerClock(
       std::chrono::duration_cast<Millis>(at - worker_clock_at_));
   const int64_t until = worker_clock_ + (age + options_.run_lease).count();
@@ -189,8 +191,8 @@
   PollOrder order;
   order.token = token_;
   order.forget_up_to = recorded_end_;
-  // An unresponsive worker gets no extension, so that its leases are certain to
-  // expire.
+  // After a failed poll no lease is extended, so that the leases are certain to
+  // expire if the worker stays unresponsive.
   const bool extend =
       !runs_.empty() && sent < lease_extension_end_ && !last_poll_failed_;
   order.lease_end = extend ? RecordLeaseGrant(sent) : 0;
@@ -218,8 +220,8 @@
   if (closed_ || dead_) {
     return;
   }
-  // An extra poll may run beside the regular one; when answered, only the
-  // newest schedules the next.
+  // Several polls may be in flight. When polls are answered, only the one sent
+  // last schedules the next.
   const bool newest = sequence == poll_sequence_;
   if (newest) {
     poll_in_flight_ = false;
@@ -229,8 +231,8 @@
     return;
   }
   if (error == make_error_code(RunErrc::kFenced)) {
-    if (!fenced_reported_) {
-      fenced_reported_ = true;
+    if (!higher_token_reported_) {
+      higher_token_reported_ = true;
       listener_.OnFenced(*this);
     }
     return;
@@ -239,8 +241,8 @@
     if (!std::exchange(last_poll_failed_, true)) {
       listener_.OnPollFailed(*this);
     }
-    // Poll again even if a newer poll was answered meanwhile: only an answer
-    // shows that the worker responds.
+    // Poll again even if a newer poll was answered meanwhile: only another
+    // answer clears `last_poll_failed_`.
     if (!poll_in_flight_) {
       SchedulePoll(other_incarnation_answers_ ? options_.other_incarnation_pause
                                               : options_.retry_pause);
@@ -263,7 +265,8 @@
   if (closed_ || dead_ || !newest) {
     return;
   }
-  // The first poll extends no lease, so the next one follows at once.
+  // The first poll was sent before any run was known and extended no lease, so
+  // the next one follows at once if runs were adopted.
   if (has_unrecorded_ends() && (!first || runs_.empty())) {
     SchedulePoll(options_.unrecorded_pause);
   } else if (!runs_.empty() || has_unwanted_runs()) {
@@ -298,12 +301,12 @@
 }
 
 void WorkerSession::ApplyReport(Instant sent, WorkerReport report) {
-  RecordClock(report.clock);
+  NoteResponse(report.clock);
   ApplyEndedRuns(report.ended);
   if (closed_) {
     return;
   }
-  // A report of an older poll is outdated once a newer one was processed.
+  // A report is outdated if that of a poll sent later was already processed.
   if (sent >= report_sent_) {
     report_sent_ = sent;
     ++version_;
@@ -366,8 +369,9 @@
     if (run->phase == RunPhase::kStarting ||
         run->phase == RunPhase::kUnresolved) {
       run->phase = RunPhase::kRunning;
-      // Use the time of arrival, not the time the poll was sent: a later poll
-      // may have been answered before the run began.
+      // The time of arrival, not the time when this poll was sent: a poll sent
+      // later may have been answered before the run began, and its report must
+      // not be taken as proof that the run has ended.
       run->confirmed = executor_.Now();
     }
     run->progress = row.progress;
@@ -422,7 +426,8 @@
   }
   dead_ = true;
   dead_since_ = executor_.Now();
-  log_.Write("warn", "worker", "another incarnation of the worker answers",
+  log_.Write("warn", "worker",
+             "worker has ended: another incarnation answers at its address",
              {{"worker", incarnation_.id}, {"runs", runs_.size()}});
 }
 
