--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -430,11 +430,11 @@
 
   // cell_run_ends.cpp: processing the ends of runs.
   /// Applies the end of a run to its task and its job.
-  void CountEnd(Task* task,
-                const WorkerSession& session,
-                uint32_t run,
-                RunEnd end,
-                const std::string& checkpoint);
+  void ApplyRunEnd(Task* task,
+                   const WorkerSession& session,
+                   uint32_t run,
+                   RunEnd end,
+                   const std::string& checkpoint);
   /// Counts the end of a run that this leader did not know or had considered
   /// lost.
   void CountLateEnd(RunEnd end);
@@ -576,7 +576,7 @@
   void LogOverdueRunsOf(WorkerSession& session, int* lines);
   /// Whether the run is not long-running, takes far longer than `*expected`,
   /// and was not logged recently. Sets `*expected` if it returns true.
-  bool IsOverdue(const Run& run, Millis* expected) const;
+  bool ShouldLogAsOverdue(const Run& run, Millis* expected) const;
 
   // cell_scheduling.cpp: starting and moving tasks; cell_places.cpp: free
   // capacity of workers and evaluation of placements; cell_pacing.cpp:
--- a/src/include/doorwood/crash_policy.h
+++ b/src/include/doorwood/crash_policy.h
@@ -92,11 +92,11 @@
 std::string_view ToString(CrashVerdict verdict);
 
 /// A task is given up after crashes in trials on different machines: two with a
-/// confirmed process restart, or three observed in any way. It is also given up
-/// after five crashes as a suspect, two of them confirmed. Crashes while many
-/// workers crashed do not count towards these limits. A task that is not given
-/// up is a suspect if it was one in any crash, or a bystander in more than one
-/// crash outside of mass crashes.
+/// confirmed process restart, or three whose worker restarted or vanished. It
+/// is also given up after five crashes as a suspect, two of them confirmed.
+/// Crashes while many workers crashed do not count towards these limits. A task
+/// that is not given up is a suspect if it was one in any crash, or a bystander
+/// in more than one crash outside of mass crashes.
 CrashVerdict AssessCrashes(std::span<const CrashNote> crashes);
 
 /// Whether a worker was observed to crash during a trial of the task. Such a
@@ -118,8 +118,8 @@
  public:
   struct Crash {
     Instant at{};
-    /// Task names and run numbers of the suspects.
-    std::vector<std::pair<std::string, uint32_t>> suspects;
+    /// Task names and run numbers of the suspects and bystanders.
+    std::vector<std::pair<std::string, uint32_t>> runs;
   };
 
   explicit MassCrashDetector(const CrashOptions& options) : options_(options) {}
@@ -148,6 +148,7 @@
   struct Trial {
     std::string worker;
     std::string service;
+    /// When the worker was reserved or, if `started`, when the trial began.
     Instant since{};
     /// The suspect is a likely culprit.
     bool likely_culprit = false;
@@ -169,12 +170,12 @@
   void Expire(Instant now);
   void Clear() { trials_.clear(); }
 
-  /// Returns null if there is no trial.
+  /// Returns null if no worker is reserved for the task.
   const Trial* Find(const std::string& task) const;
-  /// Whether the worker is reserved for a trial.
+  /// Whether the worker is reserved for a trial that has not passed.
   bool IsReserved(std::string_view worker) const;
-  /// Whether the task was started there as a suspect and its trial has not
-  /// finished.
+  /// Whether the task was started on the worker as a suspect and its trial has
+  /// neither ended nor passed.
   bool IsInTrial(const std::string& task, std::string_view worker) const;
   /// Whether another trial may begin on one of the service's `workers` workers.
   /// `likely_culprit`: the suspect is a likely culprit.
--- a/src/include/doorwood/job_table.h
+++ b/src/include/doorwood/job_table.h
@@ -102,10 +102,11 @@
   std::string assigned_worker;
   AssignmentRecord assignment_record = AssignmentRecord::kRecorded;
 
-  /// The newest crash is not recorded in the store yet.
+  /// The task is not started until its newest crash or trial note is recorded
+  /// in the store.
   bool crash_unrecorded = false;
   /// A crash of kind CrashEvidence::kUnconfirmed is possible but not noted yet.
-  bool crash_unconfirmed = false;
+  bool may_have_unconfirmed_crash = false;
   /// The task is not started before this time after a crash.
   Instant no_start_before{};
   /// True while a run is ordered, active, or not known to have ended. Changed
@@ -131,8 +132,8 @@
   /// report.
   uint32_t CountUnreportedEnds() const;
 
-  /// Returns the note of a trial with that run, or null.
-  const CrashNote* FindTrial(uint32_t run) const;
+  /// Returns the kTrial note with that run number, or null.
+  const CrashNote* FindTrialNote(uint32_t run) const;
 
   const StepPlan& plan() const;
   /// "JOB.REPETITION.STEP.INDEX"
@@ -174,7 +175,8 @@
   int repetitions_done = 0;
   /// The state has changed since it was last encoded for the store.
   bool dirty = false;
-  /// A task of the job waits until its newest crash is recorded in the store.
+  /// A task of the job waits until its newest crash or trial note is recorded
+  /// in the store.
   bool crash_unrecorded = false;
 };
 
@@ -205,10 +207,11 @@
 
 /// Consequence of the end of a run for its task.
 enum class EndEffect {
-  /// The task was done already. Or the run had been given up, or its end or
-  /// that of a later run had been counted, and this end neither completes the
-  /// task nor makes the job fail; its failure may have been counted all the
-  /// same, and its checkpoint kept.
+  /// The end neither completes the task, nor makes the job fail, nor calls for
+  /// another run. The task was already done, or the run was at most
+  /// `Task::counted_run`: it had been given up, or its end or that of a later
+  /// run had been counted. A failure may still have been counted and a
+  /// checkpoint kept.
   kIgnored,
   /// The task, or its whole gang, is done; also through a run that was given
   /// up before.
@@ -239,21 +242,21 @@
   /// Applies the end of a run to its task, even if the run was given up before
   /// its worker reported. `max_attempts` is the queue's limit; long-running
   /// tasks have none. The end of a gang's run counts once for all of its tasks.
-  EndEffect CountEnd(Task* task,
-                     uint32_t run,
-                     RunEnd end,
-                     const std::string& checkpoint,
-                     int max_attempts);
-  /// Adds the crash, or replaces the note of that run. Returns false if the
-  /// note is unchanged or final, or if the task is done.
+  EndEffect ApplyRunEnd(Task* task,
+                        uint32_t run,
+                        RunEnd end,
+                        const std::string& checkpoint,
+                        int max_attempts);
+  /// Adds the note, or replaces the one of the same run. Returns false if that
+  /// note is equal or final (kRestarted or kVanished), or if the task is done.
   static bool NoteCrash(Task* task, CrashNote crash);
   /// Removes a kUnconfirmed note of the run. Returns whether there was one.
-  static bool RemoveUnconfirmed(Task* task, uint32_t run);
-  /// Notes the worker of the task's next trial and replaces any other trial.
+  static bool RemoveUnconfirmedCrash(Task* task, uint32_t run);
+  /// Adds the note of the task's next trial in place of any other kTrial note.
   static void NoteTrial(Task* task, CrashNote trial);
-  /// Removes the note of a trial that ended without a crash or did not start.
+  /// Removes the task's kTrial note, because the trial has ended or passed.
   /// Returns whether there was one.
-  static bool RemoveTrial(Task* task);
+  static bool RemoveTrialNote(Task* task);
   /// Changes where the task may run. Returns false if `worker` is already
   /// recorded in the store as the assigned worker.
   static bool SetAssignedWorker(Task* task, const std::string& worker);
--- a/src/libdoorwood/cell/cell_campaign.cpp
+++ b/src/libdoorwood/cell/cell_campaign.cpp
@@ -213,7 +213,7 @@
       task->last_run += kRunNumberGap;
       task->may_still_run = !task->done;
       task->recorded_run = task->counted_run;
-      task->crash_unconfirmed = MayHaveUnconfirmedCrash(*task);
+      task->may_have_unconfirmed_crash = MayHaveUnconfirmedCrash(*task);
       task->ready_since = executor_.Now();
     });
   }
--- a/src/libdoorwood/cell/cell_crashes.cpp
+++ b/src/libdoorwood/cell/cell_crashes.cpp
@@ -14,9 +14,9 @@
 // A worker that disappears before this much time has passed since
 // `CellWorker::evacuated_until` is assumed to be down for its machine's
 // maintenance, not crashed.
-constexpr Millis kUpkeepStartWindow{10'000};
-// A missing entry proves that a worker is gone only if the list of workers is
-// no older than this.
+constexpr Millis kMaintenanceStartWindow{10'000};
+// A missing directory entry proves that a worker is gone only if the list of
+// workers is no older than this.
 constexpr Millis kMaxListAge{2000};
 // Maximum number of suspects named in a log line.
 constexpr size_t kMaxSuspectsLogged = 8;
@@ -35,8 +35,9 @@
   }
   const CellWorker& cell_worker = found->second;
   const Instant now = executor_.Now();
-  const bool evacuated = cell_worker.evacuated_until != Instant{} &&
-                         now - cell_worker.evacuated_until < kUpkeepStartWindow;
+  const bool evacuated =
+      cell_worker.evacuated_until != Instant{} &&
+      now - cell_worker.evacuated_until < kMaintenanceStartWindow;
   if (evacuated) {
     return std::nullopt;
   }
@@ -133,7 +134,7 @@
   for (auto& [name, note] :
        AttributeCrash(session, CrashEvidence::kUnconfirmed)) {
     Task* task = jobs_.FindTask(name);
-    const bool is_trial = task->FindTrial(note.run) != nullptr;
+    const bool is_trial = task->FindTrialNote(note.run) != nullptr;
     if (note.suspect && !is_trial &&
         JobTable::NoteCrash(task, std::move(note))) {
       MarkDirty(task->job, /*urgent=*/true);
@@ -148,7 +149,7 @@
 void CellLeader::RemoveUnconfirmedCrashes(const WorkerSession& session) {
   for (const auto& [name, run] : session.runs()) {
     Task* task = jobs_.FindTask(name);
-    if (task != nullptr && JobTable::RemoveUnconfirmed(task, run.number)) {
+    if (task != nullptr && JobTable::RemoveUnconfirmedCrash(task, run.number)) {
       MarkDirty(task->job, /*urgent=*/false);
     }
   }
@@ -251,7 +252,7 @@
   MassCrashDetector::Crash crash;
   crash.at = executor_.Now();
   for (const auto& [name, note] : notes) {
-    crash.suspects.emplace_back(name, note.run);
+    crash.runs.emplace_back(name, note.run);
   }
   mass_crash_detector_.Add(std::move(crash));
   if (!mass_crash_detector_.IsMassCrash()) {
@@ -259,7 +260,7 @@
   }
   for (const MassCrashDetector::Crash& earlier :
        mass_crash_detector_.crashes()) {
-    for (const auto& [name, run] : earlier.suspects) {
+    for (const auto& [name, run] : earlier.runs) {
       MarkAsMassCrash(name, run);
     }
   }
--- a/src/libdoorwood/cell/cell_evacuation.cpp
+++ b/src/libdoorwood/cell/cell_evacuation.cpp
@@ -14,7 +14,7 @@
 // A worker gets no new work for this long after the latest request to evacuate
 // it.
 constexpr Millis kEvacuationRequestLifetime{1000};
-// Progress at which a long-running task is ready.
+// Progress, in percent, at which a long-running task is ready.
 constexpr int kReadyProgress = 100;
 
 }  // namespace
--- a/src/libdoorwood/cell/cell_overdue.cpp
+++ b/src/libdoorwood/cell/cell_overdue.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Detection of runs that take far longer than expected. Logs what the leader
-// knows about each and what its worker lists.
+// knows about each and what its worker last reported.
 
 #include <algorithm>
 
@@ -14,8 +14,8 @@
 // about the same run.
 constexpr Millis kSearchInterval{1000};
 constexpr Millis kLogInterval{5000};
-// A run is overdue after this multiple of its expected run time, and at least
-// this long after its start was ordered.
+// A run is overdue once the time since its start was ordered exceeds this
+// multiple of its expected run time, and is at least kMinOverdueAge.
 constexpr int kOverdueFactor = 4;
 constexpr Millis kMinOverdueAge{4000};
 // Maximum number of log lines per search.
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-bool CellLeader::IsOverdue(const Run& run, Millis* expected) const {
+bool CellLeader::ShouldLogAsOverdue(const Run& run, Millis* expected) const {
   const Instant now = executor_.Now();
   if (run.long_running || now - run.ordered < kMinOverdueAge ||
       now - run.overdue_logged_at < kLogInterval) {
@@ -60,7 +60,7 @@
   const Instant now = executor_.Now();
   for (const auto& [task, known] : session.runs()) {
     Millis expected{0};
-    if (*lines == 0 || !IsOverdue(known, &expected)) {
+    if (*lines == 0 || !ShouldLogAsOverdue(known, &expected)) {
       continue;
     }
     Run& run = *session.FindRun(task);
--- a/src/libdoorwood/cell/cell_pacing.cpp
+++ b/src/libdoorwood/cell/cell_pacing.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 // Age from which a run's measurements are taken to cover its load: a worker's
-// measurements cover the last half second, and the report itself may be that
-// old.
+// measurements cover the last half second, and the report itself may be
+// nearly as old.
 constexpr Millis kMeasurementDelay{900};
 // Best-effort work with checkpoints is moved to another worker if its wanted
 // pace is at most kStuckPace and it has been below its full speed, at any pace,
--- a/src/libdoorwood/cell/cell_placement_records.cpp
+++ b/src/libdoorwood/cell/cell_placement_records.cpp
@@ -74,10 +74,10 @@
          unrecorded_placements_.empty();
 }
 
-// Once an instance may rely on the recorded placements, it may continue to do
-// so: this leader records where it starts long-running tasks, or it asks the
-// instance to agree to unrecorded starts, after which the instance no longer
-// relies on them.
+// Keeps its last value once placements are no longer all recorded: an instance
+// that may rely on the recorded placements may do so until it agrees to
+// unrecorded starts. Until then, this leader records where it starts
+// long-running tasks.
 int64_t CellLeader::PlacementsValidTo() {
   if (ArePlacementsRecorded()) {
     placements_valid_to_ = live_.revision();
--- a/src/libdoorwood/cell/cell_run_ends.cpp
+++ b/src/libdoorwood/cell/cell_run_ends.cpp
@@ -37,15 +37,15 @@
   }
 }
 
-void CellLeader::CountEnd(Task* task,
-                          const WorkerSession& session,
-                          uint32_t run,
-                          RunEnd end,
-                          const std::string& checkpoint) {
+void CellLeader::ApplyRunEnd(Task* task,
+                             const WorkerSession& session,
+                             uint32_t run,
+                             RunEnd end,
+                             const std::string& checkpoint) {
   Job* job = task->job;
   const bool was_open = job->outcome == JobOutcome::kOpen;
   const EndEffect effect =
-      jobs_.CountEnd(task, run, end, checkpoint, MaxAttempts(*job));
+      jobs_.ApplyRunEnd(task, run, end, checkpoint, MaxAttempts(*job));
   if (effect == EndEffect::kIgnored) {
     // The failure count or the checkpoint may have changed nevertheless.
     MarkDirty(job, /*urgent=*/false);
@@ -98,7 +98,7 @@
     return;
   }
   JobTable::SetPlaced(task, false);
-  JobTable::RemoveTrial(task);
+  JobTable::RemoveTrialNote(task);
   starts_awaiting_record_.erase(run.task);
   unrecorded_placements_.erase(run.task);
   if (!run.checkpoint.empty() && !task->done) {
@@ -113,7 +113,7 @@
   if (end == RunEnd::kDone && !run.atypical_duration) {
     RecordRunTime(task, run);
   }
-  CountEnd(task, session, run.number, end, run.checkpoint);
+  ApplyRunEnd(task, session, run.number, end, run.checkpoint);
   RequestSchedulingPass();
 }
 
@@ -165,12 +165,13 @@
   }
   // Successive leaders that read the same records assign the same run numbers,
   // so this may be the end of a different run than the one that is placed now.
+  // It is therefore counted under a lower number than that of the placed run.
   const auto placed = task->placed ? NumberOfPlacedRun(end.task) : std::nullopt;
   const uint32_t number = placed && end.run >= *placed ? *placed - 1 : end.run;
   CountLateEnd(end.end);
-  task->crash_unconfirmed = false;
-  JobTable::RemoveUnconfirmed(task, end.run);
-  CountEnd(task, session, number, end.end, end.checkpoint);
+  task->may_have_unconfirmed_crash = false;
+  JobTable::RemoveUnconfirmedCrash(task, end.run);
+  ApplyRunEnd(task, session, number, end.end, end.checkpoint);
   auto& reported_runs = task->reported_runs;
   if (!all_runs_accounted_ &&
       std::find(reported_runs.begin(), reported_runs.end(), end.run) ==
@@ -178,8 +179,7 @@
     reported_runs.push_back(end.run);
   }
   if (task->done) {
-    StopRunsOfCompletedTask(
-        *task);  // An earlier run has already completed the task.
+    StopRunsOfCompletedTask(*task);  // Another run of it may still be active.
   }
   RequestSchedulingPass();
 }
@@ -215,7 +215,8 @@
   // task must not be started again while this run is active.
   const bool wanted = task != nullptr && !task->done && !task->placed &&
                       task->job->outcome == JobOutcome::kOpen;
-  log_.Write("info", "cell", wanted ? "run adopted" : "unwanted run stopped",
+  log_.Write("info", "cell",
+             wanted ? "adopting a run" : "stopping an unwanted run",
              {{"task", active_run.task},
               {"run", active_run.run},
               {"worker", session.incarnation().id},
@@ -230,8 +231,8 @@
   }
   task->may_still_run = false;
   task->adopted_run = all_runs_accounted_ ? 0 : active_run.run;
-  task->crash_unconfirmed = false;
-  JobTable::RemoveUnconfirmed(task, active_run.run);
+  task->may_have_unconfirmed_crash = false;
+  JobTable::RemoveUnconfirmedCrash(task, active_run.run);
   task->last_run = std::max(task->last_run, active_run.run);
   task->counted_run = std::min(task->counted_run, active_run.run - 1);
   if (!task->job->started) {
--- a/src/libdoorwood/cell/cell_suspects.cpp
+++ b/src/libdoorwood/cell/cell_suspects.cpp
@@ -16,8 +16,8 @@
 // Weight of a long-running task, relative to any other run, in the cost of
 // losing the worker on which a suspect is tried.
 constexpr int kLongRunningWeight = 10;
-// Margin of the additional poll of a trial after the time for which a run has
-// to be active, so that the answer shows the run active for long enough.
+// The additional poll of a trial is sent this long after the time for which a
+// run has to be active, so that the answer shows it active for long enough.
 constexpr Millis kTrialCheckDelay{30};
 // From this many noted crashes on, a trial run is recorded before it begins, in
 // case the leader fails together with the worker.
@@ -98,7 +98,7 @@
 // recorded, and the result of that start is unknown. It is noted as an
 // unconfirmed crash, and recorded, before the next start.
 bool CellLeader::NoteUnconfirmedCrash(Task* task) {
-  if (!std::exchange(task->crash_unconfirmed, false)) {
+  if (!std::exchange(task->may_have_unconfirmed_crash, false)) {
     return false;
   }
   CrashNote note;
@@ -173,7 +173,7 @@
 
 bool CellLeader::RecordTrial(Task* task, const WorkerIncarnation& incarnation) {
   const uint32_t run = task->last_run + 1;
-  const CrashNote* previous = task->FindTrial(run);
+  const CrashNote* previous = task->FindTrialNote(run);
   const bool is_recorded =
       previous != nullptr && previous->worker == incarnation.id;
   if (is_recorded || task->crashes.size() < kMinCrashesToRecordTrial) {
@@ -245,7 +245,7 @@
       ended.push_back(name);
     } else if (observed_running >= trial.duration && !trial.passed) {
       trials_.MarkPassed(name);
-      JobTable::RemoveTrial(task);
+      JobTable::RemoveTrialNote(task);
       MarkDirty(task->job, /*urgent=*/false);
     }
   }
--- a/src/libdoorwood/cell/cell_worker_records.cpp
+++ b/src/libdoorwood/cell/cell_worker_records.cpp
@@ -32,7 +32,7 @@
 }
 
 // If the task names exceed `most_bytes`, drops the lists that are longest in
-// bytes: any task may then run on their workers.
+// bytes: a successor then assumes that any task may run on those workers.
 void LimitNameBytes(size_t most_bytes, std::vector<KnownWorker>* workers) {
   std::vector<std::pair<size_t, KnownWorker*>> fewest_first;
   for (KnownWorker& worker : *workers) {
@@ -109,8 +109,9 @@
 bool CellLeader::IsClosedToNewWork(const CellWorker& cell_worker) const {
   const WorkerSession& session = *cell_worker.session;
   const Instant now = executor_.Now();
-  // Nothing was started on a worker that this leader has not contacted, and
-  // what earlier leaders may have left there is accounted for.
+  // A session that is not fenced has had no contact with its worker: this
+  // leader started nothing there, and what earlier leaders may have left there
+  // is accounted for.
   if (session.dead() || IsLongUnresponsive(cell_worker) || !session.fenced()) {
     return true;
   }
--- a/src/libdoorwood/cell/cell_workers.cpp
+++ b/src/libdoorwood/cell/cell_workers.cpp
@@ -73,7 +73,8 @@
 
 void CellLeader::OnClosedDataCentres(std::set<std::string> closed) {
   if (closed != closed_data_centres_) {
-    log_.Write("info", "cell", "data centres closed to new work",
+    log_.Write("info", "cell",
+               "the set of data centres closed to new work has changed",
                {{"cell", options_.cell},
                 {"before", closed_data_centres_},
                 {"now", closed}});
@@ -134,7 +135,7 @@
 
 // Only an expired lease or another incarnation's answer proves that a worker
 // has ended. An entry that another process wrote proves nothing: the worker's
-// runs continue, at the known address, but it gets no new work.
+// runs continue, but it gets no new work.
 void CellLeader::ApplyDirectoryEntry(const WorkerIncarnation& incarnation,
                                      CellWorker* cell_worker) {
   const WorkerIncarnation& known = cell_worker->session->incarnation();
@@ -237,7 +238,8 @@
   for (auto it = cell_workers_.begin(); it != cell_workers_.end();) {
     const WorkerSession& session = *it->second.session;
     const bool is_gone = session.dead() || !it->second.listed;
-    // A successor still has to learn of an end that is not recorded.
+    // A worker is kept until all ends that it has listed are recorded,
+    // so that a successor learns of them.
     const bool is_still_needed = !session.runs().empty() ||
                                  session.has_unrecorded_ends() ||
                                  IsUncontacted(it->second);
--- a/src/libdoorwood/job/job_table.cpp
+++ b/src/libdoorwood/job/job_table.cpp
@@ -9,7 +9,7 @@
 
 namespace doorwood {
 
-const CrashNote* Task::FindTrial(uint32_t run) const {
+const CrashNote* Task::FindTrialNote(uint32_t run) const {
   const auto found = std::find_if(
       crashes.begin(), crashes.end(), [run](const CrashNote& crash) {
         return crash.evidence == CrashEvidence::kTrial && crash.run == run;
@@ -260,11 +260,11 @@
   return static_cast<int>(failed.size()) >= max_attempts;
 }
 
-EndEffect JobTable::CountEnd(Task* task,
-                             uint32_t run,
-                             RunEnd end,
-                             const std::string& checkpoint,
-                             int max_attempts) {
+EndEffect JobTable::ApplyRunEnd(Task* task,
+                                uint32_t run,
+                                RunEnd end,
+                                const std::string& checkpoint,
+                                int max_attempts) {
   task->last_run = std::max(task->last_run, run);
   Job* job = task->job;
   const bool counts_as_failure =
@@ -319,7 +319,7 @@
   return true;
 }
 
-bool JobTable::RemoveUnconfirmed(Task* task, uint32_t run) {
+bool JobTable::RemoveUnconfirmedCrash(Task* task, uint32_t run) {
   const auto dropped =
       std::erase_if(task->crashes, [run](const CrashNote& crash) {
         return crash.run == run &&
@@ -332,12 +332,12 @@
 }
 
 void JobTable::NoteTrial(Task* task, CrashNote trial) {
-  RemoveTrial(task);
+  RemoveTrialNote(task);
   task->crashes.push_back(std::move(trial));
   task->job->dirty = true;
 }
 
-bool JobTable::RemoveTrial(Task* task) {
+bool JobTable::RemoveTrialNote(Task* task) {
   const auto dropped = std::erase_if(task->crashes, [](const CrashNote& crash) {
     return crash.evidence == CrashEvidence::kTrial;
   });
--- a/src/libdoorwood/job/job_table_test.cpp
+++ b/src/libdoorwood/job/job_table_test.cpp
@@ -99,7 +99,7 @@
     Job* job = table.Add(fakes::MakePlan(kId, 1, 1, ""));
     Task* task = table.FindTask(std::string(kId) + ".0.0.0");
     for (const End& end : row.ends) {
-      table.CountEnd(task, end.run, end.end, "", kAttempts);
+      table.ApplyRunEnd(task, end.run, end.end, "", kAttempts);
     }
     BOOST_TEST_CONTEXT(row.name) {
       BOOST_TEST(task->done == row.done);
@@ -131,10 +131,10 @@
     table.Add(fakes::MakePlan(kId, 1, 1, ""));
     Task* task = table.FindTask(std::string(kId) + ".0.0.0");
     for (const uint32_t run : row.expired_runs) {
-      table.CountEnd(task, run, RunEnd::kLeaseExpired, "earlier", kAttempts);
+      table.ApplyRunEnd(task, run, RunEnd::kLeaseExpired, "earlier", kAttempts);
     }
     JobTable::SetPlaced(task, row.placed);
-    table.CountEnd(task, 1, RunEnd::kLeaseExpired, "later", kAttempts);
+    table.ApplyRunEnd(task, 1, RunEnd::kLeaseExpired, "later", kAttempts);
     BOOST_TEST_CONTEXT(row.name) {
       BOOST_TEST(task->checkpoint == row.checkpoint);
     }
@@ -148,7 +148,7 @@
   Job* job = table.Add(plan);
   Task* task = &job->repetitions[0].steps[0].tasks[0];
   for (uint32_t run = 1; run < 10; ++run) {
-    table.CountEnd(task, run, RunEnd::kFailed, "", 1);
+    table.ApplyRunEnd(task, run, RunEnd::kFailed, "", 1);
   }
   BOOST_TEST(static_cast<int>(job->outcome) ==
              static_cast<int>(JobOutcome::kOpen));
@@ -159,8 +159,8 @@
   JobPlan plan = fakes::MakePlan(kId, 1, 4, "");
   plan.steps[0].gang = true;
   Job* job = table.Add(plan);
-  table.CountEnd(&job->repetitions[0].steps[0].tasks[2], 1, RunEnd::kDone, "",
-                 2);
+  table.ApplyRunEnd(&job->repetitions[0].steps[0].tasks[2], 1, RunEnd::kDone,
+                    "", 2);
   BOOST_TEST(static_cast<int>(job->outcome) ==
              static_cast<int>(JobOutcome::kCompleted));
 }
@@ -171,11 +171,11 @@
   plan.steps[0].gang = true;
   Job* job = table.Add(plan);
   auto& tasks = job->repetitions[0].steps[0].tasks;
-  table.CountEnd(&tasks[0], 1, RunEnd::kFailed, "", 2);
-  table.CountEnd(&tasks[1], 1, RunEnd::kFailed, "", 2);
+  table.ApplyRunEnd(&tasks[0], 1, RunEnd::kFailed, "", 2);
+  table.ApplyRunEnd(&tasks[1], 1, RunEnd::kFailed, "", 2);
   BOOST_TEST(static_cast<int>(job->outcome) ==
              static_cast<int>(JobOutcome::kOpen));
-  table.CountEnd(&tasks[1], 2, RunEnd::kFailed, "", 2);
+  table.ApplyRunEnd(&tasks[1], 2, RunEnd::kFailed, "", 2);
   BOOST_TEST(static_cast<int>(job->outcome) ==
              static_cast<int>(JobOutcome::kFailed));
 }
@@ -185,9 +185,9 @@
   Job* job = table.Add(fakes::MakePlan(kId, 2, 2, ""));
   BOOST_TEST(JobTable::IsUnblocked(*job, 0, 0));
   auto& first = job->repetitions[0].steps[0].tasks;
-  table.CountEnd(&first[0], 1, RunEnd::kDone, "", 1);
+  table.ApplyRunEnd(&first[0], 1, RunEnd::kDone, "", 1);
   BOOST_TEST(!JobTable::IsUnblocked(*job, 0, 1));
-  table.CountEnd(&first[1], 1, RunEnd::kDone, "", 1);
+  table.ApplyRunEnd(&first[1], 1, RunEnd::kDone, "", 1);
   BOOST_TEST(JobTable::IsUnblocked(*job, 0, 1));
 }
 
@@ -196,8 +196,8 @@
   const JobPlan plan = fakes::MakePlan(kId, 2, 2, "");
   Job* job = before.Add(plan);
   auto& tasks = job->repetitions[0].steps[0].tasks;
-  before.CountEnd(&tasks[0], 4, RunEnd::kDone, "", 3);
-  before.CountEnd(&tasks[1], 2, RunEnd::kFailed, "saved", 3);
+  before.ApplyRunEnd(&tasks[0], 4, RunEnd::kDone, "", 3);
+  before.ApplyRunEnd(&tasks[1], 2, RunEnd::kFailed, "saved", 3);
   job->started = true;
   JobTable after;
   Job* read = after.Add(plan);
@@ -254,7 +254,7 @@
   BOOST_TEST(JobTable::NoteCrash(
       task, {3, "m-2", "w2", CrashEvidence::kVanished, true, false, true}));
   BOOST_TEST(!JobTable::NoteCrash(task, {3, "m-3"}));
-  BOOST_TEST(!JobTable::RemoveUnconfirmed(task, 3));
+  BOOST_TEST(!JobTable::RemoveUnconfirmedCrash(task, 3));
   job->reason = "why";
   JobTable successor;
   Job* read = successor.Add(fakes::MakePlan(kId, 1, 2, ""));
