--- a/src/libdoorwood/cell/cell_changing_capacity_test.cpp
+++ b/src/libdoorwood/cell/cell_changing_capacity_test.cpp
@@ -118,8 +118,9 @@
   }
 }
 
-// Guards against starts that ignore runs which an earlier leader left to be
-// stopped: such runs use capacity until they have ended.
+// A job is cancelled while its leader cannot reach the worker, so a successor
+// has to stop the runs. Guards against starts that ignore these runs: they use
+// capacity until they have ended.
 BOOST_AUTO_TEST_CASE(Runs_StoppedBySuccessor_UseCapacityUntilTheyHaveEnded) {
   constexpr Millis kStopDuration{900};
   for (uint64_t seed = 1; seed <= 8; ++seed) {
--- a/src/libdoorwood/cell/cell_closed_data_centre_test.cpp
+++ b/src/libdoorwood/cell/cell_closed_data_centre_test.cpp
@@ -10,8 +10,8 @@
 namespace doorwood {
 namespace {
 
-// With a store that answers, a closed data centre should get no new work after
-// one second; the platform's bound is 5 s.
+// While the store answers, a closed data centre gets no new work from this time
+// on. The platform allows 5 s.
 constexpr Millis kClosingTime{1000};
 
 struct ClosedFixture {
--- a/src/libdoorwood/cell/cell_crashing_task_test.cpp
+++ b/src/libdoorwood/cell/cell_crashing_task_test.cpp
@@ -309,7 +309,9 @@
       ++samples;
     }
   }
-  // Likely culprits are tried on at most a tenth of the workers at a time.
+  // Trials run on at most a third of the workers at a time, those of likely
+  // culprits on at most a tenth. Averaged over the 20 s, fewer than a fifth of
+  // the workers may be down.
   BOOST_TEST(down * 5 < samples);
   const std::string healthy_job = "0000000000000011";
   BOOST_REQUIRE(
@@ -324,12 +326,12 @@
 }
 
 // Submits a crashing and a long-running job. Eight times: waits up to 10 s for
-// a crash, for which it polls every `poll_ms` milliseconds, kills the leader
+// a crash, checking every `check_interval_ms` milliseconds, kills the leader
 // `delay_ms` milliseconds later, and restarts it after 1 s. Then expects that
 // only the crashing job has failed.
 void RestartLeaderAfterEachCrash(CrashFixture* fixture,
                                  int delay_ms,
-                                 int poll_ms = 50) {
+                                 int check_interval_ms = 50) {
   constexpr int kMaxWaitMs = 10'000;
   fixture->SubmitLongRunning(8);
   fixture->world.Submit(fakes::MakePlan(kFixtureJob, 1, 1, "ms=300 crashes="));
@@ -337,8 +339,8 @@
     const int before = fixture->world.crashes();
     for (int waited = 0;
          waited < kMaxWaitMs && fixture->world.crashes() == before;
-         waited += poll_ms) {
-      fixture->world.RunExactly(Millis(poll_ms));
+         waited += check_interval_ms) {
+      fixture->world.RunExactly(Millis(check_interval_ms));
     }
     fixture->world.Run(Millis(delay_ms));
     fixture->RestartLeader();
@@ -366,7 +368,8 @@
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       CrashFixture fixture(seed);
-      RestartLeaderAfterEachCrash(&fixture, /*delay_ms=*/0, /*poll_ms=*/1);
+      RestartLeaderAfterEachCrash(&fixture, /*delay_ms=*/0,
+                                  /*check_interval_ms=*/1);
     }
   }
 }
@@ -440,6 +443,7 @@
       fixture.world.Run(Millis(60'000));
       BOOST_TEST(fixture.StateOf(kFixtureJob) == "failed");
       BOOST_TEST(fixture.world.crashes() > 1);
+      // The first crash, before there is a suspect, may follow several starts.
       BOOST_TEST(fixture.world.crashes_after_several_starts() <= 1);
     }
   }
--- a/src/libdoorwood/cell/cell_journal_load_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_load_test.cpp
@@ -195,7 +195,7 @@
     fixture.store.answer_time = row.answer_time;
     fixture.GenerateLoad(Millis(6000));
     fixture.time.Run(Millis(2000));
-    // Ends are recorded with the next batch.
+    // Run ends are recorded with the next batch.
     fixture.journal.MarkDirty("open0", true);
     fixture.time.Run(Millis(1000));
     BOOST_TEST_CONTEXT(row.answer_time.count() << " ms an answer") {
@@ -245,12 +245,13 @@
   fixture.time.Run(Millis(2000));
   // Of the jobs submitted during the outage, the outcome is unknown only for
   // those that were sent to the store before it was found to be unresponsive.
-  // The others are refused at once, or within the time it takes to find that
-  // out.
+  // The others are refused at once, or when it is found to be unresponsive,
+  // after 0.7 s.
   BOOST_TEST(fixture.CountAnswers(outcome_unknown) <= 10);
   BOOST_TEST(fixture.SlowestAnswerTime(store_unavailable).count() <= 800);
-  // Jobs are accepted again once the calls that were in flight during the
-  // outage have timed out after 1 s and have been sent again.
+  // 40 jobs are submitted before the outage and 80 after it. Up to 45 of these
+  // may not be accepted, because the calls in flight first have to time out,
+  // after 1 s, and be sent again.
   BOOST_TEST(fixture.CountAnswers(no_error) >= 40 + 80 - 45);
   BOOST_TEST((fixture.encoded == fixture.changed));
   BOOST_TEST(!fixture.lead_lost);
--- a/src/libdoorwood/cell/cell_journal_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_test.cpp
@@ -138,11 +138,11 @@
       {"answer lost twice", {Step::kLoseAnswer, Step::kLoseAnswer}, {}, true},
       {"request lost", {Step::kLoseRequest}, {}, true},
       {"request late", {Step::kDelay}, {}, true},
-      {"lost, then refused for a while",
+      {"answer lost, then refused for a while",
        {Step::kLoseAnswer, Step::kRefuse, Step::kRefuse, Step::kRefuse},
        {},
        true},
-      {"late, then refused until it lands",
+      {"request late, then refused until it takes effect",
        {Step::kDelay, Step::kRefuse, Step::kRefuse, Step::kRefuse,
         Step::kRefuse, Step::kRefuse, Step::kRefuse, Step::kRefuse,
         Step::kRefuse, Step::kRefuse, Step::kRefuse, Step::kRefuse,
@@ -173,7 +173,8 @@
   BOOST_TEST(answers == 1);
   BOOST_TEST(answer == make_error_code(CoreErrc::kOutcomeUnknown));
   time.Run(Millis(10'000));
-  // The batch took effect after all, so the job runs and its id is known.
+  // A later attempt to write the batch has succeeded, so the job is accepted
+  // after all.
   BOOST_TEST(accepted.size() == 1U);
 }
 
--- a/src/libdoorwood/cell/cell_large_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_large_takeover_test.cpp
@@ -3,7 +3,8 @@
 // A takeover in a large cell of 7,500 runs on 60 workers. Two thirds of the
 // workers drain and have ended when the next leader takes over. The workers'
 // record names the tasks that may run on them, up to a size bound; a single
-// worker whose tasks exceed the bound would delay all tasks by 9.9 s.
+// lost worker whose tasks are not named, because they exceed the bound, would
+// delay all tasks by 9.9 s.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdio>
--- a/src/libdoorwood/cell/cell_late_campaign_test.cpp
+++ b/src/libdoorwood/cell/cell_late_campaign_test.cpp
@@ -16,8 +16,8 @@
 using fakes::CellWorld;
 using fakes::WorldInstance;
 
-// Longer than a lease, a campaign and reading the records take once the store
-// works again.
+// Longer than it takes, once the store works again, until a lease has expired
+// and an instance has won a campaign and read the records.
 constexpr Millis kRecoveryTime{15'000};
 
 struct Fixture {
@@ -56,8 +56,9 @@
   }
 }
 
-// Writes are late, and take effect 6 s after they were sent. A later write wins
-// the lead, which is lost 0.2 to 6 s after that.
+// For 2.6 s, each write takes effect only 6 s after it was sent. Then an
+// instance wins the lead with a write that is not delayed, and loses it 0.2 to
+// 6 s later, before or after the delayed writes take effect.
 BOOST_AUTO_TEST_CASE(Campaign_LateWriteAfterLostLead_CellGetsALeader) {
   for (int led = 200; led <= 6000; led += 100) {
     Fixture fixture;
--- a/src/libdoorwood/cell/cell_lead_proof_test.cpp
+++ b/src/libdoorwood/cell/cell_lead_proof_test.cpp
@@ -19,7 +19,7 @@
 
 // The store answers again before the old leader has learned of its successor.
 // Without a worker's report, runs whose lease has expired count as ended only
-// after a later read of the lead key.
+// once a later read of the lead key shows that the leader still leads.
 BOOST_AUTO_TEST_CASE(PartitionedLeader_IsGrantedANewLease_StartsNothing) {
   for (int duration = 2500; duration <= 9000; duration += 50) {
     PartitionedLeaderFixture fixture;
@@ -32,8 +32,8 @@
   }
 }
 
-// The store removes the keys at once, without notice and without ending the
-// lease; the worker has been unreachable for 0 to 7 s.
+// The store removes the old leader's keys at once, without notice and without
+// ending the lease. That leader has not reached the worker for 0 to 7 s before.
 BOOST_AUTO_TEST_CASE(
     PartitionedLeader_KeyIsRemovedBeforeLeaseEnd_StartsNothing) {
   for (int unreachable = 0; unreachable <= 7000; unreachable += 100) {
--- a/src/libdoorwood/cell/cell_outage_test.cpp
+++ b/src/libdoorwood/cell/cell_outage_test.cpp
@@ -2,9 +2,10 @@
 
 // The store serves some instances and refuses others, the leader among them. A
 // leader continues while the store is down for all instances, since none can
-// succeed it. It must not conclude this from one refused instance of each data
-// centre: it would extend without bound the leases of runs that its successor
-// considers ended. All in virtual time.
+// succeed it. It must not conclude that the store is down for all because it
+// refuses one instance of each data centre: the leader would extend without
+// bound the leases of runs that its successor considers ended. All in virtual
+// time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -17,10 +18,11 @@
 using fakes::LeaderSuccession;
 using fakes::ViolationReport;
 
-constexpr Millis kSettlingTime{16'000};
+constexpr Millis kSettleTime{16'000};
 
-// The store refuses the first instance of each data centre and serves the
-// second. `reached` names the served ones that the leader can reach.
+// The store refuses the first instance of each data centre, or does not answer
+// it if `unresponsive`, and serves the second. The leader can reach those of
+// the served instances that `reached` names.
 void RefuseFirstOfEachDataCentre(const LeaderSuccession& trial,
                                  bool unresponsive,
                                  const std::set<std::string>& reached) {
@@ -46,7 +48,7 @@
       trial.MaybePartitionOldLeaderFromBoth(partitioned);
       trial.world.Run(Millis(offset * 60));
       RefuseFirstOfEachDataCentre(trial, unresponsive, reached);
-      trial.world.Run(kSettlingTime);
+      trial.world.Run(kSettleTime);
       violation_report.Add((unresponsive ? "silent" : "refused") +
                                std::string(partitioned ? ", partitioned" : "") +
                                ", offset " + std::to_string(offset * 60),
@@ -83,7 +85,7 @@
       trial.old_leader->unreachable_instances.insert(name);
       trial.world.instances().at(name)->store_faults.unavailable = false;
     }
-    trial.world.Run(kSettlingTime);
+    trial.world.Run(kSettleTime);
     violation_report.Add("outage " + std::to_string(outage), trial.world);
   }
 }
@@ -102,7 +104,7 @@
       trial.PartitionOldLeader();
       trial.world.Run(Millis(after));
       trial.world.store().DropLeaseKeys(*trial.old_leader->live->lease());
-      trial.world.Run(kSettlingTime);
+      trial.world.Run(kSettleTime);
       violation_report.Add("offset " + std::to_string(offset) +
                                ", removed after " + std::to_string(after),
                            trial.world);
@@ -123,15 +125,16 @@
     for (const auto& [name, instance] : trial.world.instances()) {
       instance->store_faults.unavailable = false;
     }
-    trial.world.Run(kSettlingTime);
+    trial.world.Run(kSettleTime);
     BOOST_TEST(trial.world.violations().empty(), "outage " << outage);
   }
 }
 
-// For a minute after a machine is gone, a leader does not assume that an outage
-// is one for all instances, since the store might serve that machine, which
-// might lead. After that, ready tasks are started during an outage again.
-BOOST_AUTO_TEST_CASE(Outage_MachineGoneForOverAMinute_DependentStepsRun) {
+// For a minute after an instance is gone, a leader does not conclude that the
+// store is down for all instances, since the store might serve that instance,
+// which might lead. After that minute, ready tasks are started during outages
+// again.
+BOOST_AUTO_TEST_CASE(Outage_InstanceGoneForOverAMinute_DependentStepsRun) {
   for (const int gone_for : {70, 300}) {
     fakes::CellWorld world(7);
     world.SetTable({fakes::MakeQueue("queue", 4)});
--- a/src/libdoorwood/cell/cell_pause_test.cpp
+++ b/src/libdoorwood/cell/cell_pause_test.cpp
@@ -4,8 +4,8 @@
 // waits until the runs on workers that it has not contacted must have ended,
 // and starts the tasks again. On resuming, the old leader handles answers that
 // waited in its sockets before the tick that detects the pause, and may send an
-// order after a check made before the pause. No run whose lease it then extends
-// may overlap one of the successor. All in virtual time.
+// order after a check made before the pause. A run whose lease it extends then
+// must not overlap the successor's run of the same task. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -18,11 +18,12 @@
 using fakes::LeaderSuccession;
 using fakes::ViolationReport;
 
-// A poll waits for 1.2 s: twenty offsets within one poll.
+// The pauses begin at 20 offsets, 60 ms apart, within the 1.2 s for which a
+// poll waits.
 constexpr int kOffsets = 20;
 constexpr Millis kOffsetStep{60};
-constexpr Millis kSettlingTime{13'000};
-// How long a leader continues after its last confirmation
+constexpr Millis kSettleTime{13'000};
+// How long a leader continues to send orders after its last confirmation
 // (`CellOptions::order_grace`).
 constexpr Millis kOrderGrace{3000};
 
@@ -45,7 +46,7 @@
         trial.MaybePartitionOldLeaderFromBoth(partitioned);
         trial.world.Run(kOffsetStep * offset);
         trial.Pause(Millis(pause));
-        trial.world.Run(kSettlingTime);
+        trial.world.Run(kSettleTime);
         violation_report.Add(Describe({{"parted", partitioned},
                                        {"pause", pause},
                                        {"offset", offset}}),
@@ -65,7 +66,7 @@
         trial.Pause(Millis(pause));
         trial.world.Run(Millis(1 + offset * 10));
         trial.Pause(Millis(pause));
-        trial.world.Run(kSettlingTime);
+        trial.world.Run(kSettleTime);
         violation_report.Add(Describe({{"parted", partitioned},
                                        {"pause", pause},
                                        {"between", 1 + offset * 10}}),
@@ -88,7 +89,7 @@
         trial.PartitionOldLeader();
         trial.world.Run(Millis(3000) + kOffsetStep * offset);
         trial.Pause(Millis(pause));
-        trial.world.Run(kSettlingTime);
+        trial.world.Run(kSettleTime);
         violation_report.Add(
             Describe({{"parted", partitioned},
                       {"pause", pause},
@@ -116,7 +117,7 @@
             grace_end - trial.world.time().now());
         trial.world.Run(remaining - Millis(1300));
         trial.old_leader->executor->PauseInNowCall(call, Millis(pause));
-        trial.world.Run(kSettlingTime);
+        trial.world.Run(kSettleTime);
         violation_report.Add(
             Describe(
                 {{"parted", partitioned}, {"pause", pause}, {"call", call}}),
@@ -126,8 +127,8 @@
   }
 }
 
-// The same for a leader that the store serves. It loses the lead only because
-// of the pause.
+// A pause between a check and the order that follows from it, of a leader that
+// the store serves: it loses the lead only because of the pause.
 BOOST_AUTO_TEST_CASE(OldLeader_PausedBetweenCheckAndOrder_NothingRunsTwice) {
   ViolationReport violation_report;
   for (const bool partitioned : {false, true}) {
@@ -136,7 +137,7 @@
         LeaderSuccession trial;
         trial.MaybePartitionOldLeaderFromBoth(partitioned);
         trial.old_leader->executor->PauseInNowCall(call, Millis(pause));
-        trial.world.Run(kSettlingTime + Millis(2000));
+        trial.world.Run(kSettleTime + Millis(2000));
         violation_report.Add(
             Describe(
                 {{"parted", partitioned}, {"pause", pause}, {"call", call}}),
--- a/src/libdoorwood/cell/cell_random_faults_test.cpp
+++ b/src/libdoorwood/cell/cell_random_faults_test.cpp
@@ -84,7 +84,7 @@
         SetStoreOutage(Pick(2) == 0);
         break;
       case 5:
-        ToggleLostAndDelayedMessages();
+        RandomizeLostAndDelayedMessages();
         break;
       case 6:
         CrashOneWorker();
@@ -128,7 +128,7 @@
     }
   }
 
-  void ToggleLostAndDelayedMessages() {
+  void RandomizeLostAndDelayedMessages() {
     const bool on = Pick(2) == 0;
     for (const auto& [name, instance] : world_.instances()) {
       instance->store_faults.lost_reply_share = on ? 0.2 : 0;
@@ -145,6 +145,8 @@
     AddWorker();
   }
 
+  // About half of the instances can no longer reach one of the workers; the
+  // others reach all workers again.
   void PartitionOneWorker() {
     const std::string worker =
         std::next(world_.workers().begin(),
--- a/src/libdoorwood/cell/cell_random_replacement_test.cpp
+++ b/src/libdoorwood/cell/cell_random_replacement_test.cpp
@@ -2,10 +2,11 @@
 
 // The random walk of cell_long_running_fault_walk_test with lost and late
 // replies and orders, in which workers are also replaced: one joins, and
-// another, which may announce that it drains, keeps running for a while and
-// ends; its entry is removed before or after its end. Leaders are shut down or
-// killed, sometimes two in a row, and stops of tasks take time. Short tasks
-// beside the long-running ones show whether a completed task is started again.
+// another, which may announce that it drains, ends up to 8 s later. The
+// directory entry of the latter is removed before or after its end. Leaders are
+// shut down or killed, sometimes two in a row, and stops of tasks take time.
+// Short tasks beside the long-running ones show whether a completed task is
+// started again.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -68,7 +69,7 @@
       case 25:
         return ChangeEntryTemporarily();
       case 26:
-        return PartitionServingWorker();
+        return PartitionRunningWorker();
       case 27:
       case 28:
       case 29:
@@ -94,19 +95,19 @@
   }
 
   /// A random worker among those that are up.
-  std::string PickServingWorker() {
-    std::vector<std::string> serving;
+  std::string PickRunningWorker() {
+    std::vector<std::string> running;
     for (const auto& [id, worker] : world_.workers()) {
       if (worker->up) {
-        serving.push_back(id);
+        running.push_back(id);
       }
     }
-    return serving[RandomBelow(serving.size())];
+    return running[RandomBelow(running.size())];
   }
 
   void ReplaceOneWorker() {
     ++replaced_;
-    const std::string replaced_worker = PickServingWorker();
+    const std::string replaced_worker = PickRunningWorker();
     auto& new_worker = world_.AddWorker("r" + std::to_string(replaced_), 4000);
     new_worker.model.SetStopDuration(Between(0, 3000));
     auto& worker = *world_.workers().at(replaced_worker);
@@ -138,7 +139,7 @@
 
   // Marks a worker as draining, or removes its entry, for a while.
   void ChangeEntryTemporarily() {
-    const std::string id = PickServingWorker();
+    const std::string id = PickRunningWorker();
     auto& worker = *world_.workers().at(id);
     if (worker.incarnation.draining || !worker.listed) {
       return;
@@ -160,7 +161,7 @@
   // worker.
   void CancelDrainAndKillLeader() {
     auto* leader = world_.Leader();
-    const std::string id = PickServingWorker();
+    const std::string id = PickRunningWorker();
     if (leader == nullptr || world_.workers().at(id)->incarnation.draining) {
       return;
     }
@@ -183,14 +184,14 @@
   }
 
   // Starts are executed, but the leader gets no reply, and it can no longer
-  // reach one of the workers. Then it is lost, and no other instance reaches
-  // that worker.
+  // reach one of the workers. Then the leader is lost, and no other instance
+  // reaches that worker.
   void LoseStartRepliesAndKillLeader() {
     auto* leader = world_.Leader();
     if (leader == nullptr) {
       return;
     }
-    const std::string id = PickServingWorker();
+    const std::string id = PickRunningWorker();
     PartitionOthersFrom(id, leader);
     leader->lost_order_reply_share = 1;
     SubmitLong();
@@ -222,8 +223,8 @@
   }
 
   // Only the leader, or no instance at all, reaches a worker that is up.
-  void PartitionServingWorker() {
-    const std::string worker = PickServingWorker();
+  void PartitionRunningWorker() {
+    const std::string worker = PickRunningWorker();
     const WorldInstance* reaching_instance =
         RandomBelow(3) == 0 ? nullptr : world_.Leader();
     for (const auto& [name, instance] : world_.instances()) {
--- a/src/libdoorwood/cell/cell_random_restarts_test.cpp
+++ b/src/libdoorwood/cell/cell_random_restarts_test.cpp
@@ -47,8 +47,8 @@
     }
   }
 
-  // Restarts an instance under its name. It cannot reach the same workers and
-  // instances as before; its other faults end.
+  // Restarts an instance under its name. It remains partitioned from the same
+  // workers and instances; its other faults end.
   void RestartInstance() {
     auto& before = LeaderOrRandomInstance();
     const std::string name = before.name;
--- a/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
+++ b/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
@@ -66,8 +66,9 @@
   return plan;
 }
 
-/// The task runs on the worker "leaves"; the worker "stays" joins next or
-/// later. Another job waits for a worker that is large enough.
+/// The task runs on the worker "leaves"; the worker "stays" joins next if
+/// `stays` is set, and otherwise with AddRemainingWorker(). Another job waits
+/// for a worker that is large enough.
 struct NamedRunsScenario {
   explicit NamedRunsScenario(const JobPlan& plan,
                              Millis stop_takes = Millis(0),
@@ -428,7 +429,8 @@
   BOOST_TEST(started_after_drain > 0);
 }
 
-// Without faults the worker gets new tasks within 1 s.
+// Without faults the worker gets new tasks within 1 s after the drain is
+// cancelled.
 BOOST_AUTO_TEST_CASE(DrainCancelled_StoreAnswers_GetsNewTasksInTime) {
   constexpr int kStartLimit = 2;
   for (int drained = 100; drained <= 3000; drained += 100) {
@@ -482,9 +484,11 @@
   }
 }
 
-// The same with a second leader, which alone reaches the worker: the record
-// that it reads names the tasks there, and the entry no longer says that the
-// worker drains.
+// A second leader reads a record that names the tasks on the worker, while the
+// entry no longer says that the worker drains. From 0 to 0.25 s after it leads,
+// its writes are delayed and not answered. New tasks may start there only after
+// a record that no longer restricts its tasks is confirmed. Later leaders
+// cannot reach the worker.
 BOOST_AUTO_TEST_CASE(DrainCancelled_SecondLeaderCannotRecord_NothingRunsTwice) {
   constexpr Millis kFineStep{5};
   ViolationReport violation_report;
@@ -574,6 +578,8 @@
           BOOST_TEST(scenario.longest_downtime.count() <=
                      kBothSuccessorsBound.count());
           BOOST_TEST(!WorkerRunning(scenario.world, kTask).empty());
+          // By 0.9 s the record names the tasks on the draining worker, so that
+          // the other job is not delayed.
           if (at >= 900) {
             BOOST_TEST(scenario.waited.count() <= kReachableBound.count());
           }
--- a/src/libdoorwood/cell/cell_repeated_takeover_wait_test.cpp
+++ b/src/libdoorwood/cell/cell_repeated_takeover_wait_test.cpp
@@ -32,10 +32,10 @@
   return next;
 }
 
-// The worker stays listed, and no instance can reach it. The second leader
-// leads for longer than its wait. In half of the cases a worker joins 1 s
-// before the second leader is lost, so that all workers are recorded again.
-// After the loss a worker joins that has capacity for a waiting job.
+// The worker "unheard" stays listed, and no instance can reach it. The second
+// leader leads for longer than its wait. In half of the cases, 1 s before the
+// second leader is lost, a worker joins, so that all workers are recorded
+// again. After the loss a worker joins that has capacity for a waiting job.
 BOOST_AUTO_TEST_CASE(ThirdLeader_SecondWaitedAndRecorded_DoesNotWaitAgain) {
   for (int second_leads_ms = 11'000; second_leads_ms <= 20'000;
        second_leads_ms += 1000) {
--- a/src/libdoorwood/cell/cell_restarted_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_restarted_leader_test.cpp
@@ -21,7 +21,7 @@
 using fakes::WorldInstance;
 
 constexpr Millis kSettleTime{20'000};
-// Until the killed leader's key has expired and its successor has read the
+// Time until the killed leader's key has expired and its successor has read the
 // records.
 constexpr Millis kTimeToLeadAgain{4000};
 constexpr double kHighestCpuShare = 4.0;
@@ -91,9 +91,10 @@
   }
 }
 
-// An instance that has ended is disregarded after a minute, also by instances
-// that start later. Until then the leader must assume that the store may serve
-// it, and does not extend leases.
+// When a leader checks whether the store is down for all, an instance that has
+// ended is disregarded after a minute, also if the leader started after that
+// end. Until then the leader must assume that the store may serve it, and does
+// not extend leases.
 BOOST_AUTO_TEST_CASE(RestartedLeader_AnotherIsGone_DisregardedAfterAMinute) {
   for (const bool within_a_minute : {true, false}) {
     BOOST_TEST_CONTEXT((within_a_minute ? "at once" : "after a minute")) {
--- a/src/libdoorwood/cell/cell_returning_instance_test.cpp
+++ b/src/libdoorwood/cell/cell_returning_instance_test.cpp
@@ -19,7 +19,7 @@
 using fakes::LeaderSuccession;
 using fakes::ViolationReport;
 
-constexpr Millis kSettlingTime{20'000};
+constexpr Millis kSettleTime{20'000};
 
 void RunScenario(bool reached) {
   ViolationReport violation_report;
@@ -39,7 +39,7 @@
     if (!reached) {
       trial.old_leader->unreachable_instances.insert("a1");
     }
-    world.Run(kSettlingTime);
+    world.Run(kSettleTime);
     violation_report.Add("offset " + std::to_string(offset * 60), world);
   }
 }
@@ -61,7 +61,7 @@
       world.instances().at(name)->store_faults.unavailable = true;
     }
     trial.old_leader->unreachable_instances.insert("a1");
-    world.Run(kSettlingTime);
+    world.Run(kSettleTime);
     violation_report.Add("refused for " + std::to_string(refused_ms), world);
   }
 }
--- a/src/libdoorwood/cell/cell_stale_record_test.cpp
+++ b/src/libdoorwood/cell/cell_stale_record_test.cpp
@@ -37,10 +37,11 @@
   }
 }
 
-// The worker's run has ended and the worker is not listed; its entry comes back
-// if the leader drops the worker while replies of the store are lost, which is
-// for 0.7 s from `lost_from` ms after the run's end. `unresponsive_from` ms
-// after that, the store becomes unresponsive. Returns the number of violated
+// A worker that is not listed is evacuated. `lost_from` ms after the end of its
+// run, the store's replies to the leader are lost for 0.7 s; if the leader
+// drops the worker by then, the worker's entry comes back. `unresponsive_from`
+// ms after the 0.7 s, the store becomes unresponsive to the leader. When a run
+// starts on the worker, the leader is lost. Returns the number of violated
 // rules, or -1 if nothing was started on the worker within 1.5 s.
 int DropAndReadmitWorker(int lost_from, int unresponsive_from) {
   CellWorld world(5);
@@ -88,8 +89,8 @@
   return -1;
 }
 
-// Found by a random walk that changes entries and loses replies of the store,
-// with a check of each start against the current record.
+// This fault was found by a random walk that changes entries and loses replies
+// of the store, with a check of each start against the current record.
 BOOST_AUTO_TEST_CASE(
     Record_WorkerDroppedAndReadmittedMeanwhile_NothingRunsTwice) {
   int violating = 0;
--- a/src/libdoorwood/cell/cell_takeover_wait_test.cpp
+++ b/src/libdoorwood/cell/cell_takeover_wait_test.cpp
@@ -33,8 +33,10 @@
   return plan;
 }
 
-// Time in ms from the loss of its leader until a waiting task is started, at
-// the last of `leaders` takeovers.
+// Returns the time in ms from the loss of a leader until a waiting task is
+// started, at the last of `leaders` takeovers. If `far_listed`, there is an
+// unreachable worker "far", which the first leader has contacted if
+// `far_contacted`.
 int WaitAfterLeaderLoss(bool far_listed, bool far_contacted, int leaders) {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
--- a/src/libdoorwood/cell/cell_three_leaders_test.cpp
+++ b/src/libdoorwood/cell/cell_three_leaders_test.cpp
@@ -3,9 +3,9 @@
 // Three leaders in a row, in virtual time. The third leader does not repeat a
 // wait for a not yet contacted worker that the second one has completed, and
 // failures that were not recorded count as attempts if they are acknowledged
-// before the worker's lease expires. Neither rule may hide runs
-// that the second leader started on a worker that only it could reach, or that
-// joined through the directory while it led.
+// before the worker's lease expires. These rules must not make the third leader
+// overlook runs that the second one started on a worker which only the second
+// could reach, or which joined while the second led.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -109,8 +109,8 @@
 // ended; the third leader deducts what the second has waited. With
 // `within_wait`, returns the cases in which the third leader reaches the worker
 // before that wait is over. Otherwise, returns those in which it reaches the
-// worker after the wait, and those in which it does not reach the worker until
-// it has settled, for each time that the second leads.
+// worker after the wait, and those in which it does not reach the worker for at
+// least kSettleTime.
 std::vector<AttemptsRow> AttemptsRows(bool within_wait) {
   std::vector<AttemptsRow> rows;
   for (int second_leads_ms = 500; second_leads_ms <= 11'000;
--- a/src/libdoorwood/cell/cell_unresponsive_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_unresponsive_takeover_test.cpp
@@ -90,10 +90,10 @@
   }
 }
 
-// Tasks are started on the worker until its status calls fail, and each start
-// extends a lease. Once the leader has extended none there for 4 s it has
-// recorded that, and its successor waits only for the rest of the lease, not
-// for a predecessor that might still send orders.
+// Tasks are started on the worker until its polls fail, and each start extends
+// a lease. Once the leader has extended none there for 4 s it has recorded
+// that, and its successor waits only for the rest of the lease, not for a
+// predecessor that might still send orders.
 BOOST_AUTO_TEST_CASE(Successor_StartsWentToLostWorker_WaitsForLeaseOnly) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     for (int unresponsive_ms = 5500; unresponsive_ms <= 6500;
@@ -166,7 +166,7 @@
         scenario.world.Run(Millis(3000));
         scenario.ExpectNoViolations(
             "seed " + std::to_string(seed) + ", unresponsive for " +
-            std::to_string(unresponsive_ms) + ", later " +
+            std::to_string(unresponsive_ms) + ", reachable after " +
             std::to_string(reachable_after_ms));
       }
     }
@@ -174,8 +174,8 @@
 }
 
 // The worker is healthy, but no instance can reach it. The store revokes the
-// leader's key, so that the next one leads at once, while the lease of the runs
-// there has not expired.
+// leader's key, so that a successor leads at once, before the lease of the runs
+// there has expired.
 BOOST_AUTO_TEST_CASE(Successor_LeadsAtOnce_NothingRunsTwice) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     for (int unresponsive_ms = 3500; unresponsive_ms <= 6500;
@@ -197,11 +197,11 @@
   }
 }
 
-// The runs continue if the worker answers in time, even if the record is
-// updated late. The last lease expires 5.2 s after the worker becomes
-// unresponsive. A status call is made every 0.85 s, and no lease is extended
-// until the record says that the worker answers, up to 27 ms here. Runs on a
-// worker that answers shortly before the expiry may therefore end.
+// The runs continue if the worker can be reached again early enough before
+// their lease expires, which is 5.2 s after it becomes unresponsive. It may
+// take 0.85 s until the next poll, and then up to 27 ms until the record says
+// that the worker answers; before that no lease is extended. If the worker is
+// unreachable for more than 4.25 s, the runs may therefore end.
 BOOST_AUTO_TEST_CASE(Worker_AnswersBeforeItsLeaseExpires_RunsContinue) {
   constexpr int kAnswersInTimeMs = 4250;
   for (uint64_t seed = 1; seed <= 30; ++seed) {
--- a/src/libdoorwood/cell/cell_unresponsive_worker_test.cpp
+++ b/src/libdoorwood/cell/cell_unresponsive_worker_test.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Guards against new starts on an unresponsive worker. When the lease of its
-// runs has expired, the leader correctly concludes that they have ended. The
-// worker then runs nothing in the leader's state, and such workers are not
-// polled. If that clears the unresponsive state, the same tasks are ordered
-// there again at once, and are given up only 6.5 s later, although other
-// workers have free capacity.
+// Guards against starts on a worker that is still unresponsive when the lease
+// of its runs has expired. The leader then correctly takes the runs to have
+// ended, so the worker is idle, and idle workers are not polled. If they all
+// counted as responsive, the tasks would be ordered on this worker again at
+// once, and elsewhere only 6.5 s later, although other workers have free
+// capacity.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -23,8 +23,7 @@
 using fakes::WorkerRunning;
 
 constexpr int kTasks = 3;
-// The lease of 6 s has expired at most 6.6 s after the last answered status
-// call.
+// The lease of 6 s has expired at most 6.6 s after the last answered poll.
 constexpr Millis kLeaseExpiry{7000};
 
 /// One worker that is listed, runs a job, and becomes unresponsive.
@@ -86,15 +85,14 @@
   UnresponsiveWorkerFixture fixture;
   fixture.world.Run(kLeaseExpiry + Millis(3000));
   fixture.Heal();
-  // Long enough until the next status call, which is made 0.15 s after a failed
-  // one, which takes 0.7 s.
+  // Long enough for the next poll: a poll fails after 0.7 s, and the next one
+  // is sent 0.15 s later.
   fixture.world.Run(Millis(1000));
   BOOST_TEST(WorkerRunning(fixture.world, fixture.task) == "w1");
 }
 
-// While a start is unanswered, two status calls may be in flight. If one fails
-// and the other is answered, the worker must not be closed to new tasks
-// permanently.
+// While a start is unanswered, two polls may be in flight. If one fails and the
+// other is answered, the worker must not be closed to new tasks permanently.
 BOOST_AUTO_TEST_CASE(UnresponsiveWorker_AnswersWithinTheLease_StaysOpen) {
   for (int unresponsive_ms = 100; unresponsive_ms <= 3000;
        unresponsive_ms += 100) {
--- a/src/libdoorwood/cell/cell_worker_loss_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_loss_test.cpp
@@ -59,7 +59,7 @@
 
 // Some workers leave without announcing it: their entry is removed, and they
 // continue to run for a while. Their long-running tasks must be moved before
-// they stop.
+// the workers end.
 BOOST_FIXTURE_TEST_CASE(
     Worker_EntryRemovedWithoutNotice_LongRunningTaskMovesInTime,
     CellFixture) {
@@ -80,7 +80,7 @@
   BOOST_REQUIRE(!first.empty());
   world.workers().at(first)->listed = false;
   world.Run(Millis(1500));
-  // The entry may come back within moments.
+  // Nothing moves for 2.2 s, since the entry may come back.
   BOOST_TEST(find_running_worker() == first);
   world.Run(Millis(2500));
   BOOST_TEST(find_running_worker() != first);
--- a/src/libdoorwood/cell/cell_worker_replacement_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_replacement_test.cpp
@@ -54,7 +54,8 @@
     world_.Run(kStep * static_cast<int>(20 + seed));
   }
 
-  /// Calls `change`, which makes another instance lead, once every `interval`.
+  /// Replaces a worker and submits a short job every 0.7 s, and calls `change`,
+  /// which makes another instance lead, once every `interval`.
   template <typename Change>
   void Run(Millis interval, Change change) {
     Millis next_replaced = kReplacementInterval;
--- a/src/libdoorwood/cell/long_running_fault_walk.h
+++ b/src/libdoorwood/cell/long_running_fault_walk.h
@@ -184,9 +184,10 @@
   }
 
   // Partitions the cell. Each worker is reachable either by the leader or by
-  // all other instances. The store refuses the leader or does not answer it. It
-  // serves a random part of the other instances, which the leader cannot reach.
-  // The rest it refuses only if it refuses the leader.
+  // all other instances. The store refuses the leader or does not answer it,
+  // and serves some of the other instances, chosen at random; the leader cannot
+  // reach these. It refuses the remaining instances if it refuses the leader,
+  // and otherwise does not.
   void PartitionLeader() {
     auto* leader = world_.Leader();
     if (leader == nullptr) {
--- a/src/libdoorwood/cell/worker_address_test.cpp
+++ b/src/libdoorwood/cell/worker_address_test.cpp
@@ -271,6 +271,7 @@
 
 struct RecordedRow {
   const char* name;
+  /// Who answers at the recorded and at the listed address.
   Responder recorded;
   Responder listed;
   bool dead;
