--- a/src/soak/callers.cpp
+++ b/src/soak/callers.cpp
@@ -99,7 +99,7 @@
                    std::string body,
                    ReplyHandler done) {
   HttpCall call;
-  call.address = world_.ClientAddressOf(Draw(world_.instances()));
+  call.address = world_.FrontAddressOf(Draw(world_.instances()));
   call.method = std::move(method);
   call.target = platform::kSoakPath + tracked.job.id;
   call.headers = {{"Host", platform::kSoakHost}};
@@ -154,7 +154,7 @@
     if (tracked->job.is_long_running()) {
       world_.task_checker().OnLongRunning(tracked->job.id);
     }
-    PollState(tracked);
+    SchedulePollOrCancel(tracked);
   } else if (tracked->may_be_accepted || !tracked->gives_up) {
     world_.After(kRetryInterval, [this, tracked, attempts_left] {
       Submit(tracked, attempts_left);
@@ -162,7 +162,7 @@
   }
 }
 
-void Callers::PollState(TrackedJob* tracked) {
+void Callers::SchedulePollOrCancel(TrackedJob* tracked) {
   world_.After(kPollInterval, [this, tracked] {
     if (tracked->cancels) {
       Cancel(tracked);
@@ -188,7 +188,7 @@
     world_.ReportViolation("job " + tracked->job.id +
                            " ended in the unexpected state " + state);
   } else if (!tracked->finished) {
-    PollState(tracked);
+    SchedulePollOrCancel(tracked);
   }
 }
 
--- a/src/soak/callers.h
+++ b/src/soak/callers.h
@@ -67,7 +67,9 @@
   void OnSubmitted(TrackedJob* tracked,
                    int attempts_left,
                    const HttpReply& reply);
-  void PollState(TrackedJob* tracked);
+  /// After the poll interval, cancels the job if the caller is to cancel it,
+  /// and reads its state otherwise.
+  void SchedulePollOrCancel(TrackedJob* tracked);
   void OnState(TrackedJob* tracked, const HttpReply& reply);
   void Cancel(TrackedJob* tracked);
   /// True if the job may end in this state although it did not complete.
--- a/src/soak/config_probe.cpp
+++ b/src/soak/config_probe.cpp
@@ -39,7 +39,7 @@
 
 void ConfigProbe::SendProbe(size_t instance, int version) {
   HttpCall call;
-  call.address = world_.ClientAddressOf(instance);
+  call.address = world_.FrontAddressOf(instance);
   call.target = platform::SoakRoutePath(version);
   call.headers = {{"Host", platform::kSoakHost}};
   call.timeout = kCallTimeout;
--- a/src/soak/scenario.h
+++ b/src/soak/scenario.h
@@ -22,7 +22,8 @@
   Millis full_partition_time{4000};
   /// From then until everything else, workers and peers, is reachable again.
   Millis other_links_delay{2000};
-  /// Connections that survived the partition transfer again this much later.
+  /// From the healing of each link until the connections that survived its cut
+  /// transfer bytes again; see `Link::Heal`.
   Millis resume_delay{0};
 };
 
--- a/src/soak/world.cpp
+++ b/src/soak/world.cpp
@@ -110,7 +110,7 @@
   return "entry-" + std::to_string(instance + 1);
 }
 
-std::string World::ClientAddressOf(size_t instance) const {
+std::string World::FrontAddressOf(size_t instance) const {
   const int caller = kFirstCaller + static_cast<int>(instance);
   return AddressOf(Host(caller, kFirstInstance + instance), kFrontPort);
 }
--- a/src/soak/world.h
+++ b/src/soak/world.h
@@ -63,7 +63,8 @@
   size_t serving() const { return options_.workers; }
   static size_t DataCentreOf(size_t index) { return index % kDataCentres; }
   static std::string NameOf(size_t instance);
-  std::string ClientAddressOf(size_t instance) const;
+  /// Address, as host:port, of the HTTP front end of the instance.
+  std::string FrontAddressOf(size_t instance) const;
   bool IsUp(size_t instance) const {
     return instances_[instance]->child.IsRunning();
   }
