--- a/src/include/doorwood/ingress.h
+++ b/src/include/doorwood/ingress.h
@@ -3,7 +3,7 @@
 /// \file
 /// Routes calls about jobs from any entry instance: calls about an existing
 /// job are sent to the cell that has the job, a new job to the cell with the
-/// least load.
+/// least load, where the local cell's load is reduced by a bonus.
 
 #ifndef DOORWOOD_INGRESS_H_
 #define DOORWOOD_INGRESS_H_
@@ -29,7 +29,7 @@
 
 /// Calls from this instance to the leaders of cells on other instances. The
 /// callback of each call runs exactly once, on the control thread: with a
-/// PeerErrc if the peer did not answer, else with the peer's CoreErrc.
+/// PeerErrc if the peer did not answer, else with success or its CoreErrc.
 class CellPeers {
  public:
   using SubmitCallback = std::function<void(std::error_code, AcceptOutcome)>;
@@ -52,17 +52,17 @@
 };
 
 struct IngressOptions {
-  /// How often the leaders of other cells are asked for their summaries.
+  /// How often the cells' leaders are asked for their summaries.
   Millis summary_interval{600};
-  /// A job is submitted to another cell only if less work waits there than in
-  /// the local cell, by at least this amount, in seconds of work per processor
-  /// core.
+  /// Subtracted from the load of the cell of this instance's data centre when
+  /// cells are ordered by load, so that jobs stay local if loads differ little.
+  /// In seconds of unfinished work per processor core.
   double local_cell_bonus = 0.8;
-  /// This instance sends no calls to a leader that has not answered for this
-  /// long, counted from the leader's last answer or from the first request to
-  /// it. Callers are refused immediately and can call an instance that can
-  /// reach the leader. The default is two `summary_interval`s plus 300 ms
-  /// for an answer.
+  /// No calls about jobs are sent to a leader on another instance that has sent
+  /// no summary for this long, counted from its last summary or from the first
+  /// request for one. Calls about its jobs fail immediately, so that callers
+  /// can try an instance that reaches the leader. The default is two
+  /// `summary_interval`s plus 300 ms for an answer.
   Millis leader_answer_timeout{1500};
   /// Maximum number of jobs whose cell is cached.
   size_t max_cached_jobs = 20'000;
@@ -105,7 +105,7 @@
  private:
   struct KnownCell {
     CellSummary summary;
-    /// Work submitted to the cell since the summary, in core-seconds.
+    /// Work that this instance submitted since the summary, in core-seconds.
     double work_sent_since = 0;
     /// Epoch of the leader that was polled last.
     int64_t polled_epoch = 0;
@@ -118,22 +118,22 @@
 
   /// This instance's leader of the cell; null: it does not lead the cell.
   CellLeader* LocalLeader(const std::string& cell) const;
-  /// The leader of the cell on another instance, if it answers or has not been
-  /// polled yet; null: there is none.
+  /// The leader of the cell on another instance; null: there is none, or it has
+  /// sent no summary for `leader_answer_timeout`.
   const CellLead* ReachableLead(const std::string& cell) const;
   void OnSummary(const std::string& cell, const CellSummary& summary);
-  /// Cells that have a leader, the preferred cell first.
+  /// Cells that have a leader, by ascending load; the local one's is reduced.
   std::vector<std::string> CellsByLoad() const;
-  /// Waiting work per processor core, in seconds; 0: not known.
+  /// Unfinished work per processor core, in seconds; also 0 if not known.
   double Load(const std::string& cell) const;
-  /// Submits to the first of `cells`, and to the next one if the first has no
-  /// reachable leader or no capacity. Other errors are passed to `done`.
-  void SubmitToNextCell(std::shared_ptr<JobPlan> plan,
-                        std::vector<std::string> cells,
-                        SubmitCallback done);
-  void SubmitTo(const std::string& cell,
-                const JobPlan& plan,
-                SubmitCallback done);
+  /// Tries `cells` in turn until one has a reachable leader and capacity. If
+  /// none has, or on any other error, passes the last error to `done`.
+  void SubmitToFirstAvailableCell(std::shared_ptr<JobPlan> plan,
+                                  std::vector<std::string> cells,
+                                  SubmitCallback done);
+  void SubmitToCell(const std::string& cell,
+                    const JobPlan& plan,
+                    SubmitCallback done);
   /// The leader to ask about a job before its cell is looked up: the only known
   /// leader, if it is reachable on another instance and the job's cell is not
   /// cached. It most likely has the job, and it answers even if the store is
@@ -142,9 +142,9 @@
   void CancelInRecordedCell(const std::string& job, CancelCallback done);
   void FetchStateFromRecordedCell(const std::string& job, StateCallback done);
   /// Translates a leader's answer to a cancellation into the error for the
-  /// caller. kNotFound becomes kNoOwner, so it may be passed only if the job is
-  /// known to be in the cell.
-  static std::error_code CancelResult(std::error_code error);
+  /// caller. kNotFound becomes kNoOwner, so call this with kNotFound only if
+  /// the job is known to be in the leader's cell.
+  static std::error_code TranslateCancelError(std::error_code error);
   /// Looks up the cell of a job. Fails with CoreErrc::kNotFound if the store
   /// has no such job, and with kStoreUnavailable if the store cannot be read.
   void FindCell(const std::string& job, CellCallback done);
--- a/src/include/doorwood/kv_budget.h
+++ b/src/include/doorwood/kv_budget.h
@@ -28,15 +28,15 @@
   size_t queue_limit = 1000;
 };
 
-/// Counters of calls since the start, for metrics.
+/// Counters of calls since the KvBudget was created, for metrics.
 struct KvBudgetCounters {
   uint64_t started = 0;
   uint64_t waited = 0;
   uint64_t refused = 0;
 };
 
-/// Forwards calls to another KvStore at a limited rate. All calls on the
-/// control thread.
+/// Forwards calls to another KvStore at a limited rate. To be used on the
+/// control thread only.
 class KvBudget : public KvStore {
  public:
   KvBudget(const KvBudgetOptions& options, Executor& executor, KvStore& store);
--- a/src/include/doorwood/router.h
+++ b/src/include/doorwood/router.h
@@ -94,12 +94,12 @@
   int retry_after = 0;
 };
 
-/// Outcome of one attempt.
+/// Outcome of sending a request once, to a backend server or to a peer.
 enum class AttemptOutcome {
   kAnswered,
-  /// The request definitely did not reach the backend server.
+  /// The request definitely did not reach the receiver.
   kNotSent,
-  /// The backend server refused the request before executing it.
+  /// The receiver refused the request before executing it.
   kRefused,
   /// The request may or may not have been executed.
   kUnknown,
@@ -133,7 +133,8 @@
 struct SlotGrant {
   SlotRefusal refusal = SlotRefusal::kNone;
   BackendTarget target;
-  /// Estimated time until a slot becomes free.
+  /// Estimated time until this request would get a slot; 0: it got one
+  /// immediately, or the service has no backend server.
   Millis wait{0};
 };
 
@@ -147,11 +148,11 @@
   void SetBackends(std::vector<BackendTarget> backends);
 
   /// Blocks until a slot is granted or `deadline` is reached. Refuses
-  /// immediately if the queue is full, the estimated wait is past the
-  /// deadline, or the service has no backend server. If all its backend
-  /// servers are closed, as happens while a worker moves from one holder to
-  /// the next, the call waits for one of them to open. The backend server
-  /// `avoid` is used only if no other one has a free slot.
+  /// immediately if `queue_limit` requests already wait, the estimated wait is
+  /// past the deadline, or the service has no backend server. If all its
+  /// backend servers are closed, as happens while a worker is handed over to
+  /// another instance, the call waits for one of them to open. The backend
+  /// server `avoid` is used only if no other one has a free slot.
   SlotGrant Acquire(const std::string& service,
                     const std::string& member,
                     const std::string& avoid,
@@ -264,7 +265,8 @@
   /// Executes a request and returns its response. Blocks until the deadline
   /// at the latest. Waits for a slot only if the queue has room and the
   /// estimated wait ends before the deadline; while all backend servers of the
-  /// service are closed, for at most 4 s and half of the time to the deadline.
+  /// service are closed, waits at most 4 s or half of the time to the deadline,
+  /// whichever is less.
   CallerResponse Handle(const CallerRequest& request);
 
   SlotTable& slots() { return slots_; }
@@ -284,19 +286,19 @@
     bool peer_outcome_unknown = false;
     // A peer determined the final outcome.
     bool ended_by_peer = false;
-    // Until when to wait for any instance to open a backend server.
+    // Until when to wait while all local backend servers are closed.
     Instant no_backend_deadline{};
 
     void RecordRefusal(CallerResponse refusal);
   };
 
-  CallerResponse Run(const CallerRequest& request);
+  CallerResponse RunAttempts(const CallerRequest& request);
   bool TryOnce(const ServiceConfig& service,
                const CallerRequest& request,
                Progress* progress);
-  SlotGrant WaitForSlot(const ServiceConfig& service,
-                        const CallerRequest& request,
-                        Progress* progress);
+  SlotGrant ForwardOrWaitForSlot(const ServiceConfig& service,
+                                 const CallerRequest& request,
+                                 Progress* progress);
   bool ClaimKeyIfNeeded(const CallerRequest& request, Progress* progress);
   bool TryPeer(const CallerRequest& request, Progress* progress);
   std::optional<PeerTarget> PickPeer(const std::string& service);
--- a/src/libdoorwood/ingress/ingress.cpp
+++ b/src/libdoorwood/ingress/ingress.cpp
@@ -136,20 +136,20 @@
   if (known != cell_of_job_.end()) {
     cells = {known->second};
   }
-  SubmitToNextCell(std::make_shared<JobPlan>(std::move(plan)), std::move(cells),
-                   std::move(done));
+  SubmitToFirstAvailableCell(std::make_shared<JobPlan>(std::move(plan)),
+                             std::move(cells), std::move(done));
 }
 
-void Ingress::SubmitToNextCell(std::shared_ptr<JobPlan> plan,
-                               std::vector<std::string> cells,
-                               SubmitCallback done) {
+void Ingress::SubmitToFirstAvailableCell(std::shared_ptr<JobPlan> plan,
+                                         std::vector<std::string> cells,
+                                         SubmitCallback done) {
   if (cells.empty()) {
     done(CoreErrc::kNoOwner, {});
     return;
   }
   const std::string cell = cells.front();
   cells.erase(cells.begin());
-  SubmitTo(
+  SubmitToCell(
       cell, *plan,
       [this, plan, cell, cells = std::move(cells), done = std::move(done)](
           std::error_code error, AcceptOutcome outcome) mutable {
@@ -159,14 +159,15 @@
         if (not_submitted) {
           log_.Write(
               "info", "ingress",
-              "job not submitted to this cell: it has no reachable leader",
+              "job not submitted to this cell: no reachable leader accepts "
+              "jobs",
               {{"job", plan->id}, {"cell", cell}, {"error", error.message()}});
           live_.Refresh();
-          SubmitToNextCell(plan, std::move(cells), std::move(done));
+          SubmitToFirstAvailableCell(plan, std::move(cells), std::move(done));
           return;
         }
         if (error == make_error_code(CoreErrc::kNoCapacity) && !cells.empty()) {
-          SubmitToNextCell(plan, std::move(cells), std::move(done));
+          SubmitToFirstAvailableCell(plan, std::move(cells), std::move(done));
           return;
         }
         if (error == make_error_code(PeerErrc::kNoAnswer)) {
@@ -180,9 +181,9 @@
       });
 }
 
-void Ingress::SubmitTo(const std::string& cell,
-                       const JobPlan& plan,
-                       SubmitCallback done) {
+void Ingress::SubmitToCell(const std::string& cell,
+                           const JobPlan& plan,
+                           SubmitCallback done) {
   if (CellLeader* leader = LocalLeader(cell)) {
     leader->Submit(plan, std::move(done));
     return;
@@ -220,13 +221,13 @@
                   if (!error) {
                     CacheCell(job, cell);
                   }
-                  done(CancelResult(error));
+                  done(TranslateCancelError(error));
                 });
 }
 
-std::error_code Ingress::CancelResult(std::error_code error) {
-  // The store has the job, so a leader's kNotFound only means that it has not
-  // loaded the job yet.
+std::error_code Ingress::TranslateCancelError(std::error_code error) {
+  // The job is known to be in the cell, so kNotFound only means that the leader
+  // has not loaded the job yet.
   if (error == make_error_code(CoreErrc::kNotFound) ||
       error == make_error_code(PeerErrc::kNotSent)) {
     return CoreErrc::kNoOwner;
@@ -246,7 +247,7 @@
       return;
     }
     auto finish = [done](std::error_code result) {
-      done(CancelResult(result));
+      done(TranslateCancelError(result));
     };
     if (CellLeader* leader = LocalLeader(cell)) {
       leader->Cancel(job, std::move(finish));
--- a/src/libdoorwood/ingress/ingress_test.cpp
+++ b/src/libdoorwood/ingress/ingress_test.cpp
@@ -137,6 +137,7 @@
 BOOST_FIXTURE_TEST_CASE(Submit_LeaderUnresponsiveBeyondTimeout_IsRefusedAtOnce,
                         IngressFixture) {
   peers->unreachable = true;
+  // Longer than leader_answer_timeout (1500 ms).
   world.Run(Millis(2200));
   BOOST_TEST(!ingress->HasReachableLeader());
   Submit();
@@ -144,6 +145,7 @@
   BOOST_TEST(answer == make_error_code(CoreErrc::kNoOwner));
   BOOST_TEST(peers->submits == 0);
   peers->unreachable = false;
+  // Longer than summary_interval (600 ms), so that a summary arrives.
   world.Run(Millis(800));
   BOOST_TEST(ingress->HasReachableLeader());
 }
@@ -151,15 +153,17 @@
 BOOST_FIXTURE_TEST_CASE(Submit_LeaderUnresponsiveWithinTimeout_IsStillTried,
                         IngressFixture) {
   peers->unreachable = true;
+  // With up to summary_interval (600 ms) before the partition, the last summary
+  // is still more recent than leader_answer_timeout (1500 ms).
   world.Run(Millis(500));
   BOOST_TEST(ingress->HasReachableLeader());
   Submit();
   BOOST_TEST(peers->submits == 1);
 }
 
-// The only leader answers about its jobs even if the store is unavailable or
-// slow.
-BOOST_FIXTURE_TEST_CASE(State_StoreUnavailable_OnlyLeaderAnswers,
+// If only one cell has a leader, the leader answers about its jobs even if the
+// store is unavailable.
+BOOST_FIXTURE_TEST_CASE(State_StoreUnavailable_SoleLeaderAnswers,
                         IngressFixture) {
   self->store_faults.unavailable = true;
   QueryState();
@@ -168,7 +172,7 @@
   BOOST_TEST(!answer);
 }
 
-BOOST_FIXTURE_TEST_CASE(Cancel_StoreUnavailable_OnlyLeaderAccepts,
+BOOST_FIXTURE_TEST_CASE(Cancel_StoreUnavailable_SoleLeaderAccepts,
                         IngressFixture) {
   self->store_faults.unavailable = true;
   Cancel();
--- a/src/libdoorwood/limits/kv_budget.cpp
+++ b/src/libdoorwood/limits/kv_budget.cpp
@@ -36,8 +36,8 @@
     start();
     return;
   }
-  // Lease calls are queued even if the queue is full: an instance whose lease
-  // expires loses everything that it holds.
+  // Lease calls are queued even if the queue is full: when a lease expires, the
+  // store removes all keys of the instance that are bound to it.
   const bool full = waiting_ >= options_.queue_limit;
   if (full && priority != KvPriority::kLease) {
     ++counters_.refused;
--- a/src/libdoorwood/routing/router.cpp
+++ b/src/libdoorwood/routing/router.cpp
@@ -13,7 +13,7 @@
 constexpr int kRetryAfterSeconds = 1;
 // While all local backend servers of its service are closed, a request waits
 // for at most kMaxClosedWait, or half of the time to its deadline if that is
-// less, and tries a peer again every kPeerPollInterval.
+// less, and tries a peer again at least every kPeerPollInterval.
 constexpr Millis kMaxClosedWait{4000};
 constexpr Millis kPeerPollInterval{50};
 
@@ -141,7 +141,7 @@
 
 CallerResponse Router::Handle(const CallerRequest& request) {
   const Instant begin = BootClock::now();
-  CallerResponse response = Run(request);
+  CallerResponse response = RunAttempts(request);
   // A request forwarded by a peer is counted by that peer, which serves the
   // caller.
   if (!request.forwarded) {
@@ -150,7 +150,7 @@
   return response;
 }
 
-CallerResponse Router::Run(const CallerRequest& request) {
+CallerResponse Router::RunAttempts(const CallerRequest& request) {
   const ServiceConfig service = ServiceConfigOf(request.service);
   if (service.name.empty()) {
     return NotRunResponse(kStatusNotFound, "no such service", 0);
@@ -189,7 +189,7 @@
                      Progress* progress) {
   auto target = slots_.TryAcquire(request.service, progress->avoid);
   if (!target) {
-    const SlotGrant grant = WaitForSlot(service, request, progress);
+    const SlotGrant grant = ForwardOrWaitForSlot(service, request, progress);
     if (progress->ended_by_peer) {
       return false;
     }
@@ -222,13 +222,13 @@
   }
 }
 
-// Tries a peer, then waits for a local slot. While all local backend servers
-// of the service are closed, a peer is tried again every kPeerPollInterval:
-// while a worker moves from one holder to the next, no instance has a slot on
-// it for a short time.
-SlotGrant Router::WaitForSlot(const ServiceConfig& service,
-                              const CallerRequest& request,
-                              Progress* progress) {
+// Forwards the request to a peer; if that does not finish it, waits for a local
+// slot. While all local backend servers of the service are closed, a peer is
+// tried again at least every kPeerPollInterval: while a worker is handed over
+// between instances, for a short time no instance has a slot on it.
+SlotGrant Router::ForwardOrWaitForSlot(const ServiceConfig& service,
+                                       const CallerRequest& request,
+                                       Progress* progress) {
   while (true) {
     if (TryPeer(request, progress)) {
       progress->ended_by_peer = true;
@@ -291,9 +291,10 @@
   return false;
 }
 
-// Returns true if a peer determined the final outcome of the request. After a
-// peer that did not receive or that refused the request, a later call may try
-// the same or another one; after a peer whose response is incomplete, none.
+// Forwards the request to one peer that has free slots for the service, if any.
+// Returns true if `progress->last` is then final. After a peer that did not
+// receive or that refused the request, a later call may try the same or another
+// peer; after an incomplete response, later calls try none.
 bool Router::TryPeer(const CallerRequest& request, Progress* progress) {
   if (request.forwarded || progress->peer_outcome_unknown) {
     return false;
--- a/src/libdoorwood/routing/router_test.cpp
+++ b/src/libdoorwood/routing/router_test.cpp
@@ -275,8 +275,8 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-// A SlotTable without a router. Requests that must wait run on threads of
-// their own, so that no test depends on time.
+// A SlotTable without a router. A test that makes requests wait runs each on
+// its own thread and polls WaitingCount until it waits, instead of sleeping.
 struct SlotTableFixture {
   SlotTableFixture() { table.SetBackends(RouterFixture::Backends(true)); }
 
@@ -341,7 +341,7 @@
   std::mutex mutex;
   std::vector<std::string> order;
   std::vector<std::thread> threads;
-  // Three requests of one member wait before the request of another member.
+  // Three requests of one workspace are queued before one of another workspace.
   for (const char* member : {"surge", "surge", "surge", "quiet"}) {
     threads.emplace_back([&, member]() {
       const SlotGrant grant = slots.Acquire(member, 99, Millis(60000));
@@ -359,6 +359,8 @@
     thread.join();
   }
   BOOST_REQUIRE(order.size() == 4u);
+  // Round robin serves both workspaces within the first two grants; the test
+  // does not rely on which of them comes first.
   BOOST_TEST((order[0] == "quiet" || order[1] == "quiet"));
 }
 
--- a/src/libdoorwood/routing/slot_table.cpp
+++ b/src/libdoorwood/routing/slot_table.cpp
@@ -7,7 +7,8 @@
 namespace doorwood {
 namespace {
 
-// Weight of the newest sample in the moving average of slot times.
+// Weight of the newest sample in the moving average of the time that a slot is
+// held (`mean_held_ms`).
 constexpr double kSmoothing = 0.1;
 
 Millis Remaining(Instant deadline) {
