--- a/src/include/doorwood/job_table.h
+++ b/src/include/doorwood/job_table.h
@@ -83,10 +83,11 @@
   bool done = false;
   /// Highest run number assigned or reported.
   uint32_t last_run = 0;
-  /// Highest run whose end is counted. An end of this or a lower run is a
-  /// duplicate, or arrives after the run was given up. It still has an effect
-  /// only if the run completed the task or failed without being counted, and
-  /// its checkpoint is used only if the run is the newest.
+  /// Highest run whose end was applied, also if it was given up; adopting a run
+  /// lowers it below that run. A later report of the end of this or a lower run
+  /// counts only if the run completed the task, or failed and is not in
+  /// `failed_runs` yet. The checkpoint in such a report is kept only if it is
+  /// of this run and the task is not placed.
   uint32_t counted_run = 0;
   /// Runs that failed, each once, in the order of their reports: after a
   /// takeover the end of an earlier run may be reported later. For a gang, the
@@ -119,12 +120,14 @@
   uint32_t adopted_run = 0;
   /// After a takeover: the highest run up to which all ends are recorded.
   uint32_t recorded_run = 0;
-  /// After a takeover: the runs between `recorded_run` and `adopted_run` whose
-  /// ends workers have reported. Each other run between these two may have
-  /// failed on a worker that was not contacted yet.
+  /// After a takeover: the runs whose ends workers have reported although this
+  /// leader neither placed nor adopted them. Each other run between
+  /// `recorded_run` and `adopted_run` may have failed on a worker that was not
+  /// contacted yet.
   std::vector<uint32_t> reported_runs;
-  /// Worker where the task failed last; others are preferred.
-  std::string failed_on;
+  /// Worker where the task last failed, was refused, or was stopped because its
+  /// pace was too low; others are preferred.
+  std::string avoided_worker;
   /// When the task last became ready; for measuring waiting times.
   Instant ready_since{};
 
@@ -166,7 +169,8 @@
   JobOutcome outcome = JobOutcome::kOpen;
   /// The outcome is recorded in the store.
   bool outcome_recorded = false;
-  /// Why the job failed, unless its tasks' failures are the reason; else empty.
+  /// Why the job failed; empty if it has not failed, or failed because a task
+  /// used up its attempts.
   std::string reason;
   /// Milliseconds since 1970; 0: not finished.
   int64_t finished_at = 0;
@@ -208,10 +212,9 @@
 /// Consequence of the end of a run for its task.
 enum class EndEffect {
   /// The end neither completes the task, nor makes the job fail, nor calls for
-  /// another run. The task was already done, or the run was at most
-  /// `Task::counted_run`: it had been given up, or its end or that of a later
-  /// run had been counted. A failure may still have been counted and a
-  /// checkpoint kept.
+  /// another run: the task was already done, or the end of this or a later run
+  /// had already been applied (see `Task::counted_run`). A failure may still
+  /// have been counted and a checkpoint kept.
   kIgnored,
   /// The task, or its whole gang, is done; also through a run that was given
   /// up before.
@@ -241,7 +244,8 @@
 
   /// Applies the end of a run to its task, even if the run was given up before
   /// its worker reported. `max_attempts` is the queue's limit; long-running
-  /// tasks have none. The end of a gang's run counts once for all of its tasks.
+  /// tasks have none. Several tasks of a gang that fail in the same run count
+  /// as one failure.
   EndEffect ApplyRunEnd(Task* task,
                         uint32_t run,
                         RunEnd end,
--- a/src/libdoorwood/cell/cell_pacing.cpp
+++ b/src/libdoorwood/cell/cell_pacing.cpp
@@ -150,7 +150,7 @@
                "best-effort run is stopped to be moved to another worker",
                {{"task", task}, {"worker", session.incarnation().id}});
     ++counters_.stops;
-    jobs_.FindTask(task)->failed_on = session.incarnation().id;
+    jobs_.FindTask(task)->avoided_worker = session.incarnation().id;
     session.Stop(task);
   }
 }
--- a/src/libdoorwood/cell/cell_run_ends.cpp
+++ b/src/libdoorwood/cell/cell_run_ends.cpp
@@ -76,7 +76,7 @@
     ++counters_.ends_failed;
     quarantine_.OnFailure(session.incarnation().id, job->plan.id,
                           executor_.Now());
-    task->failed_on = session.incarnation().id;
+    task->avoided_worker = session.incarnation().id;
   } else {
     ++counters_.ends_lost;
   }
@@ -275,7 +275,7 @@
   }
   JobTable::SetPlaced(task, false);
   unrecorded_placements_.erase(run.task);
-  task->failed_on = session.incarnation().id;
+  task->avoided_worker = session.incarnation().id;
   RequestSchedulingPass();
 }
 
--- a/src/libdoorwood/cell/cell_scheduling.cpp
+++ b/src/libdoorwood/cell/cell_scheduling.cpp
@@ -222,7 +222,8 @@
     if (suspect && !trial_place) {
       continue;
     }
-    const int place = trial_place ? *trial_place : places.Best(task.failed_on);
+    const int place =
+        trial_place ? *trial_place : places.Best(task.avoided_worker);
     if (place == kNoWorker) {
       if (!advised) {
         failed_placements_.Add(plan, queue->service, pass_);
@@ -309,7 +310,7 @@
   uint32_t run = 0;
   std::string checkpoint;
   for (Task& task : tasks) {
-    const int place = places.Best(task.failed_on);
+    const int place = places.Best(task.avoided_worker);
     if (place == kNoWorker) {
       if (ShouldLogWaitingStep(ready)) {
         LogWaitingStep(task, ready.rank, places.CountProblems());
--- a/src/libdoorwood/job/job_table.cpp
+++ b/src/libdoorwood/job/job_table.cpp
@@ -292,8 +292,8 @@
     MarkTaskOrGangDone(task);
     return EndEffect::kDone;
   }
-  const bool newest = run == task->counted_run && !task->placed;
-  if (!checkpoint.empty() && (!given_up || newest)) {
+  const bool no_later_run = run == task->counted_run && !task->placed;
+  if (!checkpoint.empty() && (!given_up || no_later_run)) {
     task->checkpoint = checkpoint;
   }
   return given_up ? EndEffect::kIgnored : EndEffect::kRetry;
--- a/src/libdoorwood/job/job_table_test.cpp
+++ b/src/libdoorwood/job/job_table_test.cpp
@@ -25,7 +25,7 @@
   JobOutcome outcome;
 };
 
-BOOST_AUTO_TEST_CASE(CountEnd_EndsOfOneTask_EachCountsOnce) {
+BOOST_AUTO_TEST_CASE(ApplyRunEnd_EndsOfOneTask_EachCountsOnce) {
   const EndsRow rows[] = {
       {"done", {{1, RunEnd::kDone}}, true, 0, JobOutcome::kCompleted},
       {"stopped", {{1, RunEnd::kStopped}}, false, 0, JobOutcome::kOpen},
@@ -112,7 +112,7 @@
 
 struct CheckpointRow {
   const char* name;
-  /// Runs whose ends were counted before, with the checkpoint "earlier".
+  /// Runs that were given up before, with the checkpoint "earlier".
   std::vector<uint32_t> expired_runs;
   bool placed;
   const char* checkpoint;
@@ -120,7 +120,7 @@
 
 // A run that was given up continued until its lease expired; what it saved
 // meanwhile is reported with its end.
-BOOST_AUTO_TEST_CASE(CountEnd_CheckpointOfRunGivenUp_CountsWhileNewest) {
+BOOST_AUTO_TEST_CASE(ApplyRunEnd_CheckpointOfRunGivenUp_IsKeptIfNoLaterRun) {
   const CheckpointRow rows[] = {
       {"no later run", {1}, false, "later"},
       {"a later run is placed", {1}, true, "earlier"},
@@ -141,7 +141,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(CountEnd_LongRunningTaskFails_HasNoLimit) {
+BOOST_AUTO_TEST_CASE(ApplyRunEnd_LongRunningTaskFails_HasNoLimit) {
   JobTable table;
   JobPlan plan = fakes::MakePlan(kId, 1, 1, "");
   plan.steps[0].long_running = true;
@@ -154,7 +154,7 @@
              static_cast<int>(JobOutcome::kOpen));
 }
 
-BOOST_AUTO_TEST_CASE(CountEnd_GangMemberDone_FinishesWholeGang) {
+BOOST_AUTO_TEST_CASE(ApplyRunEnd_GangMemberDone_FinishesWholeGang) {
   JobTable table;
   JobPlan plan = fakes::MakePlan(kId, 1, 4, "");
   plan.steps[0].gang = true;
@@ -165,7 +165,7 @@
              static_cast<int>(JobOutcome::kCompleted));
 }
 
-BOOST_AUTO_TEST_CASE(CountEnd_TwoMembersOfAGangFailInOneRun_CountsOnce) {
+BOOST_AUTO_TEST_CASE(ApplyRunEnd_TwoMembersOfAGangFailInOneRun_CountsOnce) {
   JobTable table;
   JobPlan plan = fakes::MakePlan(kId, 1, 2, "");
   plan.steps[0].gang = true;
