--- a/src/include/doorwood/upkeep_wave_controller.h
+++ b/src/include/doorwood/upkeep_wave_controller.h
@@ -32,11 +32,11 @@
   /// `EntrySettings::machine_holder_lease`, the minimum time before another
   /// leader may take over the handling of a machine.
   Millis holder_lease{3000};
-  /// From this long after its evacuation began, a machine may be taken down
+  /// Once its evacuation has lasted this long, a machine may be taken down
   /// although Occupancy::kRestartable work still runs there, which is mostly
   /// work that does not save its progress.
   Millis evacuation_grace{6000};
-  /// Delay before an order is sent again.
+  /// Delay before an order that got no answer is sent again.
   Millis retry_pause{500};
 };
 
@@ -85,6 +85,8 @@
     kOrdered,
     /// Down for upkeep.
     kDown,
+    /// Up again after upkeep, or taken down according to an earlier leader's
+    /// record.
     kDone,
   };
   struct Progress {
@@ -92,6 +94,7 @@
     /// When the evacuation began; once down, when the order was confirmed.
     Instant since{};
     bool order_in_flight = false;
+    /// When an order that got no answer may be sent again.
     Instant retry_at{};
     /// Number of consecutive lists without the machine.
     int missed_lists = 0;
@@ -108,17 +111,19 @@
 
   void ReadWaves();
   void OnWaves(const std::vector<UpkeepWave>& waves);
-  void ReadRecord(const UpkeepWave& plan);
+  void LoadWave(const UpkeepWave& plan);
   void ListMachines();
   void OnMachines(const std::vector<Machine>& machines, Instant sent);
   void Advance(Wave* wave);
   void StartEvacuations(Wave* wave);
-  void Evacuate(Wave* wave, const std::string& machine, Progress* progress);
+  void EvacuateOrOrderUpkeep(Wave* wave,
+                             const std::string& machine,
+                             Progress* progress);
   void OrderUpkeepOf(int64_t number, const std::string& machine);
   void OnOrdered(int64_t number,
                  const std::string& machine,
                  std::error_code error);
-  void RecordFinishedMachines(const Wave& wave);
+  void RecordMachinesTakenDown(const Wave& wave);
   void ReportState(Wave* wave, WaveState state);
   void OnStateReported(int64_t number,
                        WaveState state,
@@ -149,7 +154,7 @@
   bool listing_ = false;
   std::map<int64_t, Wave> waves_;
   /// Waves whose record is being read.
-  std::set<int64_t> reading_records_;
+  std::set<int64_t> loading_waves_;
   /// The newest list, by machine id.
   std::map<std::string, Machine> machines_;
 };
--- a/src/libdoorwood/pool/upkeep_wave_controller.cpp
+++ b/src/libdoorwood/pool/upkeep_wave_controller.cpp
@@ -19,7 +19,7 @@
   return CellPrefix(cell) + "wave/" + std::to_string(wave);
 }
 
-std::set<std::string> DecodeFinishedMachines(std::string_view text) {
+std::set<std::string> DecodeMachinesTakenDown(std::string_view text) {
   std::set<std::string> done;
   const auto json = ParseJson(text);
   if (json && json->is_array()) {
@@ -61,7 +61,7 @@
   open_ = false;
   ++generation_;
   waves_.clear();
-  reading_records_.clear();
+  loading_waves_.clear();
   machines_.clear();
   reading_waves_ = false;
   listing_ = false;
@@ -133,7 +133,7 @@
   for (const UpkeepWave& plan : waves) {
     const auto known = waves_.find(plan.number);
     if (known == waves_.end()) {
-      ReadRecord(plan);
+      LoadWave(plan);
       continue;
     }
     Wave& wave = known->second;
@@ -147,8 +147,8 @@
 }
 
 // An earlier leader may already have taken some of the machines down.
-void UpkeepWaveController::ReadRecord(const UpkeepWave& plan) {
-  if (!reading_records_.insert(plan.number).second) {
+void UpkeepWaveController::LoadWave(const UpkeepWave& plan) {
+  if (!loading_waves_.insert(plan.number).second) {
     return;
   }
   store_.Get(WaveKey(cell_, plan.number),
@@ -157,12 +157,12 @@
                if (generation != generation_) {
                  return;
                }
-               reading_records_.erase(plan.number);
+               loading_waves_.erase(plan.number);
                if (error && error != make_error_code(KvErrc::kNotFound)) {
                  return;  // read again with the next list of waves
                }
                const auto done =
-                   DecodeFinishedMachines(error ? "" : item.value);
+                   DecodeMachinesTakenDown(error ? "" : item.value);
                Wave& wave = waves_[plan.number];
                wave.plan = plan;
                for (const std::string& machine : plan.machines) {
@@ -234,7 +234,7 @@
       continue;
     }
     if (progress.stage == Stage::kEvacuating) {
-      Evacuate(wave, machine, &progress);
+      EvacuateOrOrderUpkeep(wave, machine, &progress);
     } else if (progress.stage == Stage::kOrdered && !progress.order_in_flight &&
                executor_.Now() >= progress.retry_at) {
       OrderUpkeepOf(wave->plan.number, machine);
@@ -271,9 +271,9 @@
   }
 }
 
-void UpkeepWaveController::Evacuate(Wave* wave,
-                                    const std::string& machine,
-                                    Progress* progress) {
+void UpkeepWaveController::EvacuateOrOrderUpkeep(Wave* wave,
+                                                 const std::string& machine,
+                                                 Progress* progress) {
   const auto listed = machines_.find(machine);
   if (listed == machines_.end()) {
     return;
@@ -321,7 +321,7 @@
   Wave& wave = waves_.at(number);
   Progress& progress = wave.machines.at(machine);
   progress.order_in_flight = false;
-  log_.Write(error ? "warn" : "info", "pool", "upkeep order result",
+  log_.Write(error ? "warn" : "info", "pool", "outcome of an upkeep order",
              {{"wave", number},
               {"machine", machine},
               {"epoch", epoch_},
@@ -329,7 +329,7 @@
   if (!error) {
     progress.stage = Stage::kDown;
     progress.since = executor_.Now();
-    RecordFinishedMachines(wave);
+    RecordMachinesTakenDown(wave);
     return;
   }
   // Without an answer the machine may already be down, so it still counts as
@@ -342,7 +342,7 @@
 
 // --- Records and status reports ---
 
-void UpkeepWaveController::RecordFinishedMachines(const Wave& wave) {
+void UpkeepWaveController::RecordMachinesTakenDown(const Wave& wave) {
   Json done = Json::array();
   for (const auto& [machine, progress] : wave.machines) {
     if (progress.stage == Stage::kDown || progress.stage == Stage::kDone) {
--- a/src/libdoorwood/pool/upkeep_wave_controller_test.cpp
+++ b/src/libdoorwood/pool/upkeep_wave_controller_test.cpp
@@ -34,14 +34,14 @@
   WaveFixture(const WaveFixture&) = delete;
   WaveFixture& operator=(const WaveFixture&) = delete;
 
-  void RequestWave(int most_at_once) {
+  void RequestWave(int max_down) {
     UpkeepWave wave;
     wave.number = 1;
     for (const auto& [id, machine] : world.machines()) {
       wave.machines.push_back(id);
     }
     wave.duration = Millis(30'000);
-    wave.max_down = most_at_once;
+    wave.max_down = max_down;
     world.waves().push_back(wave);
   }
   // Number of machines that were taken down for the wave exactly once.
