--- a/src/celld/entry_daemon.cpp
+++ b/src/celld/entry_daemon.cpp
@@ -243,7 +243,7 @@
 
 // --- Metrics ---
 
-uint64_t EntryDaemon::LeaderKeyAge() const {
+uint64_t EntryDaemon::MillisSinceLeadConfirmed() const {
   if (!cell_.leading()) {
     return 0;
   }
@@ -283,7 +283,7 @@
       {"doorwood_entries_refused_total",
        directory_.rejected_entries().rejection_count()},
       {"doorwood_leading", cell_.leading() ? 1U : 0U},
-      {"doorwood_lead_seen_ms_ago", LeaderKeyAge()},
+      {"doorwood_lead_seen_ms_ago", MillisSinceLeadConfirmed()},
       {"doorwood_front_connections", front_server_.connections()},
       {"doorwood_front_open_requests", front_server_.open_requests()}};
   HttpResponse response;
--- a/src/celld/entry_daemon.h
+++ b/src/celld/entry_daemon.h
@@ -53,7 +53,7 @@
   HttpResponse EncodeMetrics() const;
   /// Time since this leader last confirmed its key in the store, in
   /// milliseconds; 0 if the instance is not the leader.
-  uint64_t LeaderKeyAge() const;
+  uint64_t MillisSinceLeadConfirmed() const;
   void ApplyTable(const std::shared_ptr<const QueueTable>& table);
 
   EntrySettings settings_;
--- a/src/include/doorwood/burn.h
+++ b/src/include/doorwood/burn.h
@@ -29,7 +29,7 @@
   std::string service;
   int window_minutes = 0;
   uint64_t total = 0;
-  /// Requests that were slower than the target or not answered.
+  /// Requests unanswered, with status 500 or above, or slower than the target.
   uint64_t bad = 0;
   double objective = 0;
 
--- a/src/include/doorwood/shard_log.h
+++ b/src/include/doorwood/shard_log.h
@@ -101,7 +101,7 @@
   std::string LogPrefix() const;
   std::string SnapshotKey() const;
 
-  void CheckOwner(const KvEntry& head, Done done);
+  void TakeHeadUnlessOwnerAlive(const KvEntry& head, Done done);
   void TakeHead(int64_t version, uint64_t epoch, Done done);
   void ConfirmHead(uint64_t epoch, Done done);
   void Seal(Done done);
--- a/src/include/doorwood/shard_owner.h
+++ b/src/include/doorwood/shard_owner.h
@@ -266,7 +266,8 @@
   const HolderAttemptReport* FindAttemptReport(const Task& task,
                                                const CensusRound& round) const;
 
-  void Record(const TaskId& task, std::string what, std::string detail);
+  // Logs the decision and keeps it for `Explain`.
+  void RecordDecision(const TaskId& task, std::string what, std::string detail);
   Json TaskJson(const JobState& job, const TaskState& task) const;
   AttemptId NextAttempt();
 
--- a/src/include/doorwood/shard_state.h
+++ b/src/include/doorwood/shard_state.h
@@ -31,7 +31,8 @@
   AttemptId attempt;
 };
 
-/// An attempt ended. The next attempt resumes from `checkpoint`.
+/// An attempt ended. The next attempt resumes from `checkpoint`, or, if that is
+/// empty, from the task's earlier checkpoint.
 struct EndRecord {
   TaskId task;
   AttemptId attempt;
--- a/src/include/doorwood/types.h
+++ b/src/include/doorwood/types.h
@@ -98,8 +98,8 @@
   std::string on;
   /// Tasks with a higher number are evicted first; 0 to 100.
   int yields = 50;
-  /// If false, the task is started again only if it is proved that the earlier
-  /// start never took effect.
+  /// If false, the task is restarted only if its start is proved to have had no
+  /// effect, or, after a stop on order, if it has a checkpoint to resume from.
   bool repeatable = true;
   /// Highest number of starts that may end in failure.
   int max_attempts = 3;
--- a/src/libdoorwood/cell/cell_evacuation.cpp
+++ b/src/libdoorwood/cell/cell_evacuation.cpp
@@ -70,6 +70,7 @@
       to_move.push_back(task);
     }
   }
+  // "It" is the worker: its directory entry is missing.
   StopRunsToMove(id, cell_worker.session, to_move, "it is no longer listed");
 }
 
--- a/src/libdoorwood/cell/cell_stale_record_test.cpp
+++ b/src/libdoorwood/cell/cell_stale_record_test.cpp
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Guards against a task that runs twice because of a stale record. A leader
-// writes a record that says that nothing runs on a worker. Before the write is
-// confirmed the worker is dropped, because it is not listed, and added again
-// once its entry is back. After the confirmation a task is started there. The
-// leader is lost; its successor cannot reach the worker, relies on the record,
-// and starts the same task elsewhere.
+// Guards against a task that runs twice because the workers' record is stale. A
+// leader writes in that record that nothing runs on a worker. Before the write
+// is confirmed, the leader removes the worker from its cell, because the
+// worker's directory entry is missing, and adds it again once the entry is
+// back. After the confirmation it starts a task there. The leader is lost; its
+// successor cannot reach the worker, relies on the record, and starts the same
+// task on another worker.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -37,13 +38,15 @@
   }
 }
 
-// A worker that is not listed is evacuated. `lost_from` ms after the end of its
-// run, the store's replies to the leader are lost for 0.7 s; if the leader
-// drops the worker by then, the worker's entry comes back. `unresponsive_from`
-// ms after the 0.7 s, the store becomes unresponsive to the leader. When a run
-// starts on the worker, the leader is lost. Returns the number of violated
-// rules, or -1 if nothing was started on the worker within 1.5 s.
-int DropAndReadmitWorker(int lost_from, int unresponsive_from) {
+// Removes a worker's directory entry, so that the worker is evacuated.
+// `lost_from` ms after the end of its run, the store's replies to the leader's
+// writes are lost for 0.7 s; if the leader removes the worker from its cell by
+// then, the entry comes back. `unresponsive_from` ms after the 0.7 s, the store
+// becomes unresponsive to the leader. If a run starts on the worker within
+// 1.5 s after the 0.7 s, the leader is killed, the other instances are
+// partitioned from the worker, and another worker is added; returns the number
+// of violated rules. Returns -1 if no run starts there in that time.
+int CountViolationsAfterReadmission(int lost_from, int unresponsive_from) {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
   world.AddWorker("w1", 8000).model.SetStopDuration(Millis(100));
@@ -89,16 +92,17 @@
   return -1;
 }
 
-// This fault was found by a random walk that changes entries and loses replies
-// of the store, with a check of each start against the current record.
+// Tries many timings, since the fault occurs only if the write is confirmed
+// after the worker was added again and before the next start there.
 BOOST_AUTO_TEST_CASE(
-    Record_WorkerDroppedAndReadmittedMeanwhile_NothingRunsTwice) {
+    WorkersRecord_WorkerReadmittedBeforeConfirmation_NothingRunsTwice) {
   int violating = 0;
   int started = 0;
   for (int lost_from = 0; lost_from < 400; lost_from += 10) {
     for (int unresponsive_from = 0; unresponsive_from < 900;
          unresponsive_from += 18) {
-      const int count = DropAndReadmitWorker(lost_from, unresponsive_from);
+      const int count =
+          CountViolationsAfterReadmission(lost_from, unresponsive_from);
       started += count >= 0 ? 1 : 0;
       violating += count > 0 ? 1 : 0;
     }
@@ -107,11 +111,14 @@
   BOOST_TEST(violating == 0, violating << " of " << started << " cases");
 }
 
-// Share of replies that are lost and of calls that are executed late.
+// Share of the store's replies that are lost, and of the writes and orders that
+// are executed late.
 constexpr double kFaultShare = 0.35;
 
-// A random walk in which entries appear and disappear, and workers start to
-// drain or stop draining.
+// Adds to the faults of the base class: workers' directory entries appear and
+// disappear, workers start or stop draining and change how long a stop takes,
+// instances announce that they leave, writes to the store lose their replies or
+// are executed late, and orders to workers are executed late.
 class EntryChangeWalk : public fakes::LongRunningFaultWalk {
  public:
   using LongRunningFaultWalk::LongRunningFaultWalk;
@@ -167,7 +174,7 @@
   violation_report->Add("seed " + std::to_string(seed), walk.world());
 }
 
-BOOST_AUTO_TEST_CASE(Cells_EntriesChangeAtRandom_NothingRunsTwice) {
+BOOST_AUTO_TEST_CASE(Cell_WorkerEntriesChangeAtRandom_NothingRunsTwice) {
   constexpr uint64_t kSeeds = 300;
   fakes::ViolationReport violation_report;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -179,10 +186,11 @@
   }
 }
 
-// An older version of this program does not use task names in the record: it
-// leaves the rows unchanged and starts tasks on their workers. Then an instance
-// of the current version leads again.
-BOOST_AUTO_TEST_CASE(Row_OutlivesLeaderOfOlderVersion_NothingRunsTwice) {
+// An older version of this program ignores the task lists in the workers'
+// record: it leaves the record unchanged, and starts tasks on workers whose
+// list excludes them. An instance of the current version that leads next must
+// not rely on these lists.
+BOOST_AUTO_TEST_CASE(TaskList_KeptByLeaderOfOlderVersion_NothingRunsTwice) {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
   world.AddWorker("w1", 8000);
@@ -194,8 +202,9 @@
   BOOST_REQUIRE(world.Submit(LongRunningPlan(kJob, 1000)));
   world.Run(Millis(1000));
   BOOST_REQUIRE(WorkerRunning(world, kTask) == "w1");
-  // What the older version writes: the unchanged row, and the sequence number
-  // of a batch of its own.
+  // The store after a leader of the older version has started the task: the
+  // workers' record still has an empty task list for w1, and the chain key has
+  // the number of a batch of that leader, and no other field.
   StoreTransaction transaction;
   transaction.puts.push_back({WorkersKey("all"), R"([["w1","w1",0,[]]])"});
   transaction.puts.push_back({ChainKey("all", 0), R"({"sequence":1000})"});
--- a/src/libdoorwood/cell/cell_worker_replacement_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_replacement_test.cpp
@@ -2,10 +2,11 @@
 
 // Workers are replaced one by one while leaders succeed each other, by planned
 // shutdown or because they are killed. Guards against long-running tasks that
-// run nowhere for 9 s and more although there is free capacity: a draining
-// worker reports the end of all its runs and disappears between two leaders.
-// The next leader reads it in the workers' record, cannot contact it, and
-// delays all tasks, since it assumes that any of them may run there.
+// run nowhere for 9 s and more although other workers have free capacity: a
+// draining worker reports the end of all its runs, and disappears after one
+// leader has ended and before the next one leads. The next leader finds this
+// worker in the workers' record, cannot contact it, and delays all tasks, since
+// it assumes that any of them may run there.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -26,14 +27,15 @@
 constexpr int kTasksPerJob = 3;
 constexpr Millis kStep{50};
 constexpr Millis kReplacementInterval{700};
-// How long a draining worker keeps running.
+// Time from the start of a worker's draining to its shutdown.
 constexpr Millis kDrainTime{4000};
-// Duration of a stop, which saves the task's progress.
+// How long a worker takes to stop a run and save the task's progress.
 constexpr Millis kStopDuration{400};
 // The worker's directory entry outlives the worker by this time.
 constexpr Millis kEntryRemovalDelay{600};
 constexpr Millis kDuration{30'000};
 // A long-running task must run again within this time after its last run.
+// With the fault this took 9 s and more.
 constexpr Millis kDowntimeBound{6000};
 
 class WorkerReplacementScenario {
@@ -63,14 +65,14 @@
     for (Millis now{0}; now < kDuration; now += kStep) {
       if (now >= next_replaced) {
         next_replaced += kReplacementInterval;
-        ReplaceOneWorker();
+        StartReplacingOldestWorker();
         SubmitShortJob();
       }
       if (now >= next_change) {
         next_change += interval;
         change(world_);
       }
-      EndDrainedWorkers();
+      ShutDownAndUnlistDrainedWorkers();
       world_.Run(kStep);
       UpdateDowntimes();
     }
@@ -85,14 +87,14 @@
         .model.SetStopDuration(kStopDuration);
   }
 
-  std::string NextJob() {
+  std::string NextJobId() {
     char id[17];
     std::snprintf(id, sizeof(id), "%016x", ++jobs_submitted_);
     return id;
   }
 
   void SubmitLongRunningJob() {
-    JobPlan plan = fakes::MakePlan(NextJob(), 1, kTasksPerJob, "");
+    JobPlan plan = fakes::MakePlan(NextJobId(), 1, kTasksPerJob, "");
     plan.steps[0].long_running = true;
     plan.steps[0].max_per_worker = 1;
     BOOST_REQUIRE(world_.Submit(plan));
@@ -103,21 +105,21 @@
 
   void SubmitShortJob() {
     if (world_.Leader() != nullptr) {
-      world_.Submit(fakes::MakePlan(NextJob(), 1, 4, "ms=2500"));
+      world_.Submit(fakes::MakePlan(NextJobId(), 1, 4, "ms=2500"));
     }
   }
 
-  void ReplaceOneWorker() {
+  void StartReplacingOldestWorker() {
     AddWorker();
     const std::string draining_worker =
         "w" + std::to_string(++workers_drained_);
     world_.workers().at(draining_worker)->incarnation.draining = true;
-    ends_at_[draining_worker] = world_.time().now() + kDrainTime;
+    shutdown_at_[draining_worker] = world_.time().now() + kDrainTime;
   }
 
-  void EndDrainedWorkers() {
+  void ShutDownAndUnlistDrainedWorkers() {
     const Instant now = world_.time().now();
-    for (auto it = ends_at_.begin(); it != ends_at_.end();) {
+    for (auto it = shutdown_at_.begin(); it != shutdown_at_.end();) {
       auto& worker = *world_.workers().at(it->first);
       if (worker.up && now >= it->second) {
         world_.ShutDownWorker(it->first);
@@ -125,7 +127,7 @@
       }
       if (now >= it->second + kEntryRemovalDelay) {
         worker.listed = false;
-        it = ends_at_.erase(it);
+        it = shutdown_at_.erase(it);
       } else {
         ++it;
       }
@@ -144,7 +146,7 @@
   /// For how long each long-running task has not been running.
   std::map<std::string, Millis> downtimes_;
   Millis longest_downtime_{0};
-  std::map<std::string, Instant> ends_at_;
+  std::map<std::string, Instant> shutdown_at_;
   unsigned jobs_submitted_ = 0;
   int workers_added_ = 0;
   int workers_drained_ = 0;
@@ -175,7 +177,7 @@
 }
 
 template <typename Change>
-void RunAllSeeds(Millis interval, Change change) {
+void RunAndCheckAllSeeds(Millis interval, Change change) {
   for (int seed = 1; seed <= kSeeds; ++seed) {
     WorkerReplacementScenario scenario(static_cast<uint64_t>(seed));
     scenario.Run(interval, change);
@@ -187,21 +189,22 @@
   }
 }
 
-// The next leader delayed all tasks of all jobs until the longest lease that
-// any predecessor may have granted had expired: 9.6 s here, 12.2 s where runs
-// continue for longer. Seen as "waiting for workers whose runs are not yet
-// accounted for" with two such workers and 650 tasks held back, and "all runs
-// of earlier leaders are accounted for" 12.2 s later with all_heard false; all
-// waiting tasks were started at that moment.
+// Guards against a successor that delays all tasks of all jobs until the
+// longest lease that any predecessor may have granted has expired: 9.6 s with
+// the options of this test. Seen where runs continue for longer and that time
+// is 12.2 s: the successor logged "waiting for workers whose runs
+// are not yet accounted for" with two such workers and 650 tasks held back, and
+// 12.2 s later "all runs of earlier leaders are accounted for" with all_heard
+// false; all waiting tasks were started at that moment.
 BOOST_AUTO_TEST_CASE(LongRunningTasks_LeadersShutDownInTurn_RestartInTime) {
   for (const int interval : {2000, 3100, 5300, 9700}) {
-    RunAllSeeds(Millis(interval), ShutDownLeader);
+    RunAndCheckAllSeeds(Millis(interval), ShutDownLeader);
   }
 }
 
 BOOST_AUTO_TEST_CASE(LongRunningTasks_LeadersKilledInTurn_RestartInTime) {
   for (const int interval : {3300, 5300, 7900, 11'900}) {
-    RunAllSeeds(Millis(interval), KillLeader);
+    RunAndCheckAllSeeds(Millis(interval), KillLeader);
   }
 }
 
--- a/src/libdoorwood/cell/cell_workers.cpp
+++ b/src/libdoorwood/cell/cell_workers.cpp
@@ -234,7 +234,7 @@
 }
 
 void CellLeader::RemoveGoneWorkers() {
-  bool dropped = false;
+  bool removed_any = false;
   for (auto it = cell_workers_.begin(); it != cell_workers_.end();) {
     const WorkerSession& session = *it->second.session;
     const bool is_gone = session.dead() || !it->second.listed;
@@ -254,12 +254,12 @@
       it->second.session->Close();
       quarantine_.RemoveWorker(it->first);
       it = cell_workers_.erase(it);
-      dropped = true;
+      removed_any = true;
     } else {
       ++it;
     }
   }
-  if (dropped) {
+  if (removed_any) {
     RecordWorkers();
   }
 }
--- a/src/libdoorwood/owner/shard_census.cpp
+++ b/src/libdoorwood/owner/shard_census.cpp
@@ -133,8 +133,10 @@
     if (wanted || reported.report.state == RunState::kEnded) {
       continue;
     }
-    Record(reported.report.task, "stop",
-           "attempt " + ToString(attempt) + " is not wanted any more");
+    RecordDecision(reported.report.task, "stop",
+                   "attempt " + ToString(attempt) +
+                       " is stopped: its task has ended, or another attempt of "
+                       "the task is running");
     environment_.CallInstance(
         reported.holder, StopRequest{shard_, attempt, false},
         options_.call_timeout, [](std::error_code, const PeerReply&) {});
@@ -220,7 +222,7 @@
     return;
   }
   if (task.stage == Stage::kUnresolved) {
-    Record(task.id, "found running", "on worker " + report.worker);
+    RecordDecision(task.id, "found running", "on worker " + report.worker);
   }
   task.stage = Stage::kRunning;
   if (IsCancelled(task)) {
--- a/src/libdoorwood/owner/shard_owner.cpp
+++ b/src/libdoorwood/owner/shard_owner.cpp
@@ -209,7 +209,7 @@
 void ShardOwner::StopTask(Task& task) {
   const TaskId id = task.id;
   const AttemptId attempt = task.attempt;
-  Record(id, "stop", "cancelled");
+  RecordDecision(id, "stop", "cancelled");
   environment_.CallInstance(
       task.holder, StopRequest{shard_, attempt, /*take_checkpoint=*/false},
       options_.call_timeout,
@@ -258,7 +258,7 @@
   ++counters_.ended;
   Task* task = Find(id);
   const TaskState* state = log_->state().FindTask(id);
-  Record(id, "ended", std::string(ToString(end)));
+  RecordDecision(id, "ended", std::string(ToString(end)));
   if (task == nullptr) {
     return;
   }
@@ -407,9 +407,9 @@
                                      : records->second;
 }
 
-void ShardOwner::Record(const TaskId& task,
-                        std::string what,
-                        std::string detail) {
+void ShardOwner::RecordDecision(const TaskId& task,
+                                std::string what,
+                                std::string detail) {
   environment_.LogDecision(what, task, detail);
   if (decisions_.size() >= kMaxTasksWithDecisions &&
       !decisions_.contains(task)) {
--- a/src/libdoorwood/owner/shard_placing.cpp
+++ b/src/libdoorwood/owner/shard_placing.cpp
@@ -194,7 +194,7 @@
   const auto* answer = std::get_if<PlaceReply>(&reply);
   if (error || answer == nullptr) {
     task->stage = Stage::kUnresolved;
-    Record(id, "unresolved", "no answer from holder " + task->holder);
+    RecordDecision(id, "unresolved", "no answer from holder " + task->holder);
     ScheduleCensus(Millis(0));
     return;
   }
@@ -208,9 +208,9 @@
   task->reason.clear();
   task->unsuitable_holders.clear();
   ++counters_.placed;
-  Record(id, "placed",
-         "attempt " + ToString(attempt) + " on worker " + answer->worker +
-             " by holder " + task->holder);
+  RecordDecision(id, "placed",
+                 "attempt " + ToString(attempt) + " on worker " +
+                     answer->worker + " by holder " + task->holder);
   if (IsCancelled(*task)) {
     StopTask(*task);
   }
@@ -230,7 +230,7 @@
     if (all) {
       task.unsuitable_holders.clear();
       pause = options_.unplaceable_retry;
-      Record(task.id, "unplaceable", reason);
+      RecordDecision(task.id, "unplaceable", reason);
     }
   }
   const bool intent_logged = !SpecOf(task).repeatable;
@@ -254,7 +254,7 @@
   task.not_before = executor_.Now() + delay;
   task.worker.clear();
   if (task.reason != reason) {
-    Record(task.id, "waiting", reason);
+    RecordDecision(task.id, "waiting", reason);
   }
   task.reason = std::move(reason);
   SchedulePlacement(std::max(delay, Millis(1)));
--- a/src/libdoorwood/owner/shard_takeover.cpp
+++ b/src/libdoorwood/owner/shard_takeover.cpp
@@ -26,11 +26,11 @@
       done(ToCoreError(error));
       return;
     }
-    self->CheckOwner(head, done);
+    self->TakeHeadUnlessOwnerAlive(head, done);
   });
 }
 
-void ShardLog::CheckOwner(const KvEntry& head, Done done) {
+void ShardLog::TakeHeadUnlessOwnerAlive(const KvEntry& head, Done done) {
   const auto json = ParseJson(head.value);
   const std::string owner = json ? json->value("owner", "") : "";
   const uint64_t epoch = json ? json->value("epoch", uint64_t{0}) : 0;
--- a/src/standin/backend.cpp
+++ b/src/standin/backend.cpp
@@ -43,7 +43,7 @@
     response.set_content(body, "text/plain");
   }
 
-  Reply Fault(const Json& call) {
+  Reply SetFault(const Json& call) {
     truncations_left_ = call.value("cut", 0);
     return {};
   }
@@ -101,7 +101,7 @@
     backend.Serve(request, response);
   };
   server.AddCall("/fault",
-                 [&](const Json& body) { return backend.Fault(body); });
+                 [&](const Json& body) { return backend.SetFault(body); });
   server.http().Get(".*", serve);
   server.http().Post(".*", serve);
   server.http().Put(".*", serve);
