--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -208,8 +208,8 @@
     /// evacuation continues.
     Instant evacuated_until{};
     /// The worker was added from an earlier leader's record. A task that may
-    /// still run there is not started before the worker's runs are accounted
-    /// for.
+    /// still run there is not started while the worker is unaccounted (see
+    /// `UnaccountedWorkers`).
     bool from_takeover = false;
     /// `KnownWorker::not_contacted_for` of the worker at the takeover, which
     /// shortens the wait for its runs. If it is not zero, the age of the record
@@ -218,9 +218,9 @@
     /// Tasks that may run on the worker according to an earlier leader's
     /// record. Empty optional: any task may.
     std::optional<std::vector<std::string>> inherited_tasks;
-    /// The record in the store may state that the worker is not in contact.
-    /// Since a successor relies on the record, no lease is extended on the
-    /// worker until a newer record states that it is in contact.
+    /// The record in the store may have a `KnownWorker::not_contacted_for`
+    /// above zero. Since a successor relies on that time, no lease is extended
+    /// on the worker until a newer record has the time zero.
     bool renewals_blocked = false;
     /// Whether the worker was closed to new work when `submitted_record` was
     /// passed to the journal.
@@ -235,7 +235,7 @@
     /// The incarnation is proven to have ended, and `HandleDeadWorkers` has
     /// confirmed the unconfirmed crash notes for it.
     bool death_processed = false;
-    /// The worker is in contact again, and a record that says so is pending.
+    /// The worker responds again, and a record that says so is pending.
     bool contact_record_pending = false;
     /// The worker gets no new work before this time, because it refused a
     /// start.
@@ -319,16 +319,16 @@
   /// Sets `CellWorker::unlisted_since` for workers without a directory entry.
   void MarkUnlistedWorkers();
   void AddWorker(const WorkerIncarnation& incarnation, bool from_takeover);
-  /// Removes workers that are dead or have no valid directory entry, once no
-  /// run, unrecorded end or wait of a takeover is left there.
+  /// Removes workers that are dead or have no valid directory entry, unless
+  /// they have runs or unrecorded ends or are not yet contacted.
   void RemoveGoneWorkers();
   // cell_worker_records.cpp: records of workers for a successor.
   /// Whether the workers' key in the store has the worker with its current
   /// address. Required before the worker gets any work.
   static bool IsAddressRecorded(const CellWorker& cell_worker);
-  /// Whether the worker was added from an earlier leader's record, has answered
-  /// no poll of this leader, is not proven to have ended, and the takeover
-  /// still waits for runs. This leader has extended no lease there.
+  /// Whether the worker is not yet contacted: it was added from an earlier
+  /// leader's record, has not answered this leader, is not proven to have
+  /// ended, and the takeover goes on. This leader has extended no lease there.
   bool IsUncontacted(const CellWorker& cell_worker) const;
   /// Whether the worker was in contact, but its newest poll failed and no order
   /// extended a lease there for `CellOptions::unresponsive_record_delay`.
@@ -338,7 +338,8 @@
   Millis TimeWithoutRenewal(const CellWorker& cell_worker) const;
   /// Time since this leader finished reading the records of earlier leaders.
   Millis TimeLeading() const;
-  /// Records periodically how long workers have been out of contact.
+  /// Records periodically how long no lease was extended on workers that are
+  /// not yet contacted or are long unresponsive.
   void RecordUnreachableWorkers();
   std::vector<KnownWorker> BuildWorkerRecords() const;
   /// Passes the current records of all workers to the journal.
@@ -348,9 +349,9 @@
   std::optional<std::vector<std::string>> TasksToRecord(
       const CellWorker& cell_worker) const;
   /// Whether the worker gets no new work because it is dead, is leaving, has
-  /// left, was never in contact or has been unresponsive for long. A worker
-  /// that has left stays closed until it is listed again. Must not be called
-  /// for workers that are not yet contacted after a takeover.
+  /// left, has not answered this leader, or is long unresponsive. A worker that
+  /// has left stays closed until it is listed again. Must not be called for
+  /// workers for which `IsUncontacted` is true.
   bool IsClosedToNewWork(const CellWorker& cell_worker) const;
   /// Whether the worker was closed to new work or opened again, or its task
   /// list changed while it was closed, since its record was last passed to the
@@ -395,24 +396,26 @@
   void ObserveLoads();
 
   // cell_takeover.cpp: runs that earlier leaders may have left active.
-  /// Releases tasks, and ends the takeover once no worker is waited for.
+  /// Releases tasks, and ends the takeover once no worker is unaccounted.
   void CheckTakeover();
-  /// Allows the start of tasks that cannot be active on any worker that is
-  /// still waited for.
+  /// Allows the start of tasks that can neither be active on an unaccounted
+  /// worker nor have ended there unreported.
   void ReleaseTasks();
   /// Longest time that a run may continue after its leader lost the lead: that
   /// leader may still extend leases for `CellOptions::order_grace`.
   Millis MaxRunTimeAfterLeadLoss() const;
-  /// Whether a worker of an earlier leader has answered, but has not yet listed
-  /// the ends of all its runs.
+  /// Whether a worker of an earlier leader is contacted and not dead, but has
+  /// not yet listed the ends of all its runs.
   bool HasUnlistedEnds(const CellWorker& cell_worker) const;
-  /// How much longer a worker may run what an earlier leader ordered; zero: it
-  /// is accounted for.
+  /// How much longer the takeover waits for the worker if it does not respond
+  /// meanwhile; zero: the worker is accounted for.
   Millis RemainingWait(const CellWorker& cell_worker) const;
-  /// Workers that are still waited for, and the tasks that may run there.
+  /// Workers that are not yet contacted, or are contacted but have not listed
+  /// all their ends, and that may still run something; and the tasks that may
+  /// run, or may have ended unreported, on them.
   struct UnaccountedWorkers {
     std::set<std::string_view> workers;
-    /// Any task may run on some of them.
+    /// On at least one of the workers, this is possible for any task.
     bool any_task = false;
     std::set<std::string> tasks;
   };
@@ -423,10 +426,10 @@
   /// Whether one of these workers may run the task, or may have ended it
   /// without having reported this.
   bool MayRunOn(const Task& task, const UnaccountedWorkers& unaccounted) const;
-  /// Whether a worker that is still waited for may run the task, or may have
-  /// ended it without having reported this.
+  /// Whether an unaccounted worker may run the task, or may have ended it
+  /// without having reported this. As of the last `ReleaseTasks`.
   bool MayRunOnUnaccountedWorker(const Task& task) const;
-  /// Logs which workers the takeover waits for.
+  /// Logs the unaccounted workers, at most once a second.
   void LogWait();
 
   // cell_run_ends.cpp: processing the ends of runs.
@@ -467,26 +470,27 @@
   /// confirmed and, if the session is dead, also those whose start order was
   /// sent.
   std::vector<const Run*> RunsAtCrash(const WorkerSession& session);
-  /// Notes for the runs there that may have caused the crash, and for
-  /// bystanders.
+  /// Crash notes for the tasks whose runs on the worker may have caused the
+  /// crash, and for those of bystanders.
   std::vector<TaskCrashNote> AttributeCrash(const WorkerSession& session,
                                             CrashEvidence evidence);
   /// Removes the unconfirmed crash notes of the runs on the worker.
   void RemoveUnconfirmedCrashes(const WorkerSession& session);
-  /// Notes crashes for workers whose incarnation is newly proven to have ended.
+  /// Confirms or adds crash notes for workers whose incarnation is newly proven
+  /// to have ended.
   void HandleDeadWorkers();
   /// Confirms the unconfirmed crash notes that name the worker.
   void ConfirmCrashes(const std::string& worker);
-  /// Notes a crash for the tasks that may have been on a worker that went down
-  /// before this leader was in contact with it.
+  /// Notes a crash for the tasks that may have run on a worker which is proven
+  /// to have ended and which this leader never contacted.
   void NoteCrashOfUncontactedWorker(const std::string& worker,
                                     const CellWorker& cell_worker);
-  /// Tasks that may have been on a worker that this leader never contacted.
+  /// Tasks that may have run on a worker that this leader never contacted.
   std::vector<Task*> FindTasksOnUncontactedWorker(
       const std::string& worker,
       const CellWorker& cell_worker);
   /// Passes the crash to the mass crash detector. Returns whether it belongs to
-  /// a mass crash; the notes of the earlier crashes are then marked as well.
+  /// a mass crash; the notes of that mass crash's earlier crashes are marked.
   bool RecordForMassCrashDetection(const std::vector<TaskCrashNote>& notes);
   void MarkAsMassCrash(const std::string& name, uint32_t run);
   void LogCrash(const WorkerSession& session,
@@ -678,9 +682,9 @@
   const uint64_t nonce_;
   /// When this leader finished reading the records of earlier leaders.
   Instant led_since_{};
-  /// When the workers that the takeover waits for were last logged.
+  /// When the unaccounted workers were last logged.
   Instant wait_logged_{};
-  /// When it was last recorded how long workers have been out of contact.
+  /// When `RecordUnreachableWorkers` last checked whether to record workers.
   Instant unreachable_recorded_{};
   /// Earliest time of the next record of the task lists of workers that get no
   /// new work.
@@ -738,8 +742,8 @@
   /// An instance whose registration has at most this store revision may treat
   /// the recorded placements as complete.
   int64_t placements_valid_to_ = 0;
-  /// Long-running tasks that may run on a worker that the store does not have
-  /// as their assigned worker.
+  /// Long-running tasks that may run on a worker although the store may not
+  /// have it as their assigned worker.
   std::set<std::string> unrecorded_placements_;
   /// Long-running tasks whose start is deferred until their placement is
   /// recorded.
@@ -767,14 +771,14 @@
   RejectedEntryLog rejected_entries_{log_, "cell"};
   /// Pending cancellations, by job.
   std::multimap<std::string, PendingCancel> cancels_;
-  /// Every run from before the takeover is known to this leader or has
-  /// certainly ended.
+  /// The takeover is over: no worker is unaccounted, so every run from before
+  /// it is known to this leader or has certainly ended.
   bool all_runs_accounted_ = true;
   /// After the takeover, all tasks but those in `tasks_held_back_` may be
   /// started.
   bool tasks_released_ = false;
-  /// Once `tasks_released_`: tasks that may still be active on a worker that is
-  /// waited for, or may have ended there without a report.
+  /// Once `tasks_released_`: tasks that may still be active on an unaccounted
+  /// worker, or may have ended there without a report.
   std::set<std::string> tasks_held_back_;
   CellCounters counters_;
 };
--- a/src/libdoorwood/cell/cell_crashing_task_test.cpp
+++ b/src/libdoorwood/cell/cell_crashing_task_test.cpp
@@ -2,7 +2,9 @@
 
 // A task crashes every worker that starts it. Its job must fail, and jobs that
 // ran on the same workers must not. Nor must jobs whose workers crash for
-// another reason, such as a faulty machine. All tests run in virtual time.
+// another reason, such as a faulty machine. The bound in the names of the
+// tests: a task must not be started three more times after three workers have
+// crashed while running it; the world reports a violation. All in virtual time.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -54,8 +56,8 @@
     BOOST_REQUIRE(world.Submit(plan));
     world.Run(Millis(3000));
   }
-  /// Crashes the first eight workers that are up, half of sixteen. Their
-  /// machines start other incarnations.
+  /// Crashes the first eight workers that are up: half of them in tests with
+  /// sixteen workers. Each machine then starts a new incarnation.
   void CrashHalfOfWorkers() {
     std::vector<std::string> half;
     for (const auto& [id, worker] : world.workers()) {
@@ -121,8 +123,8 @@
   }
 }
 
-// Guards against giving up jobs that lost runs because of a crashing task on
-// the same worker.
+// Guards against failing jobs that lost runs because of a crashing task on the
+// same worker.
 BOOST_AUTO_TEST_CASE(HealthyTasks_NextToACrashingTask_AllComplete) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
@@ -208,8 +210,8 @@
   }
 }
 
-// Guards against giving up tasks that ended twice because many workers, such as
-// those of a whole data centre, crashed at a time.
+// Guards against failing the job of tasks whose workers crashed twice, each
+// time together with many others, such as all those of a data centre.
 BOOST_AUTO_TEST_CASE(LongRunningTasks_HalfTheWorkersCrashTwice_RunAgainSoon) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     for (const int gap : {200, 700, 3000}) {
@@ -248,7 +250,7 @@
 
 // Guards against blaming tasks for a faulty machine that crashes with each
 // start.
-BOOST_AUTO_TEST_CASE(Machine_CrashesWithEachStart_NoJobIsGivenUp) {
+BOOST_AUTO_TEST_CASE(Machine_CrashesWithEachStart_NoJobFails) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       CrashFixture fixture(seed);
@@ -403,9 +405,9 @@
         fixture.world.Submit(
             fakes::MakePlan(healthy_jobs.back(), 2, 12, "ms=1500"));
         fixture.world.Run(Millis(500));
-        // A rule of the world limits a task's starts after three crashes,
-        // whatever caused them. Workers with long-running tasks are not
-        // crashed, because those tasks would be hit by each crash.
+        // The bound on starts after three crashes applies whatever caused the
+        // crashes. Workers with long-running tasks are not crashed, because
+        // such a task could be hit by each of the crashes.
         for (const auto& [id, worker] : fixture.world.workers()) {
           const auto tasks = worker->model.running_tasks();
           const bool runs_long_task = std::any_of(
@@ -430,8 +432,8 @@
   }
 }
 
-// Guards against trial runs next to other new runs, including those of the same
-// step.
+// Guards against trial runs on workers that have other new runs, including
+// those of the same step.
 BOOST_AUTO_TEST_CASE(CrashingTask_OfAWaitingStep_IsTriedAlone) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
--- a/src/libdoorwood/cell/cell_outage_test.cpp
+++ b/src/libdoorwood/cell/cell_outage_test.cpp
@@ -1,11 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The store serves some instances and refuses others, the leader among them. A
-// leader continues while the store is down for all instances, since none can
-// succeed it. It must not conclude that the store is down for all because it
-// refuses one instance of each data centre: the leader would extend without
-// bound the leases of runs that its successor considers ended. All in virtual
-// time.
+// A leader continues while the store is down for all instances, since none can
+// succeed it. If the store serves some instances and refuses one of each data
+// centre, among them the leader, the leader must not conclude that the store is
+// down for all: it would extend without bound the leases of runs that its
+// successor considers ended. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -21,53 +20,53 @@
 constexpr Millis kSettleTime{16'000};
 
 // The store refuses the first instance of each data centre, or does not answer
-// it if `unresponsive`, and serves the second. The leader can reach those of
-// the served instances that `reached` names.
-void RefuseFirstOfEachDataCentre(const LeaderSuccession& trial,
+// it if `unresponsive`, and serves the second. Of the served instances, the
+// leader can reach only those in `reached`.
+void RefuseFirstOfEachDataCentre(const LeaderSuccession& scenario,
                                  bool unresponsive,
                                  const std::set<std::string>& reached) {
-  BOOST_REQUIRE(trial.old_leader->name == "b1");
+  BOOST_REQUIRE(scenario.old_leader->name == "b1");
   for (const char* name : {"a1", "b1", "c1"}) {
-    auto& faults = trial.world.instances().at(name)->store_faults;
+    auto& faults = scenario.world.instances().at(name)->store_faults;
     faults.unresponsive = unresponsive;
     faults.unavailable = !unresponsive;
   }
   for (const char* name : {"a2", "b2", "c2"}) {
     if (!reached.contains(name)) {
-      trial.old_leader->unreachable_instances.insert(name);
+      scenario.old_leader->unreachable_instances.insert(name);
     }
   }
 }
 
-void RunScenario(const std::set<std::string>& reached) {
+void CheckPartialOutage(const std::set<std::string>& reached) {
   ViolationReport violation_report;
   for (const auto& [unresponsive, partitioned] :
        {std::pair(false, false), {true, false}, {false, true}, {true, true}}) {
     for (int offset = 0; offset < 20; ++offset) {
-      LeaderSuccession trial({"a2", "b2", "c2"});
-      trial.MaybePartitionOldLeaderFromBoth(partitioned);
-      trial.world.Run(Millis(offset * 60));
-      RefuseFirstOfEachDataCentre(trial, unresponsive, reached);
-      trial.world.Run(kSettleTime);
+      LeaderSuccession scenario({"a2", "b2", "c2"});
+      scenario.MaybePartitionOldLeaderFromBoth(partitioned);
+      scenario.world.Run(Millis(offset * 60));
+      RefuseFirstOfEachDataCentre(scenario, unresponsive, reached);
+      scenario.world.Run(kSettleTime);
       violation_report.Add((unresponsive ? "silent" : "refused") +
                                std::string(partitioned ? ", partitioned" : "") +
                                ", offset " + std::to_string(offset * 60),
-                           trial.world);
+                           scenario.world);
     }
   }
 }
 
 BOOST_AUTO_TEST_CASE(Leader_ReachesOnlyRefusedInstances_NothingRunsTwice) {
-  RunScenario({});
+  CheckPartialOutage({});
 }
 
 BOOST_AUTO_TEST_CASE(Leader_ReachesOneServedInstance_NothingRunsTwice) {
-  RunScenario({"a2"});
+  CheckPartialOutage({"a2"});
 }
 
 BOOST_AUTO_TEST_CASE(
     Leader_ReachesServedInstanceOfOwnDataCentre_NothingRunsTwice) {
-  RunScenario({"b2"});
+  CheckPartialOutage({"b2"});
 }
 
 // An outage for all instances. The store serves some again after 2 to 9 s, and
@@ -75,65 +74,67 @@
 BOOST_AUTO_TEST_CASE(Outage_EndsForInstancesOutOfReach_NothingRunsTwice) {
   ViolationReport violation_report;
   for (int outage = 2000; outage <= 9000; outage += 250) {
-    LeaderSuccession trial({"a2", "b2", "c2"});
-    trial.MaybePartitionOldLeaderFromBoth(true);
-    for (const auto& [name, instance] : trial.world.instances()) {
+    LeaderSuccession scenario({"a2", "b2", "c2"});
+    scenario.MaybePartitionOldLeaderFromBoth(true);
+    for (const auto& [name, instance] : scenario.world.instances()) {
       instance->store_faults.unavailable = true;
     }
-    trial.world.Run(Millis(outage));
+    scenario.world.Run(Millis(outage));
     for (const char* name : {"a2", "b2", "c2"}) {
-      trial.old_leader->unreachable_instances.insert(name);
-      trial.world.instances().at(name)->store_faults.unavailable = false;
+      scenario.old_leader->unreachable_instances.insert(name);
+      scenario.world.instances().at(name)->store_faults.unavailable = false;
     }
-    trial.world.Run(kSettleTime);
-    violation_report.Add("outage " + std::to_string(outage), trial.world);
+    scenario.world.Run(kSettleTime);
+    violation_report.Add("outage " + std::to_string(outage), scenario.world);
   }
 }
 
-// The store removes a partitioned leader's keys before its lease expires, as it
-// may without notice. The successor's wait counts from a time at which the old
-// leader still considers itself the leader.
+// The store may remove a partitioned leader's keys before the leader's lease
+// expires, without notice. A successor then begins its wait for the old
+// leader's runs while the old leader still considers itself the leader.
 BOOST_AUTO_TEST_CASE(
     PartitionedLeader_KeysRemovedBeforeLeaseEnd_NothingRunsTwice) {
   ViolationReport violation_report;
   for (int offset = 0; offset < 1200; offset += 60) {
     for (int after = 0; after <= 2000; after += 200) {
-      LeaderSuccession trial;
-      trial.MaybePartitionOldLeaderFromBoth(true);
-      trial.world.Run(Millis(offset));
-      trial.PartitionOldLeader();
-      trial.world.Run(Millis(after));
-      trial.world.store().DropLeaseKeys(*trial.old_leader->live->lease());
-      trial.world.Run(kSettleTime);
+      LeaderSuccession scenario;
+      scenario.MaybePartitionOldLeaderFromBoth(true);
+      scenario.world.Run(Millis(offset));
+      scenario.PartitionOldLeader();
+      scenario.world.Run(Millis(after));
+      scenario.world.store().DropLeaseKeys(*scenario.old_leader->live->lease());
+      scenario.world.Run(kSettleTime);
       violation_report.Add("offset " + std::to_string(offset) +
                                ", removed after " + std::to_string(after),
-                           trial.world);
+                           scenario.world);
     }
   }
 }
 
-// The store is down for all instances and comes back for all. Work continues
-// meanwhile.
+// The store is down for all instances and comes back for all. Runs must
+// continue meanwhile.
 BOOST_AUTO_TEST_CASE(Outage_ForAll_RunsAreKeptAndNothingRunsTwice) {
   for (int outage = 2000; outage <= 20'000; outage += 1500) {
-    LeaderSuccession trial({"a2", "b2", "c2"});
-    for (const auto& [name, instance] : trial.world.instances()) {
+    LeaderSuccession scenario({"a2", "b2", "c2"});
+    for (const auto& [name, instance] : scenario.world.instances()) {
       instance->store_faults.unavailable = true;
     }
-    trial.world.Run(Millis(outage));
-    BOOST_TEST(trial.world.workers().at("old_only")->model.running_count() > 0);
-    for (const auto& [name, instance] : trial.world.instances()) {
+    scenario.world.Run(Millis(outage));
+    BOOST_TEST(scenario.world.workers().at("old_only")->model.running_count() >
+               0);
+    for (const auto& [name, instance] : scenario.world.instances()) {
       instance->store_faults.unavailable = false;
     }
-    trial.world.Run(kSettleTime);
-    BOOST_TEST(trial.world.violations().empty(), "outage " << outage);
+    scenario.world.Run(kSettleTime);
+    BOOST_TEST(scenario.world.violations().empty(), "outage " << outage);
   }
 }
 
 // For a minute after an instance is gone, a leader does not conclude that the
 // store is down for all instances, since the store might serve that instance,
-// which might lead. After that minute, ready tasks are started during outages
-// again.
+// which might lead. If the instance has been gone for longer when the store
+// goes down, the leader must start the tasks that become ready during the
+// outage.
 BOOST_AUTO_TEST_CASE(Outage_InstanceGoneForOverAMinute_DependentStepsRun) {
   for (const int gone_for : {70, 300}) {
     fakes::CellWorld world(7);
@@ -157,9 +158,9 @@
   }
 }
 
-// Guards against a worker that gets no work throughout an outage: the leader
-// has recorded it as unresponsive, which closes it to new work, and the store
-// cannot take a newer record.
+// Guards against a worker that gets no work throughout an outage because the
+// leader recorded it as unresponsive just before: that closes it to new work
+// until the store has a newer record, which it cannot take during the outage.
 BOOST_AUTO_TEST_CASE(Outage_WorkerWasBrieflyUnresponsive_GetsWork) {
   for (int duration = 0; duration <= 2000; duration += 250) {
     fakes::CellWorld world(5);
--- a/src/libdoorwood/cell/cell_random_faults_test.cpp
+++ b/src/libdoorwood/cell/cell_random_faults_test.cpp
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // A seeded random walk that submits jobs and injects faults into a cell in
-// virtual time. After each walk all faults are cleared, and every accepted job
-// must have ended.
+// virtual time. After each walk all faults are cleared. 60 s later every
+// accepted job must have the outcome that its tasks lead to, and no rule of the
+// world may have been violated.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -69,7 +70,7 @@
   void TakeStep() {
     switch (Pick(14)) {
       case 0:
-        KillInstance();
+        KillAndReplaceInstance();
         break;
       case 1:
         FreezeInstance();
@@ -84,10 +85,10 @@
         SetStoreOutage(Pick(2) == 0);
         break;
       case 5:
-        RandomizeLostAndDelayedMessages();
+        SwitchMessageFaultsOnOrOff();
         break;
       case 6:
-        CrashOneWorker();
+        CrashAndReplaceWorker();
         break;
       case 7:
         PartitionOneWorker();
@@ -96,7 +97,7 @@
         world_.store().Compact();
         break;
       case 9:
-        RevokeInstanceLease();
+        RemoveInstanceLeaseKeys();
         break;
       default:
         Submit();
@@ -104,7 +105,7 @@
     }
   }
 
-  void KillInstance() {
+  void KillAndReplaceInstance() {
     const std::string name = PickOf(world_.instances())->name;
     if (world_.instances().size() < 3) {
       return;
@@ -128,7 +129,7 @@
     }
   }
 
-  void RandomizeLostAndDelayedMessages() {
+  void SwitchMessageFaultsOnOrOff() {
     const bool on = Pick(2) == 0;
     for (const auto& [name, instance] : world_.instances()) {
       instance->store_faults.lost_reply_share = on ? 0.2 : 0;
@@ -137,7 +138,7 @@
     }
   }
 
-  void CrashOneWorker() {
+  void CrashAndReplaceWorker() {
     world_.CrashWorker(
         std::next(world_.workers().begin(),
                   static_cast<long>(Pick(world_.workers().size())))
@@ -145,8 +146,8 @@
     AddWorker();
   }
 
-  // About half of the instances can no longer reach one of the workers; the
-  // others reach all workers again.
+  // Each instance either loses contact with one more worker, the same for all,
+  // or can reach all workers again, with equal probability.
   void PartitionOneWorker() {
     const std::string worker =
         std::next(world_.workers().begin(),
@@ -161,7 +162,7 @@
     }
   }
 
-  void RevokeInstanceLease() {
+  void RemoveInstanceLeaseKeys() {
     auto* instance = PickOf(world_.instances());
     if (instance->live->lease()) {
       world_.store().DropLeaseKeys(*instance->live->lease());
--- a/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
+++ b/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
@@ -35,7 +35,8 @@
 // There is no leader for 3 s at most, and a leader that reaches all workers
 // starts tasks within another 1.5 s.
 constexpr Millis kReachableBound{4500};
-// In addition, the longest lease that any earlier leader may have granted.
+// In addition, 9 s: until 3 s after it lost the lead (`order_grace`), the old
+// leader may extend leases on an unreachable worker by 6 s.
 constexpr Millis kUnreachableBound{13'500};
 
 enum class LeaderLoss { kKilled, kPartitioned, kFrozen };
@@ -66,13 +67,13 @@
   return plan;
 }
 
-/// The task runs on the worker "leaves"; the worker "stays" joins next if
-/// `stays` is set, and otherwise with AddRemainingWorker(). Another job waits
-/// for a worker that is large enough.
-struct NamedRunsScenario {
-  explicit NamedRunsScenario(const JobPlan& plan,
-                             Millis stop_takes = Millis(0),
-                             bool stays = true)
+/// `kTask` runs on the worker "leaves"; the worker "stays" joins next if
+/// `stays` is set, and otherwise with AddRemainingWorker(). `kWaitingTask`
+/// waits, because it needs a larger worker than these.
+struct RecordedTasksScenario {
+  explicit RecordedTasksScenario(const JobPlan& plan,
+                                 Millis stop_takes = Millis(0),
+                                 bool stays = true)
       : world(7) {
     world.SetTable({fakes::MakeQueue("queue", 4)});
     world.AddWorker("leaves", 4000).model.SetStopDuration(stop_takes);
@@ -101,8 +102,8 @@
     leaves().incarnation.draining = drains;
   }
 
-  /// Advances time in small steps, and records for how long the task has run on
-  /// no worker and the other job has waited.
+  /// Advances time in small steps, and records for how long `kTask` has run on
+  /// no worker and `kWaitingTask` has not been started.
   void Run(Millis duration) {
     constexpr Millis kStep{25};
     for (Millis passed{0}; passed < duration; passed += kStep) {
@@ -115,7 +116,8 @@
     }
   }
 
-  void PartitionFromOthers(const WorldInstance* reaches) const {
+  /// Partitions all instances except `reaches` from "leaves".
+  void PartitionAllExcept(const WorldInstance* reaches) const {
     for (const auto& [name, instance] : world.instances()) {
       if (instance != reaches) {
         instance->unreachable_workers.insert("leaves");
@@ -132,10 +134,11 @@
     }
   }
 
-  /// The first leader is lost; its successors can reach "leaves" or cannot.
+  /// Makes the first leader lose the lead. Unless `reachable`, the other
+  /// instances are first partitioned from "leaves".
   void LoseLeader(LeaderLoss loss, bool reachable) {
     if (!reachable) {
-      PartitionFromOthers(old);
+      PartitionAllExcept(old);
     }
     if (loss == LeaderLoss::kKilled) {
       world.Kill(old->name);
@@ -161,9 +164,10 @@
 
   mutable CellWorld world;
   WorldInstance* old = nullptr;
+  /// For how long `kTask` has now run on no worker.
   Millis downtime{0};
   Millis longest_downtime{0};
-  /// For how long the other job has waited.
+  /// For how long `kWaitingTask` has not been started.
   Millis waited{0};
 };
 
@@ -188,14 +192,14 @@
 
 // The leader is lost 0 to 1.5 s after the worker's entry says that it drains,
 // so before or after the workers' record that names the task is confirmed.
-BOOST_AUTO_TEST_CASE(NamedRun_LeaderLostAroundItsRecord_RunsOnceAndInTime) {
+BOOST_AUTO_TEST_CASE(RecordedTask_LeaderLostAroundRecord_RunsOnceAndInTime) {
   ViolationReport violation_report;
   Millis longest_reachable{0};
   Millis longest_unreachable{0};
   for (const int stop_takes : {0, 2500}) {
     ForEachLeaderLoss(
         [&](LeaderLoss loss, bool reachable, int at) {
-          NamedRunsScenario scenario(LongRunningPlan(), Millis(stop_takes));
+          RecordedTasksScenario scenario(LongRunningPlan(), Millis(stop_takes));
           scenario.SetDraining(true);
           scenario.Run(Millis(at));
           scenario.LoseLeader(loss, reachable);
@@ -219,15 +223,15 @@
                      << longest_unreachable.count());
 }
 
-// A waiting job whose task the workers' record does not name must not be
-// delayed: a worker with enough capacity joins while the successor cannot reach
-// the draining one.
-BOOST_AUTO_TEST_CASE(OtherTask_RecordNamesWhatMayRun_StartsWithoutWait) {
+// The successor cannot reach the draining worker, whose record does not name
+// `kWaitingTask`. When a worker that is large enough for that task joins, the
+// task must be started there without waiting for the draining worker.
+BOOST_AUTO_TEST_CASE(TaskNotInRecord_DrainingWorkerUnreachable_NotDelayed) {
   ViolationReport violation_report;
   for (const LeaderLoss loss :
        {LeaderLoss::kKilled, LeaderLoss::kPartitioned}) {
     for (int at = 900; at <= 4000; at += 100) {
-      NamedRunsScenario scenario(LongRunningPlan(), Millis(2500));
+      RecordedTasksScenario scenario(LongRunningPlan(), Millis(2500));
       scenario.SetDraining(true);
       scenario.Run(Millis(at));
       scenario.LoseLeader(loss, /*reachable=*/false);
@@ -246,13 +250,14 @@
   }
 }
 
-// A task whose run a worker has reported as ended is no longer named in the
-// record of that worker, so it is not delayed when its next worker is lost
-// together with the leader.
-BOOST_AUTO_TEST_CASE(MovedTask_NoLongerInRecord_StartsWithoutWait) {
+// A task was moved off the draining worker, so that worker's record no longer
+// names it. Its next worker crashes together with the leader. The successor
+// must start the task without waiting for the draining worker, which it cannot
+// reach.
+BOOST_AUTO_TEST_CASE(MovedTask_NoLongerInRecord_NotDelayed) {
   ViolationReport violation_report;
   for (int at = 3500; at <= 6500; at += 100) {
-    NamedRunsScenario scenario(LongRunningPlan(), Millis(1500));
+    RecordedTasksScenario scenario(LongRunningPlan(), Millis(1500));
     scenario.SetDraining(true);
     scenario.Run(Millis(at));
     BOOST_REQUIRE(WorkerRunning(scenario.world, kTask) == "stays");
@@ -268,14 +273,14 @@
   }
 }
 
-// The leader counts a completion but cannot record it, because the store has
-// been unresponsive to it since shortly before. The worker answers the
-// successor or does not.
-BOOST_AUTO_TEST_CASE(NamedRun_CompletionNotRecorded_NotStartedAgain) {
+// A worker reports a completion to the leader, which cannot record it, because
+// the store no longer answers the leader. The successor can or cannot reach the
+// worker.
+BOOST_AUTO_TEST_CASE(RecordedTask_CompletionNotStored_NotStartedAgain) {
   ViolationReport violation_report;
   ForEachLeaderLoss(
       [&](LeaderLoss loss, bool reachable, int at) {
-        NamedRunsScenario scenario(fakes::MakePlan(kJob, 1, 1, "ms=4000"));
+        RecordedTasksScenario scenario(fakes::MakePlan(kJob, 1, 1, "ms=4000"));
         scenario.SetDraining(true);
         scenario.leaves().incarnation.min_time_to_leave = Millis(9000);
         scenario.Run(Millis(1000 + at));
@@ -298,11 +303,12 @@
       2000, 100);
 }
 
-// In a busy cell replies of the store are lost, so that the newer states of
-// some jobs are delayed while the record of a worker overtakes them and is
-// confirmed: according to the store a task has not ended, although no worker
-// runs it. The successor cannot reach the worker on which the task ended.
-BOOST_AUTO_TEST_CASE(NamedRun_RecordOvertakesCompletion_NotStartedAgain) {
+// Guards against a workers' record that no longer names a task before the store
+// has the task's completion: a successor that cannot reach the worker would
+// start the task again. In a busy cell, lost replies of the store delay the
+// writes of some jobs, so that the record could be stored first.
+BOOST_AUTO_TEST_CASE(
+    TaskDroppedFromRecord_CompletionNotStored_NotStartedAgain) {
   constexpr int kSeeds = 600;
   constexpr Millis kSubmitInterval{40};
   ViolationReport violation_report;
@@ -348,17 +354,17 @@
   }
 }
 
-// A start is executed but not answered. Only then the leader loses contact with
-// the worker, the worker drains, both, or neither. The record of the worker,
-// if it names tasks, must name this one.
+// The worker executes a start, but the leader gets no reply. After that, the
+// leader loses contact with the worker, the worker drains, both, or neither. If
+// the worker's record then names tasks, it must name the started one.
 BOOST_AUTO_TEST_CASE(UnansweredStart_WorkerClosedToNewTasks_NotStartedAgain) {
   ViolationReport violation_report;
   int new_task_starts = 0;
   for (const bool drains : {true, false}) {
     for (const bool partitioned : {true, false}) {
       for (int at = 100; at <= 4000; at += 100) {
-        NamedRunsScenario scenario(LongRunningPlan(), Millis(0),
-                                   /*stays=*/false);
+        RecordedTasksScenario scenario(LongRunningPlan(), Millis(0),
+                                       /*stays=*/false);
         scenario.old->lost_order_reply_share = 1;
         scenario.world.Submit(UnboundedPlan(kNewJob, 1000));
         new_task_starts += scenario.world.starts(kNewTask);
@@ -386,13 +392,14 @@
 // delayed and not answered; its reads are answered.
 BOOST_AUTO_TEST_CASE(DrainCancelled_RecordNotConfirmed_NothingRunsTwice) {
   ViolationReport violation_report;
-  int started_after_drain = 0;
+  int new_task_starts = 0;
   for (const bool killed : {true, false}) {
     for (int writes_delayed_after = -600; writes_delayed_after <= 600;
          writes_delayed_after += 25) {
       for (int lost_after = 500; lost_after <= 2500; lost_after += 500) {
-        NamedRunsScenario scenario(fakes::MakePlan(kJob, 1, 1, ""), Millis(0),
-                                   /*stays=*/false);
+        RecordedTasksScenario scenario(fakes::MakePlan(kJob, 1, 1, ""),
+                                       Millis(0),
+                                       /*stays=*/false);
         scenario.SetDraining(true);
         scenario.Run(Millis(1500));
         scenario.world.Submit(UnboundedPlan(kNewJob, 1000));
@@ -408,7 +415,7 @@
           scenario.old->store_faults.delayed_write_share = 1;
         }
         scenario.Run(Millis(lost_after));
-        started_after_drain += scenario.world.starts(kNewTask);
+        new_task_starts += scenario.world.starts(kNewTask);
         scenario.LoseLeader(
             killed ? LeaderLoss::kKilled : LeaderLoss::kPartitioned,
             /*reachable=*/false);
@@ -426,7 +433,7 @@
       }
     }
   }
-  BOOST_TEST(started_after_drain > 0);
+  BOOST_TEST(new_task_starts > 0);
 }
 
 // Without faults the worker gets new tasks within 1 s after the drain is
@@ -434,8 +441,8 @@
 BOOST_AUTO_TEST_CASE(DrainCancelled_StoreAnswers_GetsNewTasksInTime) {
   constexpr int kStartLimit = 2;
   for (int drained = 100; drained <= 3000; drained += 100) {
-    NamedRunsScenario scenario(fakes::MakePlan(kJob, 1, 1, ""), Millis(0),
-                               /*stays=*/false);
+    RecordedTasksScenario scenario(fakes::MakePlan(kJob, 1, 1, ""), Millis(0),
+                                   /*stays=*/false);
     scenario.SetDraining(true);
     scenario.Run(Millis(drained));
     scenario.world.Submit(UnboundedPlan(kNewJob, 1000));
@@ -449,17 +456,17 @@
   }
 }
 
-// A record without task names is written, and its reply is lost, just before
-// the worker drains; the next record, with names, follows, and then the drain
-// is cancelled. A confirmation of the older record must not be taken for one of
-// the newest record.
+// Three records of the worker follow each other: one without task names, whose
+// reply is lost; one with names, because the worker drains; and one without
+// names, because the drain is cancelled. A late confirmation of the first must
+// not be taken for one of the third.
 BOOST_AUTO_TEST_CASE(DrainCancelled_OlderRecordConfirmed_NothingRunsTwice) {
   ViolationReport violation_report;
-  for (int drains = 0; drains <= 1000; drains += 100) {
+  for (int drained_ms = 0; drained_ms <= 1000; drained_ms += 100) {
     for (int cancelled_after = 50; cancelled_after <= 1500;
          cancelled_after += 50) {
-      NamedRunsScenario scenario(fakes::MakePlan(kJob, 1, 1, ""), Millis(0),
-                                 /*stays=*/false);
+      RecordedTasksScenario scenario(fakes::MakePlan(kJob, 1, 1, ""), Millis(0),
+                                     /*stays=*/false);
       scenario.world.Submit(UnboundedPlan(kNewJob, 12'000));
       // A joining worker causes a new record, which includes "leaves".
       scenario.old->store_faults.lost_reply_share = 1;
@@ -467,7 +474,7 @@
       scenario.Run(Millis(500));
       scenario.old->store_faults.lost_reply_share = 0;
       scenario.SetDraining(true);
-      scenario.Run(Millis(drains));
+      scenario.Run(Millis(drained_ms));
       scenario.world.Submit(UnboundedPlan("00112233aabbcc01", 1000));
       scenario.Run(Millis(cancelled_after));
       scenario.old->store_faults.delayed_write_share = 1;
@@ -477,7 +484,7 @@
       scenario.AddRemainingWorker();
       scenario.Run(kSettleTime);
       scenario.AddViolationsTo(&violation_report,
-                               "drains for " + std::to_string(drains) +
+                               "drains for " + std::to_string(drained_ms) +
                                    " drain cancelled after " +
                                    std::to_string(cancelled_after));
     }
@@ -485,18 +492,18 @@
 }
 
 // A second leader reads a record that names the tasks on the worker, while the
-// entry no longer says that the worker drains. From 0 to 0.25 s after it leads,
-// its writes are delayed and not answered. New tasks may start there only after
-// a record that no longer restricts its tasks is confirmed. Later leaders
-// cannot reach the worker.
+// entry no longer says that the worker drains. From a time 0 to 0.25 s after it
+// took the lead, its writes are delayed and not answered. New tasks may start
+// there only after a record that no longer restricts its tasks is confirmed.
+// Later leaders cannot reach the worker.
 BOOST_AUTO_TEST_CASE(DrainCancelled_SecondLeaderCannotRecord_NothingRunsTwice) {
   constexpr Millis kFineStep{5};
   ViolationReport violation_report;
-  int started_after_drain = 0;
-  for (const int late : {0, 20, 60, 100, 150, 250}) {
-    for (int leads = 100; leads <= 3000; leads += 100) {
-      NamedRunsScenario scenario(fakes::MakePlan(kJob, 1, 1, ""), Millis(0),
-                                 /*stays=*/false);
+  int new_task_starts = 0;
+  for (const int writes_delayed_after : {0, 20, 60, 100, 150, 250}) {
+    for (int leads_ms = 100; leads_ms <= 3000; leads_ms += 100) {
+      RecordedTasksScenario scenario(fakes::MakePlan(kJob, 1, 1, ""), Millis(0),
+                                     /*stays=*/false);
       scenario.SetDraining(true);
       scenario.Run(Millis(1500));
       scenario.world.Submit(UnboundedPlan(kNewJob, 1000));
@@ -510,20 +517,21 @@
         second = scenario.world.Leader();
       }
       BOOST_REQUIRE(second != nullptr);
-      scenario.world.time().Run(Millis(late));
+      scenario.world.time().Run(Millis(writes_delayed_after));
       second->store_faults.delayed_write_share = 1;
-      scenario.Run(Millis(leads));
-      started_after_drain += scenario.world.starts(kNewTask);
-      scenario.PartitionFromOthers(second);
+      scenario.Run(Millis(leads_ms));
+      new_task_starts += scenario.world.starts(kNewTask);
+      scenario.PartitionAllExcept(second);
       scenario.world.Kill(second->name);
       scenario.AddRemainingWorker();
       scenario.Run(kSettleTime);
       scenario.AddViolationsTo(&violation_report,
-                               "writes delayed after " + std::to_string(late) +
-                                   " leads " + std::to_string(leads));
+                               "writes delayed after " +
+                                   std::to_string(writes_delayed_after) +
+                                   " leads " + std::to_string(leads_ms));
     }
   }
-  BOOST_TEST(started_after_drain > 0);
+  BOOST_TEST(new_task_starts > 0);
 }
 
 struct ReachabilityRow {
@@ -545,8 +553,8 @@
   Millis longest{0};
   for (const ReachabilityRow& row : rows) {
     for (int at = 0; at <= 1200; at += 300) {
-      for (int leads = 500; leads <= 14'000; leads += 750) {
-        NamedRunsScenario scenario(LongRunningPlan(), Millis(2500));
+      for (int leads_ms = 500; leads_ms <= 14'000; leads_ms += 750) {
+        RecordedTasksScenario scenario(LongRunningPlan(), Millis(2500));
         scenario.SetDraining(true);
         scenario.Run(Millis(at));
         scenario.LoseLeader(LeaderLoss::kKilled, row.second_reaches);
@@ -556,7 +564,7 @@
           second = scenario.world.Leader();
         }
         BOOST_REQUIRE(second != nullptr);
-        scenario.Run(Millis(leads));
+        scenario.Run(Millis(leads_ms));
         for (const auto& [name, instance] : scenario.world.instances()) {
           instance->unreachable_workers.clear();
         }
@@ -569,7 +577,7 @@
         scenario.Run(kSettleTime);
         const std::string context =
             "lost at " + std::to_string(at) + " second leads " +
-            std::to_string(leads) +
+            std::to_string(leads_ms) +
             (row.second_reaches ? " second reaches" : "") +
             (row.third_reaches ? " third reaches" : "");
         scenario.AddViolationsTo(&violation_report, context);
--- a/src/libdoorwood/cell/cell_three_leaders_test.cpp
+++ b/src/libdoorwood/cell/cell_three_leaders_test.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Three leaders in a row, in virtual time. The third leader does not repeat a
-// wait for a not yet contacted worker that the second one has completed, and
-// failures that were not recorded count as attempts if they are acknowledged
-// before the worker's lease expires. These rules must not make the third leader
-// overlook runs that the second one started on a worker which only the second
-// could reach, or which joined while the second led.
+// Three leaders in a row, in virtual time. For a worker that is not yet
+// contacted, the third leader deducts from its wait what the second has waited.
+// It must not therefore overlook runs that the second leader started on a
+// worker which only the second could reach, or which joined while the second
+// led. A failure that no leader recorded must count as an attempt if the worker
+// reports it to the third leader before the worker's lease expires.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -26,16 +26,18 @@
 constexpr char kJobOfSecond[] = "00112233aabbccee";
 constexpr Millis kSettleTime{16'000};
 
-WorldInstance* ReplaceLeader(CellWorld& world, WorldInstance* before) {
+WorldInstance* KillAndWaitForNextLeader(CellWorld& world,
+                                        WorldInstance* before) {
   world.Kill(before->name);
   WorldInstance* next = world.WaitForLeader();
   BOOST_REQUIRE(next != nullptr);
   return next;
 }
 
-// The second leader reaches the first one's worker after 0.5 to 11 s, adopts
-// the runs there, starts more, and is lost 0.05 to 2 s later. The third leader
-// never reaches that worker.
+// 0.5 to 11 s after it took the lead, the second leader loses contact with all
+// workers but the first one's, which it reaches only now. It adopts the runs
+// there, starts more, and is lost 0.05 to 2 s later. The third leader never
+// reaches that worker.
 BOOST_AUTO_TEST_CASE(ThirdLeader_OnlySecondReachedWorker_NothingRunsTwice) {
   ViolationReport violation_report;
   for (int not_contacted_ms = 500; not_contacted_ms <= 11'000;
@@ -43,13 +45,14 @@
     for (int contacted_ms = 50; contacted_ms <= 2000; contacted_ms += 150) {
       LeaderSuccession scenario({"a2", "b2"});
       CellWorld& world = scenario.world;
-      WorldInstance* second = ReplaceLeader(world, scenario.old_leader);
+      WorldInstance* second =
+          KillAndWaitForNextLeader(world, scenario.old_leader);
       world.Run(Millis(not_contacted_ms));
       second->unreachable_workers = {"new_only", "both"};
       world.Submit(LeaderSuccession::Plan(kJobOfSecond, 2));
       world.Run(Millis(contacted_ms));
       PartitionAllFrom(world, "old_only");
-      ReplaceLeader(world, second);
+      KillAndWaitForNextLeader(world, second);
       world.Run(kSettleTime);
       violation_report.Add("not contacted " + std::to_string(not_contacted_ms) +
                                " contacted " + std::to_string(contacted_ms),
@@ -63,14 +66,15 @@
 // 0.2 to 4 s after that. The directory may no longer list the worker by then.
 BOOST_AUTO_TEST_CASE(ThirdLeader_WorkerJoinedUnderSecond_NothingRunsTwice) {
   ViolationReport violation_report;
-  int started = 0;
+  int runs_on_joined_worker = 0;
   for (const bool listed : {true, false}) {
     for (int store_unresponsive_after = 0; store_unresponsive_after <= 1500;
          store_unresponsive_after += 50) {
       for (const int lost_after : {200, 1000, 2500, 4000}) {
         LeaderSuccession scenario({"a2", "b2"});
         CellWorld& world = scenario.world;
-        WorldInstance* second = ReplaceLeader(world, scenario.old_leader);
+        WorldInstance* second =
+            KillAndWaitForNextLeader(world, scenario.old_leader);
         world.Run(Millis(10'500));
         PartitionAllFrom(world, "late");
         second->unreachable_workers = {"new_only", "both", "old_only"};
@@ -82,10 +86,10 @@
         world.Run(Millis(store_unresponsive_after));
         second->store_faults.unresponsive = true;
         world.Run(Millis(lost_after));
-        started +=
+        runs_on_joined_worker +=
             static_cast<int>(world.workers().at("late")->model.running_count());
         world.workers().at("late")->listed = listed;
-        ReplaceLeader(world, second);
+        KillAndWaitForNextLeader(world, second);
         world.Run(kSettleTime);
         violation_report.Add("store unresponsive after " +
                                  std::to_string(store_unresponsive_after) +
@@ -95,23 +99,23 @@
       }
     }
   }
-  BOOST_TEST(started > 0);
+  BOOST_TEST(runs_on_joined_worker > 0);
 }
 
 struct AttemptsRow {
   int recorded;
   int partitioned_run;
-  int second_leads;
+  int second_leads_ms;
   bool third_reaches;
 };
 
-// A leader that has not contacted a worker waits until the runs there have
-// ended; the third leader deducts what the second has waited. With
-// `within_wait`, returns the cases in which the third leader reaches the worker
-// before that wait is over. Otherwise, returns those in which it reaches the
-// worker after the wait, and those in which it does not reach the worker for at
-// least kSettleTime.
-std::vector<AttemptsRow> AttemptsRows(bool within_wait) {
+// A leader waits until runs on a worker that is not yet contacted have ended;
+// the third leader deducts what the second has waited. With `within_wait`,
+// returns the cases in which the third leader reaches the worker before that
+// wait is over. Otherwise, returns those in which it reaches the worker after
+// the wait, and those in which it does not reach the worker for at least
+// kSettleTime.
+std::vector<AttemptsRow> MakeAttemptsRows(bool within_wait) {
   std::vector<AttemptsRow> rows;
   for (int second_leads_ms = 500; second_leads_ms <= 11'000;
        second_leads_ms += 500) {
@@ -134,7 +138,7 @@
 
 // Number of failures that were not acknowledged before their worker's lease
 // expired. They do not count as attempts when they are acknowledged later.
-int UncountedFailures(CellWorld& world, const std::string& task) {
+int CountFailuresAtLeaseExpiry(CellWorld& world, const std::string& task) {
   int failures = 0;
   for (const auto& [id, worker] : world.workers()) {
     failures += worker->model.failures_at_lease_expiry(task);
@@ -142,11 +146,12 @@
   return failures;
 }
 
-// Two runs fail, of which one or none is recorded in the store. The second
-// leader cannot reach the worker of one of them, and the third can or cannot.
+// Two runs of a task fail, and the store records the failure of the first or of
+// neither. The second leader cannot reach the worker of one of the two runs,
+// and the third can or cannot. The task is allowed four attempts.
 void RunAttemptsRows(bool within_wait) {
   const std::string task = std::string(fakes::kSuccessionJob) + ".0.0.0";
-  for (const AttemptsRow& row : AttemptsRows(within_wait)) {
+  for (const AttemptsRow& row : MakeAttemptsRows(within_wait)) {
     CellWorld world(3);
     world.SetTable({fakes::MakeQueue("queue", 4)});
     for (const char* id : {"w1", "w2", "w3", "w4", "w5", "w6"}) {
@@ -182,9 +187,9 @@
       instance->store_faults.unavailable = instance == old;
     }
     PartitionAllFrom(world, partitioned_worker);
-    WorldInstance* second = ReplaceLeader(world, old);
-    world.Run(Millis(row.second_leads));
-    WorldInstance* third = ReplaceLeader(world, second);
+    WorldInstance* second = KillAndWaitForNextLeader(world, old);
+    world.Run(Millis(row.second_leads_ms));
+    WorldInstance* third = KillAndWaitForNextLeader(world, second);
     if (row.third_reaches) {
       third->unreachable_workers.clear();
     }
@@ -195,9 +200,11 @@
     world.Run(kSettleTime);
     BOOST_TEST_CONTEXT("recorded " << row.recorded << ", partitioned run "
                                    << row.partitioned_run << ", second leads "
-                                   << row.second_leads << ", third reaches it "
+                                   << row.second_leads_ms
+                                   << ", third reaches it "
                                    << row.third_reaches) {
-      const int uncounted = within_wait ? 0 : UncountedFailures(world, task);
+      const int uncounted =
+          within_wait ? 0 : CountFailuresAtLeaseExpiry(world, task);
       BOOST_TEST(world.starts(task) <= 4 + uncounted);
       BOOST_TEST(world.violations().empty());
       const auto state = world.StateOf(fakes::kSuccessionJob);
@@ -210,8 +217,8 @@
   RunAttemptsRows(/*within_wait=*/true);
 }
 
-// The failures are acknowledged after the wait, and so after the worker's lease
-// expired: at most four attempts count.
+// Failures that are acknowledged after the wait, and so after the worker's
+// lease expired, do not count as attempts, so each allows one more start.
 BOOST_AUTO_TEST_CASE(ThirdLeader_FailureReportedAfterWait_AtMostFourCount) {
   RunAttemptsRows(/*within_wait=*/false);
 }
