--- a/src/include/doorwood/cell_journal.h
+++ b/src/include/doorwood/cell_journal.h
@@ -233,7 +233,7 @@
   std::optional<Batch> Build(size_t lane);
   void CaptureEnds();
   void AddWorkers(Batch* batch);
-  void AddUrgent(Batch* batch);
+  void AddUrgentStates(Batch* batch);
   void AddAccepts(Batch* batch);
   void AddStates(Batch* batch);
   void AddState(const std::string& job, Batch* batch);
--- a/src/libdoorwood/cell/cell_crashes.cpp
+++ b/src/libdoorwood/cell/cell_crashes.cpp
@@ -216,7 +216,7 @@
     }
   }
   log_.Write(
-      "warn", "cell", "a worker crashed before this leader had contacted it",
+      "warn", "cell", "a worker ended before this leader had contacted it",
       {{"worker", worker}, {"may_have_run", notes.size()}, {"epoch", epoch_}});
   // If there are more tasks than workers, notes none of them: not all could get
   // a trial run soon if they became suspects.
--- a/src/libdoorwood/cell/cell_journal_build.cpp
+++ b/src/libdoorwood/cell/cell_journal_build.cpp
@@ -35,7 +35,7 @@
   const size_t base_entries = transaction.entries();
   CaptureEnds();
   AddWorkers(&batch);
-  AddUrgent(&batch);
+  AddUrgentStates(&batch);
   AddAccepts(&batch);
   AddStates(&batch);
   AddRemovals(&batch);
@@ -137,7 +137,7 @@
   batch->states.push_back(job);
 }
 
-void CellJournal::AddUrgent(Batch* batch) {
+void CellJournal::AddUrgentStates(Batch* batch) {
   for (auto it = urgent_.begin();
        it != urgent_.end() &&
        batch->transaction.entries() < kMaxTransactionEntries;) {
--- a/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
@@ -118,13 +118,13 @@
   ExpectNoViolations("wait continued");
 }
 
-// The first successor reaches the worker after 1 to 5.5 s, extends the lease of
-// the runs there for 0.1 to 2.1 s, and is lost; the worker is unresponsive
-// again. The next successor's wait must count from the last lease granted to
-// the worker, not from the older record. If the store is unreachable when the
-// worker answers, no lease is extended. Leaders with a planned shutdown are
-// succeeded at once, which leaves the least time; a leader that cannot reach
-// the store is killed instead.
+// The first successor reaches the worker after 1 to 5.5 s, stays in contact and
+// extends the leases there during the next 0.1 to 2.1 s, and is lost; the
+// worker is unresponsive again. The next successor's wait must count from the
+// last lease granted to the worker, not from the older record. If the store is
+// unreachable when the worker answers, no lease is extended. Leaders with a
+// planned shutdown are succeeded at once, which leaves the least time; a leader
+// that cannot reach the store is killed instead.
 struct ContactedAndLost {
   int not_contacted_ms;
   int contacted_ms;
--- a/src/libdoorwood/cell/cell_worker_records.cpp
+++ b/src/libdoorwood/cell/cell_worker_records.cpp
@@ -11,9 +11,10 @@
 namespace doorwood {
 namespace {
 
-// The key is written as a whole. To bound the load on a small machine's network
-// link, the next write for changed task lists alone waits this long for each
-// worker and each task in the value.
+// Minimum time from a write of the workers' key to a write that is due only to
+// changed task lists, for each worker and each task in the earlier value. The
+// key is always written as a whole; the pause bounds the load on a small
+// machine's network link.
 constexpr std::chrono::microseconds kWriteDelayPerEntry{250};
 
 size_t CountTasks(const KnownWorker& worker) {
--- a/src/libdoorwood/cell/cell_workers.cpp
+++ b/src/libdoorwood/cell/cell_workers.cpp
@@ -146,6 +146,7 @@
     readdressed.address = incarnation.address;
     cell_worker->session->UpdateFromDirectory(readdressed);
   }
+  // "unreadable" also stands for a data centre outside the cell.
   const bool usable =
       incarnation.is_valid && BelongsToCell(incarnation.data_centre);
   const std::string_view problem =
--- a/src/libdoorwood/cell/worker_session.cpp
+++ b/src/libdoorwood/cell/worker_session.cpp
@@ -220,8 +220,9 @@
   if (closed_ || dead_) {
     return;
   }
-  // Several polls may be in flight. When polls are answered, only the one sent
-  // last schedules the next.
+  // Several polls may be in flight. After a success, only the poll sent last
+  // may schedule the next; after a failure, any of them may if the newest is no
+  // longer in flight.
   const bool newest = sequence == poll_sequence_;
   if (newest) {
     poll_in_flight_ = false;
