--- a/src/include/doorwood/job_table.h
+++ b/src/include/doorwood/job_table.h
@@ -42,7 +42,7 @@
   kTrial,
 };
 
-/// A crash of a worker soon after a run of the task began there.
+/// A worker's crash or possible crash soon after a run began there; or a trial.
 struct CrashNote {
   uint32_t run = 0;
   /// The worker's machine, or the worker's id if the machine is unknown.
@@ -94,7 +94,7 @@
   /// first task records the failures of all.
   std::vector<uint32_t> failed_runs;
   std::string checkpoint;
-  /// Crashes since the task was last observed running for long, one per run.
+  /// Notes made since the task was last observed running for long, one per run.
   std::vector<CrashNote> crashes;
 
   /// For a long-running task: the only worker on which a run of it may be
--- a/src/include/doorwood/shard_log.h
+++ b/src/include/doorwood/shard_log.h
@@ -65,7 +65,7 @@
   /// log is fenced. Needed after this instance's registration has lapsed: an
   /// owner that writes nothing would otherwise not notice that it was replaced.
   /// `done` gets an error if the store did not answer.
-  void Verify(Done done);
+  void VerifyOwnership(Done done);
 
   /// Called once when this owner finds that another one has taken over the
   /// shard.
--- a/src/include/doorwood/shard_owner.h
+++ b/src/include/doorwood/shard_owner.h
@@ -2,8 +2,8 @@
 
 /// \file
 /// Owner of one job shard: accepts jobs, decides which task runs and as which
-/// attempt, and determines the state of attempts after holders or workers fail.
-/// See docs/design/job-shards.md.
+/// attempt. After holders or workers fail, a census asks all instances for the
+/// state of the attempts that they hold. See docs/design/job-shards.md.
 
 #ifndef DOORWOOD_SHARD_OWNER_H_
 #define DOORWOOD_SHARD_OWNER_H_
@@ -35,7 +35,7 @@
   Millis retry_longest{2000};
   /// Delay before placement of a task that fits no worker is retried.
   Millis unplaceable_retry{10000};
-  /// Delay after a failed attempt, doubled with each failure.
+  /// Delay after n failures: 2^min(n, 6) times this, plus a random 0 to 50 %.
   Millis failure_backoff{200};
   /// Delay before the next round of an incomplete census.
   Millis census_retry{500};
@@ -125,8 +125,8 @@
   /// Releases the shard in a planned shutdown; see ShardLog::Close. On failure
   /// this owner continues as before.
   void Close(Done done);
-  /// See ShardLog::Verify.
-  void Verify(Done done) { log_->Verify(std::move(done)); }
+  /// See ShardLog::VerifyOwnership.
+  void VerifyOwnership(Done done) { log_->VerifyOwnership(std::move(done)); }
   /// Stops all activity at once without releasing the shard, as when fenced.
   void StopImmediately();
   void set_on_fenced(std::function<void()> on_fenced);
@@ -266,7 +266,7 @@
   const HolderAttemptReport* FindAttemptReport(const Task& task,
                                                const CensusRound& round) const;
 
-  // Logs the decision and keeps it for `Explain`.
+  // Writes the decision to the instance's log and keeps it for `Explain`.
   void RecordDecision(const TaskId& task, std::string what, std::string detail);
   Json TaskJson(const JobState& job, const TaskState& task) const;
   AttemptId NextAttempt();
--- a/src/libdoorwood/instance/instance_shards.cpp
+++ b/src/libdoorwood/instance/instance_shards.cpp
@@ -113,15 +113,16 @@
   }
   ownership.verifying = true;
   const std::shared_ptr<ShardOwner> owner = ownership.owner;
-  owner->Verify([this, alive = alive_, shard, owner](std::error_code error) {
-    const bool stale =
-        !*alive || !shards_.contains(shard) || shards_[shard].owner != owner;
-    if (stale) {
-      return;
-    }
-    shards_[shard].verifying = false;
-    shards_[shard].needs_verification = static_cast<bool>(error);
-  });
+  owner->VerifyOwnership(
+      [this, alive = alive_, shard, owner](std::error_code error) {
+        const bool stale = !*alive || !shards_.contains(shard) ||
+                           shards_[shard].owner != owner;
+        if (stale) {
+          return;
+        }
+        shards_[shard].verifying = false;
+        shards_[shard].needs_verification = static_cast<bool>(error);
+      });
 }
 
 ShardOwner* Instance::ActiveOwner(const ShardId& shard) {
--- a/src/libdoorwood/owner/shard_census.cpp
+++ b/src/libdoorwood/owner/shard_census.cpp
@@ -172,7 +172,8 @@
   if (!may_have_run) {
     Requeue(
         task, Millis(0),
-        "queued again; a census found no running attempt and no unlogged end");
+        "queued again; no instance reported that an attempt is running, or an "
+        "end that is not logged yet");
     return true;
   }
   ++counters_.resolved_lost;
--- a/src/libdoorwood/owner/shard_log.cpp
+++ b/src/libdoorwood/owner/shard_log.cpp
@@ -296,7 +296,7 @@
   }
 }
 
-void ShardLog::Verify(Done done) {
+void ShardLog::VerifyOwnership(Done done) {
   kv_.Read(HeadKey(), [self = shared_from_this(), done](std::error_code error,
                                                         const KvEntry& head) {
     if (error && error != KvErrc::kNotFound) {
--- a/src/libdoorwood/routing/router.cpp
+++ b/src/libdoorwood/routing/router.cpp
@@ -269,8 +269,9 @@
       progress->claimed = true;
       return true;
     case ClaimOutcome::kAlreadyUsed:
-      progress->last =
-          UnknownResponse("another request has used its idempotency key");
+      progress->last = UnknownResponse(
+          "an earlier request with the same idempotency key "
+          "may have run; this one was not run");
       progress->last.status = kStatusKeyUsed;
       return false;
     case ClaimOutcome::kNotRecorded:
