--- a/src/libdoorwood/config/parse_test.cpp
+++ b/src/libdoorwood/config/parse_test.cpp
@@ -25,7 +25,7 @@
 
 BOOST_AUTO_TEST_SUITE(selector)
 
-BOOST_AUTO_TEST_CASE(selector_with_labels_matches_by_its_requirements) {
+BOOST_AUTO_TEST_CASE(Matches_SelectorAndLabels_HoldsIfEveryRequirementDoes) {
   const std::vector<SelectorRow> rows = {
       {"", {}, true},
       {"rack=r1", {{"rack", "r1"}}, true},
@@ -49,7 +49,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(malformed_or_contradictory_selector_is_rejected) {
+BOOST_AUTO_TEST_CASE(ParseSelector_MalformedOrContradictory_IsRejected) {
   for (const char* text : {"=", "a=", "a b", "a=b=c", ",", "a=1,a=2",
                            "a=1,a!=1", "a,!a", "a=1,!a"}) {
     std::string error;
@@ -81,7 +81,7 @@
 
 BOOST_AUTO_TEST_SUITE(documents)
 
-BOOST_AUTO_TEST_CASE(invalid_configuration_is_rejected_with_its_location) {
+BOOST_AUTO_TEST_CASE(ParseConfiguration_InvalidText_IsRejectedWithLocation) {
   CheckRejected(
       {{"[1, 2]", "f:1:1: must be a mapping"},
        {"services: 3", "f:1:11: services: must be a list"},
@@ -104,7 +104,7 @@
       ParseConfiguration);
 }
 
-BOOST_AUTO_TEST_CASE(configuration_rules_with_labels_change_tasks_in_order) {
+BOOST_AUTO_TEST_CASE(ApplyRules_TwoMatchingRules_AreAppliedInOrder) {
   Problems problems("f");
   const auto config = ParseConfiguration(
       "rules:\n"
@@ -119,7 +119,7 @@
   BOOST_TEST(spec.on == "hall=east");
 }
 
-BOOST_AUTO_TEST_CASE(invalid_manifest_is_rejected_with_its_location) {
+BOOST_AUTO_TEST_CASE(ParseManifest_InvalidText_IsRejectedWithLocation) {
   CheckRejected(
       {{"tasks: []", "f:1:1: member: is missing"},
        {"member: m\ntasks: []", "f:2:8: tasks: must hold at least one"},
@@ -138,7 +138,7 @@
       ParseManifest);
 }
 
-BOOST_AUTO_TEST_CASE(manifest_in_json_with_count_gives_numbered_tasks) {
+BOOST_AUTO_TEST_CASE(ParseManifest_JsonWithCount_GivesNumberedTasks) {
   Problems problems("f");
   const auto job = ParseManifest(
       R"({"member": "m", "tasks": [{"name": "a", "count": 2, "class": "service",
@@ -156,7 +156,7 @@
     "127.0.0.1:2\nkv: 127.0.0.1:3\ndirectory: 127.0.0.1:4\noperator_token: "
     "12345678\npeer_token: 12345678\n";
 
-BOOST_AUTO_TEST_CASE(invalid_settings_are_rejected_with_their_location) {
+BOOST_AUTO_TEST_CASE(ParseSettings_InvalidText_IsRejectedWithLocation) {
   const std::string good = kSettings;
   const std::string lease = good + "control_lease_ms: 1000\n";
   const std::string task = good + "task_lease_ms: 4000\n";
@@ -174,7 +174,7 @@
       ParseSettings);
 }
 
-BOOST_AUTO_TEST_CASE(valid_settings_become_options) {
+BOOST_AUTO_TEST_CASE(MakeInstanceOptions_ValidSettings_TakesTheirValues) {
   Problems problems("f");
   const auto settings = ParseSettings(
       std::string(kSettings) + "control_lease_ms: 4000\nshard_count: 16\n",
@@ -188,7 +188,7 @@
 
 // Applies random byte changes to valid documents: each parser must return
 // either a value or a problem for any input.
-BOOST_AUTO_TEST_CASE(documents_with_random_bytes_give_a_value_or_a_problem) {
+BOOST_AUTO_TEST_CASE(Parsers_RandomlyChangedText_GiveEitherValueOrProblem) {
   const std::string configuration =
       "services:\n  - name: a\n    objective: 0.99\nmembers:\n  - name: m\n "
       "   quota: {cpu_millis: 5}\nrules:\n  - match: a=b,!c\n    yields: 3\n";
