--- a/src/libdoorwood/holder/placement_test.cpp
+++ b/src/libdoorwood/holder/placement_test.cpp
@@ -63,7 +63,7 @@
 
 BOOST_AUTO_TEST_SUITE(placement)
 
-BOOST_AUTO_TEST_CASE(batch_goes_to_fullest_and_service_to_emptiest_worker) {
+BOOST_AUTO_TEST_CASE(Decide_BatchOrService_ChoosesFullestOrEmptiestWorker) {
   Fleet fleet;
   fleet.Add({}, {});
   fleet.Add({}, {Batch(1000)});
@@ -71,7 +71,7 @@
   BOOST_TEST(fleet.Decide(Service(1000)).worker == 0);
 }
 
-BOOST_AUTO_TEST_CASE(task_with_on_uses_matching_workers_only) {
+BOOST_AUTO_TEST_CASE(Decide_TaskWithOnSelector_UsesMatchingWorkersOnly) {
   Fleet fleet;
   fleet.Add({{"hall", "west"}}, {});
   fleet.Add({{"hall", "east"}}, {});
@@ -84,7 +84,7 @@
   BOOST_TEST(decision.worker == -1);
 }
 
-BOOST_AUTO_TEST_CASE(beside_selectors_of_both_tasks_must_match) {
+BOOST_AUTO_TEST_CASE(Decide_BesideSelectorOfEitherFails_ChoosesNoWorker) {
   Fleet fleet;
   TaskSpec exclusive_service = Service(1000);
   exclusive_service.beside = "kind!=render";
@@ -98,7 +98,7 @@
   BOOST_TEST(other.Decide(exclusive_batch).worker == -1);
 }
 
-BOOST_AUTO_TEST_CASE(closed_worker_gets_no_attempts) {
+BOOST_AUTO_TEST_CASE(Decide_ClosedWorker_IsNotChosen) {
   Fleet fleet;
   fleet.Add({}, {});
   fleet.view(0).open = false;
@@ -106,7 +106,7 @@
   BOOST_TEST(fleet.Decide(Service(1000)).worker == -1);
 }
 
-BOOST_AUTO_TEST_CASE(task_larger_than_any_worker_is_reported_as_impossible) {
+BOOST_AUTO_TEST_CASE(Decide_TaskLargerThanAnyWorker_IsImpossible) {
   Fleet fleet;
   fleet.Add({}, {Batch(4000)});
   BOOST_TEST(fleet.Decide(Batch(4001)).impossible);
@@ -116,7 +116,7 @@
   BOOST_TEST(fleet.Decide(accelerated).impossible);
 }
 
-BOOST_AUTO_TEST_CASE(service_without_free_capacity_evicts_fewest_by_yields) {
+BOOST_AUTO_TEST_CASE(Decide_ServiceWithoutFreeCapacity_EvictsFewestByYields) {
   Fleet fleet;
   fleet.Add({}, {Batch(1000, 20), Batch(1000, 90), Batch(2000, 60)});
   const Decision one = fleet.Decide(Service(1000));
@@ -127,7 +127,7 @@
   BOOST_TEST(two.victims.size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(service_evicts_neither_services_nor_unrepeatable_work) {
+BOOST_AUTO_TEST_CASE(Decide_ServicesAndUnrepeatableTasks_AreNotEvicted) {
   Fleet fleet;
   TaskSpec unrepeatable = Batch(2000);
   unrepeatable.repeatable = false;
@@ -137,7 +137,7 @@
   BOOST_TEST(decision.victims.empty());
 }
 
-BOOST_AUTO_TEST_CASE(batch_without_free_capacity_evicts_nothing) {
+BOOST_AUTO_TEST_CASE(Decide_BatchWithoutFreeCapacity_EvictsNothing) {
   Fleet fleet;
   fleet.Add({}, {Batch(4000, 100)});
   const Decision decision = fleet.Decide(Batch(1000, 0));
@@ -148,7 +148,7 @@
 
 BOOST_AUTO_TEST_SUITE(ledger)
 
-BOOST_AUTO_TEST_CASE(reservations_never_exceed_capacity) {
+BOOST_AUTO_TEST_CASE(Ledger_ReserveTwiceOrBeyondFreeCapacity_IsRefused) {
   Ledger ledger;
   ledger.set_capacity(kCapacity);
   const AttemptKey a{{"d", 0}, {1, 1}};
