--- a/src/libdoorwood/instance/instance_test.cpp
+++ b/src/libdoorwood/instance/instance_test.cpp
@@ -86,7 +86,7 @@
 
 BOOST_AUTO_TEST_SUITE(instance_cluster)
 
-BOOST_AUTO_TEST_CASE(job_without_faults_finishes_each_task_once) {
+BOOST_AUTO_TEST_CASE(Job_NoFaults_RunsEachTaskOnce) {
   RunningCluster cluster;
   const std::string job = cluster.Submit(5, "run-ms=1000");
   BOOST_TEST(cluster.RunUntilFinished("plaka-2", job));
@@ -98,7 +98,7 @@
   cluster.CheckInvariants();
 }
 
-BOOST_AUTO_TEST_CASE(urgent_service_task_without_faults_starts_within_2400_ms) {
+BOOST_AUTO_TEST_CASE(ServiceTask_NoFaults_StartsWithin2400Ms) {
   RunningCluster cluster;
   const Instant submitted = cluster.world.time().now();
   const std::string job =
@@ -265,7 +265,7 @@
   cluster.CheckInvariants();
 }
 
-BOOST_AUTO_TEST_CASE(running_job_under_one_fault_keeps_the_invariants) {
+BOOST_AUTO_TEST_CASE(Job_OneFault_SucceedsAndKeepsInvariants) {
   for (const FaultCase& row : FaultCases()) {
     for (const Millis before : {Millis(0), Millis(30), Millis(2000)}) {
       BOOST_TEST_CONTEXT(row.name << " after " << before.count() << " ms") {
@@ -275,8 +275,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(
-    running_job_under_each_pair_of_faults_keeps_the_invariants) {
+BOOST_AUTO_TEST_CASE(Job_EachPairOfFaults_SucceedsAndKeepsInvariants) {
   for (const FaultCase& first : FaultCases()) {
     for (const FaultCase& second : FaultCases()) {
       BOOST_TEST_CONTEXT(first.name << " then " << second.name) {
@@ -329,7 +328,7 @@
   std::string batch;
 };
 
-BOOST_AUTO_TEST_CASE(full_worker_with_service_task_evicts_one_and_resumes_it) {
+BOOST_AUTO_TEST_CASE(ServiceTask_FullWorker_EvictsOneTaskThatResumes) {
   EvictingCluster cluster;
   BOOST_TEST(cluster.RunUntilFinished("plaka-1", cluster.batch));
   BOOST_TEST(cluster.CountEvictions() == 1);
@@ -360,7 +359,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(evicted_task_with_owner_killed_at_every_step_resumes) {
+BOOST_AUTO_TEST_CASE(EvictedTask_OwnerKilledAtEverySecondStep_Resumes) {
   InjectAtEveryStep([](EvictingCluster& cluster) {
     const std::string owner = cluster.OwnerOf(cluster.batch);
     if (!owner.empty()) {
@@ -369,14 +368,13 @@
   });
 }
 
-BOOST_AUTO_TEST_CASE(evicted_task_with_holder_killed_at_every_step_resumes) {
+BOOST_AUTO_TEST_CASE(EvictedTask_HolderKilledAtEverySecondStep_Resumes) {
   InjectAtEveryStep([](EvictingCluster& cluster) {
     cluster.world.Kill(cluster.world.LeaseHolderOf("plaka-w1"));
   });
 }
 
-BOOST_AUTO_TEST_CASE(
-    evicted_task_with_both_instances_killed_at_every_step_resumes) {
+BOOST_AUTO_TEST_CASE(EvictedTask_BothInstancesKilledAtEverySecondStep_Resumes) {
   InjectAtEveryStep([](EvictingCluster& cluster) {
     cluster.world.Kill("plaka-1");
     cluster.world.Kill("plaka-2");
@@ -387,7 +385,7 @@
 
 constexpr const char* kNotRepeatable = "    repeatable: false\n";
 
-BOOST_AUTO_TEST_CASE(unrepeatable_task_under_one_fault_starts_at_most_once) {
+BOOST_AUTO_TEST_CASE(UnrepeatableTask_OneFault_StartsAtMostOnce) {
   for (const FaultCase& row : FaultCases()) {
     for (const Millis before : {Millis(0), Millis(5), Millis(24), Millis(30),
                                 Millis(60), Millis(2000)}) {
@@ -415,7 +413,7 @@
 
 // --- Lost answers of the store ---
 
-BOOST_AUTO_TEST_CASE(submission_with_unknown_outcome_runs_once_when_logged) {
+BOOST_AUTO_TEST_CASE(Submit_RepeatedAfterStoreFault_RunsTaskOnce) {
   for (const Fault fault : {Fault::kAnswerLost, Fault::kRequestLost,
                             Fault::kDelayed, Fault::kRefused}) {
     BOOST_TEST_CONTEXT("fault " << static_cast<int>(fault)) {
@@ -448,7 +446,7 @@
 
 // --- Placements that arrive late ---
 
-BOOST_AUTO_TEST_CASE(placement_that_arrives_after_a_census_is_refused) {
+BOOST_AUTO_TEST_CASE(Job_PlacementsArriveLate_EndsAndKeepsInvariants) {
   for (const char* more : {"", kNotRepeatable}) {
     RunningCluster cluster;
     cluster.world.network().DelayPlacements(5);
@@ -463,7 +461,7 @@
 
 // --- Cancellation ---
 
-BOOST_AUTO_TEST_CASE(cancelled_job_with_queued_and_running_tasks_ends) {
+BOOST_AUTO_TEST_CASE(Cancel_QueuedAndRunningTasks_EndsJobAndFreesCapacity) {
   RunningCluster cluster({.workers = 1});
   const std::string job = cluster.Submit(10, "run-ms=60000");
   cluster.world.Run(Millis(1000));
@@ -486,8 +484,7 @@
 
 // --- Jobs that can never run ---
 
-BOOST_AUTO_TEST_CASE(
-    job_larger_than_any_worker_is_reported_and_blocks_no_other) {
+BOOST_AUTO_TEST_CASE(Job_LargerThanAnyWorker_IsReportedAndBlocksNoOther) {
   RunningCluster cluster;
   const std::string manifest =
       "member: museum\ntasks:\n  - name: giant\n    size: {cpu_millis: "
@@ -502,7 +499,7 @@
   BOOST_TEST(cluster.RunUntilFinished("plaka-1", job));
 }
 
-BOOST_AUTO_TEST_CASE(failing_job_with_capped_attempts_ends_as_failed) {
+BOOST_AUTO_TEST_CASE(Job_TaskAlwaysFails_FailsAfterThreeStarts) {
   RunningCluster cluster;
   const std::string job = cluster.Submit(1, "fail");
   BOOST_TEST(cluster.world.RunUntil(kTimeout, [&]() {
@@ -514,7 +511,7 @@
 // --- Workers that do not refuse older epochs ---
 
 BOOST_AUTO_TEST_CASE(
-    worker_without_fencing_and_killed_holder_keeps_the_invariants) {
+    Job_HolderKilledAndNoEpochCheck_SucceedsAndKeepsInvariants) {
   RunningCluster cluster({.workers = 1, .workers_check_epoch = false});
   const std::string job = cluster.Submit(3, "run-ms=9000");
   cluster.world.Run(Millis(4000));
@@ -526,7 +523,7 @@
 
 // --- Planned shutdown ---
 
-BOOST_AUTO_TEST_CASE(leaving_worker_in_the_list_gets_no_new_task) {
+BOOST_AUTO_TEST_CASE(LeavingWorker_JobSubmitted_GetsNoTask) {
   RunningCluster cluster;
   cluster.world.MarkLeaving("plaka-w1");
   cluster.world.Run(Millis(2000));
@@ -540,7 +537,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(leaving_instance_with_work_hands_over_before_it_is_done) {
+BOOST_AUTO_TEST_CASE(BeginShutdown_JobRunning_HandsOverBeforeDone) {
   RunningCluster cluster;
   const std::string job = cluster.Submit(5, "run-ms=8000");
   cluster.world.Run(Millis(500));
--- a/src/libdoorwood/instance/random_walk_test.cpp
+++ b/src/libdoorwood/instance/random_walk_test.cpp
@@ -241,13 +241,13 @@
 
 BOOST_AUTO_TEST_SUITE(random_walk)
 
-BOOST_AUTO_TEST_CASE(regression_seeds_with_random_faults_keep_the_invariants) {
+BOOST_AUTO_TEST_CASE(RandomWalk_RegressionSeeds_InvariantsHoldAndJobsEnd) {
   for (const uint64_t seed : kRegressionSeeds) {
     RunSeed(seed);
   }
 }
 
-BOOST_AUTO_TEST_CASE(fresh_seeds_with_random_faults_keep_the_invariants) {
+BOOST_AUTO_TEST_CASE(RandomWalk_SeedRange_InvariantsHoldAndJobsEnd) {
   const auto& suite = boost::unit_test::framework::master_test_suite();
   const uint64_t first =
       suite.argc > 1 ? std::stoull(suite.argv[1]) : kFirstSeed;
