--- a/src/libdoorwood/membership/membership_test.cpp
+++ b/src/libdoorwood/membership/membership_test.cpp
@@ -46,7 +46,7 @@
 
 BOOST_AUTO_TEST_SUITE(membership)
 
-BOOST_AUTO_TEST_CASE(rendezvous_with_one_candidate_less_moves_only_its_keys) {
+BOOST_AUTO_TEST_CASE(ChooseByRendezvousHash_CandidateRemoved_MovesOnlyItsKeys) {
   const std::vector<std::string> all = {"a", "b", "c", "d"};
   const std::vector<std::string> fewer = {"a", "b", "d"};
   int moved = 0;
@@ -64,7 +64,7 @@
   BOOST_TEST(moved < kKeys / 2);
 }
 
-BOOST_AUTO_TEST_CASE(peer_is_candidate_from_settling_until_timeout_or_leaving) {
+BOOST_AUTO_TEST_CASE(Peer_SettlesLeavesAndTimesOut_IsCandidateThenRemoved) {
   MembershipFixture fixture;
   const Millis settle = MembershipOptions().settle_time;
   const Instant now = fixture.start + 10 * settle;
@@ -82,7 +82,7 @@
       (fixture.members->last_departure() == now + settle + Millis(2001)));
 }
 
-BOOST_AUTO_TEST_CASE(restarted_peer_has_to_settle_again) {
+BOOST_AUTO_TEST_CASE(Peer_Restarted_IsNoCandidateBeforeSettling) {
   MembershipFixture fixture;
   const Instant now = fixture.start + Millis(20000);
   fixture.members->OnHeartbeat(MakeHeartbeat("b"), now);
@@ -92,14 +92,14 @@
   BOOST_TEST(fixture.members->Candidates(now + Millis(1500)).size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(peer_of_another_data_centre_is_no_candidate) {
+BOOST_AUTO_TEST_CASE(Peer_OtherDataCentre_IsNoCandidate) {
   MembershipFixture fixture;
   fixture.members->OnHeartbeat(MakeHeartbeat("k", "kerameikos"), fixture.start);
   BOOST_TEST(fixture.members->Candidates(fixture.start + Millis(9000)).size() ==
              1u);
 }
 
-BOOST_AUTO_TEST_CASE(worker_reported_as_leaving_by_a_peer_is_leaving) {
+BOOST_AUTO_TEST_CASE(AssignedWorkers_PeerReportsWorkerLeaving_IsMarkedLeaving) {
   MembershipFixture fixture;
   InstanceInfo worker;
   worker.id = "w1";
@@ -131,7 +131,7 @@
 
 BOOST_AUTO_TEST_SUITE(kv_budget)
 
-BOOST_AUTO_TEST_CASE(calls_over_the_rate_wait_in_priority_order) {
+BOOST_AUTO_TEST_CASE(KvBudget_CallsOverRate_WaitInPriorityOrder) {
   BudgetFixture fixture;
   std::vector<std::string> order;
   const auto write = [&](const std::string& key, KvPriority priority) {
@@ -150,8 +150,7 @@
   BOOST_TEST(order == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(
-    calls_over_the_queue_limit_are_refused_except_lease_calls) {
+BOOST_AUTO_TEST_CASE(KvBudget_QueueFull_RefusesAllButLeaseCalls) {
   BudgetFixture fixture;
   int refused = 0;
   int leases = 0;
@@ -170,7 +169,7 @@
   BOOST_TEST(leases == 10);
 }
 
-BOOST_AUTO_TEST_CASE(rate_holds_over_a_long_time) {
+BOOST_AUTO_TEST_CASE(KvBudget_CallsFor10Seconds_KeepToRate) {
   BudgetFixture fixture;
   int answered = 0;
   std::function<void()> again = [&]() {
@@ -228,7 +227,7 @@
 
 BOOST_AUTO_TEST_SUITE(config_keeper)
 
-BOOST_AUTO_TEST_CASE(change_applied_at_one_takes_effect_at_the_other) {
+BOOST_AUTO_TEST_CASE(ConfigKeeper_ChangeAppliedAtOne_TakesEffectAtOther) {
   TwoKeepersFixture fixture;
   BOOST_TEST(fixture.Apply(fixture.first, fixture.MakeChange("a")).revision ==
              1u);
@@ -236,7 +235,7 @@
   BOOST_TEST(fixture.second.keeper->configuration().services[0].name == "a");
 }
 
-BOOST_AUTO_TEST_CASE(two_changes_on_one_base_have_one_winner) {
+BOOST_AUTO_TEST_CASE(ConfigKeeper_TwoChangesOnOneBase_OnlyOneIsApplied) {
   TwoKeepersFixture fixture;
   fixture.Apply(fixture.first, fixture.MakeChange("a"));
   int won = 0;
@@ -253,7 +252,7 @@
   BOOST_TEST(fixture.first.keeper->text() == fixture.second.keeper->text());
 }
 
-BOOST_AUTO_TEST_CASE(change_repeated_after_a_fault_is_applied_once) {
+BOOST_AUTO_TEST_CASE(ConfigKeeper_ChangeRepeatedAfterFault_IsAppliedOnce) {
   for (const Fault fault : {Fault::kRefused, Fault::kAnswerLost,
                             Fault::kRequestLost, Fault::kDelayed}) {
     for (const int writes : {1, -1}) {
@@ -275,7 +274,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(older_or_malformed_values_never_take_effect) {
+BOOST_AUTO_TEST_CASE(ConfigKeeper_OlderOrMalformedValue_IsIgnored) {
   TwoKeepersFixture fixture;
   fixture.Apply(fixture.first, fixture.MakeChange("a"));
   const std::string old = fixture.first.keeper->stored_value();
@@ -290,7 +289,7 @@
   BOOST_TEST(fixture.second.changes == changes);
 }
 
-BOOST_AUTO_TEST_CASE(store_with_an_older_revision_refuses_changes) {
+BOOST_AUTO_TEST_CASE(ConfigKeeper_StoreEmptied_RefusesChange) {
   TwoKeepersFixture fixture;
   fixture.Apply(fixture.first, fixture.MakeChange("a"));
   fixture.Apply(fixture.first, fixture.MakeChange("b"));
