--- a/src/libdoorwood/owner/shard_log_test.cpp
+++ b/src/libdoorwood/owner/shard_log_test.cpp
@@ -85,7 +85,7 @@
 
 BOOST_AUTO_TEST_SUITE(shard_log)
 
-BOOST_AUTO_TEST_CASE(log_taken_over_by_second_owner_replays_and_fences_first) {
+BOOST_AUTO_TEST_CASE(ShardLog_TakenOverBySecondOwner_ReplaysAndFencesFirst) {
   TwoOwners pair;
   BOOST_TEST(!pair.Open(pair.first));
   BOOST_TEST(pair.Append(pair.first, "a", true) == std::error_code());
@@ -98,7 +98,7 @@
   BOOST_TEST(pair.Append(pair.second, "c", true) == std::error_code());
 }
 
-BOOST_AUTO_TEST_CASE(log_of_a_registered_owner_is_not_taken_over) {
+BOOST_AUTO_TEST_CASE(ShardLog_OwnerRegistered_IsNotTakenOver) {
   TwoOwners pair;
   BOOST_TEST(!pair.Open(pair.first));
   int64_t version = 0;
@@ -119,7 +119,7 @@
   bool written;
 };
 
-BOOST_AUTO_TEST_CASE(append_under_a_fault_reports_its_true_outcome) {
+BOOST_AUTO_TEST_CASE(Append_StoreFault_ReportsTrueOutcome) {
   const std::vector<AppendRow> rows = {
       {"down, refusable", Fault::kRefused, true, CoreErrc::kStoreUnavailable,
        false},
@@ -161,7 +161,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(appends_while_failing_are_refused_at_once) {
+BOOST_AUTO_TEST_CASE(Append_RefusableWhileStoreFails_IsRefusedAtOnce) {
   TwoOwners pair;
   BOOST_TEST(!pair.Open(pair.first));
   pair.first.kv.set_fault(Fault::kRefused);
@@ -175,7 +175,7 @@
 }
 
 // Injects every fault of the store at every step of a takeover.
-BOOST_AUTO_TEST_CASE(takeover_under_a_fault_succeeds_later_and_loses_nothing) {
+BOOST_AUTO_TEST_CASE(Takeover_StoreFault_LaterOneSucceedsAndLosesNothing) {
   for (const Fault fault : {Fault::kRefused, Fault::kAnswerLost,
                             Fault::kRequestLost, Fault::kDelayed}) {
     for (int steps = 0; steps < 14; ++steps) {
@@ -209,8 +209,7 @@
 // Guards against two owners: a candidate is paused at each step of its
 // takeover while another one takes over the shard. After the pause the first
 // candidate must not seal the log of the second.
-BOOST_AUTO_TEST_CASE(
-    candidate_delayed_in_a_takeover_does_not_fence_a_newer_owner) {
+BOOST_AUTO_TEST_CASE(Takeover_CandidatePaused_DoesNotFenceNewerOwner) {
   for (int steps = 0; steps < 24; ++steps) {
     BOOST_TEST_CONTEXT("after " << steps << " steps") {
       TwoOwners pair;
@@ -234,7 +233,7 @@
 // Guards against a lost append: an owner resumes after a pause in which a new
 // owner truncated the log. Its next position no longer exists, so its write
 // succeeds although the shard has another owner.
-BOOST_AUTO_TEST_CASE(append_into_a_truncated_log_is_not_confirmed) {
+BOOST_AUTO_TEST_CASE(Append_IntoTruncatedLog_IsNotConfirmed) {
   TwoOwners pair;
   BOOST_TEST(!pair.Open(pair.first));
   BOOST_TEST(pair.Append(pair.first, "a", true) == std::error_code());
@@ -255,7 +254,7 @@
   BOOST_TEST(pair.first.fenced);
 }
 
-BOOST_AUTO_TEST_CASE(snapshot_and_truncated_log_replay_to_the_same_state) {
+BOOST_AUTO_TEST_CASE(ShardLog_SnapshotAndTruncatedLog_ReplayToSameState) {
   TwoOwners pair;
   BOOST_TEST(!pair.Open(pair.first));
   const JobSpec job{"plaka.0.x", "m", "plaka", {TaskSpec{.name = "t"}}};
@@ -273,7 +272,7 @@
              "ck");
 }
 
-BOOST_AUTO_TEST_CASE(closed_log_is_taken_over_at_once) {
+BOOST_AUTO_TEST_CASE(ShardLog_ClosedByRegisteredOwner_IsTakenOver) {
   TwoOwners pair;
   BOOST_TEST(!pair.Open(pair.first));
   int64_t version = 0;
@@ -286,7 +285,7 @@
   BOOST_TEST(!pair.Open(pair.second));
 }
 
-BOOST_AUTO_TEST_CASE(close_while_the_store_is_down_leaves_the_log_open) {
+BOOST_AUTO_TEST_CASE(Close_StoreDown_LeavesLogOpen) {
   TwoOwners pair;
   BOOST_TEST(!pair.Open(pair.first));
   pair.first.kv.set_fault(Fault::kRefused);
