--- a/src/libdoorwood/routing/router_test.cpp
+++ b/src/libdoorwood/routing/router_test.cpp
@@ -127,7 +127,7 @@
 
 BOOST_AUTO_TEST_SUITE(router)
 
-BOOST_AUTO_TEST_CASE(response_reports_outcome_of_attempts) {
+BOOST_AUTO_TEST_CASE(Router_EachAttemptOutcome_ResponseReportsIt) {
   // A new retry budget allows one retry.
   const std::vector<OutcomeRow> rows = {
       {{kAnswered}, true, RequestOutcome::kAnswered, 1},
@@ -158,7 +158,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(retry_goes_to_the_other_backend_server) {
+BOOST_AUTO_TEST_CASE(Router_FirstAttemptUnknown_RetryGoesToOtherServer) {
   RouterFixture routing;
   routing.sender.script = {kUnknown, kAnswered};
   routing.HandleRequest(true);
@@ -166,7 +166,7 @@
   BOOST_TEST(routing.sender.sent_to[0] != routing.sender.sent_to[1]);
 }
 
-BOOST_AUTO_TEST_CASE(retries_are_limited_to_share_of_requests) {
+BOOST_AUTO_TEST_CASE(Router_AllAttemptsUnknown_RetriesAreLimitedToShare) {
   RouterFixture routing;
   routing.sender.script = {kUnknown};
   constexpr int kRequests = 200;
@@ -179,7 +179,7 @@
   BOOST_TEST(retries <= kRequests / 10 + 1);
 }
 
-BOOST_AUTO_TEST_CASE(unknown_service_is_not_run) {
+BOOST_AUTO_TEST_CASE(Router_UnknownService_RequestIsNotRun) {
   RouterFixture routing;
   CallerRequest request = RouterFixture::Request(true, Millis(1000));
   request.service = "nothing";
@@ -195,7 +195,7 @@
   int released;
 };
 
-BOOST_AUTO_TEST_CASE(request_with_key_is_sent_only_after_key_is_recorded) {
+BOOST_AUTO_TEST_CASE(Router_EachClaimOutcome_SendsOnlyIfKeyIsClaimed) {
   const std::vector<ClaimRow> rows = {
       {ClaimOutcome::kClaimed, RequestOutcome::kAnswered, 1, 0},
       {ClaimOutcome::kAlreadyUsed, RequestOutcome::kUnknown, 0, 0},
@@ -217,7 +217,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(key_of_a_request_that_was_not_run_is_released) {
+BOOST_AUTO_TEST_CASE(Router_RequestWithKeyNotRun_KeyIsReleased) {
   RouterFixture routing;
   routing.sender.script = {kRefused};
   CallerRequest request = RouterFixture::Request(false, Millis(2000));
@@ -228,7 +228,7 @@
   BOOST_TEST(routing.claims.released == 1);
 }
 
-BOOST_AUTO_TEST_CASE(instance_without_slots_forwards_request_to_peer) {
+BOOST_AUTO_TEST_CASE(Router_NoLocalBackend_RequestIsForwardedToPeer) {
   RouterFixture routing;
   routing.router.slots().SetBackends({});
   routing.router.SetPeers({{"peer-1", "address", {"stream"}}});
@@ -237,7 +237,7 @@
   BOOST_TEST(routing.sender.forwarded_to.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(forwarded_request_is_not_forwarded_again) {
+BOOST_AUTO_TEST_CASE(Router_ForwardedRequest_IsNotForwardedAgain) {
   RouterFixture routing;
   routing.router.slots().SetBackends({});
   routing.router.SetPeers({{"peer-1", "address", {"stream"}}});
@@ -249,8 +249,7 @@
   BOOST_TEST(routing.observer.count == 0);
 }
 
-BOOST_AUTO_TEST_CASE(
-    incomplete_peer_response_makes_unrepeatable_request_unknown) {
+BOOST_AUTO_TEST_CASE(Router_PeerOutcomeUnknown_UnrepeatableRequestIsUnknown) {
   RouterFixture routing;
   routing.router.slots().SetBackends({});
   routing.router.SetPeers({{"peer-1", "address", {"stream"}}});
@@ -260,7 +259,7 @@
   BOOST_TEST(routing.sender.forwarded_to.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(backend_servers_that_open_during_a_handover_are_used) {
+BOOST_AUTO_TEST_CASE(Router_ServersOpenBeforeDeadline_RequestIsAnswered) {
   RouterFixture routing;
   routing.router.slots().SetBackends(RouterFixture::Backends(false));
   CallerResponse response;
@@ -300,7 +299,7 @@
 
 BOOST_AUTO_TEST_SUITE(slot_table)
 
-BOOST_AUTO_TEST_CASE(slots_are_granted_once_and_spread_evenly) {
+BOOST_AUTO_TEST_CASE(SlotTable_AllSlotsAcquired_EachIsGrantedOnce) {
   SlotTableFixture slots;
   BOOST_TEST(slots.AcquireAll().size() == 4u);
   BOOST_TEST(slots.table.SlotsInUse("w1") == 2);
@@ -308,7 +307,7 @@
   BOOST_TEST(slots.table.ServicesWithFreeSlots().empty());
 }
 
-BOOST_AUTO_TEST_CASE(full_table_refuses_immediately) {
+BOOST_AUTO_TEST_CASE(SlotTable_NoSlotAvailable_RefusalGivesReason) {
   SlotTableFixture slots;
   slots.AcquireAll();
   BOOST_TEST((slots.Acquire("m", 0, Millis(60000)).refusal ==
@@ -320,7 +319,7 @@
        SlotRefusal::kNoBackend));
 }
 
-BOOST_AUTO_TEST_CASE(removed_backend_server_keeps_slots_until_released) {
+BOOST_AUTO_TEST_CASE(SlotTable_ServerRemoved_SlotsStayInUseUntilReleased) {
   SlotTableFixture slots;
   const auto acquired = slots.AcquireAll();
   slots.table.SetBackends({});
@@ -335,7 +334,7 @@
   BOOST_TEST(slots.AcquireAll().size() == 4u);
 }
 
-BOOST_AUTO_TEST_CASE(waiting_members_are_served_round_robin) {
+BOOST_AUTO_TEST_CASE(SlotTable_TwoWorkspacesWait_AreServedRoundRobin) {
   SlotTableFixture slots;
   const auto acquired = slots.AcquireAll();
   std::mutex mutex;
