--- a/src/peer.adapter/peer_network_test.cpp
+++ b/src/peer.adapter/peer_network_test.cpp
@@ -78,7 +78,7 @@
 
 BOOST_AUTO_TEST_SUITE(peer_network)
 
-BOOST_AUTO_TEST_CASE(call_to_serving_peer_is_answered_and_counted) {
+BOOST_AUTO_TEST_CASE(PeerNetwork_CallToServingPeer_IsAnsweredAndCounted) {
   NetworkFixture fixture;
   PeerReply reply;
   const std::string body(100'000, 'x');
@@ -90,7 +90,7 @@
   BOOST_TEST(traffic.at("operate").bytes > 200'000u);
 }
 
-BOOST_AUTO_TEST_CASE(call_to_closed_port_is_reported_as_not_sent) {
+BOOST_AUTO_TEST_CASE(PeerNetwork_CallToClosedPort_IsReportedAsNotSent) {
   NetworkFixture fixture;
   PeerReply reply;
   // The port of a listener that was just closed.
@@ -104,7 +104,7 @@
              make_error_code(PeerErrc::kNotSent));
 }
 
-BOOST_AUTO_TEST_CASE(call_to_unresponsive_peer_is_reported_as_unanswered) {
+BOOST_AUTO_TEST_CASE(PeerNetwork_PeerDoesNotReply_CallIsUnanswered) {
   NetworkFixture fixture;
   PeerReply reply;
   fixture.service.withhold_replies = true;
@@ -116,7 +116,7 @@
                            &reply));
 }
 
-BOOST_AUTO_TEST_CASE(call_with_wrong_token_is_rejected_before_the_service) {
+BOOST_AUTO_TEST_CASE(PeerNetwork_WrongToken_CallIsRejectedBeforeService) {
   NetworkFixture fixture;
   RpcPeerNetwork unauthorized({.listen = "127.0.0.1:0", .token = "other token"},
                               fixture.executor);
@@ -169,7 +169,7 @@
           ConfigFetch{5}};
 }
 
-BOOST_AUTO_TEST_CASE(request_of_each_kind_survives_encoding_and_decoding) {
+BOOST_AUTO_TEST_CASE(PeerCodec_EachSampleRequest_SurvivesEncodingAndDecoding) {
   for (const PeerRequest& request : SampleRequests()) {
     capnp::MallocMessageBuilder message;
     EncodeMessage(request, message.initRoot<wire::Request>());
@@ -180,7 +180,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(request_with_corrupted_bytes_is_parsed_or_rejected) {
+BOOST_AUTO_TEST_CASE(PeerCodec_CorruptedBytes_AreParsedOrRejected) {
   std::mt19937_64 random(5);
   const std::vector<PeerRequest> corpus = SampleRequests();
   constexpr int kRounds = 20000;
