--- a/src/doorwood/client.cpp
+++ b/src/doorwood/client.cpp
@@ -111,7 +111,7 @@
   const HostPort target = ParseHostPort(connection.address);
   if (target.port == 0) {
     PrintError("'" + connection.address +
-               "' is not an address; write an IP number and port, for "
+               "' is not an address; write an IP address and port, for "
                "example 127.0.0.1:7300");
     return {kUsage, {}};
   }
--- a/src/libdoorwood/config/parse_test.cpp
+++ b/src/libdoorwood/config/parse_test.cpp
@@ -162,10 +162,10 @@
   const std::string task = good + "task_lease_ms: 4000\n";
   const std::string beat = good + "heartbeat_timeout_ms: 600\n";
   CheckRejected(
-      {{"listen: localhost:1", "f:1:9: listen: must be an IP number"},
-       {"listen: 1.2.3.256:1", "f:1:9: listen: must be an IP number"},
-       {"listen: 1.2.3.4:65536", "f:1:9: listen: must be an IP number"},
-       {"listen: 1.2.3.4", "f:1:9: listen: must be an IP number"},
+      {{"listen: localhost:1", "f:1:9: listen: must be an IP address"},
+       {"listen: 1.2.3.256:1", "f:1:9: listen: must be an IP address"},
+       {"listen: 1.2.3.4:65536", "f:1:9: listen: must be an IP address"},
+       {"listen: 1.2.3.4", "f:1:9: listen: must be an IP address"},
        {"peer_token: short", "f:1:13: peer_token: must be at least 8"},
        {"data_centre: a/b", "f:1:14: data_centre: may hold letters"},
        {lease.c_str(), "f:1:1: renew_interval_ms: is too long: twice"},
--- a/src/libdoorwood/config/settings.cpp
+++ b/src/libdoorwood/config/settings.cpp
@@ -44,7 +44,7 @@
   reader->Read(key, out);
   if (!out->empty() && !IsAddress(*out)) {
     reader->AddProblem(
-        key, "must be an IP number and port, for example 127.0.0.1:7300");
+        key, "must be an IP address and port, for example 127.0.0.1:7300");
   }
 }
 
--- a/src/loop.adapter/http_client.h
+++ b/src/loop.adapter/http_client.h
@@ -22,7 +22,7 @@
 namespace doorwood {
 
 struct HttpCall {
-  /// IP number and port.
+  /// IP address and port.
   std::string address;
   std::string method = "GET";
   std::string target = "/";
