--- a/src/include/doorwood/shard_log.h
+++ b/src/include/doorwood/shard_log.h
@@ -47,14 +47,18 @@
            KvStore& kv);
 
   /// Takes over the shard unless its owner is alive, and replays the log.
-  /// Fails with CoreErrc::kConflict if another instance owns the shard.
+  /// Fails with CoreErrc::kConflict if another instance owns the shard or takes
+  /// it over at the same time.
   void Open(Done done);
 
-  /// Queues a record. `done` is called with success once it is written. With
-  /// `refusable`, `done` is called early if the store does not answer:
-  /// kStoreUnavailable (the record is dropped) or kOutcomeUnknown (it may be
-  /// written, and the write is retried). Without `refusable`, `done` is called
-  /// only once the outcome is known.
+  /// Queues a record. `done` is called with success once the record is written
+  /// and applied to the state. It is called with kNoOwner at once if the log is
+  /// not open, and later if another owner replaces this one before the write is
+  /// confirmed; the record may then be in the log. With `refusable`, `done` is
+  /// called early if the write fails: kStoreUnavailable (the record is dropped;
+  /// returned at once while `failing`) or kOutcomeUnknown (it may be written,
+  /// and the write is retried). Without `refusable`, `done` may be null and
+  /// gets no result other than success and kNoOwner.
   void Append(LogRecord record, bool refusable, Done done);
 
   /// Releases the shard once all queued records are written. On failure the
@@ -153,7 +157,7 @@
 
   std::vector<Pending> queue_;
   // The batch being written. Its value does not change once it may have been
-  // sent, so that a repeated write is recognized as the same one.
+  // written, so that a repeated write is recognized as the same one.
   std::vector<Pending> batch_;
   bool commit_scheduled_ = false;
   bool batch_in_flight_ = false;
--- a/src/include/doorwood/shard_owner.h
+++ b/src/include/doorwood/shard_owner.h
@@ -29,17 +29,19 @@
   Millis task_lease{10000};
   Millis drift{300};
   Millis call_timeout{2000};
-  /// Initial and maximum delay before placement is retried for a task for which
-  /// no free capacity was found.
+  /// Initial and maximum delay before placement is retried for a task that a
+  /// holder refused or for which no holder was found. `retry_longest` is also
+  /// the delay after an exceeded quota, an unconfirmed intent or a failed stop.
   Millis retry_first{100};
   Millis retry_longest{2000};
   /// Delay before placement of a task that fits no worker is retried.
   Millis unplaceable_retry{10000};
   /// Delay after n failures: 2^min(n, 6) times this, plus a random 0 to 50 %.
   Millis failure_backoff{200};
-  /// Delay before the next round of an incomplete census.
+  /// Delay before the next round of an incomplete census, and of a census after
+  /// a change of the holders.
   Millis census_retry{500};
-  /// Interval of periodic censuses while nothing else triggers one.
+  /// Delay from a complete census to the next one while tasks are open.
   Millis census_interval{60000};
   /// Maximum number of concurrent placements.
   int max_concurrent_placements = 64;
@@ -56,7 +58,7 @@
   Resources largest_free;
 };
 
-/// Port through which a shard owner sees its instance, the peers and the
+/// Interface through which a shard owner sees its instance, the peers and the
 /// configuration.
 class OwnerEnvironment {
  public:
@@ -127,7 +129,8 @@
   void Close(Done done);
   /// See ShardLog::VerifyOwnership.
   void VerifyOwnership(Done done) { log_->VerifyOwnership(std::move(done)); }
-  /// Stops all activity at once without releasing the shard, as when fenced.
+  /// Ends placement, censuses and the logging of reported ends at once, without
+  /// releasing the shard, as when this owner is fenced.
   void StopImmediately();
   void set_on_fenced(std::function<void()> on_fenced);
   void set_lease_valid(std::function<bool()> lease_valid);
@@ -145,16 +148,18 @@
   /// have run.
   void ReleaseIdempotencyKey(const std::string& key,
                              const std::string& request);
-  /// Handles attempts that a holder reports as ended. `reply` is called with
-  /// the ends that are logged, once the outcome is known for all of them.
+  /// Handles attempts that a holder reports as ended. `reply` is called, once
+  /// the outcome of every append is known, with the attempts that need not be
+  /// reported again: their ends are logged or no longer have an effect.
   void OnEndReport(const EndReport& report,
                    std::function<void(EndReply)> reply);
   /// Must be called when holders appear, disappear or change the workers that
   /// they hold.
   void OnHoldersChanged();
 
-  /// One job, or all jobs of a workspace, as JSON for operators. An unknown job
-  /// gives null; an empty `member` selects the jobs of all workspaces.
+  /// One job, or all jobs of a workspace, as JSON for operators. JobsJson gives
+  /// only the number of a job's tasks, as its `tasks`. An unknown job gives
+  /// null; an empty `member` selects the jobs of all workspaces.
   Json JobJson(const std::string& job) const;
   Json JobsJson(const std::string& member) const;
   std::vector<DecisionRecord> Explain(const TaskId& task) const;
--- a/src/libdoorwood/owner/shard_census.cpp
+++ b/src/libdoorwood/owner/shard_census.cpp
@@ -172,8 +172,8 @@
   if (!may_have_run) {
     Requeue(
         task, Millis(0),
-        "queued again; no instance reported that an attempt is running, or an "
-        "end that is not logged yet");
+        "queued again; no instance reported a running attempt of the task, or "
+        "one whose end is not logged yet");
     return true;
   }
   ++counters_.resolved_lost;
@@ -194,9 +194,9 @@
   if (task.attempt.counter != 0) {
     return nullptr;
   }
-  // After a takeover the newest attempt is not known. It is taken to be the
-  // reported attempt that runs or, if none runs, the newest reported one after
-  // the last logged end.
+  // After a takeover the newest attempt is not known. It is taken to be, among
+  // the reported attempts after the last logged end, the newest one that runs
+  // or, if none runs, the newest one.
   const TaskState& state = *log_->state().FindTask(task.id);
   const HolderAttemptReport* newest = nullptr;
   for (const auto& [attempt, reported] : round.reports) {
--- a/src/libdoorwood/owner/shard_log.cpp
+++ b/src/libdoorwood/owner/shard_log.cpp
@@ -414,9 +414,10 @@
   });
 }
 
-// A shard that could not be released stays with this owner: while the head
-// names this owner and its registration is valid, no other instance takes the
-// shard over.
+// If the release is not confirmed, the log stays open: while the head names
+// this owner and its registration is valid, no other instance takes the shard
+// over. If the release was written after all, the seal of the next owner fences
+// this.
 void ShardLog::FinishClose(std::error_code error) {
   open_ = static_cast<bool>(error);
   const Done done = std::move(on_closed_);
--- a/src/libdoorwood/owner/shard_log_entries.h
+++ b/src/libdoorwood/owner/shard_log_entries.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Helpers that read log entries, shared by the files that implement ShardLog.
+/// Helpers that read log entries and the head, shared by the files that
+/// implement ShardLog.
 
 #ifndef DOORWOOD_OWNER_SHARD_LOG_ENTRIES_H_
 #define DOORWOOD_OWNER_SHARD_LOG_ENTRIES_H_
@@ -19,6 +20,8 @@
   return std::stoll(entry.key.substr(entry.key.rfind('/') + 1));
 }
 
+// Returns the epoch of a log entry or of the head; 0 if the value is no JSON
+// object or has none.
 inline uint64_t EpochOf(const KvEntry& entry) {
   const auto json = ParseJson(entry.value);
   return json ? json->value("epoch", uint64_t{0}) : 0;
--- a/src/libdoorwood/owner/shard_owner.cpp
+++ b/src/libdoorwood/owner/shard_owner.cpp
@@ -187,7 +187,7 @@
 }
 
 // Ends the queued tasks of cancelled jobs, usually in one batch of the log, and
-// stops the running ones, which end when the stop is confirmed.
+// stops the running ones, whose ends are logged once they are reported.
 void ShardOwner::StopCancelled() {
   std::vector<TaskId> queued;
   for (auto& [id, task] : tasks_) {
--- a/src/libdoorwood/owner/shard_takeover.cpp
+++ b/src/libdoorwood/owner/shard_takeover.cpp
@@ -144,8 +144,8 @@
     const bool retry_seal =
         error == KvErrc::kConflict || error == KvErrc::kUnknown;
     if (retry_seal) {
-      // Either the old owner appended first, or the answer was lost. A second
-      // seal of the same epoch is harmless.
+      // Either another instance wrote this position first, or the answer was
+      // lost. A second seal of the same epoch is harmless.
       if (++self->takeover_retries_ > kMaxTakeoverRetries) {
         done(CoreErrc::kOutcomeUnknown);
         return;
@@ -198,8 +198,8 @@
     done(std::error_code());
     return;
   }
-  // The old owner truncated the log between the reads of the snapshot and of
-  // the entries.
+  // Either the old owner truncated the log between the reads of the snapshot
+  // and of the entries, or a newer owner has changed the log since this seal.
   if (++takeover_retries_ > kMaxTakeoverRetries) {
     done(CoreErrc::kStoreUnavailable);
     return;
@@ -207,8 +207,8 @@
   Replay(done);
 }
 
-// Returns true if the entries continue the snapshot without a gap up to the
-// seal.
+// Applies the entries after the snapshot. Returns false if they have a gap or
+// if the last one is not this owner's seal.
 bool ShardLog::ApplyEntries(const std::vector<KvEntry>& entries) {
   int64_t next = snapshot_position_ + 1;
   for (const KvEntry& entry : entries) {
