--- a/src/include/doorwood/router.h
+++ b/src/include/doorwood/router.h
@@ -74,7 +74,8 @@
   kAnswered,
   /// The request was definitely not executed.
   kNotRun,
-  /// The request was sent, and may or may not have been executed.
+  /// The request, or an earlier one with the same idempotency key, may or may
+  /// not have been executed.
   kUnknown,
 };
 
@@ -147,7 +148,8 @@
   /// is closed and kept until its last slot is released.
   void SetBackends(std::vector<BackendTarget> backends);
 
-  /// Blocks until a slot is granted or `deadline` is reached. Refuses
+  /// Grants a free slot at once if no request waits for the service. Otherwise
+  /// blocks until a slot is granted or `deadline` is reached, but refuses
   /// immediately if `queue_limit` requests already wait, the estimated wait is
   /// past the deadline, or the service has no backend server. If all its
   /// backend servers are closed, as happens while a worker is handed over to
@@ -210,10 +212,12 @@
   std::map<std::string, Service> services_;
 };
 
-/// Limits retries to a share of the requests of each service.
+/// Limits retries to a share of the requests of each service. The budget of a
+/// service starts with one retry.
 class RetryBudget {
  public:
-  /// Adds `share` of a retry to the budget; call once for each request.
+  /// Adds `share` of a retry to the budget, up to its upper limit; call once
+  /// for each request.
   void Deposit(const std::string& service, double share);
   /// Takes one retry out of the budget. False if there is none left.
   bool TryWithdraw(const std::string& service);
--- a/src/libdoorwood/routing/router.cpp
+++ b/src/libdoorwood/routing/router.cpp
@@ -182,8 +182,8 @@
   return progress.last;
 }
 
-// Acquires one slot and makes one attempt. Returns false if `progress->last`
-// is final.
+// Makes one attempt on a local slot unless a peer finishes the request. Returns
+// false if `progress->last` is final.
 bool Router::TryOnce(const ServiceConfig& service,
                      const CallerRequest& request,
                      Progress* progress) {
