--- a/src/include/doorwood/cell_policy.h
+++ b/src/include/doorwood/cell_policy.h
@@ -43,7 +43,8 @@
   /// the end of the quarantine or of the last interval.
   Millis probe_interval{1000};
   /// Best-effort work is placed beside serving tasks, or sped up, only where
-  /// their tail latency is then expected below this share of its target.
+  /// their tail latency is then expected to be at most this share of its
+  /// target.
   double wanted_tail_share = 0.85;
   /// Above this share of the target best-effort work is slowed down.
   double throttle_tail_share = 0.9;
@@ -77,12 +78,13 @@
   /// of value.
   int urgency_class = 0;
   int priority = 0;
-  /// On time: the job's remaining work, in thousandths of a processor times ms.
+  /// On time: the remaining work of the job's repetition, in thousandths of a
+  /// processor times ms.
   /// When there is more work than capacity, this finishes some jobs in time
   /// instead of all of them late: the total value for callers rose by 8% on a
   /// heavily overloaded deployment and changed by -1% to +2% on four others.
   /// Late: the latest start that is still of value, in ms since 1970.
-  /// Otherwise: when the step was due, in ms since 1970.
+  /// Otherwise: when the repetition was due, in ms since 1970.
   int64_t order_in_class = 0;
 
   friend auto operator<=>(const StepRank&, const StepRank&) = default;
@@ -112,9 +114,9 @@
                                    int step,
                                    std::span<const Millis> run_times);
 
-/// The serving tasks of one image on a worker: the modelled utilization of the
-/// most loaded one, including best-effort work that was started too recently to
-/// show in reports, and the highest utilization allowed.
+/// One serving task on a worker: its modelled utilization, and the highest
+/// utilization allowed. The former includes the effect of best-effort work that
+/// the newest report does not cover; see `PendingCores`.
 struct ServingUtilization {
   ImageId image = 0;
   double utilization = 0;
@@ -167,16 +169,17 @@
   kNoAccelerators,
   /// Best-effort work would push serving tasks there over their latency target.
   kDisturbs,
-  /// The worker had no capacity for a task of the same kind that was no larger,
-  /// and has not changed since.
+  /// Not checked again: the worker could not take a task of the same kind that
+  /// was no larger, and has not changed since.
   kUnchanged,
 };
 
 std::string_view ToString(PlaceProblem problem);
 
-/// Checks whether `worker` may run the task: state, service, label, rack and
-/// free capacity. `tasks_on_worker` is the number of the step's tasks there,
-/// which the caller counts.
+/// Returns the first problem found that keeps `worker` from taking the task, or
+/// kNone. Checks state, service, tasks of the step, label, rack, free capacity
+/// and the effect on serving tasks. `tasks_on_worker` is the number of the
+/// step's tasks there, which the caller counts.
 PlaceProblem FindPlaceProblem(const StepPlan& step,
                               const TaskRequirements& need,
                               const CandidateWorker& worker,
@@ -191,9 +194,10 @@
                   const CandidateWorker& worker,
                   const InterferenceModel& model);
 
-/// By how much the worst-off serving tasks of a worker would exceed their
-/// allowed utilization if best-effort work of `image` using `cores` were added.
-/// Negative values are headroom; -1 if there are no serving tasks.
+/// By how much the worst-off serving task of a worker would exceed its allowed
+/// utilization if best-effort work of `image` using `cores` were added.
+/// Negative values are headroom; at least -1, also if there are no serving
+/// tasks.
 double ExcessUtilization(const CandidateWorker& worker,
                          ImageId image,
                          double cores,
@@ -217,7 +221,7 @@
     /// Last failure of each job on the worker.
     std::map<std::string, Instant, std::less<>> failures;
     /// End of the quarantine, or of the probe interval after the last start
-    /// since; zero: never quarantined.
+    /// since; zero: not quarantined since the last success.
     Instant quarantined_until{};
   };
 
--- a/src/include/doorwood/pacing.h
+++ b/src/include/doorwood/pacing.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Speed limits for best-effort work beside serving tasks on one worker, as a
-/// pure function of one report.
+/// Speed limits for best-effort work beside serving tasks on one worker, as
+/// pure functions of their inputs.
 
 #ifndef DOORWOOD_PACING_H_
 #define DOORWOOD_PACING_H_
@@ -31,24 +31,28 @@
   ImageId image = 0;
   /// Processors that the task would use at full speed.
   double full_cores = 0;
-  /// Processors that the task uses now.
+  /// Processors that the task uses, as last measured.
   double cores = 0;
+  /// Pace that was wanted so far, in percent of full speed.
   int pace = 100;
 };
 
 struct PaceDecision {
   std::string task;
+  /// In percent of full speed.
   int pace = 100;
 };
 
 /// Returns new paces for the best-effort tasks whose pace should change. If a
-/// tail latency is too high, tasks are slowed down in order of their effect on
-/// the worst serving task, until the model expects its tail latency at the
-/// wanted share of the target. If all tail latencies are low, tasks with the
-/// smallest effect are sped up first, each by at most `max_pace_increase`. Once
-/// a serving task has been over its target for `max_over_target_time`, or if
-/// the highest tail latency is above `stop_tail_share` of its target, all
-/// best-effort tasks stop, whatever the model expects.
+/// tail latency is above `throttle_tail_share` of its target, tasks are slowed
+/// down, those with the largest effect on the worst serving task first, until
+/// the model expects its tail latency at `wanted_tail_share` of its target.
+/// Otherwise tasks are sped up, those with the smallest effect per processor
+/// first, each by at most `max_pace_increase`, if the model then expects no
+/// tail latency above `wanted_tail_share` of its target. Once a serving task
+/// has been over its target for `max_over_target_time`, or if the highest tail
+/// latency, relative to its target, is above `stop_tail_share`, all best-effort
+/// tasks stop, whatever the model expects.
 std::vector<PaceDecision> DecidePaces(
     const std::vector<PacedServingTask>& serving,
     const std::vector<PacedBestEffortTask>& best_effort,
--- a/src/include/doorwood/worker_session.h
+++ b/src/include/doorwood/worker_session.h
@@ -45,8 +45,10 @@
   /// The start order is withheld until `WorkerSession::SendDeferredStart`; the
   /// run's resources are already reserved.
   bool start_deferred = false;
-  /// Times at which the start was ordered and the worker confirmed the run.
+  /// When the start order was sent or, until then, deferred; or when this
+  /// leader adopted the run.
   Instant ordered{};
+  /// When the worker's confirmation of the run arrived; zero: it has not.
   Instant confirmed{};
   /// The worker has confirmed the stop, or has refused the start with
   /// `RunErrc::kStaleRun`. Either way it refuses any later start of this run.
@@ -64,16 +66,17 @@
   bool long_running = false;
   Millis latency_target{0};
   Millis estimate{0};
-  /// Index in the leader's interference model; set by the leader.
+  /// Id of the task's image in the leader's interference model; set by the
+  /// leader.
   ImageId image_id = 0;
-  /// "JOB.REPETITION.STEP"; used to limit the tasks of a step on one worker.
+  /// "JOB.REPETITION.STEP"; used to count the runs of a step on one worker.
   std::string step;
 
   /// Last reported values; see `ActiveRun`.
   int progress = 0;
   int64_t measurement = -1;
-  /// For a serving task: its own load without best-effort work on the same
-  /// worker; negative: not known yet.
+  /// For a serving task: its estimated utilization without best-effort work on
+  /// the same worker; negative: not known yet.
   double load = -1;
   /// Moving average of a serving task's measurements; negative: none yet.
   double mean_measurement = -1;
@@ -81,21 +84,24 @@
   /// `PolicyOptions::over_target_tail_share` of `latency_target`; zero: it is
   /// below.
   Instant above_target_since{};
+  /// Newest known checkpoint, or the one that the run started from; empty:
+  /// none.
   std::string checkpoint;
-  /// Share of its full speed, in percent, that the run may use: as wanted, and
-  /// as confirmed by the worker.
+  /// Share of its full speed, in percent, that the run may use: as wanted by
+  /// the leader, and as last confirmed by the worker. A run starts at 100; the
+  /// leader sets `pace` of an adopted run to a negative value: not known.
   int wanted_pace = 100;
   int pace = 100;
   bool pace_in_flight = false;
-  /// Time since which the run is throttled below its full speed; zero: it is
-  /// not.
+  /// Time since which `wanted_pace` has been below 100; zero: it is 100.
   Instant throttled_since{};
   /// Last time that the run was logged as far beyond its expected duration.
   Instant overdue_logged_at{};
-  /// The run began from a checkpoint, was throttled, or was ordered by another
-  /// leader, so its duration says little about the task.
+  /// The run began from a checkpoint, was throttled, or was adopted, so its
+  /// duration says little about the task.
   bool atypical_duration = false;
-  /// An earlier leader ordered the run, so its duration so far is not known.
+  /// This session first learned of the run from a report, usually because an
+  /// earlier leader ordered it. When the run began is not known.
   bool adopted = false;
 };
 
@@ -108,15 +114,16 @@
 Millis MaxOnLocalClock(Millis on_worker);
 
 struct WorkerSessionOptions {
-  /// How long runs continue without contact with a leader. Bounded by the
-  /// platform's longest run lease; see docs/CONFIGURATION.md.
+  /// Duration of a lease, on the worker's clock: runs there end unless an order
+  /// extends the lease within this time. Bounded by the platform's longest run
+  /// lease; see docs/CONFIGURATION.md.
   Millis run_lease{6000};
   /// Longest time for which a worker with both serving tasks and best-effort
-  /// work may delay its answer to a poll. Used in a small cell; larger cells
-  /// use `WorkerSession::SetShortPollWait`. Simulations of a day with little
-  /// load in two deployments (5 and 3 seeds) scored 0.677 and 0.658 at 500 ms,
-  /// and 0.712 and 0.666 at 250 ms, in the users' benchmark without its charge
-  /// for processors; higher is better.
+  /// work may delay its answer to a poll. In a large cell, the leader sets a
+  /// longer time with `WorkerSession::SetShortPollWait`. Simulations of a day
+  /// with little load in two deployments (5 and 3 seeds) scored 0.677 and 0.658
+  /// at 500 ms, and 0.712 and 0.666 at 250 ms, in the users' benchmark without
+  /// its charge for processors; higher is better.
   Millis short_poll_wait{250};
   /// Longest time for which any other worker may delay its answer to a poll.
   Millis long_poll_wait{1200};
@@ -146,9 +153,9 @@
 
   /// The run has ended and is removed from the session. `end` is what the
   /// worker reported; kStopped if the start was deferred and never sent; and
-  /// kLeaseExpired if the worker is lost (see `OnWorkerLost`) or a complete
-  /// report no longer lists the run. `reported_by_worker` is false only for
-  /// that kLeaseExpired.
+  /// kLeaseExpired if the worker is lost (see `OnWorkerLost`) or a report with
+  /// all ends proves that the run is not active and cannot begin any more.
+  /// `reported_by_worker` is false only for that kLeaseExpired.
   virtual void OnRunEnded(WorkerSession& session,
                           const Run& run,
                           RunEnd end,
@@ -157,7 +164,9 @@
   /// another incarnation has replaced it, or all leases there have expired.
   /// `OnRunEnded` follows for each run.
   virtual void OnWorkerLost(WorkerSession& session) = 0;
-  /// A poll failed, and the one before succeeded or there was none.
+  /// A poll failed, and the one that completed before did not, or there was
+  /// none. Not called if the poll was refused with `RunErrc::kFenced` or shows
+  /// that this incarnation has ended.
   virtual void OnPollFailed(WorkerSession& session) = 0;
   /// A poll was answered after one that failed.
   virtual void OnPollRecovered(WorkerSession& session) = 0;
@@ -168,7 +177,8 @@
   /// the listed run.
   virtual std::optional<Run> OnUnknownRun(WorkerSession& session,
                                           const ActiveRun& run) = 0;
-  /// The start was refused; it is certain that the run did not begin.
+  /// The start was refused; it is certain that the run did not begin. The run
+  /// is already removed from the session.
   virtual void OnStartRefused(WorkerSession& session,
                               const Run& run,
                               std::error_code error) = 0;
@@ -206,14 +216,15 @@
 
   /// Replaces `WorkerSessionOptions::short_poll_wait`.
   void SetShortPollWait(Millis wait) { short_wait_ = wait; }
-  /// From `until` on, no lease is extended, and no order carries a later lease
-  /// end than one sent at `until`. A successor relies on this when it computes
-  /// how long runs may continue. A time rather than a flag, so that the limit
-  /// also holds after a pause of the process that the leader has not noticed
-  /// yet.
+  /// From `until` on, polls extend no lease, and no start order carries a later
+  /// lease end than one sent at `until`. A successor relies on this when it
+  /// computes how long runs may continue. A time rather than a flag, so that
+  /// the limit also holds after a pause of the process that the leader has not
+  /// noticed yet.
   void SetLeaseExtensionEnd(Instant until) { lease_extension_end_ = until; }
   /// Polls at once if there are runs, even if a poll is in flight: that poll
-  /// may have been sent while leases were not allowed to be extended.
+  /// may have been sent while leases were not allowed to be extended, or the
+  /// worker may still delay its answer.
   void PollNow();
   /// Sets the time up to which this leader provably led, so that no other
   /// leader can have extended a lease there before. A lease that expired before
@@ -239,29 +250,31 @@
   /// Notes that all ends up to `end_number` are recorded in the store. Later
   /// polls allow the worker to discard these ends and no others.
   void MarkRecorded(uint64_t end_number);
-  /// Takes a newer directory entry; `incarnation.id` stays the same. If this
-  /// incarnation has already answered somewhere, a different address is used
-  /// only after it has answered there as well.
+  /// Applies a newer directory entry of this incarnation; `incarnation.id` must
+  /// be its id. If this incarnation has already answered somewhere, a different
+  /// address is used only after this incarnation has answered there as well.
   void UpdateFromDirectory(const WorkerIncarnation& incarnation);
-  /// An earlier leader recorded that this incarnation answered at the current
-  /// address.
+  /// Notes that this incarnation has answered at its current address, according
+  /// to the record of an earlier leader.
   void MarkAddressVerified();
-  /// To be called a few times a second: calls `EndRunsIfWorkerLost`, and sends
-  /// stops and paces again that have not taken effect.
+  /// To be called a few times a second: calls `EndRunsIfWorkerLost`, logs if
+  /// the worker has become unresponsive, and sends stops and paces again that
+  /// have not taken effect.
   void Tick();
 
   const WorkerIncarnation& incarnation() const { return incarnation_; }
   const std::map<std::string, Run>& runs() const { return runs_; }
   Run* FindRun(const std::string& task);
-  /// Increases with each report that is not outdated, each change of the runs
-  /// there, each directory entry and each change of the address.
+  /// Increases with each report that is not outdated, each run that is added or
+  /// removed, each directory entry and each change of the address.
   uint64_t version() const { return version_; }
   /// `EndedRun::number` of the latest end that the worker has listed.
   uint64_t last_end() const { return last_end_; }
   bool has_unrecorded_ends() const { return last_end_ > recorded_end_; }
-  /// Tasks that may run there and tasks whose ends there are not recorded. Once
-  /// this leader has contacted the worker and starts nothing more there, a
-  /// successor has to account for these tasks only. Sorted, without duplicates.
+  /// Tasks that may run there and tasks whose ends there are not recorded, as
+  /// far as this session knows. Once `all_ends_listed` holds and this leader
+  /// starts nothing more there, a successor has to account for these tasks
+  /// only. Sorted, without duplicates.
   std::vector<std::string> OutstandingTasks() const;
   /// The worker lists runs that this leader is stopping and has not reserved
   /// resources for; how much of the worker they use is not known.
@@ -274,7 +287,8 @@
   /// The worker has listed all its ends to this leader; one report lists only a
   /// limited number.
   bool all_ends_listed() const { return all_ends_listed_; }
-  /// This incarnation has ended: another one answers at its address.
+  /// This incarnation has ended: another one has answered at the address at
+  /// which this one had answered.
   bool dead() const { return dead_; }
   /// The worker has answered a poll of this leader, this incarnation is not
   /// known to have ended, and the worker either responded recently, or has no
@@ -288,11 +302,12 @@
   bool last_poll_failed() const { return last_poll_failed_; }
   /// When the latest order was sent that may have extended a lease there. The
   /// first answer to a poll counts as such an order, since an earlier leader
-  /// may have extended leases until then, and so does a deferred start. Zero:
-  /// none was sent.
+  /// may have extended leases until then, and so does a deferred start. Orders
+  /// after the time set with `SetLeaseExtensionEnd` count as sent at that time.
+  /// Zero: none was sent.
   Instant last_lease_order_at() const { return last_lease_order_at_; }
   /// When the worker last responded again after it was logged as unresponsive;
-  /// zero: it never was.
+  /// zero: this has not happened.
   Instant responsive_since() const { return responsive_since_; }
   /// Reserved processors, memory and accelerators. Best-effort work reserves no
   /// processors.
@@ -328,8 +343,10 @@
   void ApplyReport(Instant sent, WorkerReport report);
   void ApplyEndedRuns(const std::vector<EndedRun>& ended);
   void ApplyActiveRuns(const std::vector<ActiveRun>& active);
-  /// Processes the runs that a complete report does not list: ends those that
-  /// have provably ended, and stops those whose start got no answer.
+  /// Processes the runs that are not in `active`, the active runs of a report
+  /// with all ends that answers a poll sent at `sent`. Ends those that provably
+  /// are not active and cannot begin any more, and sends a stop order for those
+  /// whose start got no answer.
   void ResolveUnlistedRuns(Instant sent, const std::vector<ActiveRun>& active);
   void OnStartAnswer(const std::string& task,
                      uint32_t number,
@@ -360,7 +377,8 @@
   std::error_code ClassifyResponse(const std::string& address,
                                    std::error_code error);
   /// Notes that the worker responded just now, and takes over its `clock`
-  /// unless that is 0 (not reported). Logs if the worker was unresponsive.
+  /// unless that is 0 (not reported). Logs if the worker was logged as
+  /// unresponsive before.
   void NoteResponse(int64_t clock);
   /// Returns the lease end, on the worker's clock, for an order sent at `at`,
   /// and records it as granted. Returns 0 if the worker's clock is not known.
@@ -434,7 +452,7 @@
   bool last_poll_failed_ = false;
   uint64_t poll_sequence_ = 0;
   Executor::TimerId poll_timer_ = 0;
-  /// When the poll was sent whose report was processed last.
+  /// When the poll was sent whose report is the newest that was processed.
   Instant report_sent_{};
   Instant last_response_at_{};
   Instant responsive_since_{};
