--- a/src/libdoorwood/cell/cell_random_restarts_test.cpp
+++ b/src/libdoorwood/cell/cell_random_restarts_test.cpp
@@ -3,7 +3,8 @@
 // The random walk of cell_long_running_fault_walk_test with more faults:
 // replies of the store are lost, or writes are executed seconds later; workers
 // execute orders seconds later; instances announce a planned shutdown, end, and
-// restart under their names. Checks only that no task runs twice.
+// restart under their names. Checks the invariants of the simulated cell, above
+// all that no task runs twice at a time, and not whether jobs end.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
--- a/src/libdoorwood/cell/cell_restarted_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_restarted_leader_test.cpp
@@ -4,9 +4,9 @@
 // for an outage for all instances. The store refuses one instance until the
 // instance's key has expired. Meanwhile the leader restarts, so it never knows
 // that instance. Then the store serves only that instance. All instances
-// that the leader knows then confirm an outage. If it relied on them alone, it
-// would keep extending leases while the other instance leads and starts the
-// same tasks. All in virtual time.
+// that the leader knows then confirm an outage. If the leader relied on them
+// alone, it would keep extending leases while the other instance leads and
+// starts the same tasks. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
--- a/src/libdoorwood/cell/cell_unresponsive_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_unresponsive_takeover_test.cpp
@@ -115,9 +115,10 @@
   }
 }
 
-// The worker is healthy, but no instance can reach it for 3 to 6.5 s. The old
-// leader is partitioned 0 to 3 s after that, and then is the only one that
-// reaches the worker.
+// The worker is healthy, but no instance can reach it for 3 to 6.5 s. Then all
+// instances reach it for 0 to 3 s. After that the old leader is partitioned
+// from the store and the other instances, and only that leader reaches the
+// worker.
 BOOST_AUTO_TEST_CASE(Successor_WorkerOnlySeemedLost_NothingRunsTwice) {
   for (int unresponsive_ms = 3000; unresponsive_ms <= 6500;
        unresponsive_ms += 250) {
--- a/src/libdoorwood/cell/cell_unresponsive_worker_test.cpp
+++ b/src/libdoorwood/cell/cell_unresponsive_worker_test.cpp
@@ -76,7 +76,7 @@
   UnresponsiveWorkerFixture fixture;
   fixture.world.Run(kLeaseExpiry);
   fixture.world.AddWorker("w2", 8000);
-  // Long enough until it is listed, recorded and contacted.
+  // Long enough for "w2" to be listed, recorded and contacted.
   fixture.world.Run(Millis(800));
   BOOST_TEST(WorkerRunning(fixture.world, fixture.task) == "w2");
 }
--- a/src/libdoorwood/cell/cell_wrong_address_test.cpp
+++ b/src/libdoorwood/cell/cell_wrong_address_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Entries that name a worker at an address where another process answers: that
-// answer says nothing about the worker's runs.
+// Directory entries that name a worker at an address where another process
+// answers: that answer says nothing about the worker's runs.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
--- a/src/libdoorwood/cell/worker_address_test.cpp
+++ b/src/libdoorwood/cell/worker_address_test.cpp
@@ -111,7 +111,8 @@
     session->Open();
     AdvanceTime(Millis(500));
   }
-  // Like the leader, reads the directory about once a second.
+  // Reads the directory once a second if `listed` is set. The leader reads it
+  // about twice as often.
   void AdvanceTime(Millis duration) {
     constexpr Millis kStep{100};
     for (Millis passed{0}; passed < duration; passed += kStep) {
@@ -278,8 +279,8 @@
   bool fenced;
 };
 
-// The record of an earlier leader has the address at which it was in contact
-// with this incarnation, so that address is treated as verified.
+// The record of an earlier leader has the address at which that leader was in
+// contact with this incarnation, so the address is treated as verified.
 BOOST_AUTO_TEST_CASE(Poll_RecordedAddress_CountsAsVerified) {
   const RecordedRow rows[] = {
       {"gone", Responder::kOtherIncarnation, Responder::kOtherIncarnation, true,
--- a/src/libdoorwood/cell/worker_lease_clock_test.cpp
+++ b/src/libdoorwood/cell/worker_lease_clock_test.cpp
@@ -2,9 +2,9 @@
 
 // Guards against leases that last longer than a successor waits. A worker's
 // steady clock may run 2% slow, and an idle worker is not polled. A lease end
-// computed from an old reading of that clock would lie more than one run lease
-// after the order, and a successor's wait does not allow for that. Runs in
-// virtual time.
+// computed from an old reading of that clock, as if the clock ran at full rate,
+// would lie more than one run lease after the order. A successor's wait does
+// not allow for that. Runs in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <memory>
--- a/src/libdoorwood/cell/worker_orders.cpp
+++ b/src/libdoorwood/cell/worker_orders.cpp
@@ -143,7 +143,8 @@
     return;
   }
   if (error == make_error_code(RunErrc::kStaleRun)) {
-    // The next report lists the run's end, or shows that it never began.
+    // A later report lists the run's end, or proves that the run is not active
+    // and cannot begin any more.
     run->phase = RunPhase::kUnresolved;
     run->refused_as_old = true;
     run->stop_confirmed = true;
--- a/src/libdoorwood/cell/worker_overtaking_test.cpp
+++ b/src/libdoorwood/cell/worker_overtaking_test.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Explores the interleavings of a start, a stop and polls: each call is carried
-// out and answered at any time and in any order, or gets no answer, or is
-// carried out after its time-out. Whatever the session concludes about the run
-// has to be true.
+// Explores the interleavings, up to a number of steps, of a start, a stop and
+// polls: each call is carried out and answered at any time and in any order, or
+// gets no answer, or is carried out after its time-out. Whatever the session
+// concludes about the run has to be true.
 
 #include <boost/test/unit_test.hpp>
 #include <functional>
@@ -133,8 +133,9 @@
     wrong = wrong || workers.MayRun();
   }
 
-  // All possible next steps. The steps of one call are in order, calls are
-  // independent of each other.
+  // All possible next steps. A call is answered only after it was carried out,
+  // but may fail without an answer before or after that. Calls are independent
+  // of each other.
   std::vector<std::function<void()>> Choices() {
     std::vector<std::function<void()>> choices;
     for (size_t i = 0; i < workers.calls.size(); ++i) {
--- a/src/libdoorwood/cell/worker_session.cpp
+++ b/src/libdoorwood/cell/worker_session.cpp
@@ -159,8 +159,8 @@
 
 Millis WorkerSession::NextPollWait() const {
   // After a failed poll the worker may respond again and has to answer at once:
-  // a poll that waits for an end would return 1.2 s later, and the lease of the
-  // worker's runs may have expired by then.
+  // the answer to a poll that waits for an end may come 1.2 s later, and the
+  // lease of the worker's runs may have expired by then.
   if (has_unrecorded_ends() || last_poll_failed_) {
     return Millis(0);
   }
@@ -266,8 +266,8 @@
   if (closed_ || dead_ || !newest) {
     return;
   }
-  // The first poll was sent before any run was known and extended no lease, so
-  // the next one follows at once if runs were adopted.
+  // The first poll that was answered was sent before any run was known and
+  // extended no lease, so the next one follows at once if runs were adopted.
   if (has_unrecorded_ends() && (!first || runs_.empty())) {
     SchedulePoll(options_.unrecorded_pause);
   } else if (!runs_.empty() || has_unwanted_runs()) {
--- a/src/libdoorwood/cell/worker_session_test.cpp
+++ b/src/libdoorwood/cell/worker_session_test.cpp
@@ -207,7 +207,8 @@
   }
 }
 
-// Calls that the test answers, in any order.
+// Polls and starts that the test answers, in any order. Stops and paces get no
+// answer.
 class ManualWorkers : public RunWorkers {
  public:
   void Poll(const WorkerIncarnation&,
@@ -280,7 +281,8 @@
                         ManualFixture) {
   manual.starts.at(0)({}, 1000);
   time.Run(Millis(10));
-  manual.polls.at(1)({}, ReportOf({}));  // Sent before the run began.
+  // This poll was sent before the start was confirmed.
+  manual.polls.at(1)({}, ReportOf({}));
   time.Run(Millis(10));
   WorkerReport report = ReportOf({});
   report.has_more_ends = true;
@@ -329,9 +331,9 @@
   AdvanceTime(Millis(12'000));
   BOOST_REQUIRE(ends.size() == 1U);
   BOOST_TEST(ends[0] == "t lapsed inferred");
-  // Counted from the last answer: the lease of 6 s on a clock that runs 2%
-  // slow, the session's margin, and the time until it notices. The worker
-  // itself must have ended the run before.
+  // The bound covers the lease of 6 s on a clock that runs 2% slow, the
+  // session's margin, and the time until the session notices the expiry. The
+  // worker itself must have ended the run by then.
   BOOST_TEST(ended_at - unresponsive_since < 9000);
   workers.Advance();
   BOOST_TEST(!workers.model.IsRunning("t"));
