--- a/src/libdoorwood/cell/cell_takeover_wait_test.cpp
+++ b/src/libdoorwood/cell/cell_takeover_wait_test.cpp
@@ -23,7 +23,7 @@
 constexpr char kJob[] = "00112233aabbccdd";
 constexpr char kTask[] = "00112233aabbccdd.0.0.0";
 // A waiting long-running task must be started within this time (ms) after the
-// loss of its leader.
+// loss of the leader.
 constexpr int kWaitBoundMs = 6000;
 
 JobPlan LongRunningPlan(const std::string& id, int64_t cpu) {
@@ -34,10 +34,10 @@
 }
 
 // Returns the time in ms from the loss of a leader until a waiting task is
-// started, at the last of `leaders` takeovers. If `far_listed`, there is an
+// started, at the last of `takeovers` takeovers. If `far_listed`, there is an
 // unreachable worker "far", which the first leader has contacted if
 // `far_contacted`.
-int WaitAfterLeaderLoss(bool far_listed, bool far_contacted, int leaders) {
+int WaitAfterLeaderLoss(bool far_listed, bool far_contacted, int takeovers) {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
   world.AddWorker("w1", 8000);
@@ -55,7 +55,7 @@
   PartitionAllFrom(world, "far");
   world.Run(Millis(20'000));
   Millis waited{0};
-  for (int i = 1; i <= leaders; ++i) {
+  for (int i = 1; i <= takeovers; ++i) {
     char id[17];
     std::snprintf(id, sizeof(id), "%016x", 100 + i);
     JobPlan plan = LongRunningPlan(id, 1000);
