--- a/src/include/doorwood/cell_journal.h
+++ b/src/include/doorwood/cell_journal.h
@@ -7,9 +7,9 @@
 /// Batches are sent on lanes, each with a chain key of its own. A batch expects
 /// the lead key and its lane's chain key at the revisions last seen, and writes
 /// the chain key with the next sequence number. A batch without an answer is
-/// sent again unchanged. Either it takes effect now, and then the earlier
-/// attempt never will; or the chain key already has its number, and then the
-/// earlier attempt took effect.
+/// sent again unchanged. If a later attempt takes effect, the earlier ones
+/// never will. If it fails because the chain key already has the batch's
+/// sequence number, an earlier attempt took effect.
 ///
 /// Until a batch's outcome is known, no other lane writes or removes the states
 /// and the workers' key that it carries. A job that was submitted twice may be
@@ -57,36 +57,37 @@
   std::string id;
   std::string address;
   /// Time during which no leader extended a lease on the worker, so a successor
-  /// deducts it from its wait for the worker's runs; zero: the worker is in
-  /// contact. If the recording leader has not contacted the worker: the value
-  /// that it found at its takeover, plus the time that it has led. If the
-  /// worker became unresponsive to the recording leader: the time since that
-  /// leader's last order that extended a lease there, plus
-  /// `CellOptions::order_grace`. A successor's wait includes that time for
+  /// deducts it from its wait for the worker's runs; zero: nothing to deduct.
+  /// If the recording leader has not contacted the worker: the wait that it
+  /// could deduct itself at its takeover, plus the time that it has led. If the
+  /// worker has long been unresponsive to the recording leader: the time since
+  /// that leader's last order that may have extended a lease there, plus
+  /// `CellOptions::order_grace`. A successor's wait includes `order_grace` for
   /// later orders, but this leader sends the worker none that extend a lease.
   Millis not_contacted_for{0};
   /// All tasks that may run there or whose end there is not recorded. No leader
-  /// starts another task there until a newer record has no such list. Empty
+  /// starts any task there until a newer record has no such list. Empty
   /// optional: any task may run there.
   std::optional<std::vector<std::string>> tasks;
 };
 
-/// A chain key as it is stored.
+/// Revision of a lane's chain key, and sequence number of one of its batches.
 struct ChainLink {
   int64_t revision = 0;
   uint64_t sequence = 0;
 };
 
-/// The value of a chain key: the number of its lane's newest batch, and
-/// JournalOwner::PlacementsValidTo.
+/// The value of a chain key: the sequence number of its lane's newest batch,
+/// JournalOwner::PlacementsValidTo, and what `KeepsToTaskLists` reads.
 std::string EncodeChainValue(uint64_t sequence, int64_t placements_valid_to);
-/// The batch number in a chain key's value; 0 if the text is not of that form.
+/// The sequence number in a chain key's value; 0 if there is no valid one.
 uint64_t DecodeSequence(std::string_view text);
-/// Whether the leader that wrote this chain key starts no task that
-/// `KnownWorker::tasks` excludes. Versions that did not know these task lists
-/// did not write the field.
+/// Whether the leader that wrote this chain key starts nothing on a worker
+/// whose record has a `KnownWorker::tasks` list. False for older versions of
+/// this program, which do not know these lists.
 bool KeepsToTaskLists(std::string_view text);
-/// JournalOwner::PlacementsValidTo of the writer of this chain key; 0: unknown.
+/// JournalOwner::PlacementsValidTo of the writer of this chain key; 0 if the
+/// text has no valid one.
 int64_t DecodePlacementsValidTo(std::string_view text);
 
 /// The value of the workers' key. It is separate from the chain because it is
@@ -109,12 +110,12 @@
   virtual ~JournalOwner() = default;
 
   virtual std::string EncodeState(const std::string& job) = 0;
-  /// Recorded placements of long-running tasks are reliable for instances that
-  /// registered in the store up to this revision; 0: for none.
+  /// An instance may rely on the recorded placements of long-running tasks if
+  /// its `LiveDirectory::no_agreement_since` is at most this, and neither is 0.
   virtual int64_t PlacementsValidTo() = 0;
   /// For each worker with ends that are not recorded yet, the number of the
-  /// newest end that it has listed. Every job that these ends
-  /// changed has been passed to `CellJournal::MarkDirty`.
+  /// newest end that the worker has listed. Every job that these ends changed
+  /// has been passed to `CellJournal::MarkDirty`.
   virtual std::map<std::string, uint64_t> HighestUnrecordedEnds() = 0;
 
   virtual void OnAccepted(const JobPlan& plan) = 0;
@@ -128,8 +129,8 @@
   virtual void OnWorkersRecorded(const std::vector<KnownWorker>& workers) = 0;
   /// A batch sent at that time found the lead key at the expected revision.
   virtual void OnLeadConfirmed(Instant sent) = 0;
-  /// The lead key or a chain key is not at the expected revision, so this
-  /// process no longer leads or must not rely on it.
+  /// The lead key was changed or removed, or another process changed a chain
+  /// key. This process no longer leads, or must not assume that it does.
   virtual void OnLeadLost(std::string_view reason) = 0;
 };
 
@@ -155,20 +156,20 @@
   /// Answers all pending calls; sends nothing more.
   void Close();
 
-  /// Records a new job, then runs `done`. Unless the job is already being
-  /// recorded, refuses it at once, as certainly not accepted, if the store does
-  /// not accept batches, is unresponsive, or is expected to record the job too
-  /// late (`CommitFlowOptions::max_record_wait`).
+  /// Records a new job, and runs `done` with the result. Unless the job is
+  /// already being recorded, refuses it at once if the journal is sealed, or if
+  /// the store does not accept batches, is unresponsive, or is expected to
+  /// record the job too late (`CommitFlowOptions::max_record_wait`).
   void Accept(JobPlan plan, AcceptCallback done);
   void MarkDirty(const std::string& job, bool urgent);
   /// Replaces the workers stored under the workers' key.
   void SetWorkers(std::vector<KnownWorker> workers);
   /// For a leader that shuts down: new jobs and urgent changes that are pending
-  /// now are still recorded, later ones are not. Workers continue to list ends
-  /// that are not recorded.
+  /// now are still recorded, other changes only if they fit into the batches
+  /// sent for these. Workers continue to list ends that are not recorded.
   void Seal();
-  /// After `Seal`: everything that still had to be recorded is in the store,
-  /// and no batch is in flight.
+  /// After `Seal`: nothing that still has to be recorded is waiting, and no
+  /// batch is in flight.
   bool is_drained() const;
   /// Sends a batch soon, even if there is nothing to record. Has no effect once
   /// the journal is sealed.
@@ -194,7 +195,7 @@
     bool answered = false;
   };
   struct Batch {
-    /// Counts all batches built, on any lane.
+    /// Number of the call of `Build`, counted over all lanes.
     uint64_t number = 0;
     /// Set if the batch records the workers.
     std::optional<std::vector<KnownWorker>> workers;
@@ -207,17 +208,19 @@
     bool unanswered = false;
   };
   struct Lane {
-    /// Revision of the chain key in the store, and number of the newest batch.
+    /// Last known revision of the chain key, and sequence number of the lane's
+    /// newest batch, which may not be stored yet.
     ChainLink chain;
     std::optional<Batch> batch;
-    /// The next batch is sent even if it is empty: an earlier attempt may still
-    /// reach the store, and this batch prevents it from taking effect.
+    /// The next batch is sent even if it is empty: an attempt to send the
+    /// previous one may still reach the store, and a newer batch prevents that
+    /// attempt from taking effect.
     bool force_commit = false;
   };
 
-  /// The newest end that each worker had listed at one time, and the jobs whose
-  /// states have to be recorded before these ends are: each with the number of
-  /// the first batch that may contain its state.
+  /// What `HighestUnrecordedEnds` returned at one time, and the jobs whose
+  /// states have to be stored before these ends count as recorded: each with
+  /// `Batch::number` of the first batch whose state of the job is new enough.
   struct EndsToRecord {
     std::map<std::string, uint64_t> ends;
     std::map<std::string, uint64_t> jobs;
@@ -229,7 +232,7 @@
   bool HasPendingWork() const;
   bool HasSealedUrgentJobs() const;
   /// Builds the lane's next batch. Empty: there is nothing to send, or only
-  /// changes of jobs that other lanes carry.
+  /// changes that have to wait for batches in flight on other lanes.
   std::optional<Batch> Build(size_t lane);
   void CaptureEnds();
   void AddWorkers(Batch* batch);
@@ -245,11 +248,13 @@
   void OnConflict(size_t lane, const StoreCommit& commit);
   void OnRejected(size_t lane);
   void OnCommitted(size_t lane, int64_t revision);
-  /// Takes a batch whose outcome is known out of its lane.
+  /// Frees the lane and returns its batch, whose outcome must be known.
   Batch DetachBatch(size_t lane);
   /// Puts the contents of the batch back into the queues, except for new jobs
   /// whose callers have been answered.
   void Requeue(Batch batch);
+  /// Answers calls whose deadline has passed. Also rejects all queued calls if
+  /// the store is unresponsive or does not accept batches.
   void AnswerExpiredAccepts();
   void RejectQueuedAccepts();
   void RejectAccept(PendingAccept* accept);
@@ -288,9 +293,11 @@
   /// Jobs in `dirty_` that are recorded without delay, for example because a
   /// caller waits.
   std::set<std::string> urgent_;
-  /// Once sealed: the urgent jobs that still have to be recorded.
+  /// Once sealed: the jobs that were urgent then. Those that are still
+  /// in `urgent_` have to be recorded.
   std::optional<std::set<std::string>> sealed_urgent_;
-  /// Jobs with a key in a batch in flight.
+  /// Jobs whose state is written, or whose keys are removed, by a batch in
+  /// flight.
   std::set<std::string> in_flight_jobs_;
   std::set<std::string> to_remove_;
   std::optional<EndsToRecord> ends_;
--- a/src/include/doorwood/commit_flow.h
+++ b/src/include/doorwood/commit_flow.h
@@ -38,13 +38,14 @@
   /// flight.
   double stall_factor = 3.0;
   Millis min_stall_time{100};
-  /// A store that has answered none of the commits in flight for this long is
-  /// treated as unresponsive. Slow stores answer within 0.4 s.
+  /// The store is treated as unresponsive if commits are in flight and none was
+  /// answered for this long. Slow stores answer within 0.4 s.
   Millis unresponsive_after{700};
   /// A new job whose record is expected to take longer is refused at once.
   /// Callers have 3 s in all, so another attempt can still succeed.
   Millis max_record_wait{1200};
-  /// Records of new jobs that one commit carries.
+  /// Number of new jobs that `ExpectedWait` assumes one commit to carry. It
+  /// limits nothing.
   size_t records_per_commit = 8;
 };
 
@@ -66,7 +67,8 @@
   Millis answer_time() const { return answer_time_; }
   /// Whether one more commit may be sent now.
   bool MaySend(Instant now) const;
-  /// Time until `send_interval` has passed since the last commit was sent.
+  /// Time until `send_interval` has passed since the last `OnSent`; zero if it
+  /// has passed.
   Millis SendDelay(Instant now) const;
   bool IsUnresponsive(Instant now) const;
   /// Expected time until a record is stored if `ahead` other records are queued
@@ -85,8 +87,8 @@
   /// When the commit on each lane was sent or last sent again.
   std::map<size_t, Instant> sent_;
   Instant last_sent_{};
-  /// Time of the last answer, or of the first commit sent after all earlier
-  /// ones were answered.
+  /// Time of the last answer or, if later, of the first commit sent after all
+  /// earlier ones were answered.
   Instant unanswered_since_{};
   Millis answer_time_{0};
 };
--- a/src/include/doorwood/lead_proof.h
+++ b/src/include/doorwood/lead_proof.h
@@ -56,8 +56,8 @@
   void NoteConfirmed(Instant sent);
   /// Reads the key as soon as possible, because a decision depends on the
   /// proof. A read already under way proves the lead only up to an earlier
-  /// time, so another one follows once that read succeeds; if it fails, the
-  /// next `Tick` reads.
+  /// time, so another one follows once that read succeeds. If that read
+  /// fails, `Tick` sends the next one when it is due.
   void RequestRead();
   /// Reads the key if it was last confirmed `LeadProofOptions::interval` ago or
   /// earlier and no read is under way. To be called several times a second.
--- a/src/include/doorwood/run_worker.h
+++ b/src/include/doorwood/run_worker.h
@@ -58,7 +58,9 @@
   virtual void ListClosedDataCentres(ClosedDataCentresCallback done) = 0;
 };
 
-/// How a run ended, as reported by the worker.
+/// How a run ended, as reported by the worker. For ends without a report, a
+/// leader uses kStopped or kLeaseExpired; see
+/// WorkerSessionListener::OnRunEnded.
 enum class RunEnd {
   kDone,
   kFailed,
@@ -82,8 +84,8 @@
   /// Progress, 0 to 100; a long-running task is ready at 100.
   int progress = 0;
   /// Delayed and approximate. For a serving task the tail latency of its
-  /// answers in milliseconds, otherwise the processor use in thousandths; -1:
-  /// not reported.
+  /// answers in milliseconds, otherwise the processor use in thousandths of a
+  /// processor; -1: not reported.
   int64_t measurement = -1;
 };
 
@@ -103,7 +105,7 @@
   int64_t clock = 0;
   std::vector<ActiveRun> active;
   std::vector<EndedRun> ended;
-  /// The worker has more ended runs than the report could list; a run that the
+  /// The worker may have more ended runs than the report lists; a run that the
   /// report does not name may be among them.
   bool has_more_ends = false;
 };
--- a/src/include/doorwood/ticket_book.h
+++ b/src/include/doorwood/ticket_book.h
@@ -62,7 +62,7 @@
 class TicketBook {
  public:
   /// `adviser` may be null: then nothing is ever permitted. `on_change` runs
-  /// after the adviser has answered a request, also if it permits nothing.
+  /// after a request has succeeded, even if the adviser permits nothing.
   TicketBook(Executor& executor,
              Adviser* adviser,
              EventLog& log,
