--- a/src/libdoorwood/cell/cell_closed_data_centre_test.cpp
+++ b/src/libdoorwood/cell/cell_closed_data_centre_test.cpp
@@ -10,8 +10,8 @@
 namespace doorwood {
 namespace {
 
-// While the store answers, a closed data centre gets no new work from this time
-// on. The platform allows 5 s.
+// Time after its closure from which a data centre gets no new work if the store
+// answers. The platform allows 5 s.
 constexpr Millis kClosingTime{1000};
 
 struct ClosedFixture {
--- a/src/libdoorwood/cell/cell_foreign_entries_test.cpp
+++ b/src/libdoorwood/cell/cell_foreign_entries_test.cpp
@@ -148,9 +148,8 @@
 }
 
 // Entries at whose address another incarnation answers: copies of a worker's
-// entry under other ids. In 10 s there are at most two calls a
-// copy on average.
-BOOST_FIXTURE_TEST_CASE(Workers_CopiesOfAnEntry_AreCalledAtMostTwice,
+// entry under other ids. In 10 s there are at most two calls a copy on average.
+BOOST_FIXTURE_TEST_CASE(Workers_CopiesOfAnEntry_AreCalledAtMostTwiceOnAverage,
                         ForeignEntriesFixture) {
   constexpr int kCopies = 20;
   for (int n = 0; n < kCopies; ++n) {
--- a/src/libdoorwood/cell/cell_journal.cpp
+++ b/src/libdoorwood/cell/cell_journal.cpp
@@ -20,14 +20,14 @@
 // Returns an empty optional, which means that any task may run there, if the
 // list is not of the form that leaders write.
 std::optional<std::vector<std::string>> DecodeTasks(const Json& row) {
-  std::vector<std::string> runs;
+  std::vector<std::string> tasks;
   for (const Json& name : row) {
     if (!name.is_string()) {
       return std::nullopt;
     }
-    runs.push_back(name.get<std::string>());
+    tasks.push_back(name.get<std::string>());
   }
-  return row.is_array() ? std::optional(std::move(runs)) : std::nullopt;
+  return row.is_array() ? std::optional(std::move(tasks)) : std::nullopt;
 }
 
 std::optional<KnownWorker> DecodeKnownWorker(const Json& row) {
@@ -35,7 +35,7 @@
     KnownWorker worker;
     worker.id = ToNonEmptyString(row.at(0), "id");
     worker.address = ToNonEmptyString(row.at(1), "address");
-    // Earlier versions wrote no third field.
+    // Earlier versions wrote no third element.
     const int64_t not_contacted_ms =
         row.size() > 2 ? ToInteger(row.at(2), "unheard", {0, kMaxMillis}) : 0;
     worker.not_contacted_for = Millis(not_contacted_ms);
@@ -267,8 +267,8 @@
     done(CoreErrc::kNoOwner, {});
     return;
   }
-  // A job that is already being recorded is not refused, since it may be
-  // accepted.
+  // A job that is already being recorded is not refused, since the earlier call
+  // may still record it.
   const Instant now = executor_.Now();
   const bool too_late = store_unavailable_ || flow_.IsUnresponsive(now) ||
                         !flow_.IsWithinMaxRecordWait(accepts_.size());
@@ -331,7 +331,7 @@
   });
 }
 
-// --- Building and sending ---
+// --- Sending ---
 
 std::optional<size_t> CellJournal::FindLaneToSend() const {
   // While the store does not accept batches, one batch at a time is sent to
--- a/src/libdoorwood/cell/cell_journal_answers.cpp
+++ b/src/libdoorwood/cell/cell_journal_answers.cpp
@@ -39,8 +39,8 @@
   }
   const bool unknown = error == make_error_code(KvErrc::kUnknown);
   Batch& batch = *lanes_[lane].batch;
-  // A lost answer does not make the store unavailable if another batch was
-  // stored after this one was sent.
+  // A lost answer does not make the store unavailable if the store has
+  // confirmed another batch since this one was sent.
   const bool no_success_since_sent = last_success_ < batch.sent;
   if (!store_unavailable_ && (!unknown || no_success_since_sent)) {
     log_.Write("warn", "journal", "store refused a batch or did not answer",
@@ -72,7 +72,7 @@
 
 void CellJournal::OnRejected(size_t lane) {
   // The batch certainly had no effect. New jobs are refused at once; changes
-  // that have already happened go into the next batch.
+  // that have already happened go into a later batch.
   Batch batch = DetachBatch(lane);
   for (PendingAccept& accept : batch.accepts) {
     RejectAccept(&accept);
@@ -134,7 +134,7 @@
       OnCommitted(lane, chain_revision);
       return;
     }
-    owner_.OnLeadLost("the chain key was written by someone else");
+    owner_.OnLeadLost("another process changed a chain key");
     return;
   }
   // Some of the new jobs have been accepted before, here or in another cell.
--- a/src/libdoorwood/cell/cell_journal_load_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_load_test.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The journal of a busy cell while the store is slow, unresponsive, or
-// alternates between both, in virtual time. The load is that of 540 workers: 40
-// new jobs a second, 250 open jobs that each change about ten times a second,
-// and an occasional cancel.
+// The journal of a busy cell while the store is fast, is slow, stops answering
+// for a while, or loses replies, in virtual time. The usual load is that of 540
+// workers: 40 new jobs a second, 250 open jobs that each change about ten times
+// a second, and an occasional cancel.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -57,7 +57,8 @@
 
   Millis answer_time{4};
   bool unresponsive = false;
-  /// One in this many commits takes effect without being answered; 0: none.
+  /// One in this many commits takes effect, but its caller gets
+  /// KvErrc::kUnknown; 0: none.
   int lose_every_nth = 0;
   int commits = 0;
   size_t entries = 0;
--- a/src/libdoorwood/cell/cell_late_done_test.cpp
+++ b/src/libdoorwood/cell/cell_late_done_test.cpp
@@ -93,7 +93,7 @@
 // lost. A leader that ignored the report logged "run ended without a report
 // from the worker" for run 1, then "late end of a run neither completes its
 // task nor fails its job" with end "done" for the same run. Each of five
-// simulations had 3,662 to 5,252 such lines.
+// simulations of the standard days had 3,662 to 5,252 such lines.
 BOOST_AUTO_TEST_CASE(LateCompletion_TaskWaits_CountsAndTaskDoesNotRunAgain) {
   for (int unreachable_ms = 7000; unreachable_ms <= 12'000;
        unreachable_ms += 1000) {
--- a/src/libdoorwood/cell/cell_outage_test.cpp
+++ b/src/libdoorwood/cell/cell_outage_test.cpp
@@ -159,8 +159,8 @@
 }
 
 // Guards against a worker that gets no work throughout an outage because the
-// leader recorded it as unresponsive just before: that closes it to new work
-// until the store has a newer record, which it cannot take during the outage.
+// leader recorded it as unresponsive just before. Such a record closes the
+// worker to new work until a newer one is stored, which an outage prevents.
 BOOST_AUTO_TEST_CASE(Outage_WorkerWasBrieflyUnresponsive_GetsWork) {
   for (int duration = 0; duration <= 2000; duration += 250) {
     fakes::CellWorld world(5);
--- a/src/libdoorwood/cell/cell_placement_records.cpp
+++ b/src/libdoorwood/cell/cell_placement_records.cpp
@@ -3,7 +3,7 @@
 // Records on which worker a long-running task may run. This is recorded before
 // the start is ordered, so that a successor that cannot reach other workers
 // need not assume that the task may be running on one of them. Only while all
-// instances agree to unrecorded starts is the start ordered first.
+// other instances agree to unrecorded starts may the start be ordered first.
 
 #include <utility>
 
--- a/src/libdoorwood/cell/cell_run_ends.cpp
+++ b/src/libdoorwood/cell/cell_run_ends.cpp
@@ -13,10 +13,11 @@
 
 // Pause before a worker that refused a start gets another one.
 constexpr Millis kRefusalPause{400};
-// Longer pause after a worker refused a start as overloaded or unhealthy.
+// Longer pause after a refusal with RunErrc::kBusy, which a worker returns when
+// it is overloaded or unhealthy.
 constexpr Millis kBusyPause{1500};
 constexpr int kUnknownPace = -1;
-// Increase of the next run number after a worker rejected one as too old.
+// Increase of a task's run number after a worker rejected one as too old.
 constexpr uint32_t kRunNumberIncrease = 16;
 
 }  // namespace
--- a/src/libdoorwood/cell/cell_run_number_test.cpp
+++ b/src/libdoorwood/cell/cell_run_number_test.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Two successive leaders take over from the same records, so both give their
-// first runs of a task the same number. The run of the second leader has ended
-// without being reported; its late report must not be taken for the end of the
-// third leader's run of the same number. All tests run in virtual time.
+// The second and the third leader of a cell take over from the same records, so
+// both give their first run of a task the same number. The second leader's run
+// has ended, but its end is reported late. The report must not be taken for the
+// end of the third leader's run. All tests run in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -68,9 +68,9 @@
 }
 
 // The fourth leader reaches both workers. One reports a run that ended with its
-// lease before the other reports an active run of the same number. The leader
-// has the active run stopped, which takes a while, and must not start the task
-// before it has ended.
+// lease before the other reports an active run of the same number. Guards
+// against a leader that orders the active run to stop and starts the task again
+// before that order, which is executed late, has ended the run.
 BOOST_AUTO_TEST_CASE(
     FourthLeader_ReceivesBothRunsOfOneNumber_NothingRunsTwice) {
   const std::string task = std::string(kJob) + ".0.0.0";
--- a/src/libdoorwood/cell/cell_stale_record_test.cpp
+++ b/src/libdoorwood/cell/cell_stale_record_test.cpp
@@ -1,12 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Guards against a task that runs twice because the workers' record is stale. A
-// leader writes in that record that nothing runs on a worker. Before the write
-// is confirmed, the leader removes the worker from its cell, because the
-// worker's directory entry is missing, and adds it again once the entry is
-// back. After the confirmation it starts a task there. The leader is lost; its
-// successor cannot reach the worker, relies on the record, and starts the same
-// task on another worker.
+// Guards against a task that runs twice because the record of the workers is
+// stale. A leader records that nothing runs on a worker. Before the write is
+// confirmed, it removes the worker from its cell, because the worker's
+// directory entry is missing for a while, and adds it again. After the
+// confirmation it starts a task there. A successor that cannot reach the worker
+// relies on the record and starts the task on another worker.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -111,8 +110,8 @@
   BOOST_TEST(violating == 0, violating << " of " << started << " cases");
 }
 
-// Share of the store's replies that are lost, and of the writes and orders that
-// are executed late.
+// Share of writes to the store whose reply is lost, and of writes and orders
+// that are executed late.
 constexpr double kFaultShare = 0.35;
 
 // Adds to the faults of the base class: workers' directory entries appear and
--- a/src/libdoorwood/cell/cell_worker_records.cpp
+++ b/src/libdoorwood/cell/cell_worker_records.cpp
@@ -11,10 +11,10 @@
 namespace doorwood {
 namespace {
 
-// Minimum time from a write of the workers' key to a write that is due only to
-// changed task lists, for each worker and each task in the earlier value. The
-// key is always written as a whole; the pause bounds the load on a small
-// machine's network link.
+// Minimum time from one record of the workers to the next one that is due only
+// to changed task lists, per worker and per listed task of the first record.
+// All workers are always recorded together, under one key; the pause bounds the
+// load on a small machine's network link.
 constexpr std::chrono::microseconds kWriteDelayPerEntry{250};
 
 size_t CountTasks(const KnownWorker& worker) {
@@ -32,9 +32,9 @@
   return bytes;
 }
 
-// If the task names exceed `most_bytes`, drops the lists that are longest in
+// If the task names exceed `max_bytes`, drops the lists that are longest in
 // bytes: a successor then assumes that any task may run on those workers.
-void LimitNameBytes(size_t most_bytes, std::vector<KnownWorker>* workers) {
+void LimitNameBytes(size_t max_bytes, std::vector<KnownWorker>* workers) {
   std::vector<std::pair<size_t, KnownWorker*>> fewest_first;
   for (KnownWorker& worker : *workers) {
     fewest_first.emplace_back(CountNameBytes(worker), &worker);
@@ -45,7 +45,7 @@
   size_t total = 0;
   for (const auto& [bytes, worker] : fewest_first) {
     total += bytes;
-    if (total > most_bytes) {
+    if (total > max_bytes) {
       worker->tasks.reset();
     }
   }
@@ -176,8 +176,9 @@
     return Millis(0);
   }
   // A successor starts its wait when it takes the lead, and assumes that orders
-  // were sent until then and for `order_grace` after that. This leader sends no
-  // more orders there, so the successor can deduct `order_grace` as well.
+  // that extend leases were sent until then and for `order_grace` after that.
+  // This leader sends no more such orders to the worker, so the successor can
+  // deduct `order_grace` as well.
   return std::chrono::duration_cast<Millis>(
              executor_.Now() - cell_worker.session->last_lease_order_at()) +
          options_.order_grace;
@@ -228,7 +229,7 @@
       cell_worker.renewals_blocked = true;
       UpdateSessionLimits(cell_worker, OrderDeadline());
     }
-    // A newer record that states otherwise may be in flight.
+    // A newer record that states otherwise may already be pending.
     const KnownWorker& newest = cell_worker.submitted_record;
     if (!worker.tasks && !newest.tasks && cell_worker.starts_blocked) {
       cell_worker.starts_blocked = false;
--- a/src/libdoorwood/cell/lead_proof.cpp
+++ b/src/libdoorwood/cell/lead_proof.cpp
@@ -78,7 +78,8 @@
     listener_.OnLeadDisproved("another instance holds the lead key");
     return;
   }
-  // After a failed read the next tick reads again.
+  // After a failed read, `Tick` reads again once the key has not been confirmed
+  // for `LeadProofOptions::interval`.
   if (!error) {
     const uint64_t generation = generation_;
     NoteConfirmed(sent);
--- a/src/libdoorwood/cell/ticket_book_test.cpp
+++ b/src/libdoorwood/cell/ticket_book_test.cpp
@@ -19,15 +19,15 @@
                       Callback done) override {
     ++requests;
     requested_workers = workers;
-    TicketGrant advice;
-    advice.valid_for = Millis(3000);
+    TicketGrant grant;
+    grant.valid_for = Millis(3000);
     for (const std::string& worker : workers) {
       if (worker != "refused") {
-        advice.tickets.push_back({worker, step + "-" + worker});
+        grant.tickets.push_back({worker, step + "-" + worker});
       }
     }
-    executor_.Schedule(Millis(50), [this, advice, done = std::move(done)] {
-      done(error, advice);
+    executor_.Schedule(Millis(50), [this, grant, done = std::move(done)] {
+      done(error, grant);
     });
   }
 
