--- a/src/include/doorwood/crash_policy.h
+++ b/src/include/doorwood/crash_policy.h
@@ -2,8 +2,10 @@
 
 /// \file
 /// Handling of tasks that crash their workers: which runs are suspected after a
-/// crash, when a task is given up, and which workers are reserved to run a
-/// suspect alone. Pure decisions; the caller passes the time.
+/// crash, when a task is given up, and which workers are reserved for trials.
+/// In a trial, a suspect starts on a worker on which no other run is new,
+/// except runs of its gang, and which gets no other work meanwhile. Pure
+/// decisions; the caller passes the time.
 
 #ifndef DOORWOOD_CRASH_POLICY_H_
 #define DOORWOOD_CRASH_POLICY_H_
@@ -26,27 +28,28 @@
   /// A run outside of a trial that was observed running for this long is not a
   /// suspect after a crash.
   Millis unsuspected_after{500};
-  /// A run that was observed running for this long is not related to a crash,
-  /// and earlier crash notes of its task are dropped.
+  /// A run outside of a trial that was observed running for this long is not
+  /// related to a crash. Once a run that began as a trial was observed running
+  /// for this long, the crash notes of its task are removed.
   Millis unrelated_after{10'000};
-  /// A trial lasts twice as long as the suspect was observed running before a
-  /// crash, within these bounds: a faulty task crashes its workers at about the
-  /// same age each time.
+  /// A trial lasts twice as long as the longest time for which the suspect was
+  /// observed running before a crash, within these bounds: a faulty task
+  /// crashes its workers at about the same age each time.
   Millis min_trial{1000};
   Millis max_trial{4000};
-  /// Shortest trial for a task whose crashes all happened while many workers
-  /// crashed.
+  /// Shortest trial for a task whose crashes all belong to mass crashes; see
+  /// `mass_crash_size`.
   Millis min_mass_crash_trial{300};
   /// Delay before a likely culprit is restarted; doubled by each further crash.
   Millis restart_delay{250};
   Millis max_restart_delay{4000};
-  /// Shares of a service's workers, at least one worker, that may run trials at
-  /// the same time: for all suspects, and for likely culprits.
+  /// Shares of a service's workers, at least one worker, that may be reserved
+  /// for trials at the same time: for all suspects, and for likely culprits.
   double max_trial_share = 0.34;
   double max_culprit_trial_share = 0.1;
-  /// When this many workers crash within `mass_crash_window`, the cause lies
-  /// outside their tasks, or there are several causes. None of these crashes
-  /// then counts towards giving a task up.
+  /// When this many workers crash outside of trials within `mass_crash_window`,
+  /// the cause is assumed to lie outside their tasks, or there are several
+  /// causes. None of these crashes then counts towards giving a task up.
   size_t mass_crash_size = 3;
   Millis mass_crash_window{1500};
   /// How long a worker stays reserved for a trial that does not start.
@@ -57,7 +60,8 @@
 struct RunAtCrash {
   /// Time for which the worker kept reporting after it had confirmed the run.
   Millis observed_running{0};
-  /// The run was alone on the worker, as a trial, since its confirmed start.
+  /// The worker had confirmed the run, which this leader had started there as a
+  /// trial, and the trial had not passed.
   bool in_trial = false;
   /// The run had been active for some time before this leader learned of it.
   bool adopted = false;
@@ -65,14 +69,15 @@
 
 /// Role of a run in a crash.
 enum class CrashRole {
-  /// The run was observed running for so long that the crash is not related to
-  /// it.
+  /// The run is not a suspect and was observed running for at least
+  /// `unrelated_after`, so the crash is not related to it.
   kNone,
   /// The run was observed running for less than `unrelated_after`, but it is
   /// not a suspect.
   kBystander,
-  /// The run was in a trial on the worker. If no run was: it was observed
-  /// running for less than `unsuspected_after` and was not adopted.
+  /// The run was in a trial on the worker. If none of the worker's runs was in
+  /// a trial: the run was observed running for less than `unsuspected_after`
+  /// and was not adopted.
   kSuspect,
 };
 
@@ -83,7 +88,7 @@
 enum class CrashVerdict {
   /// The task may run beside others.
   kSound,
-  /// The task is started alone.
+  /// The task is started only in a trial.
   kSuspect,
   /// The task is not started again; its job has failed.
   kGivenUp,
@@ -93,10 +98,10 @@
 
 /// A task is given up after crashes in trials on different machines: two with a
 /// confirmed process restart, or three whose worker restarted or vanished. It
-/// is also given up after five crashes as a suspect, two of them confirmed.
-/// Crashes while many workers crashed do not count towards these limits. A task
-/// that is not given up is a suspect if it was one in any crash, or a bystander
-/// in more than one crash outside of mass crashes.
+/// is also given up after five crashes or possible crashes as a suspect, if at
+/// least two of them are confirmed. Mass crashes do not count towards these
+/// limits. A task that is not given up is a suspect if it was one in any crash,
+/// or a bystander in more than one crash outside of mass crashes.
 CrashVerdict AssessCrashes(std::span<const CrashNote> crashes);
 
 /// Whether a worker was observed to crash during a trial of the task. Such a
@@ -104,13 +109,14 @@
 /// time. Other suspects may merely have been present at a crash.
 bool IsLikelyCulprit(std::span<const CrashNote> crashes);
 
-/// How long the task must be observed running before its worker accepts other
-/// new work.
+/// How long the task must be observed running in its trial before the worker
+/// accepts other new work.
 Millis TrialDuration(std::span<const CrashNote> crashes,
                      const CrashOptions& options);
 
-/// Delay before a likely culprit is restarted after its newest crash. `jitter`
-/// lies between 0 and 1 and changes the delay by up to a quarter either way.
+/// Delay before a likely culprit with `crashes` crash notes is restarted.
+/// `jitter` lies between 0 and 1 and changes the delay by up to a quarter
+/// either way.
 Millis RestartDelay(size_t crashes, double jitter, const CrashOptions& options);
 
 /// Distinguishes isolated crashes from simultaneous crashes of many workers.
@@ -130,8 +136,8 @@
   bool IsMassCrash() const {
     return crashes_.size() >= options_.mass_crash_size;
   }
-  /// The crashes within the last window, including those recorded before the
-  /// mass crash was recognized.
+  /// The newest crash and those at most `mass_crash_window` before it,
+  /// including those recorded before the mass crash was recognized.
   const std::vector<Crash>& crashes() const { return crashes_; }
   void Clear() { crashes_.clear(); }
 
@@ -140,9 +146,9 @@
   std::vector<Crash> crashes_;
 };
 
-/// The workers reserved for trials of suspects: one per task, from its
-/// selection until the suspect was observed running for long enough or has
-/// ended.
+/// The trials of suspects, at most one per task, from the reservation of a
+/// worker to the end of the trial. The worker stays reserved until the trial
+/// passes or ends.
 class CrashTrials {
  public:
   struct Trial {
@@ -170,7 +176,7 @@
   void Expire(Instant now);
   void Clear() { trials_.clear(); }
 
-  /// Returns null if no worker is reserved for the task.
+  /// The task's trial, also one that has passed; null if there is none.
   const Trial* Find(const std::string& task) const;
   /// Whether the worker is reserved for a trial that has not passed.
   bool IsReserved(std::string_view worker) const;
--- a/src/include/doorwood/interference.h
+++ b/src/include/doorwood/interference.h
@@ -9,8 +9,9 @@
 /// (idle) to 1 (saturated). Best-effort work adds to the utilization in
 /// proportion to the cores it uses. The factor of each pair of images is fitted
 /// by normalized least mean squares as reports arrive. Each serving task also
-/// has a load of its own that drifts over seconds. It is tracked slowly, so
-/// that sudden changes are attributed to the best-effort work.
+/// has a load of its own that drifts over seconds. Each report corrects the
+/// estimate of this load by only a share of the error, so that part of a sudden
+/// change is left to be attributed to the best-effort work.
 
 #ifndef DOORWOOD_INTERFERENCE_H_
 #define DOORWOOD_INTERFERENCE_H_
@@ -30,10 +31,11 @@
   /// Utilization assumed per core of best-effort work before there are reports.
   /// On a simulated day the median pair added 0.01 to 0.03.
   double default_interference = 0.025;
-  /// Share of an error that one report corrects. The factor of a pair is
-  /// constant over hours, and reports scatter by a tenth. Over 27 days of three
-  /// deployments, simulated twice, the total value for callers was 0.9% and
-  /// 0.8% higher at 0.15 than at 0.25.
+  /// Largest share of an error that one report corrects in the factors; the
+  /// share is smaller where little best-effort work runs. The factor of a pair
+  /// is constant over hours, and reports scatter by a tenth. Over 27 days of
+  /// three deployments, simulated twice, the total value for callers was 0.9%
+  /// and 0.8% higher at 0.15 than at 0.25.
   double learning_rate = 0.15;
   /// Upper bound of a pair's factor, in utilization per core. On simulated days
   /// most pairs had 0.00 to 0.02, and disturbing ones 0.03 to 0.11.
@@ -52,6 +54,8 @@
   /// work beside it.
   double load_learning_rate = 0.3;
   double load_learning_rate_alone = 0.6;
+  /// Utilization assumed for a task without a report, and at least assumed for
+  /// a new task.
   double initial_load = 0.45;
 };
 
@@ -87,7 +91,8 @@
 
   /// Updates the model from one report of a serving task and the best-effort
   /// work beside it. `load` is the current estimate of the task's own
-  /// utilization, negative if there is none yet. Returns the new estimate.
+  /// utilization, negative if there is none yet. Returns the new estimate, or
+  /// `load` if the latency or the target is not positive.
   double Observe(ImageId serving,
                  int64_t tail_latency_ms,
                  Millis target,
--- a/src/include/doorwood/long_running_admission.h
+++ b/src/include/doorwood/long_running_admission.h
@@ -28,12 +28,14 @@
   /// on three deployments the total value for callers was highest at 0.8 (in
   /// thousands: 20.1 at 0.9, 21.0 at 0.8, 20.9 at 0.7, 20.6 at 0.6).
   double raised_share = 0.8;
-  /// No more long-running work is admitted while other work uses more than this
-  /// share of what serving work leaves. On days with light load the use was 0.4
-  /// to 0.97, briefly 1.13, while other work met its objectives; it rose from
-  /// 1.15 to 1.68 where other work was late.
+  /// No more long-running work is admitted while the peak use of other work is
+  /// above this share of what serving work leaves. The use includes waiting
+  /// work, so it may exceed 1. On days with light load the use was 0.4 to 0.97,
+  /// briefly 1.13, while other work met its objectives; it rose from 1.15 to
+  /// 1.68 where other work was late.
   double max_use = 0.85;
-  /// Below this use more long-running work may be admitted.
+  /// Up to this peak use, long-running work may reserve `raised_share` once
+  /// other work was first observed `observation_time` ago.
   double low_use = 0.65;
   /// How long ago other work must first have been observed before a low use
   /// counts as evidence: nearly two periods of the observed daily load swings
@@ -69,8 +71,8 @@
               int64_t capacity,
               Instant now) const;
 
-  /// Recent peak use, by other work, of the processors that serving work
-  /// leaves.
+  /// Peak use, by other work, of the processors that serving work leaves; it
+  /// decays to the current use.
   double peak_use() const { return peak_use_; }
   /// Whether other work was first observed at least `observation_time` ago.
   bool HasObservedLoad(Instant now) const;
--- a/src/include/doorwood/upkeep_wave_controller.h
+++ b/src/include/doorwood/upkeep_wave_controller.h
@@ -3,7 +3,7 @@
 /// \file
 /// Carries out the operators' upkeep waves: evacuates machines, takes them down
 /// a few at a time, and reports to the operators when a wave is running and
-/// when every machine of it has been down.
+/// when every machine of it that is still listed has been down.
 
 #ifndef DOORWOOD_UPKEEP_WAVE_CONTROLLER_H_
 #define DOORWOOD_UPKEEP_WAVE_CONTROLLER_H_
@@ -25,7 +25,7 @@
 struct WaveOptions {
   /// How often the operators' waves are read.
   Millis read_interval{2000};
-  /// How often machines are listed while a wave is open.
+  /// How often machines are listed while a wave is not reported as completed.
   Millis list_interval{500};
   /// A new leader sends no orders for this long, because orders of an earlier
   /// leader may still be in flight. Must be at least
@@ -55,7 +55,8 @@
   virtual ~WorkerEvacuator() = default;
 
   /// Places no new work on the worker and moves its work away, as far as the
-  /// limits of that work allow. To be called again until the worker is empty.
+  /// limits of that work allow. Returns what ran there when this was called. To
+  /// be called again until the worker is empty.
   virtual Occupancy EvacuateWorker(const std::string& worker) = 0;
 };
 
