--- a/src/libdoorwood/cell/cell_crashes.cpp
+++ b/src/libdoorwood/cell/cell_crashes.cpp
@@ -15,8 +15,8 @@
 // `CellWorker::evacuated_until` is assumed to be down for its machine's
 // maintenance, not crashed.
 constexpr Millis kMaintenanceStartWindow{10'000};
-// A missing directory entry proves that a worker is gone only if the list of
-// workers is no older than this.
+// A missing directory entry is evidence that a worker vanished only while the
+// newest list of workers is younger than this.
 constexpr Millis kMaxListAge{2000};
 // Maximum number of suspects named in a log line.
 constexpr size_t kMaxSuspectsLogged = 8;
@@ -74,10 +74,9 @@
   const std::vector<const Run*> runs = RunsAtCrash(session);
   std::vector<RunAtCrash> at_crash;
   for (const Run* run : runs) {
-    const bool tried_alone = run->confirmed != Instant{} && !run->adopted &&
-                             trials_.IsInTrial(run->task, incarnation.id);
-    at_crash.push_back(
-        {session.ObservedRunTime(*run), tried_alone, run->adopted});
+    const bool in_trial = run->confirmed != Instant{} && !run->adopted &&
+                          trials_.IsInTrial(run->task, incarnation.id);
+    at_crash.push_back({session.ObservedRunTime(*run), in_trial, run->adopted});
   }
   const std::vector<CrashRole> roles =
       ClassifyRuns(at_crash, options_.policy.crashes);
@@ -123,10 +122,11 @@
   }
 }
 
-// A crash is proved only once another incarnation of the worker answers. The
-// leader may fail before that, so it records for its successor which tasks
-// would be suspects of that crash. A trial run that is already recorded needs
-// no second note.
+// A crash is detected only once another incarnation of the worker answers, or
+// the leases there have expired and the worker's directory entry has
+// disappeared. The leader may fail before that, so it records for its successor
+// which tasks would be suspects of that crash. A trial run that is already
+// recorded needs no second note.
 void CellLeader::OnPollFailed(WorkerSession& session) {
   if (session.incarnation().draining) {
     return;
@@ -192,11 +192,12 @@
   return tasks;
 }
 
-// The previous leader failed before it could record the crash, so it is not
-// known what ran on the worker. Every task that may have run there is noted as
-// a bystander; two such notes make it a suspect. A task gets at most one such
-// note per takeover, because the note refers to the task's newest run, and a
-// task has one note per run.
+// The previous leader may have failed before it could record the crash, so it
+// is not known what ran on the worker. Every task that may have run there, and
+// has no crash note that names the worker, is noted as a bystander; two such
+// notes make the task a suspect. A task gets at most one such note per
+// takeover, because the note refers to the task's newest run, and a task has
+// one note per run.
 void CellLeader::NoteCrashOfUncontactedWorker(const std::string& worker,
                                               const CellWorker& cell_worker) {
   if (!cell_worker.from_takeover || cell_worker.session->fenced()) {
@@ -327,7 +328,7 @@
     task->crash_unrecorded = true;
     job->crash_unrecorded = true;
   }
-  log_.Write("warn", "cell", "a worker crash is noted for a task",
+  log_.Write("warn", "cell", "a crash or possible crash is noted for a task",
              {{"task", task->name()},
               {"run", crash.run},
               {"machine", crash.machine},
--- a/src/libdoorwood/cell/cell_long_running_fault_walk_test.cpp
+++ b/src/libdoorwood/cell/cell_long_running_fault_walk_test.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Seeded random faults in a cell with long-running tasks. If a leader wrongly
-// takes a run to have ended and starts the task again, the two runs overlap and
-// are detected, even much later. The store fails and recovers, or refuses some
-// instances and serves others, and instances are partitioned from each other
-// and from workers. This test checks only that no task runs twice at a time;
-// cell_random_faults_test checks that jobs end.
+// Seeded random faults in a cell with long-running tasks, so that a run which a
+// leader wrongly takes to have ended overlaps with even a much later run. Among
+// others, the store fails and recovers, or refuses some instances and serves
+// others, and instances are partitioned from each other and from workers. This
+// test checks the rules of CellWorld, such as that no task runs twice at a
+// time; cell_random_faults_test checks that jobs end.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
--- a/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Two instances lead at once because the old leader is partitioned from the
-// store and its peers. Checks which of them may conclude that the runs on an
-// unresponsive worker have ended, for times on both sides of each bound, in
-// virtual time.
+// Leaders that are partitioned from the store and their peers, that lose the
+// store together with all instances, or that are succeeded. Checks which leader
+// may conclude that the runs on an unresponsive or crashed worker have ended,
+// and that the limit of attempts holds; several tests try times on both sides
+// of a bound. All in virtual time.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -41,8 +42,8 @@
 }
 
 // A worker crashes 0 to 6 s after the partition. Its next incarnation answers
-// both leaders; only the successor, which had adopted the runs there, may start
-// the tasks again.
+// both leaders; only the successor, which may have adopted the runs there, may
+// start the tasks again.
 BOOST_AUTO_TEST_CASE(
     PartitionedLeader_SharedWorkerCrashes_OneLeaderStartsAgain) {
   for (int after = 0; after <= 6000; after += 250) {
@@ -58,8 +59,9 @@
   }
 }
 
-// A leader that is certain of its lease may conclude that the runs on an
-// unresponsive worker have ended.
+// A leader that the store confirms as such may conclude that the runs on a
+// worker have ended once the worker was unresponsive for longer than their
+// lease.
 BOOST_FIXTURE_TEST_CASE(
     LeaseIsCertain_WorkerUnresponsiveForItsLease_StartsElsewhere,
     PartitionedLeaderFixture) {
@@ -72,10 +74,10 @@
   ExpectNoViolations("certain of its lease");
 }
 
-// During a store outage for all instances, an unresponsive worker does not
-// prove that its runs have ended. Once it is confirmed that the leader has kept
-// its lease, the time since the worker's last answer proves at once that they
-// have ended.
+// During a store outage for all instances, a worker's crash does not prove to
+// the leader that the runs there have ended: a successor might have started the
+// tasks again. Once the store confirms that the leader still leads, the earlier
+// answer of the worker's next incarnation proves that the runs have ended.
 BOOST_FIXTURE_TEST_CASE(Store_DownForAllAndWorkerCrashes_TasksRestartWithStore,
                         PartitionedLeaderFixture) {
   for (const auto& [name, instance] : world.instances()) {
--- a/src/libdoorwood/cell/cell_pause_test.cpp
+++ b/src/libdoorwood/cell/cell_pause_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A leader's process is paused for 0.25 to 12 s. Meanwhile a successor leads,
-// waits until the runs on workers that it has not contacted must have ended,
-// and starts the tasks again. On resuming, the old leader handles answers that
+// A leader's process is paused for 0.25 to 12 s. A successor may take the lead,
+// wait until the runs on workers that it has not contacted must have ended, and
+// start the tasks again. On resuming, the old leader handles answers that
 // waited in its sockets before the tick that detects the pause, and may send an
 // order after a check made before the pause. A run whose lease it extends then
 // must not overlap the successor's run of the same task. All in virtual time.
--- a/src/libdoorwood/cell/cell_random_replacement_test.cpp
+++ b/src/libdoorwood/cell/cell_random_replacement_test.cpp
@@ -1,12 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The random walk of cell_long_running_fault_walk_test with lost and late
-// replies and orders, in which workers are also replaced: one joins, and
-// another, which may announce that it drains, ends up to 8 s later. The
-// directory entry of the latter is removed before or after its end. Leaders are
-// shut down or killed, sometimes two in a row, and stops of tasks take time.
-// Short tasks beside the long-running ones show whether a completed task is
-// started again.
+// Guards against overlapping runs of a task and, with short tasks, against new
+// starts of completed ones. The walk of cell_long_running_fault_walk_test, with
+// lost replies, late writes and orders, slow stops, and leaders shut down or
+// killed, sometimes two in a row. Workers are replaced: one joins; another,
+// which may announce that it drains, ends up to 8 s later. The latter's
+// directory entry is removed before or after its end.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -157,8 +156,8 @@
   }
 
   // The drain of a worker is cancelled while the leader's writes are not
-  // answered; then the leader is lost, and no other instance reaches that
-  // worker.
+  // answered; then the leader is replaced. Of the instances, only that leader
+  // and its replacement can reach the worker.
   void CancelDrainAndKillLeader() {
     auto* leader = world_.Leader();
     const std::string id = PickRunningWorker();
@@ -184,7 +183,7 @@
   }
 
   // Starts are executed, but the leader gets no reply, and it can no longer
-  // reach one of the workers. Then the leader is lost, and no other instance
+  // reach one of the workers. Then the leader is replaced, and no instance
   // reaches that worker.
   void LoseStartRepliesAndKillLeader() {
     auto* leader = world_.Leader();
@@ -200,7 +199,7 @@
     KillLeader();
   }
 
-  // Submits a job that runs for longer than a leader's successor waits.
+  // Submits a job whose tasks run for longer than a leader's successor waits.
   void SubmitLong() {
     if (long_jobs_ == kLongJobLimit) {
       return;
--- a/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
+++ b/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
@@ -3,8 +3,8 @@
 // The workers' record names the tasks that may run on each draining worker. In
 // these tests the leader is lost right before or after the record that names a
 // task is confirmed, its successors can or cannot reach the worker, and drains
-// are cancelled. No task may run twice, no completed task may be started again,
-// and tasks must restart in time. All in virtual time.
+// are cancelled. Runs of a task must not overlap, no completed task may be
+// started again, and tasks must restart in time. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <functional>
@@ -35,8 +35,9 @@
 // There is no leader for 3 s at most, and a leader that reaches all workers
 // starts tasks within another 1.5 s.
 constexpr Millis kReachableBound{4500};
-// In addition, 9 s: until 3 s after it lost the lead (`order_grace`), the old
-// leader may extend leases on an unreachable worker by 6 s.
+// In addition, 9 s: for 3 s after its lead was last confirmed (`order_grace`),
+// the old leader may extend leases by 6 s on a worker that its successor cannot
+// reach.
 constexpr Millis kUnreachableBound{13'500};
 
 enum class LeaderLoss { kKilled, kPartitioned, kFrozen };
@@ -223,9 +224,10 @@
                      << longest_unreachable.count());
 }
 
-// The successor cannot reach the draining worker, whose record does not name
-// `kWaitingTask`. When a worker that is large enough for that task joins, the
-// task must be started there without waiting for the draining worker.
+// The successor cannot reach the draining worker, for which the workers' record
+// does not name `kWaitingTask`. When a worker that is large enough for that
+// task joins, the task must be started there without waiting for the draining
+// worker.
 BOOST_AUTO_TEST_CASE(TaskNotInRecord_DrainingWorkerUnreachable_NotDelayed) {
   ViolationReport violation_report;
   for (const LeaderLoss loss :
@@ -250,10 +252,10 @@
   }
 }
 
-// A task was moved off the draining worker, so that worker's record no longer
-// names it. Its next worker crashes together with the leader. The successor
-// must start the task without waiting for the draining worker, which it cannot
-// reach.
+// A task was moved off the draining worker, for which the workers' record no
+// longer names the task. The task's next worker crashes together with the
+// leader. The successor must start the task without waiting for the draining
+// worker, which it cannot reach.
 BOOST_AUTO_TEST_CASE(MovedTask_NoLongerInRecord_NotDelayed) {
   ViolationReport violation_report;
   for (int at = 3500; at <= 6500; at += 100) {
@@ -356,7 +358,8 @@
 
 // The worker executes a start, but the leader gets no reply. After that, the
 // leader loses contact with the worker, the worker drains, both, or neither. If
-// the worker's record then names tasks, it must name the started one.
+// the workers' record then names the worker's tasks, it must name the started
+// one.
 BOOST_AUTO_TEST_CASE(UnansweredStart_WorkerClosedToNewTasks_NotStartedAgain) {
   ViolationReport violation_report;
   int new_task_starts = 0;
@@ -387,8 +390,8 @@
 }
 
 // The worker's entry no longer says that it drains. New tasks may start there
-// only after a record that no longer restricts its tasks is confirmed. From
-// shortly before or after the change of the entry the leader's writes are
+// only once a record that no longer names the worker's tasks is confirmed. From
+// up to 0.6 s before or after the change of the entry the leader's writes are
 // delayed and not answered; its reads are answered.
 BOOST_AUTO_TEST_CASE(DrainCancelled_RecordNotConfirmed_NothingRunsTwice) {
   ViolationReport violation_report;
@@ -494,8 +497,8 @@
 // A second leader reads a record that names the tasks on the worker, while the
 // entry no longer says that the worker drains. From a time 0 to 0.25 s after it
 // took the lead, its writes are delayed and not answered. New tasks may start
-// there only after a record that no longer restricts its tasks is confirmed.
-// Later leaders cannot reach the worker.
+// on the worker only once a record that no longer names the worker's tasks is
+// confirmed. Later leaders cannot reach the worker.
 BOOST_AUTO_TEST_CASE(DrainCancelled_SecondLeaderCannotRecord_NothingRunsTwice) {
   constexpr Millis kFineStep{5};
   ViolationReport violation_report;
--- a/src/libdoorwood/cell/cell_returning_instance_test.cpp
+++ b/src/libdoorwood/cell/cell_returning_instance_test.cpp
@@ -4,9 +4,8 @@
 // instances. In the first test it no longer knows an instance. In the others an
 // instance shuts down as planned and restarts under its name meanwhile, so the
 // copy still lists it as leaving. Guards against a leader that does not ask
-// such instances whether the store is down for all: it would take an outage as
-// confirmed although the restarted instance reaches the store and may lead. All
-// in virtual time.
+// the instance whether the store is down for all: it would take an outage as
+// confirmed although the instance reaches the store and may lead.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -21,7 +20,7 @@
 
 constexpr Millis kSettleTime{20'000};
 
-void RunScenario(bool reached) {
+void RestartLeavingInstance(bool reached) {
   ViolationReport violation_report;
   for (int offset = 0; offset < 20; ++offset) {
     LeaderSuccession trial;
@@ -67,11 +66,11 @@
 }
 
 BOOST_AUTO_TEST_CASE(LeavingInstance_RestartsOutOfReach_NothingRunsTwice) {
-  RunScenario(/*reached=*/false);
+  RestartLeavingInstance(/*reached=*/false);
 }
 
 BOOST_AUTO_TEST_CASE(LeavingInstance_RestartsWithinReach_NothingRunsTwice) {
-  RunScenario(/*reached=*/true);
+  RestartLeavingInstance(/*reached=*/true);
 }
 
 }  // namespace
--- a/src/libdoorwood/cell/cell_suspects.cpp
+++ b/src/libdoorwood/cell/cell_suspects.cpp
@@ -56,9 +56,10 @@
       }));
 }
 
-// Returns the suitable worker with the lowest cost of a crash. Workers with new
-// runs, and even more so machines on which the task has crashed before, are
-// chosen only if there is no other.
+// Returns the index of the suitable worker with the lowest cost of a crash, or
+// kNoWorker if none is suitable. Workers with new runs, and even more so
+// machines that the task's crash notes name, are chosen only if there is no
+// other.
 int CellLeader::ChooseTrialWorker(
     const Task& task,
     const StepCandidates& places,
@@ -95,8 +96,8 @@
 }
 
 // An earlier leader may have ordered a start after the last crash that it
-// recorded, and the result of that start is unknown. It is noted as an
-// unconfirmed crash, and recorded, before the next start.
+// recorded, and the result of that start is unknown. Before the next start, an
+// unconfirmed crash is noted for that run, and the note is recorded.
 bool CellLeader::NoteUnconfirmedCrash(Task* task) {
   if (!std::exchange(task->may_have_unconfirmed_crash, false)) {
     return false;
@@ -110,8 +111,8 @@
 }
 
 // Reserves a worker first, and allows the start once the task fits there, no
-// other run on that worker is new, and the trial is recorded where required:
-// the cause of the next crash is then known.
+// other run on that worker is new, and the trial is recorded where required, so
+// that a crash during the trial shows whether the suspect caused it.
 std::optional<int> CellLeader::ReserveTrialPlace(
     const ReadyStep& ready,
     Task* task,
--- a/src/libdoorwood/cell/cell_three_leaders_test.cpp
+++ b/src/libdoorwood/cell/cell_three_leaders_test.cpp
@@ -2,10 +2,10 @@
 
 // Three leaders in a row, in virtual time. For a worker that is not yet
 // contacted, the third leader deducts from its wait what the second has waited.
-// It must not therefore overlook runs that the second leader started on a
-// worker which only the second could reach, or which joined while the second
-// led. A failure that no leader recorded must count as an attempt if the worker
-// reports it to the third leader before the worker's lease expires.
+// Despite the shorter wait, it must not overlook runs that the second leader
+// started on a worker that only the second could reach, or that joined while
+// the second led. A failure that no leader recorded must count as an attempt if
+// the worker reports it to the third leader before the worker's lease expires.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -35,9 +35,9 @@
 }
 
 // 0.5 to 11 s after it took the lead, the second leader loses contact with all
-// workers but the first one's, which it reaches only now. It adopts the runs
-// there, starts more, and is lost 0.05 to 2 s later. The third leader never
-// reaches that worker.
+// workers but "old_only", which it reaches only from then on. It may adopt the
+// runs there and start more, and is lost 0.05 to 2 s later. The third leader
+// never reaches that worker.
 BOOST_AUTO_TEST_CASE(ThirdLeader_OnlySecondReachedWorker_NothingRunsTwice) {
   ViolationReport violation_report;
   for (int not_contacted_ms = 500; not_contacted_ms <= 11'000;
--- a/src/libdoorwood/cell/cell_worker_replacement_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_replacement_test.cpp
@@ -1,12 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Workers are replaced one by one while leaders succeed each other, by planned
-// shutdown or because they are killed. Guards against long-running tasks that
-// run nowhere for 9 s and more although other workers have free capacity: a
-// draining worker reports the end of all its runs, and disappears after one
-// leader has ended and before the next one leads. The next leader finds this
-// worker in the workers' record, cannot contact it, and delays all tasks, since
-// it assumes that any of them may run there.
+// Guards against long-running tasks that run nowhere for 9 s and more although
+// other workers have free capacity. Workers are replaced one by one while
+// leaders are shut down or killed. A draining worker reports the end of all its
+// runs, and disappears while no instance leads. The next leader finds it in the
+// workers' record, cannot contact it, and delays all tasks, since it assumes
+// that any of them may run there.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -189,13 +188,12 @@
   }
 }
 
-// Guards against a successor that delays all tasks of all jobs until the
-// longest lease that any predecessor may have granted has expired: 9.6 s with
-// the options of this test. Seen where runs continue for longer and that time
-// is 12.2 s: the successor logged "waiting for workers whose runs
-// are not yet accounted for" with two such workers and 650 tasks held back, and
-// 12.2 s later "all runs of earlier leaders are accounted for" with all_heard
-// false; all waiting tasks were started at that moment.
+// Guards against a successor that delays all tasks until the longest lease that
+// any predecessor may have granted has expired: 9.6 s with these options. Seen
+// where runs continue for longer and that time is 12.2 s: the successor logged
+// "waiting for workers whose runs are not yet accounted for" (two workers, 650
+// tasks held back), and 12.2 s later "all runs of earlier leaders are accounted
+// for" with all_heard false; then it started all waiting tasks.
 BOOST_AUTO_TEST_CASE(LongRunningTasks_LeadersShutDownInTurn_RestartInTime) {
   for (const int interval : {2000, 3100, 5300, 9700}) {
     RunAndCheckAllSeeds(Millis(interval), ShutDownLeader);
--- a/src/libdoorwood/cell/cell_world_util.h
+++ b/src/libdoorwood/cell/cell_world_util.h
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Queries and actions that several tests use on a world of leaders and
-/// workers.
+/// Queries and actions on a CellWorld that several tests use.
 
 #ifndef DOORWOOD_CELL_WORLD_UTIL_H_
 #define DOORWOOD_CELL_WORLD_UTIL_H_
--- a/src/libdoorwood/cell/long_running_fault_walk.h
+++ b/src/libdoorwood/cell/long_running_fault_walk.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A seeded random sequence of faults in a cell with long-running tasks. If a
-/// leader wrongly takes a run to have ended and starts the task again, the two
-/// runs overlap and are detected, even much later.
+/// A seeded random sequence of faults in a cell with long-running tasks, which
+/// do not end by themselves. If a leader wrongly takes a run to have ended, the
+/// run continues, so that it overlaps with even a much later run of the task.
 
 #ifndef DOORWOOD_LONG_RUNNING_FAULT_WALK_H_
 #define DOORWOOD_LONG_RUNNING_FAULT_WALK_H_
@@ -38,8 +38,8 @@
   LongRunningFaultWalk(const LongRunningFaultWalk&) = delete;
   LongRunningFaultWalk& operator=(const LongRunningFaultWalk&) = delete;
 
-  /// Makes `steps` steps, then calls `Heal` and runs the world for 12 s, in
-  /// which the cell recovers.
+  /// Calls `InjectFaultOrSubmit` `steps` times and runs the world for 0.1 to
+  /// 1.5 s after each call. Then calls `Heal` and runs the world for 12 s.
   void Run(int steps) {
     for (int i = 0; i < steps; ++i) {
       InjectFaultOrSubmit();
@@ -52,7 +52,7 @@
   const CellWorld& world() const { return world_; }
 
  protected:
-  /// Injects one fault, or submits a job.
+  /// Injects faults, ends faults, or submits a job.
   virtual void InjectFaultOrSubmit() = 0;
 
   uint64_t RandomBelow(uint64_t count) { return world_.random()() % count; }
@@ -63,7 +63,8 @@
                 ->second;
   }
 
-  /// The leader, if there is one, in half of the calls; otherwise any instance.
+  /// The leader, if there is one, in half of the calls; otherwise a random
+  /// instance.
   WorldInstance& LeaderOrRandomInstance() {
     auto* leader = world_.Leader();
     return leader != nullptr && RandomBelow(2) == 0 ? *leader
@@ -86,8 +87,8 @@
     }
   }
 
-  /// Injects the fault with this number (0 to 13), or submits a job if the
-  /// number is higher.
+  /// Injects the fault with this number (0 to 13; 4 and 11 end faults instead),
+  /// or submits a job if the number is higher.
   void InjectFault(uint64_t fault) {
     switch (fault) {
       case 0:
@@ -186,8 +187,8 @@
   // Partitions the cell. Each worker is reachable either by the leader or by
   // all other instances. The store refuses the leader or does not answer it,
   // and serves some of the other instances, chosen at random; the leader cannot
-  // reach these. It refuses the remaining instances if it refuses the leader,
-  // and otherwise does not.
+  // reach these. If the store refuses the leader, it also refuses the remaining
+  // instances; if it does not answer the leader, it does not refuse them.
   void PartitionLeader() {
     auto* leader = world_.Leader();
     if (leader == nullptr) {
@@ -229,8 +230,9 @@
     }
   }
 
-  // Ends the faults of the store, the partitions, and late orders. Lost replies
-  // to orders and changed directory entries, which derived walks add, stay.
+  // Ends the faults of the store, partitions, and delays of orders. Lost
+  // replies to orders and changed directory entries, which derived walks add,
+  // stay.
   void Heal() {
     for (const auto& [name, instance] : world_.instances()) {
       instance->store_faults = {};
