--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -492,7 +492,10 @@
   /// Passes the crash to the mass crash detector. Returns whether it belongs to
   /// a mass crash; the notes of that mass crash's earlier crashes are marked.
   bool RecordForMassCrashDetection(const std::vector<TaskCrashNote>& notes);
-  void MarkAsMassCrash(const std::string& name, uint32_t run);
+  /// Marks the crash notes of this run of the task as belonging to a mass
+  /// crash. If the task is then no likely culprit, its start no longer has to
+  /// wait for a restart delay or for the record of its notes.
+  void MarkCrashNotesAsMassCrash(const std::string& task, uint32_t run);
   void LogCrash(const WorkerSession& session,
                 const std::vector<TaskCrashNote>& notes,
                 bool mass_crash) const;
--- a/src/libdoorwood/cell/cell_crashes.cpp
+++ b/src/libdoorwood/cell/cell_crashes.cpp
@@ -261,28 +261,29 @@
   for (const MassCrashDetector::Crash& earlier :
        mass_crash_detector_.crashes()) {
     for (const auto& [name, run] : earlier.runs) {
-      MarkAsMassCrash(name, run);
+      MarkCrashNotesAsMassCrash(name, run);
     }
   }
   return true;
 }
 
-void CellLeader::MarkAsMassCrash(const std::string& name, uint32_t run) {
-  Task* task = jobs_.FindTask(name);
-  if (task == nullptr) {
+void CellLeader::MarkCrashNotesAsMassCrash(const std::string& task,
+                                           uint32_t run) {
+  Task* known_task = jobs_.FindTask(task);
+  if (known_task == nullptr) {
     return;
   }
-  for (CrashNote& note : task->crashes) {
+  for (CrashNote& note : known_task->crashes) {
     if (note.run == run && !note.mass_crash) {
       note.mass_crash = true;
-      task->job->dirty = true;
+      known_task->job->dirty = true;
     }
   }
-  if (!IsLikelyCulprit(task->crashes)) {
-    task->no_start_before = Instant{};
-    task->crash_unrecorded = false;
+  if (!IsLikelyCulprit(known_task->crashes)) {
+    known_task->no_start_before = Instant{};
+    known_task->crash_unrecorded = false;
   }
-  MarkDirty(task->job, /*urgent=*/false);
+  MarkDirty(known_task->job, /*urgent=*/false);
 }
 
 void CellLeader::LogCrash(const WorkerSession& session,
