--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -50,12 +50,12 @@
 struct CellSummary {
   std::string cell;
   int64_t epoch = 0;
-  /// Number of jobs of which no task has started yet, by queue.
+  /// Number of open jobs of which no task has been ordered to start, by queue.
   std::map<std::string, int> pending;
-  /// Estimated work of tasks that are not done, in the first repetition of each
-  /// open job and without long-running tasks, in core-seconds; and processors
-  /// of the listed workers.
+  /// Estimated work, in core-seconds, of the tasks that are neither done nor
+  /// long-running, in the first repetition of each open job.
   double waiting_work = 0;
+  /// Processors of the listed workers.
   double cores = 0;
 };
 
@@ -71,9 +71,10 @@
 /// leader has not yet contacted. A task that may be among them is held back
 /// until those workers have answered or their leases have expired for certain.
 ///
-/// Orders are sent, and leases are extended, only for a bounded time after the
-/// lead key was last confirmed. A leader that is paused or loses the store
-/// therefore stops before a successor starts its tasks again.
+/// Tasks are started, and leases are extended, only for a bounded time after
+/// the lead key was last confirmed; longer only while every other instance
+/// confirms that it cannot reach the store. A leader that is paused or loses
+/// the store therefore stops both before a successor starts its tasks again.
 class CellLeader : public WorkerSessionListener,
                    public JournalOwner,
                    public LeadProofListener,
@@ -85,7 +86,7 @@
   /// the cancellation was not recorded in time or this instance stepped down.
   using CancelCallback = std::function<void(std::error_code)>;
 
-  /// `adviser` may be null: queues that need advice then start nothing.
+  /// `adviser` may be null: tasks of queues that need advice then never start.
   /// `machines` may be null: no machine is then taken down for upkeep.
   CellLeader(Executor& executor,
              RecordStore& store,
@@ -100,29 +101,29 @@
   ~CellLeader() override;
 
   void Start();
-  /// Planned shutdown: records pending changes (after 0.3 s, only new jobs and
-  /// urgent changes), releases the lead, then runs `done`. An instance that
-  /// does not lead runs `done` at once.
+  /// Planned shutdown: records pending changes (after 0.3 s, only the jobs that
+  /// were submitted and the changes that were urgent by then), releases the
+  /// lead, then runs `done`. An instance that does not lead runs `done`
+  /// immediately.
   void ShutDown(std::function<void()> done);
 
   void OnQueueTable(std::shared_ptr<const QueueTable> table);
   /// Called when instances, leads or the lease of this instance have changed.
   void OnLiveChange();
-  /// Called when the leader of that epoch has stepped down but cannot remove
-  /// its key from the store. Removes the key in its place if this instance is
-  /// on standby.
+  /// Called when the leader of `epoch`, which cannot reach the store, has
+  /// stepped down. Removes that leader's key if this instance is on standby.
   void OnLeadHandedOver(int64_t epoch);
 
   bool leading() const { return stage_ == Stage::kLeading; }
-  /// Time since the store last answered this instance. A leader on another
-  /// instance queries this when it cannot reach the store, since it may
+  /// Time since the store last answered this instance. Another instance that
+  /// cannot reach the store queries this time: if that instance leads, it may
   /// continue only while no other instance can take over. Empty if this
-  /// instance cannot reach the store either, but leads or campaigns: the other
-  /// leader must not count it as unable to lead.
+  /// instance cannot reach the store either, but leads or is taking the lead:
+  /// the other instance must not count this one as unable to lead.
   std::optional<Millis> TimeSinceStoreAnswer(Instant now) const;
   /// Agrees that a leader which cannot reach the store starts long-running
-  /// tasks without recording their placement. Returns false if this instance
-  /// can reach the store, leads or campaigns.
+  /// tasks without recording their placement. Returns false, without agreeing,
+  /// if this instance can reach the store, leads or is taking the lead.
   bool AgreeToUnrecordedStarts();
   int64_t epoch() const { return epoch_; }
   const std::string& cell() const { return options_.cell; }
@@ -188,20 +189,21 @@
   /// The leader's state for one worker of the cell.
   struct CellWorker {
     std::shared_ptr<WorkerSession> session;
-    /// The worker's record as last passed to the journal for the workers' key.
-    /// An empty address: not passed yet.
+    /// The worker's record as last passed to the journal for the workers' key
+    /// or, until then, as read at the takeover. An empty address: neither.
     KnownWorker submitted_record;
     /// The worker's address under the workers' key in the store. Empty: the key
     /// does not name the worker.
     std::optional<std::string> recorded_address;
-    /// The newest directory read has a valid entry for the worker.
+    /// The newest directory read has an entry for the worker, and that entry is
+    /// not rejected (see `entry_rejected`).
     bool listed = false;
     /// Since when the directory has no entry for the worker; zero: it has one,
     /// or was not read yet.
     Instant unlisted_since{};
-    /// The directory entry is unreadable or contradicts this incarnation, so
-    /// another process wrote it. The worker gets no new work; its runs
-    /// continue.
+    /// The directory entry is unreadable, names a data centre outside the cell,
+    /// or contradicts this incarnation, so another process is taken to have
+    /// written it. The worker gets no new work; its runs continue.
     bool entry_rejected = false;
     /// No new work is placed on the worker before this time, because its
     /// machine is being evacuated for maintenance. Extended while the
@@ -215,27 +217,29 @@
     /// shortens the wait for its runs. If it is not zero, the age of the record
     /// is added as far as it is known.
     Millis predecessors_waited{0};
-    /// Tasks that may run on the worker according to an earlier leader's
-    /// record. Empty optional: any task may.
+    /// `KnownWorker::tasks` of the worker at the takeover. Empty optional: any
+    /// task may run there.
     std::optional<std::vector<std::string>> inherited_tasks;
     /// The record in the store may have a `KnownWorker::not_contacted_for`
     /// above zero. Since a successor relies on that time, no lease is extended
     /// on the worker until a newer record has the time zero.
     bool renewals_blocked = false;
     /// Whether the worker was closed to new work when `submitted_record` was
-    /// passed to the journal.
+    /// passed to the journal. If `IsUncontacted` was true then, or the record
+    /// is from the takeover: whether the record has a task list.
     bool submitted_as_closed = false;
     /// `WorkerSession::tasks_version` when `submitted_record` was passed to the
-    /// journal.
+    /// journal; kNeverSubmitted if `IsUncontacted` was true then.
     uint64_t submitted_version = kNeverSubmitted;
     /// The record in the store may list all tasks that may run on the worker.
     /// Since a successor relies on the list, nothing is started on the worker
     /// until a newer record has no such list.
     bool starts_blocked = false;
     /// The incarnation is proven to have ended, and `HandleDeadWorkers` has
-    /// confirmed the unconfirmed crash notes for it.
+    /// confirmed or added the crash notes for it.
     bool death_processed = false;
-    /// The worker responds again, and a record that says so is pending.
+    /// The worker has responded again, and a record that says so was requested
+    /// after the last one with a `KnownWorker::not_contacted_for` above zero.
     bool contact_record_pending = false;
     /// The worker gets no new work before this time, because it refused a
     /// start.
@@ -255,8 +259,8 @@
     /// When `done` gets kOutcomeUnknown if the cancellation is not recorded.
     Instant deadline{};
   };
-  /// A step with tasks that are ready to start. Lists of these are sorted by
-  /// urgency, most urgent first.
+  /// A step with tasks that are ready to start. `SortReadySteps` sets `rank`
+  /// and sorts by it, most urgent first.
   struct ReadyStep {
     StepRank rank;
     Job* job = nullptr;
@@ -290,13 +294,14 @@
   Millis AgeOfRecord(int64_t revision) const;
   void StepDown(std::string_view reason);
   /// Whether a planned shutdown is in its last phase, in which no task is
-  /// started and no new job or cancellation is accepted.
+  /// placed and no new job or cancellation is accepted.
   bool IsInLastShutdownPhase() const;
-  /// Removes this instance's lead key, then completes a planned shutdown.
+  /// Removes this instance's lead key. Once the store has answered, or the call
+  /// has failed, completes a planned shutdown if one is under way.
   void ReleaseLeadKey();
-  /// Steps down because this instance cannot reach the store, and asks
-  /// `successor`, which can, to remove the lead key.
-  void HandOverLead(const LiveInstance& successor);
+  /// Steps down because this instance cannot reach the store, and asks `other`,
+  /// which can, to remove the lead key.
+  void HandOverLead(const LiveInstance& other);
   void ReadWorkers();
   void ReadClosedDataCentres();
   void OnClosedDataCentres(std::set<std::string> closed);
@@ -305,8 +310,9 @@
   /// centres.
   bool AreAllWorkersInClosedDataCentres(const std::string& queue) const;
   void OnWorkers(std::vector<WorkerIncarnation> incarnations);
-  /// Applies a directory entry to a known worker, unless the entry is
-  /// unreadable or contradicts what is known of this incarnation.
+  /// Applies a directory entry to a known worker, or marks the entry as
+  /// rejected (see `CellWorker::entry_rejected`). The address of a readable
+  /// entry is passed to the worker's session in either case.
   void ApplyDirectoryEntry(const WorkerIncarnation& incarnation,
                            CellWorker* cell_worker);
   /// Whether a worker that is not known yet may be added to the cell.
@@ -349,19 +355,22 @@
   std::optional<std::vector<std::string>> TasksToRecord(
       const CellWorker& cell_worker) const;
   /// Whether the worker gets no new work because it is dead, is leaving, has
-  /// left, has not answered this leader, or is long unresponsive. A worker that
-  /// has left stays closed until it is listed again. Must not be called for
-  /// workers for which `IsUncontacted` is true.
+  /// had no directory entry for `CellOptions::unlisted_grace`, has not answered
+  /// this leader, or is long unresponsive. An unlisted worker whose record in
+  /// the store may have a task list stays closed until it is listed again. Must
+  /// not be called for workers for which `IsUncontacted` is true.
   bool IsClosedToNewWork(const CellWorker& cell_worker) const;
   /// Whether the worker was closed to new work or opened again, or its task
   /// list changed while it was closed, since its record was last passed to the
   /// journal.
   bool HasUnrecordedTaskChanges(const CellWorker& cell_worker) const;
   /// Records the workers if the task list of one that is closed to new work has
-  /// changed, or a worker was closed or opened again.
+  /// changed, or a worker was closed or opened again. Does nothing before
+  /// `next_tasks_record_`, or while the lead is not confirmed.
   void RecordTasksOfClosedWorkers();
-  /// Time until which orders may be sent and leases extended; zero while this
-  /// process does not lead, or was paused and its lead is not confirmed again.
+  /// Time until which starts may be ordered and leases extended; zero while
+  /// this process does not lead, or was paused and its lead is not confirmed
+  /// again. Stops, paces and polls that extend no lease are not limited.
   Instant OrderDeadline() const;
   /// Extends `order_deadline_` to the later of two times: `order_grace` after
   /// the lead key was last confirmed, and the time that
@@ -369,6 +378,7 @@
   /// before the current deadline: once it has passed, another instance may have
   /// led, and only the lead key proves the lead.
   void ExtendOrderDeadline();
+  /// Whether starts may be ordered now.
   bool MaySendOrders() const;
   /// Whether the lead key was confirmed within
   /// `CellOptions::lead_confirmed_for`.
@@ -380,8 +390,8 @@
   /// Longest wait of polls that watch interference; longer in larger cells.
   Millis InterferencePollWait() const;
   void Tick();
-  /// Removes jobs that ended more than `CellOptions::finished_job_retention`
-  /// ago.
+  /// Removes jobs whose outcome is recorded and that ended more than
+  /// `CellOptions::finished_job_retention` ago.
   void RemoveOldJobs();
   /// Answers callers whose cancellation was not recorded in time with
   /// kOutcomeUnknown.
@@ -392,7 +402,7 @@
   CellSummary Summarize() const;
   LongRunningAdmission& LongRunningAdmissionOf(const std::string& service);
   /// Updates the model of each service's capacity for long-running tasks with
-  /// the current load of other work.
+  /// the service's current `ServiceLoad`.
   void ObserveLoads();
 
   // cell_takeover.cpp: runs that earlier leaders may have left active.
@@ -427,7 +437,8 @@
   /// without having reported this.
   bool MayRunOn(const Task& task, const UnaccountedWorkers& unaccounted) const;
   /// Whether an unaccounted worker may run the task, or may have ended it
-  /// without having reported this. As of the last `ReleaseTasks`.
+  /// without having reported this. As of the last `ReleaseTasks`; ignores
+  /// recorded placements of long-running tasks.
   bool MayRunOnUnaccountedWorker(const Task& task) const;
   /// Logs the unaccounted workers, at most once a second.
   void LogWait();
@@ -470,8 +481,8 @@
   /// confirmed and, if the session is dead, also those whose start order was
   /// sent.
   std::vector<const Run*> RunsAtCrash(const WorkerSession& session);
-  /// Crash notes for the tasks whose runs on the worker may have caused the
-  /// crash, and for those of bystanders.
+  /// Crash notes for the tasks whose runs on the worker are suspects or
+  /// bystanders of the crash (see `CrashRole`).
   std::vector<TaskCrashNote> AttributeCrash(const WorkerSession& session,
                                             CrashEvidence evidence);
   /// Removes the unconfirmed crash notes of the runs on the worker.
@@ -481,16 +492,19 @@
   void HandleDeadWorkers();
   /// Confirms the unconfirmed crash notes that name the worker.
   void ConfirmCrashes(const std::string& worker);
-  /// Notes a crash for the tasks that may have run on a worker which is proven
-  /// to have ended and which this leader never contacted.
+  /// Called for a worker that is proven to have ended. If the worker is from
+  /// the takeover and this leader never contacted it, notes a crash for the
+  /// tasks that may have run there and have no note of that worker yet; for
+  /// none if there are more such tasks than workers.
   void NoteCrashOfUncontactedWorker(const std::string& worker,
                                     const CellWorker& cell_worker);
   /// Tasks that may have run on a worker that this leader never contacted.
   std::vector<Task*> FindTasksOnUncontactedWorker(
       const std::string& worker,
       const CellWorker& cell_worker);
-  /// Passes the crash to the mass crash detector. Returns whether it belongs to
-  /// a mass crash; the notes of that mass crash's earlier crashes are marked.
+  /// Passes the crash to the mass crash detector. Returns whether the crash
+  /// belongs to a mass crash; if so, marks the notes of that mass crash's
+  /// earlier crashes.
   bool RecordForMassCrashDetection(const std::vector<TaskCrashNote>& notes);
   /// Marks the crash notes of this run of the task as belonging to a mass
   /// crash. If the task is then no likely culprit, its start no longer has to
@@ -557,8 +571,8 @@
 
   // cell_placement_records.cpp: recorded placements of long-running tasks.
   /// Requests a record that the long-running task may run on the worker.
-  /// Returns false if the start has to be deferred until it is stored or all
-  /// other instances agree to unrecorded starts.
+  /// Returns false if the start has to be deferred until the record is stored
+  /// or all other instances agree to unrecorded starts.
   bool RequestPlacementRecord(Task* task, const std::string& worker);
   /// Requests a record that the long-running task, whose run is already active
   /// on the worker, may run there.
@@ -569,8 +583,8 @@
   /// Sends the deferred starts whose placement is recorded or need not be, and
   /// drops those that may no longer be ordered or whose task or worker is gone.
   void SendDeferredStarts();
-  /// Whether a deferred start may still be ordered on the worker: this leader
-  /// may send orders, and nothing has closed the worker since it was chosen.
+  /// Whether a deferred start may be ordered on the worker now: see
+  /// `MaySendOrders` and `MayReceiveOrders`.
   bool MaySendDeferredStart(const CellWorker& cell_worker) const;
   /// Whether, as far as this leader can know, the store has the placement of
   /// every long-running task.
@@ -592,10 +606,12 @@
   void RequestSchedulingPass();
   void RunSchedulingPass();
   std::vector<ReadyStep> CollectReadySteps();
+  /// Sets the rank of each step whose queue is known, and sorts the steps.
   void SortReadySteps(std::vector<ReadyStep>* ready) const;
   /// Sets `Task::ready_since` for those tasks of the steps that have none yet.
   void RecordReadySince(const std::vector<ReadyStep>& ready);
-  /// Brings the free capacity of all workers up to date and returns it.
+  /// Updates the candidates of all workers (free capacity, and whether the
+  /// worker accepts new work) and returns them.
   std::vector<CandidateWorker*> CollectCandidates();
   /// Whether the start of a task that was placed on the worker may be ordered.
   bool MayReceiveOrders(const CellWorker& cell_worker) const;
@@ -639,13 +655,15 @@
   std::vector<CandidateWorker> CandidatesWithTickets(
       const ReadyStep& ready,
       const std::vector<CandidateWorker*>& candidates);
-  /// Sets the paces of the worker's best-effort runs after a report.
+  /// After a report of the worker: updates the interference model, sets the
+  /// paces of best-effort runs, and calls `MoveStuckBestEffortRuns`.
   void UpdatePaces(WorkerSession& session);
   /// Stops best-effort runs with checkpoints, except long-running ones, that
-  /// were throttled for long, so that they continue on other workers.
+  /// have a low pace and were throttled for long, so that their tasks continue
+  /// on other workers.
   void MoveStuckBestEffortRuns(WorkerSession& session);
   /// Utilization of each serving task on the worker, including the interference
-  /// of best-effort runs.
+  /// to be expected of best-effort work beyond that in the newest report.
   std::vector<ServingUtilization> CollectUtilizations(
       const WorkerSession& session) const;
   // cell_evacuation.cpp: moving work off workers that leave or are evacuated.
@@ -675,9 +693,9 @@
   const CellOptions options_;
 
   Stage stage_ = Stage::kStandby;
-  /// Increases with each campaign, each read of the records, and each begin and
-  /// end of a term as leader. Answers to calls of an earlier generation are
-  /// dropped.
+  /// Increases with each campaign, each read of the records, each begin and end
+  /// of a term as leader, and a shutdown. Answers to calls of an earlier
+  /// generation are dropped.
   uint64_t generation_ = 0;
   int64_t epoch_ = 0;
   /// Written with the lead key, to recognize a win whose answer was lost. Drawn
@@ -689,15 +707,15 @@
   Instant wait_logged_{};
   /// When `RecordUnreachableWorkers` last checked whether to record workers.
   Instant unreachable_recorded_{};
-  /// Earliest time of the next record of the task lists of workers that get no
-  /// new work.
+  /// Earliest time of the next record that is due only to changed task lists,
+  /// or to workers that were closed to new work or opened again.
   Instant next_tasks_record_{};
   Instant last_tick_{};
-  /// Time until which orders may be sent, unless this process was paused. Use
-  /// `OrderDeadline`, which takes pauses into account.
+  /// Time until which starts may be ordered and leases extended, unless this
+  /// process was paused. Use `OrderDeadline`, which takes pauses into account.
   Instant order_deadline_{};
-  /// This process was paused. Its lead must be confirmed before it sends
-  /// orders.
+  /// This process was paused. Its lead must be confirmed before it orders
+  /// starts or extends leases.
   bool unconfirmed_after_pause_ = false;
   /// Since when this instance may campaign for a vacant lead; zero: it may not,
   /// or the lead is not vacant.
@@ -749,7 +767,7 @@
   /// have it as their assigned worker.
   std::set<std::string> unrecorded_placements_;
   /// Long-running tasks whose start is deferred until their placement is
-  /// recorded.
+  /// recorded or need not be (see `MayStartUnrecorded`).
   std::set<std::string> starts_awaiting_record_;
   CrashTrials trials_;
   MassCrashDetector mass_crash_detector_;
@@ -758,7 +776,7 @@
   FailedPlacements failed_placements_;
   /// By service.
   std::map<std::string, LongRunningAdmission> long_running_admission_;
-  /// Number of scheduling passes so far.
+  /// Number of scheduling passes so far in which a step was ready.
   uint64_t pass_ = 0;
   /// Steps of this pass that found no placement; more urgent steps are counted
   /// first.
@@ -768,8 +786,8 @@
   TicketBook tickets_;
   UpkeepWaveController upkeep_waves_;
   std::map<std::string, CellWorker> cell_workers_;
-  /// Incarnations that are proven to have ended but are still listed, with
-  /// their addresses.
+  /// Removed workers whose incarnation is proven to have ended, with their
+  /// addresses. Kept until the next directory read that does not list them.
   std::map<std::string, std::string> listed_dead_workers_;
   RejectedEntryLog rejected_entries_{log_, "cell"};
   /// Pending cancellations, by job.
@@ -777,8 +795,8 @@
   /// The takeover is over: no worker is unaccounted, so every run from before
   /// it is known to this leader or has certainly ended.
   bool all_runs_accounted_ = true;
-  /// After the takeover, all tasks but those in `tasks_held_back_` may be
-  /// started.
+  /// The tasks that may still be active on unaccounted workers are known, so
+  /// the takeover holds back no others than `tasks_held_back_`.
   bool tasks_released_ = false;
   /// Once `tasks_released_`: tasks that may still be active on an unaccounted
   /// worker, or may have ended there without a report.
--- a/src/include/doorwood/cell_options.h
+++ b/src/include/doorwood/cell_options.h
@@ -20,8 +20,8 @@
 
 struct CellOptions {
   std::string cell;
-  /// Data centre whose workers and instances the cell has; empty: those of all
-  /// data centres.
+  /// Data centre whose workers and instances belong to the cell; empty: those
+  /// of all data centres do.
   std::string data_centre;
   WorkerSessionOptions sessions;
   JournalOptions journal;
@@ -32,7 +32,7 @@
   Millis list_interval{450};
   /// Interval between reads of the closed data centres. The platform's bound
   /// for a closure to take effect is 5 s; with a store that takes 0.4 s to
-  /// answer, the state in use is at most 1.1 s old.
+  /// answer, answers are at most 1.2 s apart: interval, tick and read.
   Millis closed_interval{700};
   Millis tick{100};
   /// How long the state of a finished job is kept.
@@ -59,10 +59,10 @@
   /// may still run on a worker not yet contacted.
   Millis order_grace{3000};
   /// Interval between records of workers that are not yet contacted after a
-  /// takeover or are unresponsive; and delay of the first such record after a
-  /// takeover. The delay is short so that the next leader can deduct this wait
-  /// even if this leader is lost soon.
+  /// takeover or are unresponsive.
   Millis unreachable_record_interval{1000};
+  /// Delay of the first such record after a takeover. Short, so that the next
+  /// leader can deduct this leader's wait even if this leader is lost soon.
   Millis first_unreachable_record{250};
   /// An unresponsive worker whose leases were not extended for this long is
   /// recorded as not in contact. Most of the run lease has elapsed by then.
@@ -75,8 +75,8 @@
   /// list, and a successor assumes that any task may run there.
   size_t max_name_bytes = 320'000;
   /// Maximum rate of worker polls for observing interference, per second: in a
-  /// large cell each worker is polled less often. A poll costs a leader about
-  /// 60 us.
+  /// large cell each worker is polled less often, but never with a wait above
+  /// `WorkerSessionOptions::long_poll_wait`. A poll costs a leader about 60 us.
   int max_interference_polls = 700;
   /// A worker that was not listed for this long is treated as leaving. Entries
   /// that were lost in an outage of the store are back within 2 s.
@@ -94,16 +94,16 @@
   /// gangs that ended because another member ended or the gang did not start
   /// completely.
   uint64_t ends_lost = 0;
-  /// Unexpected crashes of workers that had runs, and jobs that were given up
-  /// because of them.
+  /// Unexpected crashes of workers that had runs.
   uint64_t worker_crashes = 0;
+  /// Jobs that were given up because of worker crashes.
   uint64_t jobs_given_up = 0;
   /// Ends that workers reported for runs that the leader did not know or had
   /// considered lost.
   uint64_t late_done = 0;
   uint64_t late_failed = 0;
   uint64_t late_other = 0;
-  /// How often a run was found to take far longer than expected.
+  /// Log lines about runs that take far longer than expected.
   uint64_t overdue = 0;
   uint64_t stops = 0;
   uint64_t paces = 0;
