--- a/src/libdoorwood/cell/cell_calls.cpp
+++ b/src/libdoorwood/cell/cell_calls.cpp
@@ -34,7 +34,8 @@
     done({}, AcceptOutcome::kAlreadyKnown);
     return;
   }
-  // A job that may have been accepted already is never refused.
+  // A job that is already being recorded may be accepted by an earlier call, so
+  // it is not refused for lack of capacity.
   if (!journal_.IsRecording(plan.id) &&
       (AreAllWorkersInClosedDataCentres(plan.queue) ||
        !HasLongRunningCapacity(plan))) {
--- a/src/libdoorwood/cell/cell_campaign_test.cpp
+++ b/src/libdoorwood/cell/cell_campaign_test.cpp
@@ -9,9 +9,10 @@
 namespace doorwood {
 namespace {
 
-// A large site with a few strong and many weak machines. The weak ones campaign
-// only seconds after the lead becomes vacant. While a weak machine leads all
-// workers, callers get half as many results as while a strong one leads.
+// A large site with a few strong and many weak machines. While all of them are
+// listed, the weak ones campaign 0.5 to 3.2 s after the lead becomes vacant.
+// While a weak machine leads all workers, callers get half as many results as
+// while a strong one leads.
 struct LargeSiteFixture {
   explicit LargeSiteFixture(int seed) : world(seed) {
     world.SetTable({fakes::MakeQueue("queue", 3)});
--- a/src/libdoorwood/cell/cell_evacuation.cpp
+++ b/src/libdoorwood/cell/cell_evacuation.cpp
@@ -45,7 +45,7 @@
       to_move.push_back(task);
     }
   }
-  StopRunsToMove(id, session, to_move, "it drains");
+  StopRunsToMove(id, session, to_move, "the worker is leaving");
 }
 
 // Some workers leave without announcing it: their entry is removed, and they
@@ -70,8 +70,9 @@
       to_move.push_back(task);
     }
   }
-  // "It" is the worker: its directory entry is missing.
-  StopRunsToMove(id, cell_worker.session, to_move, "it is no longer listed");
+  // The worker's directory entry is missing.
+  StopRunsToMove(id, cell_worker.session, to_move,
+                 "the worker is no longer listed");
 }
 
 void CellLeader::StopRunsToMove(const std::string& id,
@@ -135,13 +136,13 @@
                                 : Occupancy::kRestartable);
   }
   StopRunsToMove(worker, session, with_checkpoints,
-                 "its machine is wanted for upkeep");
+                 "the worker's machine is needed for maintenance");
   // Checked one at a time: each task that is stopped adds to the number of
   // tasks of its step that are not ready.
   for (const std::string& task : long_running) {
     if (MayStopForMaintenance(*jobs_.FindTask(task))) {
       StopRunsToMove(worker, session, {task},
-                     "its machine is wanted for upkeep");
+                     "the worker's machine is needed for maintenance");
     }
   }
   return occupancy;
--- a/src/libdoorwood/cell/cell_late_campaign_test.cpp
+++ b/src/libdoorwood/cell/cell_late_campaign_test.cpp
@@ -2,8 +2,8 @@
 
 // A campaign write that gets no answer may take effect seconds later, when its
 // instance has sent another one or has won and lost the lead since. The key
-// then names an instance that considers itself a follower, and the cell has no
-// leader as long as that process renews its lease. All in virtual time.
+// then names an instance that is on standby, and the cell has no leader as long
+// as that instance renews its lease. The tests run in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
--- a/src/libdoorwood/cell/cell_lead_proof_test.cpp
+++ b/src/libdoorwood/cell/cell_lead_proof_test.cpp
@@ -20,7 +20,7 @@
 // The store answers again before the old leader has learned of its successor.
 // Without a worker's report, runs whose lease has expired count as ended only
 // once a later read of the lead key shows that the leader still leads.
-BOOST_AUTO_TEST_CASE(PartitionedLeader_IsGrantedANewLease_StartsNothing) {
+BOOST_AUTO_TEST_CASE(PartitionedLeader_IsGrantedANewLease_NothingRunsTwice) {
   for (int duration = 2500; duration <= 9000; duration += 50) {
     PartitionedLeaderFixture fixture;
     fixture.old_leader->unreachable_workers.insert("shared");
@@ -35,7 +35,7 @@
 // The store removes the old leader's keys at once, without notice and without
 // ending the lease. That leader has not reached the worker for 0 to 7 s before.
 BOOST_AUTO_TEST_CASE(
-    PartitionedLeader_KeyIsRemovedBeforeLeaseEnd_StartsNothing) {
+    PartitionedLeader_KeyIsRemovedBeforeLeaseEnd_NothingRunsTwice) {
   for (int unreachable = 0; unreachable <= 7000; unreachable += 100) {
     PartitionedLeaderFixture fixture;
     fixture.old_leader->unreachable_workers.insert("shared");
--- a/src/libdoorwood/cell/cell_leader.cpp
+++ b/src/libdoorwood/cell/cell_leader.cpp
@@ -140,10 +140,10 @@
 }
 
 // The store answers other instances, but not this leader. Instead of waiting
-// until the lease of its lead key expires, it asks one of them to remove the
-// key.
-void CellLeader::HandOverLead(const LiveInstance& successor) {
-  const LiveInstance target = successor;
+// until the lease of the lead key expires, this leader asks one of them to
+// remove the key.
+void CellLeader::HandOverLead(const LiveInstance& other) {
+  const LiveInstance target = other;
   const int64_t epoch = epoch_;
   log_.Write("warn", "cell", "handing the lead over to another instance",
              {{"cell", options_.cell}, {"epoch", epoch}, {"to", target.name}});
@@ -181,7 +181,7 @@
 
 void CellLeader::ReleaseLeadKey() {
   // A key that still exists would keep other instances from taking the lead for
-  // as long as this process runs.
+  // as long as this process renews its lease.
   StoreTransaction transaction;
   transaction.expected.push_back({LeadKey(options_.cell), epoch_});
   transaction.removes.push_back(LeadKey(options_.cell));
@@ -309,8 +309,8 @@
       !IsLeadConfirmed()) {
     unconfirmed_after_pause_ = true;
     log_.Write("warn", "cell",
-               "this process was paused; sending no orders until the "
-               "lead is confirmed",
+               "this process was paused; starting no tasks and extending no "
+               "leases until the lead is confirmed",
                {{"cell", options_.cell}});
   }
   if (IsLeadConfirmed()) {
--- a/src/libdoorwood/cell/cell_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_leader_test.cpp
@@ -30,7 +30,7 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(Job_FailsTwiceOfThree_Completes, CellFixture) {
+BOOST_FIXTURE_TEST_CASE(Job_FailsInTwoOfThreeAttempts_Completes, CellFixture) {
   world.Submit(fakes::MakePlan(kJob, 1, 1, "ms=100 fails=2"));
   world.Run(Millis(3000));
   BOOST_TEST(State() == "completed");
@@ -129,7 +129,7 @@
   BOOST_TEST(State() == "completed");
 }
 
-BOOST_FIXTURE_TEST_CASE(Leader_PausedPastItsLease_SendsNoOrderOnResume,
+BOOST_FIXTURE_TEST_CASE(Leader_PausedPastItsLease_StepsDownAndJobCompletes,
                         CellFixture) {
   fakes::WorldInstance* old = world.Leader();
   world.Submit(fakes::MakePlan(kJob, 2, 4, "ms=1500"));
@@ -259,8 +259,8 @@
 
 BOOST_FIXTURE_TEST_CASE(Submit_LongRunningShareIsReserved_IsRefusedAtOnce,
                         CellFixture) {
-  // Three workers with eight processors: long-running tasks may initially
-  // reserve 14.4 of them.
+  // Three workers with eight processors each: long-running tasks may initially
+  // reserve 14.4 of the 24 processors.
   const auto long_running = [](const std::string& id, int count) {
     JobPlan plan = fakes::MakePlan(id, 1, count, "");
     plan.steps[0].long_running = true;
@@ -292,7 +292,7 @@
   BOOST_TEST(world.starts(std::string(kJob) + ".0.0.0") == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(Store_OneRenewalFails_LeadStays, CellFixture) {
+BOOST_FIXTURE_TEST_CASE(Store_UnavailableFor300Ms_LeadStays, CellFixture) {
   fakes::WorldInstance* leader = world.Leader();
   leader->store_faults.unavailable = true;
   world.Run(Millis(300));
--- a/src/libdoorwood/cell/cell_pacing.cpp
+++ b/src/libdoorwood/cell/cell_pacing.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Best-effort work next to latency-critical services: collects the inputs for
-// policy/, sends the paces that it decides on, and moves runs that stay
+// policy/, sends the paces that policy/ decides on, and moves runs that stay
 // throttled.
 
 #include <algorithm>
@@ -16,9 +16,9 @@
 // measurements cover the last half second, and the report itself may be
 // nearly as old.
 constexpr Millis kMeasurementDelay{900};
-// Best-effort work with checkpoints is moved to another worker if its wanted
-// pace is at most kStuckPace and it has been below its full speed, at any pace,
-// for longer than kStuckDuration.
+// A best-effort run with checkpoints is moved to another worker if its wanted
+// pace is at most kStuckPace percent and it has been below its full speed, at
+// any pace, for longer than kStuckDuration.
 constexpr int kStuckPace = 20;
 constexpr Millis kStuckDuration{900};
 constexpr double kMillisPerCore = 1000.0;
--- a/src/libdoorwood/cell/cell_places.cpp
+++ b/src/libdoorwood/cell/cell_places.cpp
@@ -11,8 +11,9 @@
 namespace doorwood {
 namespace {
 
-// A worker's free capacity is recomputed at least this often, even without a
-// new report, because the estimated load of a new run changes with its age.
+// A scheduling pass recomputes a worker's free capacity once it is this old,
+// even without a new report, because the estimated load of a new run changes
+// with the run's age.
 constexpr Millis kMaxCandidateAge{200};
 // Minimum interval between log lines about the same step that can't be placed,
 // and before the first of them.
--- a/src/libdoorwood/cell/cell_scheduling.cpp
+++ b/src/libdoorwood/cell/cell_scheduling.cpp
@@ -68,9 +68,10 @@
 }
 
 // Failures that the previous leader received but could not record are listed by
-// workers that its successor may not have contacted yet. Each such run counts
-// as a failure until the successor has contacted the worker, the worker's
-// leases have expired, or the worker's record does not name the task.
+// workers that its successor may not have contacted yet. Each run before the
+// adopted one whose end is not reported counts as a failure until every worker
+// from the takeover has listed its ends, has no lease left, or has a record
+// that does not name the task.
 bool CellLeader::MayHaveUsedUpAttempts(const Task& task) const {
   const uint32_t unreported_ends =
       MayRunOnUnaccountedWorker(task) ? task.CountUnreportedEnds() : 0;
--- a/src/libdoorwood/cell/cell_takeover.cpp
+++ b/src/libdoorwood/cell/cell_takeover.cpp
@@ -12,9 +12,9 @@
 namespace doorwood {
 namespace {
 
-// Added to the maximum time that a run may continue after its last lease
-// extension, because the last orders of the earlier leader may still have been
-// in flight when it lost the lead.
+// Added to the maximum time that a run may continue after its leader lost the
+// lead, because the last orders of that leader may take effect this long after
+// they were sent.
 constexpr Millis kLastOrderMargin{500};
 
 // Interval at which the workers that the leader waits for are logged.
@@ -30,7 +30,7 @@
 }
 
 // A report lists a limited number of ends. Until the worker has listed all of
-// them, any task may be among those still missing.
+// them, any task that may have run there may have an end that is not listed.
 bool CellLeader::HasUnlistedEnds(const CellWorker& cell_worker) const {
   const WorkerSession& session = *cell_worker.session;
   return cell_worker.from_takeover && !all_runs_accounted_ &&
--- a/src/libdoorwood/cell/cell_workers.cpp
+++ b/src/libdoorwood/cell/cell_workers.cpp
@@ -15,10 +15,10 @@
   return !known.empty() && !reported.empty() && known != reported;
 }
 
-// Returns which field of a directory entry contradicts the known incarnation;
-// empty: none. An id names one incarnation of a worker, and none of these
-// fields changes within an incarnation, so such an entry was written by another
-// process.
+// Returns how a directory entry contradicts the known incarnation; empty: not
+// at all. An id names one incarnation of a worker, and none of these fields
+// changes within an incarnation, so another process wrote this entry or the one
+// from which the incarnation became known.
 std::string_view FindContradiction(const WorkerIncarnation& known,
                                    const WorkerIncarnation& reported) {
   if (Differs(known.address, reported.address)) {
