--- a/src/include/doorwood/cell_options.h
+++ b/src/include/doorwood/cell_options.h
@@ -52,11 +52,11 @@
   /// protection of a fencing token, for example take a machine down for
   /// maintenance.
   Millis lead_confirmed_for{2000};
-  /// How long after its key was last confirmed a leader continues to send
-  /// orders; longer only while all other instances have answered that they
-  /// cannot reach the store either, so that none can take the lead. A successor
-  /// waits for this time and a run's lease before it starts a task again that
-  /// may still run on a worker not yet contacted.
+  /// How long after its key was last confirmed a leader continues to order
+  /// starts and extend leases; longer only while all other instances have
+  /// answered that they cannot reach the store either, so that none can take
+  /// the lead. A successor waits for this time and a run's lease before it
+  /// starts a task again that may still run on a worker not yet contacted.
   Millis order_grace{3000};
   /// Interval between records of workers that are not yet contacted after a
   /// takeover or are unresponsive.
