--- a/src/include/doorwood/worker_session.h
+++ b/src/include/doorwood/worker_session.h
@@ -58,7 +58,7 @@
   Instant stop_sent{};
   /// The worker refused the start with `RunErrc::kStaleRun`. If the order was
   /// delivered twice, this run itself may already have ended there.
-  bool refused_as_old = false;
+  bool refused_as_stale = false;
 
   /// Copied from the step, since a run may outlive its job.
   Resources size;
--- a/src/libdoorwood/cell/cell_run_ends.cpp
+++ b/src/libdoorwood/cell/cell_run_ends.cpp
@@ -105,7 +105,7 @@
   if (!run.checkpoint.empty() && !task->done) {
     task->checkpoint = run.checkpoint;
   }
-  if (run.refused_as_old) {
+  if (run.refused_as_stale) {
     task->last_run = std::max(task->last_run, run.number + kRunNumberIncrease);
   }
   if (!reported_by_worker) {
--- a/src/libdoorwood/cell/worker_orders.cpp
+++ b/src/libdoorwood/cell/worker_orders.cpp
@@ -146,7 +146,7 @@
     // A later report lists the run's end, or proves that the run is not active
     // and cannot begin any more.
     run->phase = RunPhase::kUnresolved;
-    run->refused_as_old = true;
+    run->refused_as_stale = true;
     run->stop_confirmed = true;
     run->stop_confirmed_at = executor_.Now();
     Poll(Millis(0));
