--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -44,7 +44,7 @@
 
 enum class JobPhase { kQueued, kRunning, kCompleted, kFailed, kCancelled };
 
-std::string_view ToString(JobPhase state);
+std::string_view ToString(JobPhase phase);
 
 /// Summary of a cell that its leader reports to other instances.
 struct CellSummary {
--- a/src/libdoorwood/cell/cell_calls.cpp
+++ b/src/libdoorwood/cell/cell_calls.cpp
@@ -9,8 +9,8 @@
 
 namespace doorwood {
 
-std::string_view ToString(JobPhase state) {
-  switch (state) {
+std::string_view ToString(JobPhase phase) {
+  switch (phase) {
     case JobPhase::kQueued:
       return "queued";
     case JobPhase::kRunning:
--- a/src/libdoorwood/ingress/ingress.cpp
+++ b/src/libdoorwood/ingress/ingress.cpp
@@ -271,7 +271,7 @@
   peers_.FetchJobState(
       *lead, job,
       [this, job, cell = lead->cell, done = std::move(done)](
-          std::error_code error, JobPhase state) {
+          std::error_code error, JobPhase phase) {
         if (error == make_error_code(CoreErrc::kNotFound)) {
           FetchStateFromRecordedCell(job, done);
           return;
@@ -279,7 +279,7 @@
         if (!error) {
           CacheCell(job, cell);
         }
-        done(error ? make_error_code(CoreErrc::kNoOwner) : error, state);
+        done(error ? make_error_code(CoreErrc::kNoOwner) : error, phase);
       });
 }
 
@@ -292,9 +292,9 @@
       return;
     }
     if (CellLeader* leader = LocalLeader(cell)) {
-      const auto state = leader->FindJobPhase(job);
-      done(state ? std::error_code() : CoreErrc::kNoOwner,
-           state.value_or(JobPhase::kQueued));
+      const auto phase = leader->FindJobPhase(job);
+      done(phase ? std::error_code() : CoreErrc::kNoOwner,
+           phase.value_or(JobPhase::kQueued));
       return;
     }
     const CellLead* lead = ReachableLead(cell);
@@ -303,8 +303,8 @@
       return;
     }
     peers_.FetchJobState(
-        *lead, job, [done](std::error_code result, JobPhase state) {
-          done(result ? make_error_code(CoreErrc::kNoOwner) : result, state);
+        *lead, job, [done](std::error_code result, JobPhase phase) {
+          done(result ? make_error_code(CoreErrc::kNoOwner) : result, phase);
         });
   });
 }
--- a/src/loop.adapter/http_peers.cpp
+++ b/src/loop.adapter/http_peers.cpp
@@ -30,7 +30,7 @@
 constexpr std::string_view kHandOverPath = "/hand-over/";
 constexpr int kBadRequest = 400;
 
-constexpr std::array<JobPhase, 5> kStates = {
+constexpr std::array<JobPhase, 5> kJobPhases = {
     JobPhase::kQueued, JobPhase::kRunning, JobPhase::kCompleted,
     JobPhase::kFailed, JobPhase::kCancelled};
 
@@ -179,9 +179,9 @@
           done(error ? error : ErrorOf(reply.status), {});
           return;
         }
-        for (const JobPhase state : kStates) {
-          if (reply.body == ToString(state)) {
-            done({}, state);
+        for (const JobPhase phase : kJobPhases) {
+          if (reply.body == ToString(phase)) {
+            done({}, phase);
             return;
           }
         }
@@ -347,9 +347,9 @@
   } else if (request.method == "DELETE") {
     leader->Cancel(job, [answer](std::error_code error) { answer(error, ""); });
   } else {
-    const auto state = leader->FindJobPhase(job);
-    answer(state ? std::error_code() : CoreErrc::kNotFound,
-           state ? std::string(ToString(*state)) : "");
+    const auto phase = leader->FindJobPhase(job);
+    answer(phase ? std::error_code() : CoreErrc::kNotFound,
+           phase ? std::string(ToString(*phase)) : "");
   }
 }
 
