--- a/src/libdoorwood/cell/cell_journal_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_test.cpp
@@ -194,7 +194,7 @@
 
 // The same job is submitted again while the first attempt to store it may still
 // take effect, so a refusal would be wrong.
-BOOST_FIXTURE_TEST_CASE(Accept_SameIdMayTakeEffect_OutcomeIsUnknown,
+BOOST_FIXTURE_TEST_CASE(Accept_EarlierCallMayTakeEffect_OutcomeIsUnknown,
                         JournalFixture) {
   store.script = {Step::kDelay};
   store.script.insert(store.script.end(), 20, Step::kRefuse);
