--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -379,7 +379,7 @@
   /// led, and only the lead key proves the lead.
   void ExtendOrderDeadline();
   /// Whether starts may be ordered now.
-  bool MaySendOrders() const;
+  bool MayOrderStarts() const;
   /// Whether the lead key was confirmed within
   /// `CellOptions::lead_confirmed_for`.
   bool IsLeadConfirmed() const;
@@ -584,7 +584,7 @@
   /// drops those that may no longer be ordered or whose task or worker is gone.
   void SendDeferredStarts();
   /// Whether a deferred start may be ordered on the worker now: see
-  /// `MaySendOrders` and `MayReceiveOrders`.
+  /// `MayOrderStarts` and `MayReceiveOrders`.
   bool MaySendDeferredStart(const CellWorker& cell_worker) const;
   /// Whether, as far as this leader can know, the store has the placement of
   /// every long-running task.
--- a/src/libdoorwood/cell/cell_leader.cpp
+++ b/src/libdoorwood/cell/cell_leader.cpp
@@ -246,7 +246,7 @@
       std::max(order_deadline_, proof_.confirmed_at() + options_.order_grace);
 }
 
-bool CellLeader::MaySendOrders() const {
+bool CellLeader::MayOrderStarts() const {
   return executor_.Now() < OrderDeadline();
 }
 
--- a/src/libdoorwood/cell/cell_placement_records.cpp
+++ b/src/libdoorwood/cell/cell_placement_records.cpp
@@ -37,7 +37,7 @@
 }
 
 bool CellLeader::MaySendDeferredStart(const CellWorker& cell_worker) const {
-  return MaySendOrders() && MayReceiveOrders(cell_worker);
+  return MayOrderStarts() && MayReceiveOrders(cell_worker);
 }
 
 void CellLeader::SendDeferredStarts() {
--- a/src/libdoorwood/cell/cell_scheduling.cpp
+++ b/src/libdoorwood/cell/cell_scheduling.cpp
@@ -49,7 +49,7 @@
   const auto pause = std::chrono::ceil<Millis>(next_pass_ - executor_.Now());
   executor_.Schedule(std::max(kScheduleDelay, pause), [this] {
     pass_scheduled_ = false;
-    if (!MaySendOrders() || closed_read_ == Instant{} ||
+    if (!MayOrderStarts() || closed_read_ == Instant{} ||
         IsInLastShutdownPhase()) {
       return;
     }
