--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -206,8 +206,8 @@
     /// written it. The worker gets no new work; its runs continue.
     bool entry_rejected = false;
     /// No new work is placed on the worker before this time, because its
-    /// machine is being evacuated for maintenance. Extended while the
-    /// evacuation continues.
+    /// machine is being evacuated for upkeep. Extended while the evacuation
+    /// continues.
     Instant evacuated_until{};
     /// The worker was added from an earlier leader's record. A task that may
     /// still run there is not started while the worker is unaccounted (see
@@ -475,7 +475,7 @@
   // cell_crashes.cpp: worker crashes, and the crash notes of tasks.
   static std::string MachineOf(const WorkerIncarnation& incarnation);
   /// Evidence that the worker crashed. Empty: there is none, or its machine may
-  /// be down for maintenance.
+  /// be down for upkeep.
   std::optional<CrashEvidence> DetectCrash(const WorkerSession& session) const;
   /// Runs of open jobs that may have begun on the worker: those that it has
   /// confirmed and, if the session is dead, also those whose start order was
@@ -679,7 +679,7 @@
                       const std::vector<std::string>& tasks,
                       std::string_view cause);
   /// Whether the step's `max_unavailable` allows the task to be stopped now.
-  bool MayStopForMaintenance(const Task& task) const;
+  bool MayStopForUpkeep(const Task& task) const;
   /// Rack of a worker that has runs of the step; empty: there is none.
   std::string RackOfStep(const Job& job, int repetition, int step) const;
 
--- a/src/include/doorwood/cell_options.h
+++ b/src/include/doorwood/cell_options.h
@@ -49,8 +49,7 @@
   /// the records, or a step-down.
   Millis retry_pause{150};
   /// How long after its key was last confirmed a leader may act without the
-  /// protection of a fencing token, for example take a machine down for
-  /// maintenance.
+  /// protection of a fencing token, for example take a machine down for upkeep.
   Millis lead_confirmed_for{2000};
   /// How long after its key was last confirmed a leader continues to order
   /// starts and extend leases; longer only while all other instances have
--- a/src/include/doorwood/job_plan.h
+++ b/src/include/doorwood/job_plan.h
@@ -53,7 +53,7 @@
   std::string data_rack;
   /// Most tasks of this step on one worker; 0: no limit.
   int max_per_worker = 0;
-  /// Planned maintenance stops a long-running task only if fewer than this many
+  /// Upkeep of a machine stops a long-running task only if fewer than this many
   /// other tasks of its step are down or not yet ready; unset: no limit.
   std::optional<int> max_unavailable;
   /// Image that the tasks run. Tasks of one image behave alike.
--- a/src/include/doorwood/machine_platform.h
+++ b/src/include/doorwood/machine_platform.h
@@ -3,6 +3,8 @@
 /// \file
 /// Port to the platform that runs the workers' machines. It lists the machines
 /// and takes orders to take one down for upkeep or to move it to another pool.
+/// Upkeep is planned maintenance of a machine by the platform, during which the
+/// machine is down.
 
 #ifndef DOORWOOD_MACHINE_PLATFORM_H_
 #define DOORWOOD_MACHINE_PLATFORM_H_
--- a/src/libdoorwood/cell/cell_crashes.cpp
+++ b/src/libdoorwood/cell/cell_crashes.cpp
@@ -13,8 +13,8 @@
 
 // A worker that disappears before this much time has passed since
 // `CellWorker::evacuated_until` is assumed to be down for its machine's
-// maintenance, not crashed.
-constexpr Millis kMaintenanceStartWindow{10'000};
+// upkeep, not crashed.
+constexpr Millis kUpkeepStartWindow{10'000};
 // A missing directory entry is evidence that a worker vanished only while the
 // newest list of workers is younger than this.
 constexpr Millis kMaxListAge{2000};
@@ -35,9 +35,8 @@
   }
   const CellWorker& cell_worker = found->second;
   const Instant now = executor_.Now();
-  const bool evacuated =
-      cell_worker.evacuated_until != Instant{} &&
-      now - cell_worker.evacuated_until < kMaintenanceStartWindow;
+  const bool evacuated = cell_worker.evacuated_until != Instant{} &&
+                         now - cell_worker.evacuated_until < kUpkeepStartWindow;
   if (evacuated) {
     return std::nullopt;
   }
--- a/src/libdoorwood/cell/cell_evacuation.cpp
+++ b/src/libdoorwood/cell/cell_evacuation.cpp
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Moves work off workers that leave, or whose machine is needed for
-// maintenance.
+// Moves work off workers that leave, or whose machine is needed for upkeep.
 
 #include <algorithm>
 #include <utility>
@@ -91,7 +90,7 @@
   }
 }
 
-bool CellLeader::MayStopForMaintenance(const Task& task) const {
+bool CellLeader::MayStopForUpkeep(const Task& task) const {
   const StepPlan& plan = task.plan();
   if (!plan.max_unavailable) {
     return true;
@@ -136,13 +135,13 @@
                                 : Occupancy::kRestartable);
   }
   StopRunsToMove(worker, session, with_checkpoints,
-                 "the worker's machine is needed for maintenance");
+                 "the worker's machine is needed for upkeep");
   // Checked one at a time: each task that is stopped adds to the number of
   // tasks of its step that are not ready.
   for (const std::string& task : long_running) {
-    if (MayStopForMaintenance(*jobs_.FindTask(task))) {
+    if (MayStopForUpkeep(*jobs_.FindTask(task))) {
       StopRunsToMove(worker, session, {task},
-                     "the worker's machine is needed for maintenance");
+                     "the worker's machine is needed for upkeep");
     }
   }
   return occupancy;
