--- a/src/include/doorwood/upkeep_wave_controller.h
+++ b/src/include/doorwood/upkeep_wave_controller.h
@@ -75,7 +75,8 @@
 
   void Open(std::string holder, int64_t epoch);
   void Close();
-  /// To be called a few times a second while the leader may send orders.
+  /// To be called a few times a second while the lead is confirmed (see
+  /// `CellOptions::lead_confirmed_for`) and no takeover is under way.
   void Tick();
 
  private:
--- a/src/libdoorwood/cell/cell_unresponsive_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_unresponsive_takeover_test.cpp
@@ -21,8 +21,8 @@
 using fakes::PartitionedLeaderFixture;
 
 // A successor's wait since the last lease extension (docs/design/silence.md: a
-// run lease at the slowest clock, 3 s in which the predecessor may send orders,
-// and a margin of 0.5 s), the time without a leader (2.5 s,
+// run lease at the slowest clock, 3 s in which the predecessor may extend
+// leases, and a margin of 0.5 s), the time without a leader (2.5 s,
 // docs/OPERATIONS.md), and one interval between records (1 s).
 constexpr Millis kDowntimeBound{6123 + 3000 + 500 + 2500 + 1000};
 // After the loss of a leader that has recorded 4 s without a lease extension:
