--- a/src/include/doorwood/live_directory.h
+++ b/src/include/doorwood/live_directory.h
@@ -107,7 +107,7 @@
   /// the store may serve it again and let it lead. As long as an instance that
   /// never returns is queried, an outage of the store cannot be confirmed
   /// for all instances.
-  Millis gone_retention{60'000};
+  Millis missing_retention{60'000};
   /// The store counts as refusing this instance but serving others if it has
   /// not answered this instance for this long, a renewal has failed, and
   /// another instance reaches the store. Longer than `lease_renewal_interval`,
--- a/src/libdoorwood/cell/cell_restarted_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_restarted_leader_test.cpp
@@ -114,7 +114,7 @@
                  expected_runs);
       BOOST_TEST(world.log_count("tried to remove the known-instance key of an "
                                  "instance unregistered for longer than "
-                                 "gone_retention") ==
+                                 "missing_retention") ==
                  (within_a_minute ? 0 : 1));
     }
   }
--- a/src/libdoorwood/membership/live_directory.cpp
+++ b/src/libdoorwood/membership/live_directory.cpp
@@ -20,9 +20,9 @@
 constexpr Millis kRevisionTimesMaxAge{30'000};
 constexpr size_t kRevisionTimesMaxCount = 256;
 // An instance assumes that the others no longer query it once its key has been
-// missing for `gone_retention` divided by this number, which is earlier than
+// missing for `missing_retention` divided by this number, which is earlier than
 // they stop.
-constexpr int kGoneRetentionDivisor = 2;
+constexpr int kMissingRetentionDivisor = 2;
 
 std::string EncodeInstance(const LiveInstance& instance) {
   return Json{{"data_centre", instance.data_centre},
@@ -195,13 +195,15 @@
 }
 
 // Leaders no longer ask an instance to agree once its key has been missing for
-// `gone_retention`. If this instance was not registered for more than that time
-// divided by `kGoneRetentionDivisor`, leaders may have made unrecorded starts
-// without asking it, so `no_agreement_since_` restarts at this registration.
+// `missing_retention`. If this instance was not registered for more than that
+// time divided by `kMissingRetentionDivisor`, leaders may have made unrecorded
+// starts without asking it, so `no_agreement_since_` restarts at this
+// registration.
 void LiveDirectory::OnRegistered(int64_t revision) {
   const Instant now = executor_.Now();
   const bool was_unregistered_for_long =
-      now - registered_at_ > options_.gone_retention / kGoneRetentionDivisor;
+      now - registered_at_ >
+      options_.missing_retention / kMissingRetentionDivisor;
   if (no_agreement_since_ == 0 || was_unregistered_for_long) {
     no_agreement_since_ = revision;
   }
--- a/src/libdoorwood/membership/live_outage.cpp
+++ b/src/libdoorwood/membership/live_outage.cpp
@@ -11,7 +11,7 @@
 namespace doorwood {
 
 bool LiveDirectory::MayReturn(const MissingInstance& missing) const {
-  return executor_.Now() - missing.since <= options_.gone_retention;
+  return executor_.Now() - missing.since <= options_.missing_retention;
 }
 
 Instant LiveDirectory::EarliestAnswer(
@@ -95,8 +95,8 @@
 }
 
 // Tries to remove the `KnownInstanceKey` of one instance whose own key has been
-// missing for longer than `gone_retention`. Only an instance that leads a cell
-// and reaches the store does this.
+// missing for longer than `missing_retention`. Only an instance that leads a
+// cell and reaches the store does this.
 void LiveDirectory::RemoveOneStaleKnownInstanceKey() {
   std::erase_if(missing_instances_, [this](const auto& entry) {
     return !MayReturn(entry.second) && !known_instances_.contains(entry.first);
@@ -123,7 +123,7 @@
     known_instance_removal_pending_ = false;
     log_.Write("info", "live",
                "tried to remove the known-instance key of an instance "
-               "unregistered for longer than gone_retention",
+               "unregistered for longer than missing_retention",
                {{"instance", name}, {"forgotten", !error}});
     if (!error) {
       known_instances_.erase(name);
