--- a/src/fakes/cell_world.h
+++ b/src/fakes/cell_world.h
@@ -47,7 +47,7 @@
   std::unique_ptr<RecordStore> store;
   std::unique_ptr<WorkerDirectory> directory;
   std::unique_ptr<RunWorkers> workers;
-  std::unique_ptr<StoreContactPort> peer_calls;
+  std::unique_ptr<StoreAnswerPort> peer_calls;
   std::unique_ptr<Adviser> adviser;
   std::unique_ptr<MachinePlatform> machines;
   std::unique_ptr<EventLog> log;
--- a/src/fakes/cell_world_ports.cpp
+++ b/src/fakes/cell_world_ports.cpp
@@ -298,12 +298,13 @@
   WorldInstance& self_;
 };
 
-class WorldPeers : public StoreContactPort {
+class WorldPeers : public StoreAnswerPort {
  public:
   WorldPeers(CellWorld& world, WorldInstance& self)
       : world_(world), self_(self) {}
 
-  void QueryStoreContact(const LiveInstance& instance, Callback done) override {
+  void QueryTimeSinceStoreAnswer(const LiveInstance& instance,
+                                 Callback done) override {
     const auto found = world_.instances().find(instance.name);
     const bool reachable =
         found != world_.instances().end() && found->second->alive &&
@@ -463,8 +464,8 @@
   return std::make_unique<WorldDirectory>(world, self);
 }
 
-std::unique_ptr<StoreContactPort> MakeWorldPeers(CellWorld& world,
-                                                 WorldInstance& self) {
+std::unique_ptr<StoreAnswerPort> MakeWorldPeers(CellWorld& world,
+                                                WorldInstance& self) {
   return std::make_unique<WorldPeers>(world, self);
 }
 
--- a/src/fakes/cell_world_ports.h
+++ b/src/fakes/cell_world_ports.h
@@ -20,8 +20,8 @@
                                              WorldInstance& self);
 std::unique_ptr<WorkerDirectory> MakeWorldDirectory(CellWorld& world,
                                                     WorldInstance& self);
-std::unique_ptr<StoreContactPort> MakeWorldPeers(CellWorld& world,
-                                                 WorldInstance& self);
+std::unique_ptr<StoreAnswerPort> MakeWorldPeers(CellWorld& world,
+                                                WorldInstance& self);
 /// An adviser that permits every worker whose id does not end in "x".
 std::unique_ptr<Adviser> MakeWorldAdviser(WorldInstance& self);
 std::unique_ptr<MachinePlatform> MakeWorldMachines(CellWorld& world,
--- a/src/include/doorwood/live_directory.h
+++ b/src/include/doorwood/live_directory.h
@@ -63,15 +63,15 @@
 /// Port to other instances: queries how long ago the store last answered them,
 /// asks them to agree to starts that are not recorded in the store, and hands
 /// over a lead when this instance can no longer reach the store.
-class StoreContactPort {
+class StoreAnswerPort {
  public:
   using Callback = std::function<void(std::error_code, Millis age)>;
 
-  virtual ~StoreContactPort() = default;
+  virtual ~StoreAnswerPort() = default;
 
   /// Queries how long ago the store last answered the instance.
-  virtual void QueryStoreContact(const LiveInstance& instance,
-                                 Callback done) = 0;
+  virtual void QueryTimeSinceStoreAnswer(const LiveInstance& instance,
+                                         Callback done) = 0;
   /// Asks the instance to agree that a leader which cannot reach the store
   /// starts long-running tasks without recording their workers. `done` gets an
   /// error if the instance does not agree.
@@ -116,7 +116,7 @@
   /// Another instance counts as reaching the store if the store answered it
   /// more than this long after this instance's renewals began to fail. The
   /// margin allows for the transit time of the reply.
-  Millis store_contact_margin{60};
+  Millis store_answer_margin{60};
 };
 
 class LiveDirectory {
@@ -125,7 +125,7 @@
 
   LiveDirectory(Executor& executor,
                 RecordStore& store,
-                StoreContactPort& store_contact,
+                StoreAnswerPort& store_answer_port,
                 EventLog& log,
                 const LiveOptions& options,
                 LiveInstance self);
@@ -183,11 +183,11 @@
   /// is none, if no renewal of this instance has failed since the last
   /// successful one, or if the store answered this instance within
   /// `isolation_threshold`.
-  const LiveInstance* FindInstanceWithStoreContact() const;
+  const LiveInstance* FindInstanceReachingStore() const;
   void HandOverLead(const LiveInstance& instance,
                     const std::string& cell,
                     int64_t epoch) {
-    store_contact_.HandOverLead(instance, cell, epoch);
+    store_answer_port_.HandOverLead(instance, cell, epoch);
   }
   /// True if the store has not answered this process for
   /// `store_unresponsive_threshold`.
@@ -228,7 +228,9 @@
   void Replace(const StoreItems& items);
   void ReregisterIfMissing();
   void QueryOthers();
-  void QueryStoreContact(const LiveInstance& instance);
+  /// Queries when the store last answered the instance and, if agreement is
+  /// needed and the store does not answer this process, asks it to agree.
+  void QueryInstance(const LiveInstance& instance);
   void RequestAgreement(const LiveInstance& instance);
   /// Earliest time in `answers` of all instances that may take a lead; zero if
   /// the answer of one is missing, or if there is no such instance.
@@ -248,7 +250,7 @@
 
   Executor& executor_;
   RecordStore& store_;
-  StoreContactPort& store_contact_;
+  StoreAnswerPort& store_answer_port_;
   EventLog& log_;
   const LiveOptions options_;
   LiveInstance self_;
@@ -276,7 +278,7 @@
   std::map<std::string, int64_t> last_epochs_;
   /// By instance whose newest answer was that it cannot reach the store: when
   /// the query was sent.
-  std::map<std::string, Instant> reported_no_contact_at_;
+  std::map<std::string, Instant> not_reaching_store_at_;
   /// By instance that agreed to the newest request of `RequestAgreement`: when
   /// the request was sent.
   std::map<std::string, Instant> agreed_at_;
@@ -288,7 +290,7 @@
   Instant registered_at_{};
   /// By instance whose newest answer was that it reaches the store: when the
   /// answer arrived.
-  std::map<std::string, Instant> reported_contact_at_;
+  std::map<std::string, Instant> reaching_store_at_;
   /// When the first of the consecutive failed renewals was sent; zero if the
   /// newest renewal succeeded.
   Instant failing_since_{};
--- a/src/libdoorwood/cell/cell_leader.cpp
+++ b/src/libdoorwood/cell/cell_leader.cpp
@@ -317,7 +317,7 @@
     unconfirmed_after_pause_ = false;
   }
   last_tick_ = now;
-  if (const LiveInstance* other = live_.FindInstanceWithStoreContact()) {
+  if (const LiveInstance* other = live_.FindInstanceReachingStore()) {
     HandOverLead(*other);
     return;
   }
--- a/src/libdoorwood/membership/live_directory.cpp
+++ b/src/libdoorwood/membership/live_directory.cpp
@@ -95,13 +95,13 @@
 
 LiveDirectory::LiveDirectory(Executor& executor,
                              RecordStore& store,
-                             StoreContactPort& store_contact,
+                             StoreAnswerPort& store_answer_port,
                              EventLog& log,
                              const LiveOptions& options,
                              LiveInstance self)
     : executor_(executor),
       store_(store),
-      store_contact_(store_contact),
+      store_answer_port_(store_answer_port),
       log_(log),
       options_(options),
       self_(std::move(self)) {}
@@ -257,7 +257,7 @@
     }
     if (!error) {
       failing_since_ = Instant{};
-      reported_contact_at_.clear();  // answers given during an earlier failure
+      reaching_store_at_.clear();  // answers given during an earlier failure
       last_store_answer_at_ = executor_.Now();
       lease_valid_until_ = sent + options_.lease_ttl;
     }
--- a/src/libdoorwood/membership/live_outage.cpp
+++ b/src/libdoorwood/membership/live_outage.cpp
@@ -38,20 +38,20 @@
 }
 
 Instant LiveDirectory::AnswersValidUntil(Instant sent_at) const {
-  const bool contact_too_recent =
+  const bool answer_too_recent =
       last_store_answer_at_ + options_.store_unresponsive_threshold > sent_at;
-  return contact_too_recent ? Instant{} : sent_at + options_.answer_validity;
+  return answer_too_recent ? Instant{} : sent_at + options_.answer_validity;
 }
 
 Instant LiveDirectory::OutageConfirmedUntil() const {
-  return AnswersValidUntil(EarliestAnswer(reported_no_contact_at_));
+  return AnswersValidUntil(EarliestAnswer(not_reaching_store_at_));
 }
 
 Instant LiveDirectory::UnrecordedStartsAgreedUntil() const {
   return AnswersValidUntil(EarliestAnswer(agreed_at_));
 }
 
-const LiveInstance* LiveDirectory::FindInstanceWithStoreContact() const {
+const LiveInstance* LiveDirectory::FindInstanceReachingStore() const {
   const Instant now = executor_.Now();
   if (failing_since_ == Instant{} ||
       now - last_store_answer_at_ < options_.isolation_threshold) {
@@ -59,9 +59,9 @@
   }
   const LiveInstance* best = nullptr;
   for (const auto& [name, instance] : instances_) {
-    const auto answer = reported_contact_at_.find(name);
+    const auto answer = reaching_store_at_.find(name);
     const bool reaches_store =
-        answer != reported_contact_at_.end() &&
+        answer != reaching_store_at_.end() &&
         now - answer->second < options_.store_unresponsive_threshold;
     if (reaches_store && !instance.leaving &&
         (best == nullptr || instance.cpu_share > best->cpu_share)) {
@@ -84,12 +84,12 @@
   }
   for (const auto& [name, instance] : instances_) {
     if (name != self_.name) {
-      QueryStoreContact(instance);
+      QueryInstance(instance);
     }
   }
   for (const auto& [name, missing] : missing_instances_) {
     if (MayReturn(missing)) {
-      QueryStoreContact(missing.instance);
+      QueryInstance(missing.instance);
     }
   }
 }
@@ -133,7 +133,7 @@
 
 void LiveDirectory::RequestAgreement(const LiveInstance& instance) {
   const Instant sent = executor_.Now();
-  store_contact_.RequestUnrecordedStartsAgreement(
+  store_answer_port_.RequestUnrecordedStartsAgreement(
       instance, [this, sent, name = instance.name](std::error_code error) {
         if (error) {
           agreed_at_.erase(name);
@@ -143,12 +143,12 @@
       });
 }
 
-void LiveDirectory::QueryStoreContact(const LiveInstance& instance) {
+void LiveDirectory::QueryInstance(const LiveInstance& instance) {
   if (needs_agreement_ && IsStoreUnresponsive(executor_.Now())) {
     RequestAgreement(instance);
   }
   const Instant sent = executor_.Now();
-  store_contact_.QueryStoreContact(
+  store_answer_port_.QueryTimeSinceStoreAnswer(
       instance,
       [this, sent, name = instance.name](std::error_code error, Millis age) {
         if (error) {
@@ -156,17 +156,17 @@
         }
         const Instant now = executor_.Now();
         if (failing_since_ != Instant{} &&
-            now - age > failing_since_ + options_.store_contact_margin) {
-          reported_contact_at_[name] = now;
+            now - age > failing_since_ + options_.store_answer_margin) {
+          reaching_store_at_[name] = now;
         } else {
-          reported_contact_at_.erase(name);
+          reaching_store_at_.erase(name);
         }
         // The answer is valid from the time of the query, because it may have
         // been queued while this process was paused.
         if (age >= options_.store_unresponsive_threshold) {
-          reported_no_contact_at_[name] = sent;
+          not_reaching_store_at_[name] = sent;
         } else {
-          reported_no_contact_at_.erase(name);
+          not_reaching_store_at_.erase(name);
         }
       });
 }
--- a/src/loop.adapter/http_peers.cpp
+++ b/src/loop.adapter/http_peers.cpp
@@ -25,7 +25,7 @@
      {CoreErrc::kNotFound, 404},
      {CoreErrc::kNoCapacity, 429}}};
 constexpr int kOk = 200;
-constexpr char kStoreContactPath[] = "/store-heard";
+constexpr char kStoreAnswerPath[] = "/store-heard";
 constexpr char kUnrecordedStartsPath[] = "/unrecorded-starts";
 constexpr std::string_view kHandOverPath = "/hand-over/";
 constexpr int kBadRequest = 400;
@@ -203,11 +203,11 @@
       });
 }
 
-void HttpCellPeers::QueryStoreContact(const LiveInstance& instance,
-                                      Callback done) {
+void HttpCellPeers::QueryTimeSinceStoreAnswer(const LiveInstance& instance,
+                                              Callback done) {
   HttpCall call;
   call.address = instance.address;
-  call.target = kStoreContactPath;
+  call.target = kStoreAnswerPath;
   call.timeout = kSummaryTimeout;
   client_.Send(
       std::move(call),
@@ -266,7 +266,7 @@
   return true;
 }
 
-std::optional<Millis> CellPeerService::TimeSinceStoreContact() const {
+std::optional<Millis> CellPeerService::TimeSinceStoreAnswer() const {
   std::optional<Millis> age = kMaxAge;
   for (const CellLeader* leader : cells_) {
     const auto leader_age = leader->TimeSinceStoreAnswer(executor_.Now());
@@ -301,8 +301,8 @@
     response.body = std::move(body);
     respond(std::move(response));
   };
-  if (request.path == kStoreContactPath) {
-    const auto age = TimeSinceStoreContact();
+  if (request.path == kStoreAnswerPath) {
+    const auto age = TimeSinceStoreAnswer();
     answer(age ? std::error_code() : make_error_code(CoreErrc::kNoOwner),
            age ? std::to_string(age->count()) : "");
     return;
--- a/src/loop.adapter/http_peers.h
+++ b/src/loop.adapter/http_peers.h
@@ -16,7 +16,7 @@
 
 namespace doorwood {
 
-class HttpCellPeers : public CellPeers, public StoreContactPort {
+class HttpCellPeers : public CellPeers, public StoreAnswerPort {
  public:
   explicit HttpCellPeers(HttpClient& client) : client_(client) {}
 
@@ -30,7 +30,8 @@
                      const std::string& job,
                      StateCallback done) override;
   void FetchCellSummary(const CellLead& lead, SummaryCallback done) override;
-  void QueryStoreContact(const LiveInstance& instance, Callback done) override;
+  void QueryTimeSinceStoreAnswer(const LiveInstance& instance,
+                                 Callback done) override;
   void RequestUnrecordedStartsAgreement(
       const LiveInstance& instance,
       std::function<void(std::error_code)> done) override;
@@ -53,7 +54,7 @@
 
  private:
   CellLeader* FindLeader(const std::string& cell) const;
-  std::optional<Millis> TimeSinceStoreContact() const;
+  std::optional<Millis> TimeSinceStoreAnswer() const;
   bool AgreeToUnrecordedStarts();
   /// `rest` has the form "CELL/EPOCH"; returns false if it cannot be parsed.
   bool HandleHandOver(std::string_view rest);
