--- a/src/fakes/cell_world.h
+++ b/src/fakes/cell_world.h
@@ -46,7 +46,7 @@
   std::unique_ptr<FakeExecutor> executor;
   std::unique_ptr<RecordStore> store;
   std::unique_ptr<WorkerDirectory> directory;
-  std::unique_ptr<RunWorkers> workers;
+  std::unique_ptr<RunWorkerClient> workers;
   std::unique_ptr<StoreAnswerPort> peer_calls;
   std::unique_ptr<Adviser> adviser;
   std::unique_ptr<MachinePlatform> machines;
--- a/src/fakes/cell_world_ports.cpp
+++ b/src/fakes/cell_world_ports.cpp
@@ -127,7 +127,7 @@
 
 // The worker client of one instance; applies that instance's faults and
 // partitions.
-class WorldWorkers : public RunWorkers {
+class WorldWorkers : public RunWorkerClient {
  public:
   WorldWorkers(CellWorld& world, WorldInstance& self)
       : world_(world), self_(self) {}
@@ -454,8 +454,8 @@
   return std::make_unique<WorldStore>(world, self);
 }
 
-std::unique_ptr<RunWorkers> MakeWorldWorkers(CellWorld& world,
-                                             WorldInstance& self) {
+std::unique_ptr<RunWorkerClient> MakeWorldWorkers(CellWorld& world,
+                                                  WorldInstance& self) {
   return std::make_unique<WorldWorkers>(world, self);
 }
 
--- a/src/fakes/cell_world_ports.h
+++ b/src/fakes/cell_world_ports.h
@@ -16,8 +16,8 @@
 
 std::unique_ptr<RecordStore> MakeWorldStore(CellWorld& world,
                                             WorldInstance& self);
-std::unique_ptr<RunWorkers> MakeWorldWorkers(CellWorld& world,
-                                             WorldInstance& self);
+std::unique_ptr<RunWorkerClient> MakeWorldWorkers(CellWorld& world,
+                                                  WorldInstance& self);
 std::unique_ptr<WorkerDirectory> MakeWorldDirectory(CellWorld& world,
                                                     WorldInstance& self);
 std::unique_ptr<StoreAnswerPort> MakeWorldPeers(CellWorld& world,
--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -91,7 +91,7 @@
   CellLeader(Executor& executor,
              RecordStore& store,
              WorkerDirectory& directory,
-             RunWorkers& workers,
+             RunWorkerClient& workers,
              Adviser* adviser,
              MachinePlatform* machines,
              LiveDirectory& live,
@@ -686,7 +686,7 @@
   Executor& executor_;
   RecordStore& store_;
   WorkerDirectory& directory_;
-  RunWorkers& workers_;
+  RunWorkerClient& workers_;
   LiveDirectory& live_;
   EventLog& log_;
   const std::function<int64_t()> unix_millis_;
--- a/src/include/doorwood/run_worker.h
+++ b/src/include/doorwood/run_worker.h
@@ -150,12 +150,12 @@
 /// Calls complete on the control thread, exactly once, with a RunErrc on
 /// failure. Starts, stops and pace orders return the worker's clock, or 0 if it
 /// was not reported.
-class RunWorkers {
+class RunWorkerClient {
  public:
   template <typename T>
   using Callback = std::function<void(std::error_code, T)>;
 
-  virtual ~RunWorkers() = default;
+  virtual ~RunWorkerClient() = default;
 
   virtual void Poll(const WorkerIncarnation& worker,
                     const PollOrder& order,
--- a/src/include/doorwood/worker_session.h
+++ b/src/include/doorwood/worker_session.h
@@ -193,7 +193,7 @@
 class WorkerSession : public std::enable_shared_from_this<WorkerSession> {
  public:
   WorkerSession(Executor& executor,
-                RunWorkers& workers,
+                RunWorkerClient& workers,
                 EventLog& log,
                 WorkerSessionListener& listener,
                 const WorkerSessionOptions& options,
@@ -402,7 +402,7 @@
   void EndAllRuns();
 
   Executor& executor_;
-  RunWorkers& workers_;
+  RunWorkerClient& workers_;
   EventLog& log_;
   WorkerSessionListener& listener_;
   const WorkerSessionOptions options_;
--- a/src/libdoorwood/cell/cell_leader.cpp
+++ b/src/libdoorwood/cell/cell_leader.cpp
@@ -29,7 +29,7 @@
 CellLeader::CellLeader(Executor& executor,
                        RecordStore& store,
                        WorkerDirectory& directory,
-                       RunWorkers& workers,
+                       RunWorkerClient& workers,
                        Adviser* adviser,
                        MachinePlatform* machines,
                        LiveDirectory& live,
--- a/src/libdoorwood/cell/worker_address_test.cpp
+++ b/src/libdoorwood/cell/worker_address_test.cpp
@@ -19,7 +19,7 @@
 enum class Responder { kThisIncarnation, kOtherIncarnation, kNobody };
 
 // One incarnation of a worker, and which incarnation answers at each address.
-class AddressedWorker : public RunWorkers {
+class AddressedWorker : public RunWorkerClient {
  public:
   AddressedWorker(fakes::VirtualTime& time, Executor& executor)
       : time_(time), executor_(executor) {}
--- a/src/libdoorwood/cell/worker_lease_clock_test.cpp
+++ b/src/libdoorwood/cell/worker_lease_clock_test.cpp
@@ -22,7 +22,7 @@
 // Slack of a successor's wait, on the worker's clock.
 constexpr int64_t kSlackMillis = 500;
 
-class SlowClockWorkers : public RunWorkers {
+class SlowClockWorkers : public RunWorkerClient {
  public:
   SlowClockWorkers(fakes::VirtualTime& time, Executor& executor)
       : time_(time), executor_(executor) {}
--- a/src/libdoorwood/cell/worker_overtaking_test.cpp
+++ b/src/libdoorwood/cell/worker_overtaking_test.cpp
@@ -24,7 +24,7 @@
 constexpr const char* kTask = "t";
 
 // Calls that the test carries out and answers, one step at a time.
-class SteppedWorkers : public RunWorkers {
+class SteppedWorkers : public RunWorkerClient {
  public:
   struct Pending {
     std::function<void()> carry_out;
--- a/src/libdoorwood/cell/worker_session.cpp
+++ b/src/libdoorwood/cell/worker_session.cpp
@@ -53,7 +53,7 @@
 }
 
 WorkerSession::WorkerSession(Executor& executor,
-                             RunWorkers& workers,
+                             RunWorkerClient& workers,
                              EventLog& log,
                              WorkerSessionListener& listener,
                              const WorkerSessionOptions& options,
--- a/src/libdoorwood/cell/worker_session_test.cpp
+++ b/src/libdoorwood/cell/worker_session_test.cpp
@@ -21,7 +21,7 @@
 };
 
 // A worker whose calls fail as configured.
-class ScriptedWorkers : public RunWorkers {
+class ScriptedWorkers : public RunWorkerClient {
  public:
   ScriptedWorkers(fakes::VirtualTime& time, Executor& executor)
       : time_(time), executor_(executor) {}
@@ -209,7 +209,7 @@
 
 // Polls and starts that the test answers, in any order. Stops and paces get no
 // answer.
-class ManualWorkers : public RunWorkers {
+class ManualWorkers : public RunWorkerClient {
  public:
   void Poll(const WorkerIncarnation&,
             const PollOrder&,
