--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -562,9 +562,10 @@
   /// `active_for`.
   void ScheduleTrialPoll(const std::shared_ptr<WorkerSession>& session,
                          Millis active_for);
-  /// Ends trials that have expired, or whose task is done, job has ended, or
-  /// worker or run is gone. Marks the trials of suspects that were observed
-  /// running for long enough as passed, and later clears their crash notes.
+  /// Ends reservations whose trial did not start in time, and trials whose task
+  /// is done, job has ended, or worker or run is gone. Marks the trials of
+  /// suspects that were observed running for long enough as passed; later
+  /// clears the crash notes of these suspects and ends their trials.
   void UpdateTrials();
   void ClearCrashes(Task* task);
   void OnCrashesRecorded(Job* job);
@@ -699,7 +700,7 @@
   uint64_t generation_ = 0;
   int64_t epoch_ = 0;
   /// Written with the lead key, to recognize a win whose answer was lost. Drawn
-  /// once per process.
+  /// once per `CellLeader`.
   const uint64_t nonce_;
   /// When this leader finished reading the records of earlier leaders.
   Instant led_since_{};
@@ -760,8 +761,8 @@
   /// Whether the recorded placements of long-running tasks were known to be
   /// complete when this instance took the lead.
   bool placements_valid_at_takeover_ = false;
-  /// An instance whose registration has at most this store revision may treat
-  /// the recorded placements as complete.
+  /// An instance may treat the recorded placements as complete if its
+  /// `LiveDirectory::no_agreement_since` is not 0 and is at most this revision.
   int64_t placements_valid_to_ = 0;
   /// Long-running tasks that may run on a worker although the store may not
   /// have it as their assigned worker.
--- a/src/include/doorwood/cell_options.h
+++ b/src/include/doorwood/cell_options.h
@@ -30,9 +30,11 @@
   WaveOptions waves;
   /// Interval between reads of the worker list while leading.
   Millis list_interval{450};
-  /// Interval between reads of the closed data centres. The platform's bound
-  /// for a closure to take effect is 5 s; with a store that takes 0.4 s to
-  /// answer, answers are at most 1.2 s apart: interval, tick and read.
+  /// Once the last answer with the closed data centres is this old, the next
+  /// tick reads them again. The platform's bound for a closure to take effect
+  /// is 5 s. With a store that takes 0.4 s to answer, and unless a read fails,
+  /// the state in use is at most 1.6 s old: a read (0.4 s), this interval (0.7
+  /// s), a tick (0.1 s) and the next read (0.4 s).
   Millis closed_interval{700};
   Millis tick{100};
   /// How long the state of a finished job is kept.
--- a/src/include/doorwood/job_table.h
+++ b/src/include/doorwood/job_table.h
@@ -51,7 +51,8 @@
   CrashEvidence evidence = CrashEvidence::kRestarted;
   /// The run was a suspect, not a bystander; see CrashRole.
   bool suspect = false;
-  /// The run was alone on the worker, as a trial.
+  /// The run was in a trial on the worker (see `CrashTrials`). For a kTrial
+  /// note: it is in one or is about to be.
   bool in_trial = false;
   /// Many workers crashed at about the same time.
   bool mass_crash = false;
--- a/src/include/doorwood/live_directory.h
+++ b/src/include/doorwood/live_directory.h
@@ -56,7 +56,8 @@
   /// Store revision at which the lead was taken; serves as epoch and as fencing
   /// token.
   int64_t epoch = 0;
-  /// Random number that the leader chose for this one attempt to take the lead.
+  /// Random number that the `CellLeader` drew once, when it was created. All
+  /// its attempts to take the lead write the same number.
   uint64_t nonce = 0;
 };
 
--- a/src/libdoorwood/policy/cell_policy.cpp
+++ b/src/libdoorwood/policy/cell_policy.cpp
@@ -25,7 +25,8 @@
          worker.labels.end();
 }
 
-// Share of the worker's serving images that equal `image`; 0.5 if it has none.
+// Share of the worker's serving tasks whose image is `image`; 0.5 if the worker
+// has no serving task.
 double ShareOfImage(const CandidateWorker& worker, ImageId image) {
   constexpr double kEmptyWorker = 0.5;
   if (worker.serving_utilizations.empty()) {
