--- a/src/include/doorwood/cell_journal.h
+++ b/src/include/doorwood/cell_journal.h
@@ -127,7 +127,9 @@
   virtual void OnNewestStateStored(const std::string& job) = 0;
   virtual void OnEndsRecorded(const std::map<std::string, uint64_t>& ends) = 0;
   virtual void OnWorkersRecorded(const std::vector<KnownWorker>& workers) = 0;
-  /// A batch sent at that time found the lead key at the expected revision.
+  /// A batch sent at `sent` was committed, which confirms that the lead key was
+  /// at the expected revision. Reads of the key by `LeadProof` confirm it too,
+  /// but do not cause this call.
   virtual void OnLeadConfirmed(Instant sent) = 0;
   /// The lead key was changed or removed, or another process changed a chain
   /// key. This process no longer leads, or must not assume that it does.
--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -335,6 +335,8 @@
   /// Whether the worker is not yet contacted: it was added from an earlier
   /// leader's record, has not answered this leader, is not proven to have
   /// ended, and the takeover goes on. This leader has extended no lease there.
+  /// Such a worker need not be unaccounted (see `UnaccountedWorkers`), nor need
+  /// an unaccounted worker be uncontacted.
   bool IsUncontacted(const CellWorker& cell_worker) const;
   /// Whether the worker was in contact, but its newest poll failed and no order
   /// extended a lease there for `CellOptions::unresponsive_record_delay`.
@@ -420,9 +422,12 @@
   /// How much longer the takeover waits for the worker if it does not respond
   /// meanwhile; zero: the worker is accounted for.
   Millis RemainingWait(const CellWorker& cell_worker) const;
-  /// Workers that are not yet contacted, or are contacted but have not listed
-  /// all their ends, and that may still run something; and the tasks that may
-  /// run, or may have ended unreported, on them.
+  /// Workers for which the takeover still waits (see `RemainingWait`), and the
+  /// tasks that may run, or may have ended unreported, on them. Unlike
+  /// `IsUncontacted`, this includes contacted workers that have not listed all
+  /// their ends, and excludes workers that were not contacted but can run
+  /// nothing: their record has an empty task list, or all leases there have
+  /// expired.
   struct UnaccountedWorkers {
     std::set<std::string_view> workers;
     /// On at least one of the workers, this is possible for any task.
@@ -492,13 +497,16 @@
   void HandleDeadWorkers();
   /// Confirms the unconfirmed crash notes that name the worker.
   void ConfirmCrashes(const std::string& worker);
-  /// Called for a worker that is proven to have ended. If the worker is from
-  /// the takeover and this leader never contacted it, notes a crash for the
-  /// tasks that may have run there and have no note of that worker yet; for
-  /// none if there are more such tasks than workers.
+  /// Called for a worker that is proven to have ended, for which
+  /// `IsUncontacted` is therefore false. If the worker is from the takeover and
+  /// never answered this leader, notes a crash for the tasks that may have run
+  /// there and have no note of that worker yet; for none if there are more such
+  /// tasks than workers.
   void NoteCrashOfUncontactedWorker(const std::string& worker,
                                     const CellWorker& cell_worker);
-  /// Tasks that may have run on a worker that this leader never contacted.
+  /// Tasks that are not released yet (see `ReleaseTasks`) and may have run on a
+  /// worker that ended without having answered this leader. Unaccounted workers
+  /// (see `UnaccountedWorkers`), in contrast, are not proven to have ended.
   std::vector<Task*> FindTasksOnUncontactedWorker(
       const std::string& worker,
       const CellWorker& cell_worker);
--- a/src/include/doorwood/lead_proof.h
+++ b/src/include/doorwood/lead_proof.h
@@ -33,7 +33,9 @@
  public:
   virtual ~LeadProofListener() = default;
 
-  /// Called when `confirmed_at` has increased.
+  /// Called when `confirmed_at` has increased, whether a read of the key or a
+  /// commit of the journal confirmed it. The leader passes on the commits (see
+  /// `JournalOwner::OnLeadConfirmed`) with `NoteConfirmed`.
   virtual void OnLeadProved() = 0;
   /// Called when a read shows that the key of this epoch no longer exists.
   virtual void OnLeadDisproved(std::string_view reason) = 0;
