--- a/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
@@ -24,7 +24,7 @@
 // is partitioned. The successor reaches the worker, adopts the runs there and
 // extends their lease.
 BOOST_AUTO_TEST_CASE(
-    PartitionedLeader_SuccessorReachesTheWorker_StartsNothing) {
+    PartitionedLeader_SuccessorReachesTheWorker_NothingRunsTwice) {
   for (int before = 0; before <= 6000; before += 500) {
     PartitionedLeaderFixture fixture;
     fixture.old_leader->unreachable_workers.insert("shared");
