--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -44,7 +44,7 @@
 
 enum class JobPhase { kQueued, kRunning, kCompleted, kFailed, kCancelled };
 
-std::string_view ToString(JobPhase state);
+std::string_view ToString(JobPhase phase);
 
 /// Summary of a cell that its leader reports to other instances.
 struct CellSummary {
@@ -91,7 +91,7 @@
   CellLeader(Executor& executor,
              RecordStore& store,
              WorkerDirectory& directory,
-             RunWorkers& workers,
+             RunWorkerClient& workers,
              Adviser* adviser,
              MachinePlatform* machines,
              LiveDirectory& live,
@@ -206,8 +206,8 @@
     /// written it. The worker gets no new work; its runs continue.
     bool entry_rejected = false;
     /// No new work is placed on the worker before this time, because its
-    /// machine is being evacuated for maintenance. Extended while the
-    /// evacuation continues.
+    /// machine is being evacuated for upkeep. Extended while the evacuation
+    /// continues.
     Instant evacuated_until{};
     /// The worker was added from an earlier leader's record. A task that may
     /// still run there is not started while the worker is unaccounted (see
@@ -335,6 +335,8 @@
   /// Whether the worker is not yet contacted: it was added from an earlier
   /// leader's record, has not answered this leader, is not proven to have
   /// ended, and the takeover goes on. This leader has extended no lease there.
+  /// Such a worker need not be unaccounted (see `UnaccountedWorkers`), nor need
+  /// an unaccounted worker be uncontacted.
   bool IsUncontacted(const CellWorker& cell_worker) const;
   /// Whether the worker was in contact, but its newest poll failed and no order
   /// extended a lease there for `CellOptions::unresponsive_record_delay`.
@@ -379,7 +381,7 @@
   /// led, and only the lead key proves the lead.
   void ExtendOrderDeadline();
   /// Whether starts may be ordered now.
-  bool MaySendOrders() const;
+  bool MayOrderStarts() const;
   /// Whether the lead key was confirmed within
   /// `CellOptions::lead_confirmed_for`.
   bool IsLeadConfirmed() const;
@@ -420,9 +422,12 @@
   /// How much longer the takeover waits for the worker if it does not respond
   /// meanwhile; zero: the worker is accounted for.
   Millis RemainingWait(const CellWorker& cell_worker) const;
-  /// Workers that are not yet contacted, or are contacted but have not listed
-  /// all their ends, and that may still run something; and the tasks that may
-  /// run, or may have ended unreported, on them.
+  /// Workers for which the takeover still waits (see `RemainingWait`), and the
+  /// tasks that may run, or may have ended unreported, on them. Unlike
+  /// `IsUncontacted`, this includes contacted workers that have not listed all
+  /// their ends, and excludes workers that were not contacted but can run
+  /// nothing: their record has an empty task list, or all leases there have
+  /// expired.
   struct UnaccountedWorkers {
     std::set<std::string_view> workers;
     /// On at least one of the workers, this is possible for any task.
@@ -475,7 +480,7 @@
   // cell_crashes.cpp: worker crashes, and the crash notes of tasks.
   static std::string MachineOf(const WorkerIncarnation& incarnation);
   /// Evidence that the worker crashed. Empty: there is none, or its machine may
-  /// be down for maintenance.
+  /// be down for upkeep.
   std::optional<CrashEvidence> DetectCrash(const WorkerSession& session) const;
   /// Runs of open jobs that may have begun on the worker: those that it has
   /// confirmed and, if the session is dead, also those whose start order was
@@ -492,13 +497,16 @@
   void HandleDeadWorkers();
   /// Confirms the unconfirmed crash notes that name the worker.
   void ConfirmCrashes(const std::string& worker);
-  /// Called for a worker that is proven to have ended. If the worker is from
-  /// the takeover and this leader never contacted it, notes a crash for the
-  /// tasks that may have run there and have no note of that worker yet; for
-  /// none if there are more such tasks than workers.
+  /// Called for a worker that is proven to have ended, for which
+  /// `IsUncontacted` is therefore false. If the worker is from the takeover and
+  /// never answered this leader, notes a crash for the tasks that may have run
+  /// there and have no note of that worker yet; for none if there are more such
+  /// tasks than workers.
   void NoteCrashOfUncontactedWorker(const std::string& worker,
                                     const CellWorker& cell_worker);
-  /// Tasks that may have run on a worker that this leader never contacted.
+  /// Tasks that are not released yet (see `ReleaseTasks`) and may have run on a
+  /// worker that ended without having answered this leader. Unaccounted workers
+  /// (see `UnaccountedWorkers`), in contrast, are not proven to have ended.
   std::vector<Task*> FindTasksOnUncontactedWorker(
       const std::string& worker,
       const CellWorker& cell_worker);
@@ -562,9 +570,10 @@
   /// `active_for`.
   void ScheduleTrialPoll(const std::shared_ptr<WorkerSession>& session,
                          Millis active_for);
-  /// Ends trials that have expired, or whose task is done, job has ended, or
-  /// worker or run is gone. Marks the trials of suspects that were observed
-  /// running for long enough as passed, and later clears their crash notes.
+  /// Ends reservations whose trial did not start in time, and trials whose task
+  /// is done, job has ended, or worker or run is gone. Marks the trials of
+  /// suspects that were observed running for long enough as passed; later
+  /// clears the crash notes of these suspects and ends their trials.
   void UpdateTrials();
   void ClearCrashes(Task* task);
   void OnCrashesRecorded(Job* job);
@@ -584,7 +593,7 @@
   /// drops those that may no longer be ordered or whose task or worker is gone.
   void SendDeferredStarts();
   /// Whether a deferred start may be ordered on the worker now: see
-  /// `MaySendOrders` and `MayReceiveOrders`.
+  /// `MayOrderStarts` and `MayReceiveOrders`.
   bool MaySendDeferredStart(const CellWorker& cell_worker) const;
   /// Whether, as far as this leader can know, the store has the placement of
   /// every long-running task.
@@ -679,14 +688,14 @@
                       const std::vector<std::string>& tasks,
                       std::string_view cause);
   /// Whether the step's `max_unavailable` allows the task to be stopped now.
-  bool MayStopForMaintenance(const Task& task) const;
+  bool MayStopForUpkeep(const Task& task) const;
   /// Rack of a worker that has runs of the step; empty: there is none.
   std::string RackOfStep(const Job& job, int repetition, int step) const;
 
   Executor& executor_;
   RecordStore& store_;
   WorkerDirectory& directory_;
-  RunWorkers& workers_;
+  RunWorkerClient& workers_;
   LiveDirectory& live_;
   EventLog& log_;
   const std::function<int64_t()> unix_millis_;
@@ -699,7 +708,7 @@
   uint64_t generation_ = 0;
   int64_t epoch_ = 0;
   /// Written with the lead key, to recognize a win whose answer was lost. Drawn
-  /// once per process.
+  /// once per `CellLeader`.
   const uint64_t nonce_;
   /// When this leader finished reading the records of earlier leaders.
   Instant led_since_{};
@@ -760,8 +769,8 @@
   /// Whether the recorded placements of long-running tasks were known to be
   /// complete when this instance took the lead.
   bool placements_valid_at_takeover_ = false;
-  /// An instance whose registration has at most this store revision may treat
-  /// the recorded placements as complete.
+  /// An instance may treat the recorded placements as complete if its
+  /// `LiveDirectory::no_agreement_since` is not 0 and is at most this revision.
   int64_t placements_valid_to_ = 0;
   /// Long-running tasks that may run on a worker although the store may not
   /// have it as their assigned worker.
--- a/src/include/doorwood/worker_session.h
+++ b/src/include/doorwood/worker_session.h
@@ -58,7 +58,7 @@
   Instant stop_sent{};
   /// The worker refused the start with `RunErrc::kStaleRun`. If the order was
   /// delivered twice, this run itself may already have ended there.
-  bool refused_as_old = false;
+  bool refused_as_stale = false;
 
   /// Copied from the step, since a run may outlive its job.
   Resources size;
@@ -193,7 +193,7 @@
 class WorkerSession : public std::enable_shared_from_this<WorkerSession> {
  public:
   WorkerSession(Executor& executor,
-                RunWorkers& workers,
+                RunWorkerClient& workers,
                 EventLog& log,
                 WorkerSessionListener& listener,
                 const WorkerSessionOptions& options,
@@ -402,7 +402,7 @@
   void EndAllRuns();
 
   Executor& executor_;
-  RunWorkers& workers_;
+  RunWorkerClient& workers_;
   EventLog& log_;
   WorkerSessionListener& listener_;
   const WorkerSessionOptions options_;
--- a/src/libdoorwood/cell/cell_leader.cpp
+++ b/src/libdoorwood/cell/cell_leader.cpp
@@ -29,7 +29,7 @@
 CellLeader::CellLeader(Executor& executor,
                        RecordStore& store,
                        WorkerDirectory& directory,
-                       RunWorkers& workers,
+                       RunWorkerClient& workers,
                        Adviser* adviser,
                        MachinePlatform* machines,
                        LiveDirectory& live,
@@ -246,7 +246,7 @@
       std::max(order_deadline_, proof_.confirmed_at() + options_.order_grace);
 }
 
-bool CellLeader::MaySendOrders() const {
+bool CellLeader::MayOrderStarts() const {
   return executor_.Now() < OrderDeadline();
 }
 
@@ -317,7 +317,7 @@
     unconfirmed_after_pause_ = false;
   }
   last_tick_ = now;
-  if (const LiveInstance* other = live_.FindInstanceWithStoreContact()) {
+  if (const LiveInstance* other = live_.FindInstanceReachingStore()) {
     HandOverLead(*other);
     return;
   }
