--- a/src/doorwoodd/daemon.cpp
+++ b/src/doorwoodd/daemon.cpp
@@ -64,7 +64,7 @@
   front.connections = static_cast<size_t>(settings.connections);
   front.max_body_bytes = static_cast<size_t>(settings.max_body_bytes);
   front_ = std::make_unique<HttpFrontend>(
-      front, router_, static_cast<HttpFrontendBackend&>(*this), log_);
+      front, router_, static_cast<HttpFrontendEnvironment&>(*this), log_);
 }
 
 Daemon::~Daemon() {
@@ -117,7 +117,7 @@
   });
 }
 
-// --- HttpFrontendBackend -----------------------------------------------------
+// --- HttpFrontendEnvironment -------------------------------------------------
 
 void Daemon::HandleOperatorCall(const OperatorCall& call,
                                 std::function<void(OperatorReply)> done) {
--- a/src/doorwoodd/daemon.h
+++ b/src/doorwoodd/daemon.h
@@ -27,7 +27,7 @@
 
 /// Process-level object of an entry instance. Requests are served on the
 /// threads of the HTTP front end; control work runs on one executor.
-class Daemon : private HttpFrontendBackend,
+class Daemon : private HttpFrontendEnvironment,
                private RoutingObserver,
                private IdempotencyKeyStore,
                private RequestObserver {
@@ -41,7 +41,7 @@
   void Run();
 
  private:
-  // HttpFrontendBackend:
+  // HttpFrontendEnvironment:
   void HandleOperatorCall(const OperatorCall& call,
                           std::function<void(OperatorReply)> done) override;
   bool ready() const override;
--- a/src/http.adapter/http_frontend.cpp
+++ b/src/http.adapter/http_frontend.cpp
@@ -68,9 +68,9 @@
 
 HttpFrontend::HttpFrontend(const HttpFrontendOptions& options,
                            Router& router,
-                           HttpFrontendBackend& backend,
+                           HttpFrontendEnvironment& environment,
                            EventLog& log)
-    : options_(options), router_(router), backend_(backend), log_(log) {
+    : options_(options), router_(router), environment_(environment), log_(log) {
   request_prefix_ = std::to_string(std::random_device()()) + "-";
   server_.new_task_queue = [this]() {
     return new BoundedQueue(options_.connections);
@@ -141,14 +141,14 @@
               });
   server_.Get(
       "/readyz", [this](const httplib::Request&, httplib::Response& response) {
-        const bool ready = backend_.ready();
+        const bool ready = environment_.ready();
         response.status = ready ? 200 : kUnavailable;
         response.set_content(ready ? "ready\n" : "not ready\n", "text/plain");
       });
-  server_.Get(
-      "/metrics", [this](const httplib::Request&, httplib::Response& response) {
-        response.set_content(backend_.Metrics(), "text/plain; version=0.0.4");
-      });
+  server_.Get("/metrics", [this](const httplib::Request&,
+                                 httplib::Response& response) {
+    response.set_content(environment_.Metrics(), "text/plain; version=0.0.4");
+  });
 }
 
 void HttpFrontend::AddOperatorRoutes() {
@@ -209,10 +209,10 @@
   }
   auto promise = std::make_shared<std::promise<OperatorReply>>();
   std::future<OperatorReply> reply = promise->get_future();
-  backend_.HandleOperatorCall({method, body.dump()},
-                              [promise](OperatorReply answer) {
-                                promise->set_value(std::move(answer));
-                              });
+  environment_.HandleOperatorCall({method, body.dump()},
+                                  [promise](OperatorReply answer) {
+                                    promise->set_value(std::move(answer));
+                                  });
   if (reply.wait_for(options_.operator_timeout) != std::future_status::ready) {
     response.status = kGatewayTimeout;
     response.set_content(Json{{"error",
--- a/src/http.adapter/http_frontend.h
+++ b/src/http.adapter/http_frontend.h
@@ -33,11 +33,11 @@
   Millis operator_timeout{6000};
 };
 
-/// Functions of the process that the HTTP server depends on. Called on the
+/// Interface through which the HTTP server reaches its instance. Called on the
 /// server's threads.
-class HttpFrontendBackend {
+class HttpFrontendEnvironment {
  public:
-  virtual ~HttpFrontendBackend() = default;
+  virtual ~HttpFrontendEnvironment() = default;
 
   /// Runs an operator's call on the control thread.
   virtual void HandleOperatorCall(const OperatorCall& call,
@@ -53,7 +53,7 @@
   /// std::runtime_error if the address cannot be used.
   HttpFrontend(const HttpFrontendOptions& options,
                Router& router,
-               HttpFrontendBackend& backend,
+               HttpFrontendEnvironment& environment,
                EventLog& log);
   ~HttpFrontend();
 
@@ -78,7 +78,7 @@
 
   HttpFrontendOptions options_;
   Router& router_;
-  HttpFrontendBackend& backend_;
+  HttpFrontendEnvironment& environment_;
   EventLog& log_;
   httplib::Server server_;
   std::thread thread_;
