--- a/src/libdoorwood/cell/cell_closed_data_centre_test.cpp
+++ b/src/libdoorwood/cell/cell_closed_data_centre_test.cpp
@@ -35,6 +35,7 @@
   ClosedFixture(const ClosedFixture&) = delete;
   ClosedFixture& operator=(const ClosedFixture&) = delete;
 
+  // Submits a job of `count` tasks; a long-running one if `payload` is empty.
   void Submit(int number, int count, const std::string& payload) {
     char id[17];
     std::snprintf(id, sizeof(id), "%016x", number);
--- a/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
@@ -17,7 +17,7 @@
 namespace doorwood {
 namespace {
 
-using fakes::kLongRunningJob;
+using fakes::kPartitionedLeaderJob;
 using fakes::PartitionedLeaderFixture;
 
 // The worker becomes unresponsive to the old leader 0 to 6 s before that leader
@@ -36,7 +36,7 @@
     fixture.world.Run(Millis(8000));
     fixture.ExpectNoViolations("healed, " + std::to_string(before));
     for (const char* task : {".0.0.0", ".0.0.1"}) {
-      BOOST_TEST(fixture.IsRunning(kLongRunningJob + std::string(task)));
+      BOOST_TEST(fixture.IsRunning(kPartitionedLeaderJob + std::string(task)));
     }
   }
 }
@@ -70,7 +70,7 @@
   }
   world.Run(Millis(9000));
   BOOST_TEST(world.workers().at("near")->model.IsRunning(
-      std::string(kLongRunningJob) + ".0.0.0"));
+      std::string(kPartitionedLeaderJob) + ".0.0.0"));
   ExpectNoViolations("certain of its lease");
 }
 
@@ -91,7 +91,7 @@
   }
   world.Run(Millis(6000));
   BOOST_TEST(world.workers().at("near")->model.IsRunning(
-      std::string(kLongRunningJob) + ".0.0.0"));
+      std::string(kPartitionedLeaderJob) + ".0.0.0"));
   ExpectNoViolations("store down");
 }
 
@@ -114,8 +114,8 @@
   BOOST_REQUIRE(world.WaitForLeader() != nullptr);
   world.Run(Millis(5000));
   for (const char* task : {".0.0.0", ".0.0.1"}) {
-    BOOST_TEST(world.workers().at("near")->model.IsRunning(kLongRunningJob +
-                                                           std::string(task)));
+    BOOST_TEST(world.workers().at("near")->model.IsRunning(
+        kPartitionedLeaderJob + std::string(task)));
   }
   ExpectNoViolations("wait continued");
 }
@@ -190,7 +190,7 @@
         (row.planned_shutdown ? " planned shutdown" : "") +
         (row.store_unreachable ? " store unreachable" : "");
     fixture.ExpectNoViolations(context);
-    BOOST_TEST(fixture.IsRunning(std::string(kLongRunningJob) + ".0.0.0"),
+    BOOST_TEST(fixture.IsRunning(std::string(kPartitionedLeaderJob) + ".0.0.0"),
                context);
   }
 }
@@ -230,9 +230,9 @@
     world.WaitForLeader();
     world.Run(Millis(1000));
     fakes::WorldInstance* old = world.Leader();
-    const std::string task = std::string(kLongRunningJob) + ".0.0.0";
+    const std::string task = std::string(kPartitionedLeaderJob) + ".0.0.0";
     BOOST_REQUIRE(world.Submit(
-        fakes::MakePlan(kLongRunningJob, 1, 1, "ms=1200 fails=999999")));
+        fakes::MakePlan(kPartitionedLeaderJob, 1, 1, "ms=1200 fails=999999")));
     const auto find_running_worker = [&] {
       for (const auto& [id, worker] : world.workers()) {
         if (worker->model.IsRunning(task)) {
@@ -275,7 +275,7 @@
                                    << partitioned_run << " for "
                                    << partitioned_ms) {
       BOOST_TEST(world.starts(task) == 4);
-      const auto state = world.StateOf(kLongRunningJob);
+      const auto state = world.StateOf(kPartitionedLeaderJob);
       BOOST_TEST((state ? ToString(*state) : "not known") == "failed");
     }
   }
--- a/src/libdoorwood/cell/cell_scheduling.cpp
+++ b/src/libdoorwood/cell/cell_scheduling.cpp
@@ -386,6 +386,8 @@
       quarantine_.AllowsStart(std::string(candidate->id), executor_.Now());
   const auto waited =
       std::chrono::duration_cast<Millis>(executor_.Now() - task->ready_since);
+  // Also written for a deferred start, whose order SendDeferredStarts sends
+  // later; `held` is then true.
   log_.Write("info", "cell", "start ordered",
              {{"task", run.task},
               {"run", number},
--- a/src/libdoorwood/cell/cell_unresponsive_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_unresponsive_takeover_test.cpp
@@ -57,8 +57,10 @@
   Millis TimeUntilRestarted(Instant since) {
     const auto& near = world.workers().at("near")->model;
     const auto restarted = [&] {
-      return near.IsRunning(fakes::kLongRunningJob + std::string(".0.0.0")) &&
-             near.IsRunning(fakes::kLongRunningJob + std::string(".0.0.1"));
+      return near.IsRunning(fakes::kPartitionedLeaderJob +
+                            std::string(".0.0.0")) &&
+             near.IsRunning(fakes::kPartitionedLeaderJob +
+                            std::string(".0.0.1"));
     };
     for (int i = 0; i < 600 && !restarted(); ++i) {
       world.Run(Millis(50));
--- a/src/libdoorwood/cell/cell_workers_record_test.cpp
+++ b/src/libdoorwood/cell/cell_workers_record_test.cpp
@@ -233,9 +233,10 @@
   }
 }
 
-// A run whose end is recorded is no longer named. Rows that had lost their
-// names to the size bound get them back.
-BOOST_AUTO_TEST_CASE(Record_TasksEnd_LargeRowGetsItsNamesBack) {
+// A run whose end is recorded is no longer named. A row that had lost its task
+// list to the size bound has a list again, which is empty once all ends are
+// recorded.
+BOOST_AUTO_TEST_CASE(Record_TasksEnd_LargeRowHasAListAgain) {
   LargeCell cell({4100, 20});
   size_t bytes = 0;
   BOOST_TEST(!cell.ReadRecordedWorkers(&bytes).front().tasks);
--- a/src/libdoorwood/cell/partitioned_leader_fixture.h
+++ b/src/libdoorwood/cell/partitioned_leader_fixture.h
@@ -16,7 +16,7 @@
 
 namespace doorwood::fakes {
 
-inline constexpr char kLongRunningJob[] = "00112233aabbccdd";
+inline constexpr char kPartitionedLeaderJob[] = "00112233aabbccdd";
 
 /// Two workers: "shared" runs the tasks; once the old leader is partitioned,
 /// only that leader can reach "near".
@@ -37,7 +37,7 @@
   }
 
   static JobPlan Plan() {
-    JobPlan plan = MakePlan(kLongRunningJob, 1, 2, "");
+    JobPlan plan = MakePlan(kPartitionedLeaderJob, 1, 2, "");
     plan.steps[0].long_running = true;
     return plan;
   }
