--- a/src/include/doorwood/router.h
+++ b/src/include/doorwood/router.h
@@ -2,8 +2,9 @@
 
 /// \file
 /// Routing of callers' requests: admission, slots of backend servers,
-/// attempts, retries and the response to the caller. Runs on traffic threads;
-/// all classes here are thread-safe. See docs/design/requests.md.
+/// attempts, retries and the response to the caller. Runs on the threads of the
+/// HTTP server; SlotTable, RetryBudget and Router are thread-safe. See
+/// docs/design/requests.md.
 
 #ifndef DOORWOOD_ROUTER_H_
 #define DOORWOOD_ROUTER_H_
@@ -111,18 +112,22 @@
   CallerResponse response;
 };
 
-/// Interface for sending requests to backend servers and to the traffic
-/// listeners of peers.
+/// Interface for sending requests to backend servers and to the HTTP servers of
+/// peers (other entry instances). `timeout` limits each wait to send or receive
+/// data. Opening a connection has a limit of its own, so that a call can take
+/// longer than `timeout`.
 class RequestSender {
  public:
   virtual ~RequestSender() = default;
 
-  /// Sends the request to a backend server. Blocks for at most `timeout`. An
-  /// incomplete response counts as AttemptOutcome::kUnknown.
+  /// Sends the request to a backend server and blocks until the call has ended.
+  /// An incomplete response counts as AttemptOutcome::kUnknown.
   virtual AttemptResult Send(const BackendTarget& target,
                              const CallerRequest& request,
                              Millis timeout) = 0;
-  /// Forwards the request to a peer; blocks for at most `timeout`.
+  /// Forwards the request to a peer, with `timeout` as the time until the
+  /// request's deadline, and blocks until the call has ended. An incomplete
+  /// response counts as AttemptOutcome::kUnknown.
   virtual AttemptResult Forward(const PeerTarget& target,
                                 const CallerRequest& request,
                                 Millis timeout) = 0;
@@ -134,13 +139,13 @@
 struct SlotGrant {
   SlotRefusal refusal = SlotRefusal::kNone;
   BackendTarget target;
-  /// Estimated time until this request would get a slot; 0: it got one
-  /// immediately, or the service has no backend server.
+  /// Time until the request gets a slot, as estimated when it was queued or
+  /// refused; 0: a slot was free at once, or `refusal` is kNoBackend.
   Millis wait{0};
 };
 
 /// Counts the slots in use on backend servers and queues requests that wait
-/// for one. Workspaces (`member`) are served round robin, so that a surge of
+/// for a slot. Workspaces (`member`) are served round robin, so that a surge of
 /// one does not starve another.
 class SlotTable {
  public:
@@ -151,10 +156,11 @@
   /// Grants a free slot at once if no request waits for the service. Otherwise
   /// blocks until a slot is granted or `deadline` is reached, but refuses
   /// immediately if `queue_limit` requests already wait, the estimated wait is
-  /// past the deadline, or the service has no backend server. If all its
-  /// backend servers are closed, as happens while a worker is handed over to
-  /// another instance, the call waits for one of them to open. The backend
-  /// server `avoid` is used only if no other one has a free slot.
+  /// past the deadline, or no backend server of the service is listed. If all
+  /// listed ones are closed, as happens while a worker is handed over to
+  /// another instance, the call is not refused for that reason and waits for
+  /// one of them to open. The backend server `avoid` is used only if no other
+  /// one has a free slot.
   SlotGrant Acquire(const std::string& service,
                     const std::string& member,
                     const std::string& avoid,
@@ -164,8 +170,8 @@
   /// requests already wait for the service.
   std::optional<BackendTarget> TryAcquire(const std::string& service,
                                           const std::string& avoid);
-  /// Releases a slot. `held` is how long it was in use; it feeds the estimate
-  /// of waiting times.
+  /// Releases a slot. `held` is how long the slot was in use; the estimate
+  /// of waiting times is computed from these durations.
   void Release(const BackendTarget& target, Millis held);
 
   /// True if a backend server of the service is open, even if all its slots
@@ -266,11 +272,12 @@
          RequestObserver& observer,
          IdempotencyKeyStore& claims);
 
-  /// Executes a request and returns its response. Blocks until the deadline
-  /// at the latest. Waits for a slot only if the queue has room and the
-  /// estimated wait ends before the deadline; while all backend servers of the
-  /// service are closed, waits at most 4 s or half of the time to the deadline,
-  /// whichever is less.
+  /// Executes a request and returns its response. Begins no retry after the
+  /// deadline; see RequestSender for how long an attempt may take. Waits for a
+  /// slot only if the queue has room and the estimated wait ends before the
+  /// deadline; while all backend servers of the service are closed, gives up
+  /// about 4 s after the start, or after half of the time to the deadline if
+  /// that is less.
   CallerResponse Handle(const CallerRequest& request);
 
   SlotTable& slots() { return slots_; }
@@ -281,16 +288,18 @@
   // State of one request across its attempts.
   struct Progress {
     CallerResponse last;
-    // The backend server of the last attempt; the next one prefers others.
+    // The backend server of the last attempt; the next attempt prefers other
+    // servers.
     std::string avoid;
     bool may_have_run = false;
     bool claimed = false;
     // The request was forwarded to a peer, which may have executed it but sent
-    // no complete response. No other peer is tried.
+    // no complete response. After that, no peer is tried.
     bool peer_outcome_unknown = false;
-    // A peer determined the final outcome.
+    // Forwarding to a peer has determined the final outcome.
     bool ended_by_peer = false;
-    // Until when to wait while all local backend servers are closed.
+    // Until when to wait while all local backend servers of the service are
+    // closed.
     Instant no_backend_deadline{};
 
     void RecordRefusal(CallerResponse refusal);
--- a/src/libdoorwood/routing/router.cpp
+++ b/src/libdoorwood/routing/router.cpp
@@ -12,8 +12,9 @@
 constexpr double kMaxRetryBudget = 10;
 constexpr int kRetryAfterSeconds = 1;
 // While all local backend servers of its service are closed, a request waits
-// for at most kMaxClosedWait, or half of the time to its deadline if that is
-// less, and tries a peer again at least every kPeerPollInterval.
+// until kMaxClosedWait after its start, or half of the time to its deadline if
+// that is less, and tries a peer again at least every kPeerPollInterval. The
+// last wait may end up to kPeerPollInterval later.
 constexpr Millis kMaxClosedWait{4000};
 constexpr Millis kPeerPollInterval{50};
 
@@ -142,8 +143,7 @@
 CallerResponse Router::Handle(const CallerRequest& request) {
   const Instant begin = BootClock::now();
   CallerResponse response = RunAttempts(request);
-  // A request forwarded by a peer is counted by that peer, which serves the
-  // caller.
+  // For a request that a peer forwarded, that peer calls its own observer.
   if (!request.forwarded) {
     observer_.OnRequestFinished(request, response, ElapsedSince(begin));
   }
@@ -222,10 +222,12 @@
   }
 }
 
-// Forwards the request to a peer; if that does not finish it, waits for a local
-// slot. While all local backend servers of the service are closed, a peer is
-// tried again at least every kPeerPollInterval: while a worker is handed over
-// between instances, for a short time no instance has a slot on it.
+// Forwards the request to a peer. If that finishes the request, sets
+// `progress->ended_by_peer`, and the returned grant has no meaning; otherwise
+// waits for a local slot. While all local backend servers of the service are
+// closed, a peer is tried again at least every kPeerPollInterval: while a
+// worker is handed over between instances, for a short time no instance has a
+// slot on it.
 SlotGrant Router::ForwardOrWaitForSlot(const ServiceConfig& service,
                                        const CallerRequest& request,
                                        Progress* progress) {
@@ -282,8 +284,8 @@
     case ClaimOutcome::kUnknown:
       break;
   }
-  // The record may still be written and would use up the key, so it counts as
-  // claimed and is released afterwards.
+  // The record may still be written and would use up the key, so the key
+  // counts as claimed and is released afterwards.
   progress->claimed = true;
   progress->RecordRefusal(
       NotRunResponse(kStatusUnavailable,
--- a/src/libdoorwood/routing/router_test.cpp
+++ b/src/libdoorwood/routing/router_test.cpp
@@ -85,7 +85,7 @@
   std::atomic<int> count = 0;
 };
 
-// A router with service "stream" on two backend servers of two slots.
+// A router with service "stream" on two backend servers of two slots each.
 struct RouterFixture {
   RouterFixture() {
     Configuration config;
@@ -274,8 +274,9 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-// A SlotTable without a router. A test that makes requests wait runs each on
-// its own thread and polls WaitingCount until it waits, instead of sleeping.
+// A SlotTable without a router. A test that makes requests wait runs each
+// request on its own thread and polls WaitingCount, instead of sleeping, until
+// the request waits.
 struct SlotTableFixture {
   SlotTableFixture() { table.SetBackends(RouterFixture::Backends(true)); }
 
@@ -319,12 +320,12 @@
        SlotRefusal::kNoBackend));
 }
 
-BOOST_AUTO_TEST_CASE(SlotTable_ServerRemoved_SlotsStayInUseUntilReleased) {
+BOOST_AUTO_TEST_CASE(SlotTable_ServersRemoved_SlotsStayInUseUntilReleased) {
   SlotTableFixture slots;
   const auto acquired = slots.AcquireAll();
   slots.table.SetBackends({});
   BOOST_TEST(slots.table.SlotsInUse("w1") == 2);
-  // The server is listed again while earlier requests still run on it.
+  // Both servers are listed again while all their slots are still in use.
   slots.table.SetBackends(RouterFixture::Backends(true));
   BOOST_TEST(!slots.table.TryAcquire("stream", "").has_value());
   for (const BackendTarget& target : acquired) {
--- a/src/libdoorwood/routing/slot_table.cpp
+++ b/src/libdoorwood/routing/slot_table.cpp
@@ -156,8 +156,9 @@
   return in_use;
 }
 
-// The open backend server of the service with the smallest share of its slots
-// in use. Returns `avoid` only if no other one has a free slot; null: none has.
+// Returns the open backend server of the service that has a free slot and the
+// smallest share of its slots in use; null if no slot is free. Returns the
+// server `avoid` only if no other one has a free slot.
 SlotTable::Backend* SlotTable::PickBackendLocked(const std::string& service,
                                                  const std::string& avoid) {
   Backend* best = nullptr;
@@ -216,8 +217,9 @@
   }
 }
 
-// Round robin over workspaces in alphabetical order: returns the longest
-// waiting request of the first workspace after the one that was served last.
+// Round robin over the workspaces that have waiting requests, in alphabetical
+// order: returns the longest waiting request of the workspace that follows
+// `last_member`, or of the first workspace if none follows.
 std::list<SlotTable::Waiter*>::iterator SlotTable::NextWaiterLocked(
     Service* service) {
   auto after = service->waiters.end();
