--- a/src/include/doorwood/kv_budget.h
+++ b/src/include/doorwood/kv_budget.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Rate limiter in front of the key-value store: a token bucket sized by this
-/// instance's share of the store's call rate. Calls beyond the rate wait in
-/// priority order. See docs/design/kv-budget.md.
+/// Rate limiter in front of the key-value store: a token bucket whose rate is
+/// this instance's share of the store's call rate. Calls beyond the rate wait
+/// in priority order. See docs/design/kv-budget.md.
 
 #ifndef DOORWOOD_KV_BUDGET_H_
 #define DOORWOOD_KV_BUDGET_H_
