--- a/src/include/doorwood/shard_log.h
+++ b/src/include/doorwood/shard_log.h
@@ -1,9 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The log of a job shard in the key-value store. It has one writer at a time:
-/// a new owner seals the log by creating the entry at the next position, after
-/// which every append of an older owner fails. See docs/design/job-shards.md.
+/// The log of a job shard in the key-value store. The log has one writer at a
+/// time: a new owner first writes itself into the head, the key that names the
+/// shard's owner and its epoch, which every takeover increments. The new owner
+/// then seals the log by creating the entry at the next position. After that,
+/// appends of an older owner fail; ShardLog::set_lease_valid covers the one
+/// exception, a truncated log. See docs/design/job-shards.md.
 
 #ifndef DOORWOOD_SHARD_LOG_H_
 #define DOORWOOD_SHARD_LOG_H_
@@ -46,9 +49,10 @@
            Executor& executor,
            KvStore& kv);
 
-  /// Takes over the shard unless its owner is alive, and replays the log.
-  /// Fails with CoreErrc::kConflict if another instance owns the shard or takes
-  /// it over at the same time.
+  /// Takes over the shard and replays the log. Fails with CoreErrc::kConflict
+  /// if the head names another instance that is alive (its registration exists
+  /// and has the incarnation in the head), or if another instance takes the
+  /// shard over before this owner has sealed the log.
   void Open(Done done);
 
   /// Queues a record. `done` is called with success once the record is written
@@ -62,33 +66,39 @@
   void Append(LogRecord record, bool refusable, Done done);
 
   /// Releases the shard once all queued records are written. On failure the
-  /// shard stays owned and open.
+  /// shard stays owned and open. Also succeeds if the log is not open or if
+  /// another owner takes over before the release.
   void Close(Done done);
 
-  /// Checks whether the store still has this epoch; if it has a newer one, the
-  /// log is fenced. Needed after this instance's registration has lapsed: an
-  /// owner that writes nothing would otherwise not notice that it was replaced.
-  /// `done` gets an error if the store did not answer.
+  /// Reads the head; if its epoch is newer than this owner's, the log is
+  /// fenced: closed to further appends. Needed after this instance's
+  /// registration has lapsed: an owner that writes nothing would otherwise not
+  /// notice that it was replaced. `done` gets an error if the head could not be
+  /// read.
   void VerifyOwnership(Done done);
 
-  /// Called once when this owner finds that another one has taken over the
-  /// shard.
+  /// Sets the function that is called when this owner finds that another one
+  /// has taken over the shard.
   void set_on_fenced(std::function<void()> on_fenced);
 
-  /// Called for each record that this owner wrote, once it is applied to the
-  /// state, even if the append was already reported as kOutcomeUnknown.
+  /// Sets the function that is called for each record that this owner wrote,
+  /// once the record is applied to the state, even if the append was already
+  /// reported as kOutcomeUnknown.
   void set_on_applied(std::function<void(const LogRecord&)> on_applied);
 
   /// `lease_valid` returns true while this instance's registration is certain
   /// to be valid by the instance's own clock. While it returns false, a
-  /// successful append is reported only after a read of the head confirms this
-  /// owner: a newer owner may have truncated the log, and then the write
-  /// succeeds because the position does not exist any more.
+  /// successful append is reported only after a read of the head has shown that
+  /// the epoch there is still this owner's: a newer owner may have truncated
+  /// the log, and then the write succeeds because the position does not exist
+  /// any more.
   void set_lease_valid(std::function<bool()> lease_valid);
 
   uint64_t epoch() const { return epoch_; }
   const ShardState& state() const { return state_; }
-  /// True while writes fail; refusable appends are then refused at once.
+  /// True after an append failed or could not be confirmed, until one succeeds
+  /// or, if none is left to write, until the back-off ends. While true,
+  /// refusable appends are refused at once.
   bool failing() const { return failing_; }
   bool is_open() const { return open_; }
   int64_t position() const { return position_; }
@@ -100,6 +110,9 @@
     Done done;
   };
 
+  // Key of the head, which names the shard's current owner, that owner's
+  // incarnation and its epoch. After a release the owner is empty, and only the
+  // epoch is kept.
   std::string HeadKey() const;
   std::string LogKey(int64_t position) const;
   std::string LogPrefix() const;
--- a/src/include/doorwood/shard_owner.h
+++ b/src/include/doorwood/shard_owner.h
@@ -2,8 +2,11 @@
 
 /// \file
 /// Owner of one job shard: accepts jobs, decides which task runs and as which
-/// attempt. After holders or workers fail, a census asks all instances for the
-/// state of the attempts that they hold. See docs/design/job-shards.md.
+/// attempt. A holder is an instance that holds control leases of workers. A
+/// census asks all instances that may be holders for the state of the attempts
+/// on their workers: after a takeover of the shard, after a change of the
+/// holders, after a lost answer and at intervals. See
+/// docs/design/job-shards.md.
 
 #ifndef DOORWOOD_SHARD_OWNER_H_
 #define DOORWOOD_SHARD_OWNER_H_
@@ -38,8 +41,9 @@
   Millis unplaceable_retry{10000};
   /// Delay after n failures: 2^min(n, 6) times this, plus a random 0 to 50 %.
   Millis failure_backoff{200};
-  /// Delay before the next round of an incomplete census, and of a census after
-  /// a change of the holders.
+  /// Delay before the next round of an incomplete census, and before a census
+  /// that a change of the holders causes. An incomplete census has left the
+  /// state of at least one attempt unknown.
   Millis census_retry{500};
   /// Delay from a complete census to the next one while tasks are open.
   Millis census_interval{60000};
@@ -64,7 +68,8 @@
  public:
   virtual ~OwnerEnvironment() = default;
 
-  /// Instances of the data centre whose heartbeats are received, and this one.
+  /// Instances of the data centre whose heartbeats are received, and this one;
+  /// without those that are shutting down.
   virtual std::vector<HolderView> Holders() const = 0;
   /// Every instance of the data centre that may be running: its heartbeats are
   /// received, or it is still in the platform's list.
@@ -130,7 +135,7 @@
   /// See ShardLog::VerifyOwnership.
   void VerifyOwnership(Done done) { log_->VerifyOwnership(std::move(done)); }
   /// Ends placement, censuses and the logging of reported ends at once, without
-  /// releasing the shard, as when this owner is fenced.
+  /// releasing the shard; for example, when this owner was fenced.
   void StopImmediately();
   void set_on_fenced(std::function<void()> on_fenced);
   void set_lease_valid(std::function<bool()> lease_valid);
@@ -207,6 +212,8 @@
   // State of one census round.
   struct CensusRound {
     Instant started;
+    // Instances that answered refuse later placements of this shard's attempts
+    // below it.
     AttemptId floor;
     size_t outstanding = 0;
     // False once a call to an instance that may be running has failed.
@@ -214,8 +221,8 @@
     std::map<AttemptId, HolderAttemptReport> reports;
     // Workers held by the instances that answered.
     std::set<std::string> held;
-    // By worker: latest time at which a former holder can have renewed its
-    // lease.
+    // By worker that an instance no longer holds: latest time at which such an
+    // instance can have renewed the worker's lease.
     std::map<std::string, Instant> last_renewal;
     // Latest process start of an instance that answered. An earlier incarnation
     // of that instance can have renewed leases until then.
--- a/src/include/doorwood/shard_state.h
+++ b/src/include/doorwood/shard_state.h
@@ -113,7 +113,7 @@
   const std::map<std::string, JobState>& jobs() const { return jobs_; }
   const JobState* FindJob(const std::string& id) const;
   const TaskState* FindTask(const TaskId& task) const;
-  /// The request that claimed `key`; empty if none did.
+  /// The request whose claim of `key` is kept; empty if there is none.
   std::string ClaimedBy(const std::string& key) const;
 
   Json ToSnapshot() const;
@@ -127,8 +127,8 @@
   void RecordFinishedJob(const std::string& job);
 
   std::map<std::string, JobState> jobs_;
-  // Ids of the finished jobs, oldest first. Above kFinishedJobsKept, the oldest
-  // job is removed from the state.
+  // Ids of the finished jobs in the order in which they finished. Above
+  // kFinishedJobsKept, the first of them is removed from the state.
   std::deque<std::string> finished_;
   // By idempotency key: the request that claimed it.
   std::map<std::string, std::string> claims_;
--- a/src/libdoorwood/owner/shard_census.cpp
+++ b/src/libdoorwood/owner/shard_census.cpp
@@ -170,10 +170,9 @@
   const TaskState& state = *log_->state().FindTask(task.id);
   const bool may_have_run = state.intent || task.attempt.counter != 0;
   if (!may_have_run) {
-    Requeue(
-        task, Millis(0),
-        "queued again; no instance reported a running attempt of the task, or "
-        "one whose end is not logged yet");
+    Requeue(task, Millis(0),
+            "queued again; no instance reported an attempt of the task that "
+            "runs or whose end is not logged yet");
     return true;
   }
   ++counters_.resolved_lost;
@@ -239,9 +238,9 @@
   if (!round.all_reached || !environment_.IsViewComplete()) {
     return false;
   }
-  // No instance holds the worker. The worker ends its tasks by its own clock
-  // once the task lease has expired after the latest renewal that any instance
-  // can have sent.
+  // All instances answered and none holds the worker. The worker ends its tasks
+  // by its own clock once the task lease has expired after the latest renewal
+  // that any instance can have sent.
   Instant last = std::max(environment_.LastDeparture(), round.last_start);
   const auto renewal = round.last_renewal.find(worker);
   if (renewal != round.last_renewal.end()) {
--- a/src/libdoorwood/owner/shard_log.cpp
+++ b/src/libdoorwood/owner/shard_log.cpp
@@ -151,7 +151,7 @@
 }
 
 // The position of the batch is already written: either an earlier write of this
-// batch took effect and its answer was lost, or another owner has sealed the
+// batch took effect without being confirmed, or another owner has sealed the
 // log.
 void ShardLog::OnPositionTaken() {
   batch_in_flight_ = true;
@@ -350,9 +350,9 @@
   });
 }
 
-// Removes the log entry at `position` and the `snapshot_after` entries before
-// it. `position` is that of the snapshot before the newest one, which covers
-// them all.
+// Removes the log entry at `position`, the position of the snapshot before the
+// newest one, and the `snapshot_after` entries before it. The newest snapshot
+// covers all of them.
 void ShardLog::TruncateUpTo(int64_t position) {
   for (int64_t old = position; old > 0; --old) {
     if (position - old > options_.snapshot_after) {
@@ -414,10 +414,10 @@
   });
 }
 
-// If the release is not confirmed, the log stays open: while the head names
+// If the release is not confirmed, the log is open again: while the head names
 // this owner and its registration is valid, no other instance takes the shard
 // over. If the release was written after all, the seal of the next owner fences
-// this.
+// this log.
 void ShardLog::FinishClose(std::error_code error) {
   open_ = static_cast<bool>(error);
   const Done done = std::move(on_closed_);
--- a/src/libdoorwood/owner/shard_log_entries.h
+++ b/src/libdoorwood/owner/shard_log_entries.h
@@ -20,8 +20,10 @@
   return std::stoll(entry.key.substr(entry.key.rfind('/') + 1));
 }
 
-// Returns the epoch of a log entry or of the head; 0 if the value is no JSON
-// object or has none.
+// Returns the epoch of a log entry or of the head; 0 if the value is not valid
+// JSON or is an object without an epoch. Throws nlohmann::json::exception if
+// the value is JSON but not an object, or if its epoch cannot be read as a
+// number.
 inline uint64_t EpochOf(const KvEntry& entry) {
   const auto json = ParseJson(entry.value);
   return json ? json->value("epoch", uint64_t{0}) : 0;
--- a/src/libdoorwood/owner/shard_log_test.cpp
+++ b/src/libdoorwood/owner/shard_log_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Tests of a shard's log under every fault of the store: there is one writer,
-// no record that was reported as written is lost, and an owner that was
-// replaced writes nothing.
+// no record that was reported as written is lost, and to an owner that was
+// replaced no record is reported as written.
 
 #include "doorwood/shard_log.h"
 
@@ -174,7 +174,7 @@
   BOOST_TEST(*reported == make_error_code(CoreErrc::kStoreUnavailable));
 }
 
-// Injects every fault of the store at every step of a takeover.
+// Injects every fault of the store after each of the first steps of a takeover.
 BOOST_AUTO_TEST_CASE(Takeover_StoreFault_LaterOneSucceedsAndLosesNothing) {
   for (const Fault fault : {Fault::kRefused, Fault::kAnswerLost,
                             Fault::kRequestLost, Fault::kDelayed}) {
@@ -206,9 +206,9 @@
   }
 }
 
-// Guards against two owners: a candidate is paused at each step of its
-// takeover while another one takes over the shard. After the pause the first
-// candidate must not seal the log of the second.
+// Guards against two owners: a candidate is paused after each of the first
+// steps of its takeover while another one takes over the shard. After the pause
+// the first candidate must not seal the log of the second.
 BOOST_AUTO_TEST_CASE(Takeover_CandidatePaused_DoesNotFenceNewerOwner) {
   for (int steps = 0; steps < 24; ++steps) {
     BOOST_TEST_CONTEXT("after " << steps << " steps") {
--- a/src/libdoorwood/owner/shard_owner.cpp
+++ b/src/libdoorwood/owner/shard_owner.cpp
@@ -233,7 +233,7 @@
       });
 }
 
-// --- Ends ---
+// --- Ends of attempts ---
 
 void ShardOwner::LogEnd(Task& task,
                         const AttemptId& attempt,
@@ -303,16 +303,18 @@
     if (logging || !active_) {
       continue;
     }
-    // Right after a takeover the newest attempt is not known, and this may be
-    // an older one of which a holder still has a record. The report is ignored
-    // until a census has determined the newest attempt; the holder repeats it.
+    // Right after a takeover the newest attempt is not known, and the reported
+    // one may be an older one of which a holder still has a record. The report
+    // is ignored until a census has determined the newest attempt; the holder
+    // repeats the report.
     const bool newest_unknown =
         task->stage == Stage::kUnresolved && task->attempt.counter == 0;
     if (newest_unknown) {
       continue;
     }
     if (ended.attempt < task->attempt) {
-      // A newer attempt is started only after this one is known to have ended.
+      // A newer attempt is started only after the reported one is known to have
+      // ended.
       progress->reply.logged.push_back(ended.attempt);
       continue;
     }
--- a/src/libdoorwood/owner/shard_takeover.cpp
+++ b/src/libdoorwood/owner/shard_takeover.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Takeover of a shard's log: claim the head, seal the log, replay the entries.
+// Takeover of a shard's log: write this owner into the head, seal the log,
+// replay the entries.
 
 #include <algorithm>
 
@@ -144,8 +145,8 @@
     const bool retry_seal =
         error == KvErrc::kConflict || error == KvErrc::kUnknown;
     if (retry_seal) {
-      // Either another instance wrote this position first, or the answer was
-      // lost. A second seal of the same epoch is harmless.
+      // Either the position was already written, or it is not known whether
+      // this write took effect. A second seal of the same epoch is harmless.
       if (++self->takeover_retries_ > kMaxTakeoverRetries) {
         done(CoreErrc::kOutcomeUnknown);
         return;
@@ -199,7 +200,8 @@
     return;
   }
   // Either the old owner truncated the log between the reads of the snapshot
-  // and of the entries, or a newer owner has changed the log since this seal.
+  // and of the entries, or a newer owner has changed the log since this owner
+  // sealed it.
   if (++takeover_retries_ > kMaxTakeoverRetries) {
     done(CoreErrc::kStoreUnavailable);
     return;
@@ -208,7 +210,7 @@
 }
 
 // Applies the entries after the snapshot. Returns false if they have a gap or
-// if the last one is not this owner's seal.
+// if the last one is not at the position of this owner's seal.
 bool ShardLog::ApplyEntries(const std::vector<KvEntry>& entries) {
   int64_t next = snapshot_position_ + 1;
   for (const KvEntry& entry : entries) {
