--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -68,8 +68,9 @@
 /// leads, the instance reads the records of earlier leaders.
 ///
 /// Runs that earlier leaders ordered may still be active on workers that this
-/// leader has not yet contacted. A task that may be among them is held back
-/// until those workers have answered or their leases have expired for certain.
+/// leader has not yet contacted. A task that may have such a run is held back
+/// until each of those workers has listed all its ended runs, or all leases on
+/// it have certainly expired.
 ///
 /// Tasks are started, and leases are extended, only for a bounded time after
 /// the lead key was last confirmed; longer only while every other instance
@@ -128,10 +129,10 @@
   int64_t epoch() const { return epoch_; }
   const std::string& cell() const { return options_.cell; }
 
-  /// Accepts a job. Errors: those of `CellJournal::AcceptCallback`; and
-  /// CoreErrc::kNoCapacity if all workers of the queue's service are in closed
-  /// data centres, or the service lacks capacity for the plan's long-running
-  /// tasks.
+  /// Accepts a job. Errors: those of `CellJournal::AcceptCallback`; and, for a
+  /// job that is neither known nor being recorded, CoreErrc::kNoCapacity if all
+  /// workers of the queue's service are in closed data centres, or the service
+  /// lacks capacity for the plan's long-running tasks.
   void Submit(JobPlan plan, SubmitCallback done);
   /// Cancels a job and stops its runs. `done` runs without an error once the
   /// job's outcome is recorded, also if the job had ended before.
@@ -294,7 +295,8 @@
   Millis AgeOfRecord(int64_t revision) const;
   void StepDown(std::string_view reason);
   /// Whether a planned shutdown is in its last phase, in which no task is
-  /// placed and no new job or cancellation is accepted.
+  /// placed and no cancellation is accepted. New jobs are refused from the next
+  /// check of the shutdown on, which seals the journal.
   bool IsInLastShutdownPhase() const;
   /// Removes this instance's lead key. Once the store has answered, or the call
   /// has failed, completes a planned shutdown if one is under way.
@@ -315,7 +317,8 @@
   /// entry is passed to the worker's session in either case.
   void ApplyDirectoryEntry(const WorkerIncarnation& incarnation,
                            CellWorker* cell_worker);
-  /// Whether a worker that is not known yet may be added to the cell.
+  /// Whether a worker that is not known yet may be added to the cell. Records
+  /// its entry as rejected if no queue names the worker's service.
   bool MayAddWorker(const WorkerIncarnation& incarnation);
   bool IsServiceOfAnyQueue(const std::string& service) const;
   /// Removes the workers that the directory no longer lists from
@@ -356,11 +359,12 @@
   /// Empty optional: any task may run there or be started there.
   std::optional<std::vector<std::string>> TasksToRecord(
       const CellWorker& cell_worker) const;
-  /// Whether the worker gets no new work because it is dead, is leaving, has
-  /// had no directory entry for `CellOptions::unlisted_grace`, has not answered
-  /// this leader, or is long unresponsive. An unlisted worker whose record in
-  /// the store may have a task list stays closed until it is listed again. Must
-  /// not be called for workers for which `IsUncontacted` is true.
+  /// Whether the worker gets no new work because it is dead, is listed as
+  /// leaving, has had no directory entry for `CellOptions::unlisted_grace`, has
+  /// not answered this leader, or is long unresponsive. An unlisted worker
+  /// whose record in the store may have a task list stays closed until it is
+  /// listed again. Must not be called for workers for which `IsUncontacted` is
+  /// true.
   bool IsClosedToNewWork(const CellWorker& cell_worker) const;
   /// Whether the worker was closed to new work or opened again, or its task
   /// list changed while it was closed, since its record was last passed to the
@@ -371,8 +375,9 @@
   /// `next_tasks_record_`, or while the lead is not confirmed.
   void RecordTasksOfClosedWorkers();
   /// Time until which starts may be ordered and leases extended; zero while
-  /// this process does not lead, or was paused and its lead is not confirmed
-  /// again. Stops, paces and polls that extend no lease are not limited.
+  /// this process does not lead, or was paused and its lead is not yet
+  /// confirmed again. Stops, paces and polls that extend no lease are not
+  /// limited.
   Instant OrderDeadline() const;
   /// Extends `order_deadline_` to the later of two times: `order_grace` after
   /// the lead key was last confirmed, and the time that
@@ -398,8 +403,9 @@
   /// Answers callers whose cancellation was not recorded in time with
   /// kOutcomeUnknown.
   void ExpireCancels();
-  /// Whether the long-running steps of the plan fit on the workers of its
-  /// service; true if this is not known.
+  /// Whether `LongRunningAdmission` allows the plan's long-running steps; true
+  /// if there are none, or the queue or the workers are not known. Logs a
+  /// refusal.
   bool HasLongRunningCapacity(const JobPlan& plan);
   CellSummary Summarize() const;
   LongRunningAdmission& LongRunningAdmissionOf(const std::string& service);
@@ -416,8 +422,9 @@
   /// Longest time that a run may continue after its leader lost the lead: that
   /// leader may still extend leases for `CellOptions::order_grace`.
   Millis MaxRunTimeAfterLeadLoss() const;
-  /// Whether a worker of an earlier leader is contacted and not dead, but has
-  /// not yet listed the ends of all its runs.
+  /// Whether the worker was added from an earlier leader's record, has answered
+  /// this leader and is not dead, but has not yet listed all its ended runs.
+  /// False once the takeover is over.
   bool HasUnlistedEnds(const CellWorker& cell_worker) const;
   /// How much longer the takeover waits for the worker if it does not respond
   /// meanwhile; zero: the worker is accounted for.
@@ -479,15 +486,15 @@
 
   // cell_crashes.cpp: worker crashes, and the crash notes of tasks.
   static std::string MachineOf(const WorkerIncarnation& incarnation);
-  /// Evidence that the worker crashed. Empty: there is none, or its machine may
-  /// be down for upkeep.
+  /// Evidence that the worker crashed or disappeared. Empty: there is none, or
+  /// its machine may be down for upkeep.
   std::optional<CrashEvidence> DetectCrash(const WorkerSession& session) const;
   /// Runs of open jobs that may have begun on the worker: those that it has
   /// confirmed and, if the session is dead, also those whose start order was
   /// sent.
   std::vector<const Run*> RunsAtCrash(const WorkerSession& session);
   /// Crash notes for the tasks whose runs on the worker are suspects or
-  /// bystanders of the crash (see `CrashRole`).
+  /// bystanders of the crash or possible crash (see `CrashRole`).
   std::vector<TaskCrashNote> AttributeCrash(const WorkerSession& session,
                                             CrashEvidence evidence);
   /// Removes the unconfirmed crash notes of the runs on the worker.
@@ -501,13 +508,13 @@
   /// `IsUncontacted` is therefore false. If the worker is from the takeover and
   /// never answered this leader, notes a crash for the tasks that may have run
   /// there and have no note of that worker yet; for none if there are more such
-  /// tasks than workers.
-  void NoteCrashOfUncontactedWorker(const std::string& worker,
-                                    const CellWorker& cell_worker);
+  /// tasks than workers in the cell.
+  void NoteCrashBeforeContact(const std::string& worker,
+                              const CellWorker& cell_worker);
   /// Tasks that are not released yet (see `ReleaseTasks`) and may have run on a
   /// worker that ended without having answered this leader. Unaccounted workers
   /// (see `UnaccountedWorkers`), in contrast, are not proven to have ended.
-  std::vector<Task*> FindTasksOnUncontactedWorker(
+  std::vector<Task*> FindTasksOnWorkerEndedBeforeContact(
       const std::string& worker,
       const CellWorker& cell_worker);
   /// Passes the crash to the mass crash detector. Returns whether the crash
@@ -527,11 +534,11 @@
   double Jitter();
   // cell_suspects.cpp: trial runs of tasks that may crash their workers.
   static bool IsSuspect(const Task& task);
-  /// Whether the worker has runs that have not yet been observed running for
-  /// long enough.
+  /// Whether the worker has runs that have been observed running for less than
+  /// `CrashOptions::unsuspected_after`.
   bool HasNewRuns(const WorkerSession& session) const;
   static int CrashCost(const WorkerSession& session);
-  int CountWorkersOfService(std::string_view service) const;
+  int CountListedWorkersOfService(std::string_view service) const;
   int ChooseTrialWorker(const Task& task,
                         const StepCandidates& places,
                         const std::vector<CandidateWorker*>& candidates) const;
@@ -566,14 +573,17 @@
                                std::vector<CandidateWorker>* candidates);
   void BeginTrial(const Task& task,
                   const std::shared_ptr<WorkerSession>& session);
-  /// Polls the worker once its newest runs should have been active for
-  /// `active_for`.
+  /// Schedules a poll of the worker for shortly after `active_for` from now,
+  /// when its current runs should have been active for at least that long.
   void ScheduleTrialPoll(const std::shared_ptr<WorkerSession>& session,
                          Millis active_for);
-  /// Ends reservations whose trial did not start in time, and trials whose task
-  /// is done, job has ended, or worker or run is gone. Marks the trials of
-  /// suspects that were observed running for long enough as passed; later
-  /// clears the crash notes of these suspects and ends their trials.
+  /// Ends reservations whose trial did not start within
+  /// `CrashOptions::reservation_timeout`, and reservations and trials whose
+  /// task is done, job has ended, or worker or run is gone. Marks a trial as
+  /// passed once its suspect was observed running for
+  /// `CrashTrials::Trial::duration`. Clears the suspect's crash notes and ends
+  /// the trial once the suspect was observed running for
+  /// `CrashOptions::unrelated_after`.
   void UpdateTrials();
   void ClearCrashes(Task* task);
   void OnCrashesRecorded(Job* job);
@@ -598,20 +608,24 @@
   /// Whether, as far as this leader can know, the store has the placement of
   /// every long-running task.
   bool ArePlacementsRecorded() const;
-  /// Lets instances that registered recently rely on the recorded placements.
+  /// Requests a record of a higher `placements_valid_to_` if the lead is
+  /// confirmed, all placements are recorded and an instance has registered
+  /// since the last one, so that the instance may rely on the recorded
+  /// placements.
   void PublishRecordedPlacements();
 
   // cell_overdue.cpp: runs that take far longer than expected.
   void LogOverdueRuns();
   /// Writes at most `*lines` log lines and subtracts their number.
   void LogOverdueRunsOf(WorkerSession& session, int* lines);
-  /// Whether the run is not long-running, takes far longer than `*expected`,
-  /// and was not logged recently. Sets `*expected` if it returns true.
+  /// Whether the run is not long-running, is overdue (see `kOverdueFactor`),
+  /// and was not logged as overdue within `kLogInterval`. Sets `*expected` to
+  /// the run's expected run time if it returns true.
   bool ShouldLogAsOverdue(const Run& run, Millis* expected) const;
 
-  // cell_scheduling.cpp: starting and moving tasks; cell_places.cpp: free
-  // capacity of workers and evaluation of placements; cell_pacing.cpp:
-  // throttling of best-effort work.
+  // cell_scheduling.cpp: starting tasks; cell_places.cpp: free capacity of
+  // workers and evaluation of placements; cell_pacing.cpp: throttling and
+  // moving of best-effort runs.
   void RequestSchedulingPass();
   void RunSchedulingPass();
   std::vector<ReadyStep> CollectReadySteps();
@@ -650,8 +664,9 @@
                              const std::vector<CandidateWorker*>& candidates,
                              uint64_t pass,
                              StepCandidates* places) const;
-  /// Counts a step that found no placement. Returns whether to log it now.
-  bool ShouldLogWaitingStep(const ReadyStep& ready);
+  /// Counts a step that found no placement, and updates when its next log line
+  /// is due. Returns whether to log it now.
+  bool NoteWaitingStep(const ReadyStep& ready);
   void LogWaitingStep(const Task& task,
                       const StepRank& rank,
                       const ProblemCounts& problems);
@@ -667,9 +682,10 @@
   /// After a report of the worker: updates the interference model, sets the
   /// paces of best-effort runs, and calls `MoveStuckBestEffortRuns`.
   void UpdatePaces(WorkerSession& session);
-  /// Stops best-effort runs with checkpoints, except long-running ones, that
-  /// have a low pace and were throttled for long, so that their tasks continue
-  /// on other workers.
+  /// Stops best-effort runs with checkpoints, except long-running ones, whose
+  /// wanted pace is at most `kStuckPace` and that have been throttled for
+  /// longer than `kStuckDuration`, so that their tasks continue on other
+  /// workers.
   void MoveStuckBestEffortRuns(WorkerSession& session);
   /// Utilization of each serving task on the worker, including the interference
   /// to be expected of best-effort work beyond that in the newest report.
@@ -680,8 +696,8 @@
   /// Moves long-running tasks off a worker that announced that it will leave,
   /// and tasks with checkpoints that would not finish there.
   void EvacuateDraining(const std::string& id, const CellWorker& cell_worker);
-  /// Moves long-running tasks and tasks with checkpoints off a worker that is
-  /// no longer listed but still responds.
+  /// Moves long-running tasks and tasks with checkpoints off a worker that has
+  /// had no directory entry for `CellOptions::unlisted_grace` but responds.
   void EvacuateUnlisted(const std::string& id, const CellWorker& cell_worker);
   void StopRunsToMove(const std::string& id,
                       const std::shared_ptr<WorkerSession>& session,
@@ -703,8 +719,8 @@
 
   Stage stage_ = Stage::kStandby;
   /// Increases with each campaign, each read of the records, each begin and end
-  /// of a term as leader, and a shutdown. Answers to calls of an earlier
-  /// generation are dropped.
+  /// of a term as leader, and a shutdown. The results of campaigns and reads of
+  /// an earlier generation are dropped.
   uint64_t generation_ = 0;
   int64_t epoch_ = 0;
   /// Written with the lead key, to recognize a win whose answer was lost. Drawn
@@ -795,8 +811,9 @@
   TicketBook tickets_;
   UpkeepWaveController upkeep_waves_;
   std::map<std::string, CellWorker> cell_workers_;
-  /// Removed workers whose incarnation is proven to have ended, with their
-  /// addresses. Kept until the next directory read that does not list them.
+  /// Removed workers in whose place another incarnation has answered, with
+  /// their addresses. Kept until the next directory read that does not list
+  /// them.
   std::map<std::string, std::string> listed_dead_workers_;
   RejectedEntryLog rejected_entries_{log_, "cell"};
   /// Pending cancellations, by job.
--- a/src/libdoorwood/cell/cell_campaign.cpp
+++ b/src/libdoorwood/cell/cell_campaign.cpp
@@ -12,8 +12,9 @@
 namespace {
 
 // After a takeover, new run numbers exceed the task's recorded run number by
-// more than this, so that they differ from the numbers of runs that an earlier
-// leader started but did not record.
+// more than this, so that they differ from the numbers of up to this many runs
+// that the leader of that record started afterwards without recording them. A
+// later leader that read the same record may have used the same numbers.
 constexpr uint32_t kRunNumberGap = 16;
 
 }  // namespace
--- a/src/libdoorwood/cell/cell_crashes.cpp
+++ b/src/libdoorwood/cell/cell_crashes.cpp
@@ -11,7 +11,7 @@
 namespace doorwood {
 namespace {
 
-// A worker that disappears before this much time has passed since
+// A worker that restarts or disappears before this much time has passed since
 // `CellWorker::evacuated_until` is assumed to be down for its machine's
 // upkeep, not crashed.
 constexpr Millis kUpkeepStartWindow{10'000};
@@ -166,11 +166,11 @@
   }
   for (const std::string& worker : dead) {
     ConfirmCrashes(worker);
-    NoteCrashOfUncontactedWorker(worker, cell_workers_.at(worker));
+    NoteCrashBeforeContact(worker, cell_workers_.at(worker));
   }
 }
 
-std::vector<Task*> CellLeader::FindTasksOnUncontactedWorker(
+std::vector<Task*> CellLeader::FindTasksOnWorkerEndedBeforeContact(
     const std::string& worker,
     const CellWorker& cell_worker) {
   std::vector<Task*> tasks;
@@ -197,13 +197,14 @@
 // notes make the task a suspect. A task gets at most one such note per
 // takeover, because the note refers to the task's newest run, and a task has
 // one note per run.
-void CellLeader::NoteCrashOfUncontactedWorker(const std::string& worker,
-                                              const CellWorker& cell_worker) {
+void CellLeader::NoteCrashBeforeContact(const std::string& worker,
+                                        const CellWorker& cell_worker) {
   if (!cell_worker.from_takeover || cell_worker.session->fenced()) {
     return;
   }
   std::vector<TaskCrashNote> notes;
-  for (const Task* task : FindTasksOnUncontactedWorker(worker, cell_worker)) {
+  for (const Task* task :
+       FindTasksOnWorkerEndedBeforeContact(worker, cell_worker)) {
     const bool known = std::any_of(
         task->crashes.begin(), task->crashes.end(),
         [&](const CrashNote& crash) { return crash.worker == worker; });
@@ -218,8 +219,8 @@
   log_.Write(
       "warn", "cell", "a worker ended before this leader had contacted it",
       {{"worker", worker}, {"may_have_run", notes.size()}, {"epoch", epoch_}});
-  // If there are more tasks than workers, notes none of them: not all could get
-  // a trial run soon if they became suspects.
+  // If there are more such tasks than workers in the cell, notes none of them:
+  // not all could get a trial run soon if they became suspects.
   if (notes.size() > cell_workers_.size()) {
     return;
   }
@@ -295,7 +296,7 @@
       suspects.push_back(name);
     }
   }
-  log_.Write("warn", "cell", "a worker crashed",
+  log_.Write("warn", "cell", "a worker with runs crashed or disappeared",
              {{"worker", session.incarnation().id},
               {"machine", session.incarnation().machine},
               {"other_life", session.dead()},
--- a/src/libdoorwood/cell/cell_evacuation.cpp
+++ b/src/libdoorwood/cell/cell_evacuation.cpp
@@ -51,7 +51,7 @@
 // continue to run for an unknown time. Work that can continue elsewhere is
 // therefore moved once the entry has been missing for `unlisted_grace`. A
 // worker that was partitioned from the leader is listed again only some time
-// after it answers again, so the time in which it did not answer is excluded.
+// after it answers again, so the time before it answered again does not count.
 void CellLeader::EvacuateUnlisted(const std::string& id,
                                   const CellWorker& cell_worker) {
   const Instant since = std::max(cell_worker.unlisted_since,
@@ -69,7 +69,6 @@
       to_move.push_back(task);
     }
   }
-  // The worker's directory entry is missing.
   StopRunsToMove(id, cell_worker.session, to_move,
                  "the worker is no longer listed");
 }
--- a/src/libdoorwood/cell/cell_leader.cpp
+++ b/src/libdoorwood/cell/cell_leader.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // If the time between two ticks exceeds the tick interval by more than this,
-// the process was paused.
+// the process is taken to have been paused.
 constexpr Millis kPauseThreshold{700};
 // Interval at which a leader that shuts down checks whether everything is
 // recorded.
@@ -309,8 +309,8 @@
       !IsLeadConfirmed()) {
     unconfirmed_after_pause_ = true;
     log_.Write("warn", "cell",
-               "this process was paused; starting no tasks and extending no "
-               "leases until the lead is confirmed",
+               "this process was paused or delayed; starting no tasks and "
+               "extending no leases until the lead is confirmed",
                {{"cell", options_.cell}});
   }
   if (IsLeadConfirmed()) {
--- a/src/libdoorwood/cell/cell_places.cpp
+++ b/src/libdoorwood/cell/cell_places.cpp
@@ -132,7 +132,7 @@
   }
 }
 
-bool CellLeader::ShouldLogWaitingStep(const ReadyStep& ready) {
+bool CellLeader::NoteWaitingStep(const ReadyStep& ready) {
   ++waiting_steps_;
   const Instant now = executor_.Now();
   StepState& step = ready.job->repetitions[ready.repetition].steps[ready.step];
--- a/src/libdoorwood/cell/cell_scheduling.cpp
+++ b/src/libdoorwood/cell/cell_scheduling.cpp
@@ -229,7 +229,7 @@
       if (!advised) {
         failed_placements_.Add(plan, queue->service, pass_);
       }
-      if (ShouldLogWaitingStep(ready)) {
+      if (NoteWaitingStep(ready)) {
         // Unchanged workers have not been evaluated in this pass, but the log
         // line counts the problems of all workers.
         EvaluateChangedPlaces(ready, need, usable_candidates, /*pass=*/0,
@@ -242,7 +242,7 @@
     const std::string ticket =
         advised ? tickets_.Find(step, std::string(candidate->id)) : "";
     if (advised && ticket.empty()) {
-      // The ticket expired while the worker was reserved.
+      // The ticket for the reserved worker has expired.
       trials_.End(task.name());
       continue;
     }
@@ -313,7 +313,7 @@
   for (Task& task : tasks) {
     const int place = places.Best(task.avoided_worker);
     if (place == kNoWorker) {
-      if (ShouldLogWaitingStep(ready)) {
+      if (NoteWaitingStep(ready)) {
         LogWaitingStep(task, ready.rank, places.CountProblems());
       }
       return;
@@ -354,7 +354,8 @@
   const bool likely = std::any_of(
       gang->begin(), gang->end(),
       [](const Task& task) { return IsLikelyCulprit(task.crashes); });
-  if (!trials_.HasFreeSlot(service, CountWorkersOfService(service), likely)) {
+  if (!trials_.HasFreeSlot(service, CountListedWorkersOfService(service),
+                           likely)) {
     return false;
   }
   for (CandidateWorker& candidate : *candidates) {
--- a/src/libdoorwood/cell/cell_suspects.cpp
+++ b/src/libdoorwood/cell/cell_suspects.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Trial runs of suspects, that is of tasks that may have crashed a worker: each
-// one is started on a worker on which no other run is new, so that another
-// crash shows whether the suspect caused it.
+// one is started on a worker on which no other run is new, except runs of its
+// gang, so that another crash shows whether the suspect caused it.
 
 #include <algorithm>
 #include <limits>
@@ -17,7 +17,7 @@
 // losing the worker on which a suspect is tried.
 constexpr int kLongRunningWeight = 10;
 // The additional poll of a trial is sent this long after the time for which a
-// run has to be active, so that the answer shows it active for long enough.
+// run has to be active, so that the answer shows it active for that time.
 constexpr Millis kTrialCheckDelay{30};
 // From this many noted crashes on, a trial run is recorded before it begins, in
 // case the leader fails together with the worker.
@@ -48,7 +48,7 @@
   return cost;
 }
 
-int CellLeader::CountWorkersOfService(std::string_view service) const {
+int CellLeader::CountListedWorkersOfService(std::string_view service) const {
   return static_cast<int>(std::count_if(
       cell_workers_.begin(), cell_workers_.end(), [&](const auto& entry) {
         return entry.second.listed &&
@@ -56,10 +56,10 @@
       }));
 }
 
-// Returns the index of the suitable worker with the lowest cost of a crash, or
-// kNoWorker if none is suitable. Workers with new runs, and even more so
-// machines that the task's crash notes name, are chosen only if there is no
-// other.
+// Returns the index of the suitable worker with the lowest cost, or kNoWorker
+// if none is suitable. The cost is that of a crash; a worker with new runs
+// costs kNewRunsCost more, and one on a machine that the task's crash notes
+// name kCrashedThereCost more, far above the usual cost of a crash.
 int CellLeader::ChooseTrialWorker(
     const Task& task,
     const StepCandidates& places,
@@ -126,7 +126,8 @@
   const std::string service(need.service);
   if (trials_.Find(name) == nullptr) {
     const bool likely = IsLikelyCulprit(task->crashes);
-    if (!trials_.HasFreeSlot(service, CountWorkersOfService(service), likely)) {
+    if (!trials_.HasFreeSlot(service, CountListedWorkersOfService(service),
+                             likely)) {
       return std::nullopt;
     }
     const int chosen = ChooseTrialWorker(*task, *places, candidates);
@@ -210,7 +211,7 @@
 }
 
 // The worker may delay its answer to a regular poll until long after its newest
-// runs have been active for long enough, so an additional poll is sent.
+// runs have been active for `active_for`, so an additional poll is sent.
 void CellLeader::ScheduleTrialPoll(
     const std::shared_ptr<WorkerSession>& session,
     Millis active_for) {
--- a/src/libdoorwood/cell/cell_takeover.cpp
+++ b/src/libdoorwood/cell/cell_takeover.cpp
@@ -63,6 +63,8 @@
 // any worker that is still waited for. For a worker that was closed to new
 // work, the record lists the tasks for which this is possible, unless the lists
 // were too long to record; on any other worker it is possible for every task.
+// If the recorded placements were valid at the takeover, a long-running task is
+// held back only for the worker that its placement names.
 void CellLeader::ReleaseTasks() {
   UnaccountedWorkers unaccounted = FindUnaccountedWorkers();
   size_t freed = 0;
