--- a/src/libdoorwood/cell/cell_campaign_test.cpp
+++ b/src/libdoorwood/cell/cell_campaign_test.cpp
@@ -46,7 +46,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(Lead_StoreLosesAllKeys_AStrongInstanceTakesIt) {
+BOOST_AUTO_TEST_CASE(Lead_StoreDropsAllLeaseKeys_AStrongInstanceTakesIt) {
   for (int seed = 1; seed <= LargeSiteFixture::kSeeds; ++seed) {
     LargeSiteFixture fixture(seed);
     for (auto& [name, instance] : fixture.world.instances()) {
--- a/src/libdoorwood/cell/cell_crashing_task_test.cpp
+++ b/src/libdoorwood/cell/cell_crashing_task_test.cpp
@@ -212,7 +212,8 @@
 
 // Guards against failing the job of tasks whose workers crashed twice, each
 // time together with many others, such as all those of a data centre.
-BOOST_AUTO_TEST_CASE(LongRunningTasks_HalfTheWorkersCrashTwice_RunAgainSoon) {
+BOOST_AUTO_TEST_CASE(
+    LongRunningTasks_HalfTheWorkersCrashTwice_AllRunWithin10s) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     for (const int gap : {200, 700, 3000}) {
       BOOST_TEST_CONTEXT("seed " << seed << ", gap " << gap) {
@@ -232,7 +233,8 @@
 
 // Guards against delaying tasks whose workers crashed twice together with half
 // of the workers and the leader.
-BOOST_AUTO_TEST_CASE(LongRunningTasks_WorkersAndLeaderCrashTwice_RunAgainSoon) {
+BOOST_AUTO_TEST_CASE(
+    LongRunningTasks_WorkersAndLeaderCrashTwice_AllRunWithin6s) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       CrashFixture fixture(seed, /*workers=*/16);
@@ -392,7 +394,7 @@
 
 // Guards against suspecting healthy tasks because leaders fail together with
 // workers.
-BOOST_AUTO_TEST_CASE(HealthyTasks_LeadersFailWithWorkers_AllCompleteSoon) {
+BOOST_AUTO_TEST_CASE(HealthyTasks_LeadersFailWithWorkers_AllCompleteWithin20s) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       CrashFixture fixture(seed);
--- a/src/libdoorwood/cell/cell_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_leader_test.cpp
@@ -44,7 +44,8 @@
   BOOST_TEST(world.starts(std::string(kJob) + ".0.0.0") == 3);
 }
 
-BOOST_FIXTURE_TEST_CASE(Job_Cancelled_StopsAndStaysCancelled, CellFixture) {
+BOOST_FIXTURE_TEST_CASE(Job_Cancelled_RunsStopAndStateIsCancelled,
+                        CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 2, "");
   plan.steps[0].long_running = true;
   world.Submit(plan);
@@ -117,7 +118,7 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(Leader_Leaves_SuccessorTakesOverAtOnce, CellFixture) {
+BOOST_FIXTURE_TEST_CASE(Leader_Leaves_SuccessorLeadsWithin600Ms, CellFixture) {
   world.Submit(fakes::MakePlan(kJob, 1, 2, "ms=3000"));
   fakes::WorldInstance* old = world.Leader();
   old->live->AnnounceLeaving();
@@ -142,7 +143,7 @@
   BOOST_TEST(State() == "completed");
 }
 
-BOOST_FIXTURE_TEST_CASE(Leader_KeysRevokedWithoutNotice_StepsDown,
+BOOST_FIXTURE_TEST_CASE(Leader_LeaseKeysDroppedWithoutNotice_LeadIsTakenAgain,
                         CellFixture) {
   fakes::WorldInstance* old = world.Leader();
   const int64_t epoch = old->cell->epoch();
@@ -292,7 +293,7 @@
   BOOST_TEST(world.starts(std::string(kJob) + ".0.0.0") == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(Store_UnavailableFor300Ms_LeadStays, CellFixture) {
+BOOST_FIXTURE_TEST_CASE(Store_RefusesTheLeaderFor300Ms_LeadStays, CellFixture) {
   fakes::WorldInstance* leader = world.Leader();
   leader->store_faults.unavailable = true;
   world.Run(Millis(300));
