--- a/src/include/doorwood/worker_session.h
+++ b/src/include/doorwood/worker_session.h
@@ -27,9 +27,9 @@
 enum class RunPhase {
   /// The start order was sent and is not answered yet, or is still deferred.
   kStarting,
-  /// The start order got no answer, so the worker may carry it out now or
-  /// later; or the worker refused it with `RunErrc::kStaleRun`, so the run may
-  /// already have ended.
+  /// The start order got no answer, so the worker may have carried it out or
+  /// may still do so; or the worker refused it with `RunErrc::kStaleRun`, so
+  /// the run may already have ended.
   kUnresolved,
   kRunning,
   /// A stop was ordered; the worker has not listed the end yet.
@@ -129,12 +129,12 @@
   Millis long_poll_wait{1200};
   /// Delay between polls while ends are waiting to be recorded.
   Millis unrecorded_pause{150};
-  /// Delay after a poll that was not answered.
+  /// Delay after a failed poll, unless `other_incarnation_pause` applies.
   Millis retry_pause{150};
-  /// Delay after a poll that another incarnation answered, if this one has
-  /// never answered. A corrected directory entry ends the delay at once.
-  /// Without a correction, an entry that names another worker's address causes
-  /// at most two polls there in 10 s.
+  /// Delay after a failed poll if another incarnation has answered at the
+  /// listed address, and this one has never answered. A directory entry with
+  /// another address ends the delay at once. Without one, an entry that names
+  /// another worker's address causes at most two polls there in 10 s.
   Millis other_incarnation_pause{8000};
   /// A worker that has not responded for this long plus `long_poll_wait` gets
   /// no new work. A worker without runs is not polled regularly, so it is
@@ -257,16 +257,17 @@
   /// Notes that this incarnation has answered at its current address, according
   /// to the record of an earlier leader.
   void MarkAddressVerified();
-  /// To be called a few times a second: calls `EndRunsIfWorkerLost`, logs if
-  /// the worker has become unresponsive, and sends stops and paces again that
-  /// have not taken effect.
+  /// To be called every `CellOptions::tick`: calls `EndRunsIfWorkerLost`, logs
+  /// if the worker has become unresponsive, and sends stops and paces again
+  /// that have not taken effect.
   void Tick();
 
   const WorkerIncarnation& incarnation() const { return incarnation_; }
   const std::map<std::string, Run>& runs() const { return runs_; }
   Run* FindRun(const std::string& task);
-  /// Increases with each report that is not outdated, each run that is added or
-  /// removed, each directory entry and each change of the address.
+  /// Increases with each report, unless that of a poll sent later was processed
+  /// first; with each run that is added or removed; with each directory entry;
+  /// and when a poll at the address named by a later entry succeeds.
   uint64_t version() const { return version_; }
   /// `EndedRun::number` of the latest end that the worker has listed.
   uint64_t last_end() const { return last_end_; }
@@ -284,15 +285,16 @@
   /// The worker has answered a poll of this leader at least once, so it refuses
   /// orders of earlier leaders.
   bool fenced() const { return fenced_; }
-  /// The worker has listed all its ends to this leader; one report lists only a
-  /// limited number.
+  /// A report to this leader has listed every end that the worker then had left
+  /// to list; one report lists only a limited number. Stays true.
   bool all_ends_listed() const { return all_ends_listed_; }
   /// This incarnation has ended: another one has answered at the address at
   /// which this one had answered.
   bool dead() const { return dead_; }
   /// The worker has answered a poll of this leader, this incarnation is not
-  /// known to have ended, and the worker either responded recently, or has no
-  /// runs, answered the last poll, and has no poll in flight.
+  /// known to have ended, and either `last_response_at` is less than
+  /// `unresponsive_after` plus `long_poll_wait` ago, or the worker has no runs,
+  /// no poll is in flight, and the last poll did not fail.
   bool responsive() const;
   /// When the worker last responded or, if later, when the session was opened
   /// or the worker got a run while it had none.
@@ -346,7 +348,7 @@
   /// Processes the runs that are not in `active`, the active runs of a report
   /// with all ends that answers a poll sent at `sent`. Ends those that provably
   /// are not active and cannot begin any more, and sends a stop order for those
-  /// whose start got no answer.
+  /// whose start got no answer, unless one is in flight or confirmed.
   void ResolveUnlistedRuns(Instant sent, const std::vector<ActiveRun>& active);
   void OnStartAnswer(const std::string& task,
                      uint32_t number,
@@ -368,12 +370,13 @@
   /// in flight.
   void ProbeNextAddress();
   void OnNextAddressResponse(const std::string& address, std::error_code error);
-  /// Notes and logs that another incarnation answers at `address`, if this is
-  /// the listed address of the worker and this incarnation has never answered.
+  /// Notes and logs, once, that another incarnation answers at `address`, if
+  /// `address` is the listed one and this incarnation has never answered.
   void NoteOtherIncarnation(const std::string& address);
   /// Returns the error to handle after a call to `address` completed with
   /// `error`: an answer of another incarnation counts as no answer unless
-  /// `address` is `answered_at_`. Sets `answered_at_` on the first success.
+  /// `address` is `answered_at_`. On success, sets `answered_at_` if it is
+  /// empty.
   std::error_code ClassifyResponse(const std::string& address,
                                    std::error_code error);
   /// Notes that the worker responded just now, and takes over its `clock`
