--- a/src/libdoorwood/cell/cell_placement_records.cpp
+++ b/src/libdoorwood/cell/cell_placement_records.cpp
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Records on which worker a long-running task may run. This is recorded before
-// the start is ordered, so that a successor that cannot reach other workers
-// need not assume that the task may be running on one of them. Only while all
-// other instances agree to unrecorded starts may the start be ordered first.
+// Records, for each long-running task, the worker on which it may run. The
+// worker is recorded before the start is ordered, so that a successor that
+// cannot reach other workers need not assume that the task may be running on
+// one of them. Only while all other instances agree to unrecorded starts may
+// the start be ordered first.
 
 #include <utility>
 
@@ -76,8 +77,8 @@
 
 // Keeps its last value once placements are no longer all recorded: an instance
 // that may rely on the recorded placements may do so until it agrees to
-// unrecorded starts. Until then, this leader records where it starts
-// long-running tasks.
+// unrecorded starts. Until then, this leader records the placement of a
+// long-running task before it orders the start.
 int64_t CellLeader::PlacementsValidTo() {
   if (ArePlacementsRecorded()) {
     placements_valid_to_ = live_.revision();
--- a/src/libdoorwood/cell/cell_run_ends.cpp
+++ b/src/libdoorwood/cell/cell_run_ends.cpp
@@ -299,7 +299,7 @@
   }
 }
 
-// --- Jobs that have ended ---
+// --- Ended jobs, and stops of runs that are no longer needed ---
 
 void CellLeader::OnJobEnded(Job* job) {
   job->finished_at = unix_millis_();
@@ -325,7 +325,7 @@
 }
 
 void CellLeader::StopRunsOfCompletedTask(const Task& task) {
-  // The completion of one task of a gang completes all of its tasks.
+  // The completion of one task of a gang completes all tasks of the gang.
   std::vector<std::string> placed;
   for (const Task& member :
        task.job->repetitions[task.repetition].steps[task.step].tasks) {
--- a/src/libdoorwood/cell/cell_worker_records.cpp
+++ b/src/libdoorwood/cell/cell_worker_records.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// What a leader records of its workers for a successor: how long each has been
-// out of contact, and which tasks may run on those that get no new work.
+// What a leader records of its workers for a successor: their addresses, how
+// long no lease was extended on those that it cannot reach, and which tasks may
+// run on those that get no new work.
 
 #include <algorithm>
 #include <utility>
@@ -12,7 +13,8 @@
 namespace {
 
 // Minimum time from one record of the workers to the next one that is due only
-// to changed task lists, per worker and per listed task of the first record.
+// to changed task lists, or to workers that were closed to new work or opened
+// again; per worker and per listed task of the first of the two records.
 // All workers are always recorded together, under one key; the pause bounds the
 // load on a small machine's network link.
 constexpr std::chrono::microseconds kWriteDelayPerEntry{250};
@@ -110,9 +112,9 @@
 bool CellLeader::IsClosedToNewWork(const CellWorker& cell_worker) const {
   const WorkerSession& session = *cell_worker.session;
   const Instant now = executor_.Now();
-  // A session that is not fenced has had no contact with its worker: this
-  // leader started nothing there, and what earlier leaders may have left there
-  // is accounted for.
+  // If `fenced` is false, the worker has not answered a poll of this leader,
+  // which therefore started nothing there. Since `IsUncontacted` is false, what
+  // earlier leaders may have left there is accounted for.
   if (session.dead() || IsLongUnresponsive(cell_worker) || !session.fenced()) {
     return true;
   }
@@ -148,8 +150,8 @@
 }
 
 // If another incarnation answers at the recorded address, a successor takes the
-// worker to be dead. That address therefore has to be one at which this
-// incarnation has answered.
+// worker to be dead. Before a worker gets work, the recorded address therefore
+// has to be one at which this incarnation has answered.
 bool CellLeader::IsAddressRecorded(const CellWorker& cell_worker) {
   return cell_worker.recorded_address ==
          cell_worker.session->incarnation().address;
@@ -188,10 +190,11 @@
   return std::chrono::duration_cast<Millis>(executor_.Now() - led_since_);
 }
 
-// Lets the next leader skip a wait that has already passed. Without the record,
-// with three workers permanently lost, two takeovers in ten seconds held all
-// stopped long-running tasks back for 18 s; with workers lost 6 s before their
-// leader, a single takeover held them back for 20 s.
+// Lets the next leader deduct from its wait the time in which no lease was
+// extended. Without the record, with three workers permanently lost, two
+// takeovers in ten seconds held all stopped long-running tasks back for 18 s;
+// with workers lost 6 s before their leader, a single takeover held these tasks
+// back for 20 s.
 void CellLeader::RecordUnreachableWorkers() {
   const Instant now = executor_.Now();
   if (!IsLeadConfirmed() ||
--- a/src/libdoorwood/cell/cell_workers.cpp
+++ b/src/libdoorwood/cell/cell_workers.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The workers of a cell: which workers belong to it, and when they may get
-// work.
+// The workers of a cell: which workers belong to it, how their directory
+// entries are applied, and which data centres are closed to new work.
 
 #include <algorithm>
 #include <utility>
@@ -11,7 +11,7 @@
 namespace doorwood {
 namespace {
 
-bool Differs(const std::string& known, const std::string& reported) {
+bool AreSetAndDiffer(const std::string& known, const std::string& reported) {
   return !known.empty() && !reported.empty() && known != reported;
 }
 
@@ -21,16 +21,17 @@
 // from which the incarnation became known.
 std::string_view FindContradiction(const WorkerIncarnation& known,
                                    const WorkerIncarnation& reported) {
-  if (Differs(known.address, reported.address)) {
+  if (AreSetAndDiffer(known.address, reported.address)) {
     return "another address";
   }
-  if (Differs(known.service, reported.service)) {
+  if (AreSetAndDiffer(known.service, reported.service)) {
     return "another service";
   }
-  if (Differs(known.data_centre, reported.data_centre)) {
+  if (AreSetAndDiffer(known.data_centre, reported.data_centre)) {
     return "another data centre";
   }
-  return Differs(known.machine, reported.machine) ? "another machine" : "";
+  return AreSetAndDiffer(known.machine, reported.machine) ? "another machine"
+                                                          : "";
 }
 
 }  // namespace
@@ -133,15 +134,15 @@
   RequestSchedulingPass();
 }
 
-// Only an expired lease or another incarnation's answer proves that a worker
-// has ended. An entry that another process wrote proves nothing: the worker's
-// runs continue, but it gets no new work.
+// An entry that another process wrote does not prove that the worker's runs
+// have ended, as expired leases or the answer of another incarnation do. The
+// runs continue, but the worker gets no new work.
 void CellLeader::ApplyDirectoryEntry(const WorkerIncarnation& incarnation,
                                      CellWorker* cell_worker) {
   const WorkerIncarnation& known = cell_worker->session->incarnation();
   if (incarnation.is_valid) {
-    // A session that has had no answer yet uses the address at once; any other
-    // session uses it once this incarnation has answered there.
+    // The session uses the address at once if it knows of no address where this
+    // incarnation has answered; otherwise once this incarnation answers there.
     WorkerIncarnation readdressed = known;
     readdressed.address = incarnation.address;
     cell_worker->session->UpdateFromDirectory(readdressed);
@@ -221,7 +222,8 @@
   cell_worker.listed = !from_takeover;
   // A worker that only the directory names runs nothing that an earlier leader
   // of this cell ordered, since leaders record a worker under the workers' key
-  // before they send it orders. It may run what another cell's leader ordered.
+  // before they order a start there. It may run what another cell's leader
+  // ordered.
   cell_worker.from_takeover = from_takeover;
   UpdateSessionLimits(cell_worker, OrderDeadline());
   if (from_takeover) {
--- a/src/libdoorwood/cell/worker_address.cpp
+++ b/src/libdoorwood/cell/worker_address.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Which address is used to reach an incarnation of a worker. Its directory
-// entry may be wrong, so an answer of another incarnation proves that this one
-// has ended only at an address where this one has answered.
+// entry may be wrong, so only at an address where this one has answered does
+// the answer of another incarnation prove that this one has ended.
 
 #include <utility>
 
--- a/src/libdoorwood/cell/worker_orders.cpp
+++ b/src/libdoorwood/cell/worker_orders.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Orders to one incarnation of a worker, and how their answers, or missing
-// answers, are handled.
+// The runs of a session; the start, stop and pace orders to its worker; and how
+// the answers to these orders, or missing answers, are handled.
 
 #include <algorithm>
 #include <utility>
--- a/src/libdoorwood/cell/worker_session.cpp
+++ b/src/libdoorwood/cell/worker_session.cpp
@@ -104,10 +104,11 @@
     return false;
   }
   // A worker without runs is not polled regularly, so it needs no recent
-  // response. A worker whose runs were just ended because it was unresponsive
-  // has none either, but its last poll failed. When that was not checked, up to
-  // 814 starts a day went to such workers in simulations with partitions, and
-  // each started run was lost until its lease of 6 s had expired.
+  // response. A worker whose runs have just been ended because it was
+  // unresponsive has no runs either, but its last poll failed. Without the
+  // check of `last_poll_failed_`, up to 814 starts a day went to such workers
+  // in simulations with partitions, and each started run was lost until its
+  // lease of 6 s had expired.
   if (runs_.empty() && !poll_in_flight_ && !last_poll_failed_) {
     return true;
   }
@@ -159,8 +160,9 @@
 
 Millis WorkerSession::NextPollWait() const {
   // After a failed poll the worker may respond again and has to answer at once:
-  // the answer to a poll that waits for an end may come 1.2 s later, and the
-  // lease of the worker's runs may have expired by then.
+  // the answer to a poll that waits for an end may come 1.2 s later
+  // (`long_poll_wait`), and the leases of the worker's runs may have expired by
+  // then.
   if (has_unrecorded_ends() || last_poll_failed_) {
     return Millis(0);
   }
@@ -256,8 +258,8 @@
   const bool first = !fenced_;
   fenced_ = true;
   if (first) {
-    // Runs adopted now may have had their lease extended by an earlier leader
-    // up to this time.
+    // Until the worker received this poll, an earlier leader may have extended
+    // the leases of the runs that are adopted now.
     latest_lease_end_ =
         std::max(latest_lease_end_, report.clock + options_.run_lease.count());
     last_lease_order_at_ = executor_.Now();
