--- a/src/libdoorwood/cell/cell_foreign_entries_test.cpp
+++ b/src/libdoorwood/cell/cell_foreign_entries_test.cpp
@@ -120,7 +120,7 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(Worker_EntryOverwrittenAndItCrashes_RunMoves,
+BOOST_FIXTURE_TEST_CASE(Worker_EntryOverwrittenAndItCrashes_TaskRunsElsewhere,
                         ForeignEntriesFixture) {
   fakes::WorldWorker& worker = StartLongRunningTask();
   world.foreign_entries().push_back(worker.incarnation);
--- a/src/libdoorwood/cell/cell_late_done_test.cpp
+++ b/src/libdoorwood/cell/cell_late_done_test.cpp
@@ -39,6 +39,8 @@
   world.workers().at(worker)->listed = false;
 }
 
+// Ends the partitions of all workers, and restores this worker's directory
+// entry.
 void RestoreContact(CellWorld& world, const std::string& worker) {
   for (const auto& [name, instance] : world.instances()) {
     instance->unreachable_workers.clear();
@@ -72,7 +74,8 @@
   LateCompletionFixture(const LateCompletionFixture&) = delete;
   LateCompletionFixture& operator=(const LateCompletionFixture&) = delete;
 
-  /// Runs the world until the first step is started again on another worker.
+  /// Adds another worker, and runs the world until the first step is started
+  /// again there.
   void WaitForSecondRun() {
     world.AddWorker("w2", 8000);
     for (int i = 0; i < 300 && world.starts(TaskOf(0, 0)) == 1; ++i) {
@@ -133,8 +136,8 @@
   }
 }
 
-// The completion of one task of a gang completes all of its tasks, so all of
-// their second runs stop.
+// The completion of one task of a gang completes all tasks of the gang, so all
+// of their second runs stop.
 BOOST_AUTO_TEST_CASE(LateCompletion_GangRunsAgain_AllMembersStop) {
   for (int delay_ms = 0; delay_ms <= 800; delay_ms += 200) {
     BOOST_TEST_CONTEXT("reachable " << delay_ms
--- a/src/libdoorwood/cell/cell_placement_records_test.cpp
+++ b/src/libdoorwood/cell/cell_placement_records_test.cpp
@@ -205,7 +205,7 @@
 // Guards against a successor that relies on placements recorded before an
 // outage.
 BOOST_AUTO_TEST_CASE(
-    LongRunningTask_StartedUnrecordedThenLeaderFails_RunsOnce) {
+    LongRunningTask_StartedUnrecordedThenLeaderFails_NeverRunsTwice) {
   for (const int store_delay_ms : {0, 200, 1000}) {
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
       BOOST_TEST_CONTEXT("store available after " << store_delay_ms
@@ -224,7 +224,8 @@
 
 // Guards against a successor that relies on recorded placements because it
 // started after the outage and so never agreed to unrecorded starts.
-BOOST_AUTO_TEST_CASE(LongRunningTask_SuccessorStartedAfterTheOutage_RunsOnce) {
+BOOST_AUTO_TEST_CASE(
+    LongRunningTask_SuccessorStartedAfterTheOutage_NeverRunsTwice) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
       PlacementFixture fixture(seed, kFailsAfterSix);
--- a/src/libdoorwood/cell/cell_run_number_test.cpp
+++ b/src/libdoorwood/cell/cell_run_number_test.cpp
@@ -21,7 +21,7 @@
 
 constexpr char kJob[] = "00112233aabbccdd";
 
-BOOST_AUTO_TEST_CASE(ThirdLeader_ReceivesExpiredRunOfSameNumber_TaskRunsOnce) {
+BOOST_AUTO_TEST_CASE(ThirdLeader_ReceivesExpiredRunOfSameNumber_NoThirdStart) {
   const std::string task = std::string(kJob) + ".0.0.0";
   int rounds = 0;
   for (int reachable_after_ms = 200; reachable_after_ms <= 3000;
@@ -67,10 +67,10 @@
   BOOST_TEST(rounds > 0);
 }
 
-// The fourth leader reaches both workers. One reports a run that ended with its
-// lease before the other reports an active run of the same number. Guards
-// against a leader that orders the active run to stop and starts the task again
-// before that order, which is executed late, has ended the run.
+// The fourth leader reaches both workers. One reports a run that ended because
+// its lease expired, before the other reports an active run of the same number.
+// Guards against a leader that orders the active run to stop and starts the
+// task again before that order, which is executed late, has ended the run.
 BOOST_AUTO_TEST_CASE(
     FourthLeader_ReceivesBothRunsOfOneNumber_NothingRunsTwice) {
   const std::string task = std::string(kJob) + ".0.0.0";
--- a/src/libdoorwood/cell/cell_worker_loss_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_loss_test.cpp
@@ -103,8 +103,9 @@
   BOOST_TEST(world.starts(std::string(kJob) + ".0.0.0") == 1);
 }
 
-// A data centre is partitioned for most of the duration of a run's lease. The
-// leader reaches its workers again, and renews the leases, before they expire.
+// All workers are partitioned from all instances for 4 s, most of a run's
+// lease. The leader reaches them again, and extends the leases, before they
+// expire.
 BOOST_FIXTURE_TEST_CASE(Worker_PartitionedForMostOfItsLease_ItsRunsContinue,
                         CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 6, "");
@@ -118,9 +119,9 @@
   ExpectStartedOnce(6);
 }
 
-// A data centre is partitioned for 4 s. Its workers' entries expire and are
-// back 1.5 s after the end of the partition, while the leader reaches the
-// workers at once.
+// All workers are partitioned from all instances for 4 s. Their entries vanish
+// during the partition and are back 1.5 s after its end, while the leader
+// reaches the workers again at once.
 BOOST_FIXTURE_TEST_CASE(Worker_PartitionedAndEntryBackLater_NothingMoves,
                         CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 6, "");
--- a/src/libdoorwood/cell/cell_workers_record_test.cpp
+++ b/src/libdoorwood/cell/cell_workers_record_test.cpp
@@ -17,7 +17,7 @@
 using Names = std::vector<std::string>;
 
 constexpr size_t kNameCount = 4000;
-// Bound on the bytes of task names in these tests.
+// `CellOptions::max_name_bytes` of the cells in these tests.
 constexpr size_t kNameBytesLimit = 100'000;
 // The largest value that the store accepts.
 constexpr size_t kStoreValueLimit = 1'048'576;
@@ -81,9 +81,10 @@
   const char* expected_names;
 };
 
-BOOST_AUTO_TEST_CASE(Workers_RowsOfOtherFormats_NamesAreKeptOrAnyTaskMayRun) {
+BOOST_AUTO_TEST_CASE(Workers_RowsOfVariousForms_AreReadOrSkipped) {
   const FormatRow rows[] = {
-      // As earlier versions wrote them.
+      // Forms that this version or an earlier one wrote. Only an earlier one
+      // left out the time.
       {R"(["w","a"])", "any"},
       {R"(["w","a",0])", "any"},
       {R"(["w","a",1500])", "any"},
@@ -148,8 +149,9 @@
 }
 
 // A store key has 200 bytes at most, so a task's name, which begins with its
-// job's name, is shorter.
-BOOST_AUTO_TEST_CASE(Workers_MostAndLongestNames_FitIntoAStoreValue) {
+// job's name, is shorter. The names here exceed the default of
+// `CellOptions::max_name_bytes`.
+BOOST_AUTO_TEST_CASE(Workers_ManyLongNames_FitIntoAStoreValue) {
   constexpr size_t kLongName = 200;
   constexpr int kWorkers = 1500;
   Names names;
@@ -205,7 +207,7 @@
 
 struct BoundRow {
   std::vector<int> tasks;
-  /// Number of names in each row; -1 if any task may run there.
+  /// Number of names recorded for each worker; -1 if any task may run there.
   std::vector<int> named;
 };
 
--- a/src/libdoorwood/cell/cell_wrong_address_test.cpp
+++ b/src/libdoorwood/cell/cell_wrong_address_test.cpp
@@ -59,11 +59,11 @@
 struct EntryRow {
   const char* name;
   bool takeover;
-  /// The successor cannot reach the worker.
+  /// No instance can reach the worker.
   bool unreachable;
 };
 
-BOOST_AUTO_TEST_CASE(Entry_NamesAnotherAddress_RunIsNotStartedAgain) {
+BOOST_AUTO_TEST_CASE(Entry_NamesAnotherAddress_RestartsOnlyIfUnreachable) {
   const EntryRow rows[] = {{"one leader", false, false},
                            {"a takeover", true, false},
                            {"a takeover, worker not contacted", true, true}};
@@ -115,7 +115,7 @@
 // Another incarnation answers at the address where the crashed worker had
 // answered. This still proves the crash, so that no task waits until a lease
 // has expired.
-BOOST_AUTO_TEST_CASE(Worker_CrashedAtTakeover_TaskRunsAgainAtOnce) {
+BOOST_AUTO_TEST_CASE(Worker_CrashedAtTakeover_TaskRunsAgainSoon) {
   constexpr Millis kRestartBound{6000};
   WrongAddressFixture fixture;
   const std::string running_worker = fixture.StartLongRunningTask();
--- a/src/libdoorwood/cell/worker_lease_clock_test.cpp
+++ b/src/libdoorwood/cell/worker_lease_clock_test.cpp
@@ -19,8 +19,10 @@
 namespace doorwood {
 namespace {
 
-// Slack of a successor's wait, on the worker's clock.
-constexpr int64_t kSlackMillis = 500;
+// By how much a lease may exceed `run_lease` on the worker's clock: at most by
+// the margin (`kLastOrderMargin` in cell_takeover.cpp) that a successor adds to
+// its wait, on the successor's clock.
+constexpr int64_t kMaxLeaseExcessMillis = 500;
 
 class SlowClockWorkers : public RunWorkerClient {
  public:
@@ -82,7 +84,7 @@
              const Json&) override {}
 };
 
-BOOST_AUTO_TEST_CASE(Start_IdleWorkerWithSlowClock_LeaseIsNotLonger) {
+BOOST_AUTO_TEST_CASE(Start_IdleWorkerWithSlowClock_LeaseEndsWithinMargin) {
   for (const int idle_seconds : {1, 10, 30, 60, 120, 600}) {
     fakes::VirtualTime time;
     fakes::FakeExecutor executor(time, 1);
@@ -104,10 +106,10 @@
     session->Start(run, "", "");
     time.Run(Millis(500));
     session->Close();
-    BOOST_TEST(
-        workers.longest_lease() <= options.run_lease.count() + kSlackMillis,
-        "idle for " << idle_seconds << " s: a lease of "
-                    << workers.longest_lease() << " ms");
+    BOOST_TEST(workers.longest_lease() <=
+                   options.run_lease.count() + kMaxLeaseExcessMillis,
+               "idle for " << idle_seconds << " s: a lease of "
+                           << workers.longest_lease() << " ms");
   }
 }
 
--- a/src/libdoorwood/cell/worker_session_test.cpp
+++ b/src/libdoorwood/cell/worker_session_test.cpp
@@ -180,9 +180,9 @@
   const char* end;
 };
 
-// Whichever way the start call fails, the run ends exactly once, and its
-// resources are released only when the worker can no longer begin it.
-BOOST_AUTO_TEST_CASE(Start_CallFails_RunEndsExactlyOnce) {
+// Whether the start call succeeds or fails, the run ends exactly once, and its
+// resources are released. A start order that is executed 4 s late is refused.
+BOOST_AUTO_TEST_CASE(Start_CallSucceedsOrFails_RunEndsExactlyOnce) {
   const StartRow rows[] = {
       {"well", Fault::kNone, Fault::kNone, "t done reported"},
       {"answer lost", Fault::kReplyLost, Fault::kNone, "t done reported"},
@@ -392,9 +392,9 @@
   BOOST_TEST(ends[0] == "t lapsed reported");
 }
 
-// While a successor may exist, the session does not conclude that runs have
-// ended. It uses what it observed meanwhile once it is certain that no other
-// instance led.
+// While a successor may exist, the session does not conclude from expired
+// leases or from the answer of another incarnation that runs have ended. It
+// does so once it is certain that no other instance led.
 BOOST_FIXTURE_TEST_CASE(RunEnds_LeadNotConfirmed_WaitForConfirmation,
                         SessionFixture) {
   for (const Fault fault : {Fault::kRequestLost, Fault::kOtherIncarnation}) {
