--- a/src/include/doorwood/cell_journal.h
+++ b/src/include/doorwood/cell_journal.h
@@ -56,18 +56,20 @@
 struct KnownWorker {
   std::string id;
   std::string address;
-  /// Time during which no leader extended a lease on the worker, so a successor
-  /// deducts it from its wait for the worker's runs; zero: nothing to deduct.
-  /// If the recording leader has not contacted the worker: the wait that it
-  /// could deduct itself at its takeover, plus the time that it has led. If the
-  /// worker has long been unresponsive to the recording leader: the time since
-  /// that leader's last order that may have extended a lease there, plus
+  /// Time that a successor deducts from its wait for the worker's runs, because
+  /// no leader extended a lease there; zero: nothing to deduct. If the
+  /// recording leader has not yet contacted the worker
+  /// (`CellLeader::IsUncontacted`): the time that this leader could deduct
+  /// itself, plus the time that it has led. If the worker is long unresponsive
+  /// (`CellLeader::IsLongUnresponsive`): the time since this leader's last
+  /// order that may have extended a lease there, plus
   /// `CellOptions::order_grace`. A successor's wait includes `order_grace` for
   /// later orders, but this leader sends the worker none that extend a lease.
   Millis not_contacted_for{0};
-  /// All tasks that may run there or whose end there is not recorded. No leader
-  /// starts any task there until a newer record has no such list. Empty
-  /// optional: any task may run there.
+  /// All tasks that may run there or whose end there is not recorded. No
+  /// leader, except of an older version (see `KeepsToTaskLists`), starts any
+  /// task there until a newer record has no such list. Empty optional: any task
+  /// may run there.
   std::optional<std::vector<std::string>> tasks;
 };
 
@@ -96,10 +98,14 @@
 std::vector<KnownWorker> DecodeWorkers(std::string_view text);
 
 struct JournalOptions {
-  /// How long changes that are not urgent are collected before they are sent.
+  /// Time after which a change that is not urgent causes a batch to be sent. A
+  /// batch that is sent earlier for another reason may carry the change.
   Millis delay{80};
   Millis retry_pause{120};
-  /// Longest time that a caller waits for its job to be recorded.
+  /// Time after which a caller that submits or cancels a job is answered with
+  /// an error if the job or its end is not known to be recorded. Checked when
+  /// `AnswerExpiredAccepts` or `CellLeader::ExpireCancels` runs next, so the
+  /// answer may come later.
   Millis caller_timeout{2000};
   CommitFlowOptions flow;
 };
@@ -127,12 +133,13 @@
   virtual void OnNewestStateStored(const std::string& job) = 0;
   virtual void OnEndsRecorded(const std::map<std::string, uint64_t>& ends) = 0;
   virtual void OnWorkersRecorded(const std::vector<KnownWorker>& workers) = 0;
-  /// A batch sent at `sent` was committed, which confirms that the lead key was
-  /// at the expected revision. Reads of the key by `LeadProof` confirm it too,
-  /// but do not cause this call.
+  /// The attempt sent at `sent` committed a batch, so the lead key was then at
+  /// the expected revision. Not called if an earlier, unanswered attempt had
+  /// committed the batch, nor for reads of the key by `LeadProof`.
   virtual void OnLeadConfirmed(Instant sent) = 0;
-  /// The lead key was changed or removed, or another process changed a chain
-  /// key. This process no longer leads, or must not assume that it does.
+  /// The lead key was changed or removed, or another process changed or removed
+  /// a chain key. This process no longer leads, or must not assume that it
+  /// does.
   virtual void OnLeadLost(std::string_view reason) = 0;
 };
 
@@ -141,8 +148,8 @@
 class CellJournal {
  public:
   /// Errors: CoreErrc::kStoreUnavailable (certainly not accepted), kNoOwner
-  /// (the journal is closed or sealed; certainly not accepted) or
-  /// kOutcomeUnknown.
+  /// (the journal is closed or sealed; this call stored nothing, but an earlier
+  /// call for the same job may have) or kOutcomeUnknown.
   using AcceptCallback = std::function<void(std::error_code, AcceptOutcome)>;
 
   CellJournal(Executor& executor,
@@ -155,37 +162,39 @@
   /// Starts with the revision of the lead key and the stored chain keys, by
   /// lane.
   void Open(int64_t lead_revision, const std::map<size_t, ChainLink>& chains);
-  /// Answers all pending calls; sends nothing more.
+  /// Answers all pending calls; sends nothing more until the next `Open`.
   void Close();
 
-  /// Records a new job, and runs `done` with the result. Unless the job is
-  /// already being recorded, refuses it at once if the journal is sealed, or if
-  /// the store does not accept batches, is unresponsive, or is expected to
-  /// record the job too late (`CommitFlowOptions::max_record_wait`).
+  /// Records a new job, and runs `done` with the result. Refuses it at once if
+  /// the journal is closed and, unless the job is already being recorded, if
+  /// the journal is sealed, or if the store does not accept batches, is
+  /// unresponsive or is expected to record it late
+  /// (`CommitFlowOptions::max_record_wait`).
   void Accept(JobPlan plan, AcceptCallback done);
   void MarkDirty(const std::string& job, bool urgent);
   /// Replaces the workers stored under the workers' key.
   void SetWorkers(std::vector<KnownWorker> workers);
   /// For a leader that shuts down: new jobs and urgent changes that are pending
-  /// now are still recorded, other changes only if they fit into the batches
-  /// sent for these. Workers continue to list ends that are not recorded.
+  /// now are still sent, other changes only if they fit into the batches sent
+  /// for these. If a batch fails, its changes are not urgent any more (see
+  /// `Requeue`). Workers continue to list ends that are not recorded.
   void Seal();
-  /// After `Seal`: nothing that still has to be recorded is waiting, and no
-  /// batch is in flight.
+  /// After `Seal`: nothing that still has to be sent is waiting, and no batch
+  /// is in flight.
   bool is_drained() const;
-  /// Sends a batch soon, even if there is nothing to record. Has no effect once
-  /// the journal is sealed.
+  /// Sends a batch as soon as one may be sent, even if there is nothing to
+  /// record. Has no effect once the journal is sealed.
   void RequestCommit();
-  /// Removes all keys of a job that ended long ago.
+  /// Removes all keys of a job that has ended.
   void RemoveJob(const std::string& job);
 
   /// The new job is queued, or in a batch in flight and may already be stored.
   bool IsRecording(std::string_view job) const;
-  /// Every change is in the store, except for removals of old jobs.
+  /// Every change is in the store, except for removals that are not yet sent.
   bool idle() const;
   /// Number of batches sent, counting repeated attempts.
   uint64_t commits() const { return commits_; }
-  /// Records waiting to be sent: new jobs and states.
+  /// Number of records waiting to be sent: new jobs and states.
   size_t waiting() const { return accepts_.size() + dirty_.size(); }
   const CommitFlow& flow() const { return flow_; }
 
@@ -206,7 +215,7 @@
     std::vector<std::string> removals;
     StoreTransaction transaction;
     Instant sent{};
-    /// An earlier attempt was not answered.
+    /// At least one attempt was not answered.
     bool unanswered = false;
   };
   struct Lane {
@@ -253,10 +262,11 @@
   /// Frees the lane and returns its batch, whose outcome must be known.
   Batch DetachBatch(size_t lane);
   /// Puts the contents of the batch back into the queues, except for new jobs
-  /// whose callers have been answered.
+  /// whose callers have been answered. States that were urgent no longer are.
   void Requeue(Batch batch);
-  /// Answers calls whose deadline has passed. Also rejects all queued calls if
-  /// the store is unresponsive or does not accept batches.
+  /// Answers calls whose deadline has passed; of the queued ones, only those
+  /// before the first whose deadline has not passed. Also rejects all queued
+  /// calls if the store is unresponsive or does not accept batches.
   void AnswerExpiredAccepts();
   void RejectQueuedAccepts();
   void RejectAccept(PendingAccept* accept);
@@ -289,7 +299,8 @@
   /// accepts batches again, or after `RequestCommit`.
   bool force_commit_ = false;
   std::deque<PendingAccept> accepts_;
-  /// Jobs whose state is to be recorded, and the order in which they changed.
+  /// Jobs whose state is to be recorded, and the order in which to add them to
+  /// batches. The order may also list jobs that are no longer in `dirty_`.
   std::set<std::string> dirty_;
   std::deque<std::string> dirty_order_;
   /// Jobs in `dirty_` that are recorded without delay, for example because a
--- a/src/include/doorwood/commit_flow.h
+++ b/src/include/doorwood/commit_flow.h
@@ -2,7 +2,7 @@
 
 /// \file
 /// Decides how many commits are sent to the store concurrently, and whether one
-/// more record would be stored in time.
+/// more record is expected to be stored in time.
 ///
 /// It handles two kinds of faults. The first is a store that answers slowly but
 /// steadily: if each commit of 32 entries takes 0.4 s, one commit at a time
@@ -24,25 +24,25 @@
 namespace doorwood {
 
 struct CommitFlowOptions {
-  /// Maximum number of commits in flight. At 0.4 s per answer these are 30 a
-  /// second, or about 900 entries.
+  /// Maximum number of commits in flight. At 0.4 s per answer, 12 lanes carry
+  /// 30 commits, or about 900 entries, a second.
   size_t max_lanes = 12;
-  /// Minimum time between sending two concurrent commits, so that a store that
-  /// answers in milliseconds gets one commit at a time.
+  /// Minimum time since the last new commit before another one is sent beside
+  /// those in flight. A store that answers sooner gets one commit at a time.
   Millis send_interval{30};
   /// Weight of a faster than expected answer in the expected answer time. A
   /// slower answer replaces the expected time, since callers wait for it.
   double faster_answer_weight = 0.3;
   /// If no answer comes for this multiple of the expected answer time, and at
-  /// least for `min_stall_time`, no further commit is sent beside those in
-  /// flight.
+  /// least for `min_stall_time`, no new commit is sent beside those in flight.
   double stall_factor = 3.0;
   Millis min_stall_time{100};
   /// The store is treated as unresponsive if commits are in flight and none was
   /// answered for this long. Slow stores answer within 0.4 s.
   Millis unresponsive_after{700};
-  /// A new job whose record is expected to take longer is refused at once.
-  /// Callers have 3 s in all, so another attempt can still succeed.
+  /// A new job is refused at once if `ExpectedWait` for its record is longer,
+  /// unless the job is already being recorded. Callers have 3 s in all, so
+  /// another attempt can still succeed.
   Millis max_record_wait{1200};
   /// Number of new jobs that `ExpectedWait` assumes one commit to carry. It
   /// limits nothing.
@@ -56,7 +56,8 @@
 
   /// A commit is sent on a free lane.
   void OnSent(size_t lane, Instant now);
-  /// The commit was answered, with any result, or is no longer awaited.
+  /// The outcome of the lane's commit is known, so it is not sent again. Not
+  /// called for an answer that leaves the outcome unknown.
   void OnAnswered(size_t lane, Instant now);
   /// The commit, whose outcome is unknown, is sent again on its lane.
   void OnResent(size_t lane, Instant now);
--- a/src/include/doorwood/lead_proof.h
+++ b/src/include/doorwood/lead_proof.h
@@ -22,9 +22,9 @@
 namespace doorwood {
 
 struct LeadProofOptions {
-  /// The key is read if nothing has confirmed it for this long. Under load,
-  /// committed records confirm it ten times a second, so reads are only needed
-  /// at low load.
+  /// `Tick` reads the key if nothing has confirmed it for this long. Under
+  /// load, committed records confirm it ten times a second, so these reads are
+  /// only needed at low load.
   Millis interval{400};
 };
 
@@ -33,8 +33,8 @@
  public:
   virtual ~LeadProofListener() = default;
 
-  /// Called when `confirmed_at` has increased, whether a read of the key or a
-  /// commit of the journal confirmed it. The leader passes on the commits (see
+  /// Called when `confirmed_at` has increased, because of a read of the key or
+  /// a commit of the journal. The leader reports such commits (see
   /// `JournalOwner::OnLeadConfirmed`) with `NoteConfirmed`.
   virtual void OnLeadProved() = 0;
   /// Called when a read shows that the key of this epoch no longer exists.
@@ -65,7 +65,8 @@
   /// earlier and no read is under way. To be called several times a second.
   void Tick();
 
-  /// When the latest call was sent that found the key in place; zero: none has.
+  /// When the latest call since `Open` was sent that found the key in place;
+  /// zero: none has, or the proof is closed.
   Instant confirmed_at() const { return confirmed_at_; }
 
  private:
--- a/src/include/doorwood/ticket_book.h
+++ b/src/include/doorwood/ticket_book.h
@@ -3,8 +3,8 @@
 /// \file
 /// Permissions (tickets) for queues whose policy is known only to an external
 /// adviser: which workers may run a step. Tickets are requested in small
-/// batches, kept while they are valid, and requested again once they are
-/// about to expire.
+/// batches and used until `TicketOptions::expiry_margin` before they expire;
+/// from then on, they may be requested again.
 
 #ifndef DOORWOOD_TICKET_BOOK_H_
 #define DOORWOOD_TICKET_BOOK_H_
@@ -29,7 +29,7 @@
 
 struct TicketGrant {
   std::vector<Ticket> tickets;
-  /// How long the tickets are valid.
+  /// How long the tickets are valid from the adviser's answer on.
   Millis valid_for{0};
 };
 
@@ -62,15 +62,16 @@
 class TicketBook {
  public:
   /// `adviser` may be null: then nothing is ever permitted. `on_change` runs
-  /// after a request has succeeded, even if the adviser permits nothing.
+  /// after a request has succeeded, even if the adviser permits nothing, unless
+  /// `Clear` was called since the request.
   TicketBook(Executor& executor,
              Adviser* adviser,
              EventLog& log,
              const TicketOptions& options,
              std::function<void()> on_change);
 
-  /// The ticket for the step on the worker; empty: there is none, or it expires
-  /// within `TicketOptions::expiry_margin`.
+  /// Token of the ticket for the step on the worker; empty: there is no ticket,
+  /// or it expires within `TicketOptions::expiry_margin`.
   std::string Find(const std::string& step, const std::string& worker) const;
   /// Requests tickets for the step on those workers for which there is no
   /// answer, or one that expires within `TicketOptions::expiry_margin`; for at
