--- a/src/libdoorwood/cell/cell_journal.cpp
+++ b/src/libdoorwood/cell/cell_journal.cpp
@@ -17,8 +17,8 @@
 constexpr const char* kKeepsToTaskListsField = "keeps_to_names";
 constexpr const char* kPlacementsValidField = "places_hold_to";
 
-// Returns an empty optional, which means that any task may run there, if the
-// list is not of the form that leaders write.
+// Returns an empty optional, which means that any task may run on the worker,
+// if the list is not of the form that leaders write.
 std::optional<std::vector<std::string>> DecodeTasks(const Json& row) {
   std::vector<std::string> tasks;
   for (const Json& name : row) {
@@ -334,8 +334,8 @@
 // --- Sending ---
 
 std::optional<size_t> CellJournal::FindLaneToSend() const {
-  // While the store does not accept batches, one batch at a time is sent to
-  // find out whether it accepts them again.
+  // While the store does not accept batches, a new one is sent only if none is
+  // in flight, to find out whether the store accepts batches again.
   const bool may_send = store_unavailable_ ? flow_.in_flight() == 0
                                            : flow_.MaySend(executor_.Now());
   if (!may_send) {
@@ -377,8 +377,8 @@
   }
   const auto lane = FindLaneToSend();
   if (!lane) {
-    // An answer triggers the next send. If none comes, callers still have to be
-    // answered in time.
+    // An answer or this timer triggers the next send. If no answer comes, the
+    // timer lets callers be answered once their deadline has passed.
     const Millis pause = flow_.SendDelay(executor_.Now());
     ScheduleSend(pause > Millis(0) ? pause : options_.flow.min_stall_time);
     return;
@@ -405,8 +405,9 @@
                     OnAnswer(lane, error, commit);
                   }
                 });
-  // What the batch does not carry is sent on another lane. The timer also
-  // answers callers in time if the store does not respond.
+  // Changes that the batch does not carry are sent on another lane. If the
+  // store does not respond, the timer also answers callers whose deadline has
+  // passed.
   ScheduleSend(HasPendingWork() ? options_.flow.send_interval
                                 : options_.flow.unresponsive_after);
 }
--- a/src/libdoorwood/cell/cell_journal_answers.cpp
+++ b/src/libdoorwood/cell/cell_journal_answers.cpp
@@ -71,15 +71,15 @@
 }
 
 void CellJournal::OnRejected(size_t lane) {
-  // The batch certainly had no effect. New jobs are refused at once; changes
-  // that have already happened go into a later batch.
+  // The batch certainly had no effect. Its new jobs and all queued ones are
+  // rejected at once; changes that have already happened go into a later batch.
   Batch batch = DetachBatch(lane);
   for (PendingAccept& accept : batch.accepts) {
     RejectAccept(&accept);
   }
   batch.accepts.clear();
   RejectQueuedAccepts();
-  force_commit_ = true;  // Retry until the store accepts batches again.
+  force_commit_ = true;  // Finds out whether the store accepts batches again.
   Requeue(std::move(batch));
   ScheduleSend(options_.retry_pause);
 }
@@ -130,11 +130,11 @@
     const uint64_t stored_sequence =
         DecodeSequence(chain == nullptr ? "" : chain->value);
     if (stored_sequence == lanes_[lane].chain.sequence) {
-      // The attempt that got no answer took effect.
+      // An earlier attempt, which got no answer, took effect.
       OnCommitted(lane, chain_revision);
       return;
     }
-    owner_.OnLeadLost("another process changed a chain key");
+    owner_.OnLeadLost("another process changed or removed a chain key");
     return;
   }
   // Some of the new jobs have been accepted before, here or in another cell.
@@ -176,7 +176,8 @@
   if (batch.workers) {
     owner_.OnWorkersRecorded(*batch.workers);
   }
-  // What did not fit is sent at once; otherwise changes are gathered again.
+  // New jobs, workers, urgent states, and states that did not fit are sent at
+  // once; otherwise changes are gathered again for `JournalOptions::delay`.
   const bool was_full = batch.transaction.entries() >= kMaxTransactionEntries;
   if (!accepts_.empty() || workers_changed_ || !urgent_.empty() ||
       (was_full && !dirty_.empty())) {
--- a/src/libdoorwood/cell/cell_journal_build.cpp
+++ b/src/libdoorwood/cell/cell_journal_build.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// What goes into a batch, in order of priority.
+// Builds batches. `Build` calls the functions that add entries in order of
+// priority.
 
 #include <algorithm>
 #include <utility>
@@ -155,7 +156,7 @@
     const std::string job = std::move(dirty_order_.front());
     dirty_order_.pop_front();
     if (!dirty_.contains(job)) {
-      continue;  // Already added as urgent.
+      continue;  // Already added to this or an earlier batch.
     }
     if (in_flight_jobs_.contains(job)) {
       later.push_back(job);
--- a/src/libdoorwood/cell/lead_proof.cpp
+++ b/src/libdoorwood/cell/lead_proof.cpp
@@ -75,7 +75,8 @@
     return;
   }
   if (!error && item.created != epoch_) {
-    listener_.OnLeadDisproved("another instance holds the lead key");
+    listener_.OnLeadDisproved(
+        "the lead key was created again for another epoch");
     return;
   }
   // After a failed read, `Tick` reads again once the key has not been confirmed
--- a/src/libdoorwood/cell/ticket_book.cpp
+++ b/src/libdoorwood/cell/ticket_book.cpp
@@ -79,9 +79,9 @@
     return;
   }
   // A ticket is valid from the adviser's answer on. Its time is counted from
-  // the request here, so it may be dropped too early, but is never used too
-  // late. A refusal is cached for as long, since the workers that may run a
-  // step do not change.
+  // the request here, so a ticket may go unused while it is still valid, but is
+  // never taken for valid after it has expired. That a worker got no ticket is
+  // cached for as long, since the workers that may run a step do not change.
   const Instant expires_at = sent + grant.valid_for;
   for (const std::string& worker : requested) {
     entry.answers[worker] = {"", expires_at};
