--- a/src/libdoorwood/cell/cell_changing_capacity_test.cpp
+++ b/src/libdoorwood/cell/cell_changing_capacity_test.cpp
@@ -50,9 +50,10 @@
   int64_t UsedCpu() const {
     return static_cast<int64_t>(worker->model.running_count()) * kTaskCpu;
   }
-  /// Runs the world, and returns the highest processor use of the worker after
-  /// a start in that time, in thousandths of a processor; 0 if nothing started.
-  int64_t MaxUsageAfterStarts(Millis duration) {
+  /// Runs the world, and returns the worker's highest processor use at the end
+  /// of a 50 ms step in which a run started, in thousandths of a processor; 0
+  /// if nothing started.
+  int64_t RunAndGetMaxUsageAfterStarts(Millis duration) {
     constexpr Millis kStep{50};
     int64_t max_usage = 0;
     for (Millis passed{0}; passed < duration; passed += kStep) {
@@ -78,10 +79,11 @@
       fixture.world.Run(Millis(2000));
       fixture.worker->incarnation.capacity.cpu_millis = 3 * kTaskCpu;
       fixture.world.Run(Millis(1000));
-      BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(5000)) <= 3 * kTaskCpu);
+      BOOST_TEST(fixture.RunAndGetMaxUsageAfterStarts(Millis(5000)) <=
+                 3 * kTaskCpu);
       fixture.worker->incarnation.capacity.cpu_millis = 0;
       fixture.world.Run(Millis(1000));
-      BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(2000)) == 0);
+      BOOST_TEST(fixture.RunAndGetMaxUsageAfterStarts(Millis(2000)) == 0);
       fixture.worker->incarnation.capacity.cpu_millis = 6 * kTaskCpu;
       fixture.world.Run(Millis(1000));
       BOOST_TEST(fixture.UsedCpu() == 6 * kTaskCpu);
@@ -113,7 +115,8 @@
       fixture.worker->incarnation.capacity.cpu_millis = 4 * kTaskCpu;
       fixture.world.Kill(fixture.world.WaitForLeader()->name);
       fixture.world.Run(kCapacityUpdateDelay);
-      BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(5000)) <= 4 * kTaskCpu);
+      BOOST_TEST(fixture.RunAndGetMaxUsageAfterStarts(Millis(5000)) <=
+                 4 * kTaskCpu);
     }
   }
 }
@@ -136,7 +139,8 @@
       fixture.world.Kill(leader->name);
       BOOST_REQUIRE(fixture.world.WaitForLeader() != nullptr);
       fixture.world.Submit(fakes::MakePlan(kFixtureJob, 1, 40, "ms=300"));
-      BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(5000)) <= 8 * kTaskCpu);
+      BOOST_TEST(fixture.RunAndGetMaxUsageAfterStarts(Millis(5000)) <=
+                 8 * kTaskCpu);
       fixture.world.Run(Millis(10'000));
       const auto state = fixture.world.StateOf(kFixtureJob);
       BOOST_REQUIRE(state.has_value());
@@ -152,10 +156,11 @@
   fixture.worker->incarnation.capacity = {100 * kTaskCpu, 1'000'000, 0};
   fixture.world.Run(Millis(1000));
   fixture.world.Submit(fakes::MakePlan(kFixtureJob, 1, 20, "ms=500"));
-  BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(2000)) == 0);
+  BOOST_TEST(fixture.RunAndGetMaxUsageAfterStarts(Millis(2000)) == 0);
   fixture.worker->incarnation.is_valid = true;
   fixture.worker->incarnation.capacity.cpu_millis = 2 * kTaskCpu;
-  BOOST_TEST(fixture.MaxUsageAfterStarts(Millis(3000)) == 2 * kTaskCpu);
+  BOOST_TEST(fixture.RunAndGetMaxUsageAfterStarts(Millis(3000)) ==
+             2 * kTaskCpu);
 }
 
 }  // namespace
--- a/src/libdoorwood/cell/cell_closed_data_centre_test.cpp
+++ b/src/libdoorwood/cell/cell_closed_data_centre_test.cpp
@@ -52,6 +52,7 @@
     }
     return running;
   }
+  // Returns no error unless the job is refused at once.
   std::error_code SubmitAndReturnError(int number) {
     std::error_code answer;
     JobPlan plan = fakes::MakePlan("ffffffffffffff" + std::to_string(number), 1,
--- a/src/libdoorwood/cell/cell_journal_load_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_load_test.cpp
@@ -3,7 +3,7 @@
 // The journal of a busy cell while the store is fast, is slow, stops answering
 // for a while, or loses replies, in virtual time. The usual load is that of 540
 // workers: 40 new jobs a second, 250 open jobs that each change about ten times
-// a second, and an occasional cancel.
+// a second, and two cancels a second.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -181,7 +181,7 @@
 const std::error_code store_unavailable = CoreErrc::kStoreUnavailable;
 const std::error_code outcome_unknown = CoreErrc::kOutcomeUnknown;
 
-BOOST_AUTO_TEST_CASE(Journal_SlowStore_KeepsUpWithTheLoad) {
+BOOST_AUTO_TEST_CASE(Journal_AnswersWithin400Ms_KeepsUpWithTheLoad) {
   struct Row {
     Millis answer_time;
     Millis accept_within;
@@ -196,7 +196,7 @@
     fixture.store.answer_time = row.answer_time;
     fixture.GenerateLoad(Millis(6000));
     fixture.time.Run(Millis(2000));
-    // Run ends are recorded with the next batch.
+    // The newest run ends are only reported as recorded after another batch.
     fixture.journal.MarkDirty("open0", true);
     fixture.time.Run(Millis(1000));
     BOOST_TEST_CONTEXT(row.answer_time.count() << " ms an answer") {
@@ -258,7 +258,7 @@
   BOOST_TEST(!fixture.lead_lost);
 }
 
-BOOST_AUTO_TEST_CASE(Accept_EveryThirdReplyLost_OthersAreAccepted) {
+BOOST_AUTO_TEST_CASE(Accept_EveryThirdReplyLost_MostAreAccepted) {
   LoadFixture fixture;
   fixture.store.lose_every_nth = 3;
   fixture.GenerateLoad(Millis(6000), /*arrivals=*/40, /*open_jobs=*/60);
@@ -266,7 +266,7 @@
   fixture.time.Run(Millis(3000));
   BOOST_TEST(fixture.answers.size() == 240U);
   BOOST_TEST(fixture.CountAnswers(no_error) >= 200);
-  // A refused job is never stored.
+  // No refused job is accepted later.
   BOOST_TEST(fixture.accepted.size() <=
              static_cast<size_t>(fixture.CountAnswers(no_error) +
                                  fixture.CountAnswers(outcome_unknown)));
--- a/src/libdoorwood/cell/cell_journal_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_test.cpp
@@ -15,7 +15,8 @@
 
 constexpr char kJob[] = "00112233aabbccdd";
 
-// A store whose next commits fail as scripted.
+// A store that handles its next commits as scripted, and later ones without a
+// fault.
 class ScriptedStore : public fakes::CommitOnlyStore {
  public:
   enum class Step { kAnswer, kRefuse, kLoseAnswer, kLoseRequest, kDelay };
@@ -208,7 +209,8 @@
   BOOST_TEST(accepted.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(Accept_IdOfAnotherCell_IsAlreadyKnown, JournalFixture) {
+BOOST_FIXTURE_TEST_CASE(Accept_IdStoredByAnotherCell_IsNotAccepted,
+                        JournalFixture) {
   StoreTransaction other;
   other.puts.push_back({JobIdKey(kJob), "other", 0});
   StoreCommit ignored;
@@ -260,7 +262,7 @@
 BOOST_FIXTURE_TEST_CASE(MarkDirty_ContinuousChanges_EndsAreRecorded,
                         JournalFixture) {
   constexpr int kJobs = 60;
-  std::set<std::string> recorded_early;
+  std::set<std::string> recorded_jobs;
   for (int round = 0; round < 20; ++round) {
     for (int i = 0; i < kJobs; ++i) {
       journal.MarkDirty("job" + std::to_string(i), false);
@@ -269,11 +271,12 @@
   }
   BOOST_REQUIRE(ends_recorded.contains("w"));
   BOOST_TEST(ends_recorded.at("w") == 7U);
-  recorded_early.insert(recorded.begin(), recorded.end());
-  BOOST_TEST(recorded_early.size() == static_cast<size_t>(kJobs));
+  recorded_jobs.insert(recorded.begin(), recorded.end());
+  BOOST_TEST(recorded_jobs.size() == static_cast<size_t>(kJobs));
 }
 
-BOOST_FIXTURE_TEST_CASE(SetWorkers_Unchanged_NotWrittenAgain, JournalFixture) {
+BOOST_FIXTURE_TEST_CASE(SetWorkers_AlreadyStored_NotWrittenAgain,
+                        JournalFixture) {
   journal.SetWorkers({{"w", "address"}});
   time.Run(Millis(50));
   StoreItem first;
--- a/src/libdoorwood/cell/cell_large_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_large_takeover_test.cpp
@@ -22,8 +22,8 @@
 
 // Loses the leader and two thirds of the workers. Returns the time in ms from
 // the takeover until the tasks that cannot run on the lost workers are
-// released.
-int TimeUntilRelease() {
+// released; 20,000 if they are not released by then.
+int MeasureTimeUntilRelease() {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
   for (int i = 0; i < 60; ++i) {
@@ -69,7 +69,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(LargeTakeover_MostWorkersGone_TasksAreReleasedInTime) {
-  BOOST_TEST(TimeUntilRelease() <= kReleaseBoundMs);
+  BOOST_TEST(MeasureTimeUntilRelease() <= kReleaseBoundMs);
 }
 
 }  // namespace
--- a/src/libdoorwood/cell/cell_lead_proof_test.cpp
+++ b/src/libdoorwood/cell/cell_lead_proof_test.cpp
@@ -19,7 +19,7 @@
 
 // The store answers again before the old leader has learned of its successor.
 // Without a worker's report, runs whose lease has expired count as ended only
-// once a later read of the lead key shows that the leader still leads.
+// once the lead key confirms that the leader still led after the expiry.
 BOOST_AUTO_TEST_CASE(PartitionedLeader_IsGrantedANewLease_NothingRunsTwice) {
   for (int duration = 2500; duration <= 9000; duration += 50) {
     PartitionedLeaderFixture fixture;
@@ -32,8 +32,9 @@
   }
 }
 
-// The store removes the old leader's keys at once, without notice and without
-// ending the lease. That leader has not reached the worker for 0 to 7 s before.
+// The store removes the old leader's keys without notice and without ending the
+// lease, as soon as that leader is partitioned. By then, the leader has been
+// unable to reach "shared" for 0 to 7 s.
 BOOST_AUTO_TEST_CASE(
     PartitionedLeader_KeyIsRemovedBeforeLeaseEnd_NothingRunsTwice) {
   for (int unreachable = 0; unreachable <= 7000; unreachable += 100) {
--- a/src/libdoorwood/cell/cell_leaving_test.cpp
+++ b/src/libdoorwood/cell/cell_leaving_test.cpp
@@ -84,7 +84,7 @@
   std::map<std::string, std::string> answers;
 };
 
-BOOST_AUTO_TEST_CASE(Leader_StoppedUnderLoad_HandsOverAtOnce) {
+BOOST_AUTO_TEST_CASE(Leader_StoppedUnderLoad_HandsOverWithinASecond) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     BusyLeaderFixture fixture(seed);
     auto& world = fixture.world;
--- a/src/libdoorwood/cell/cell_many_ends_test.cpp
+++ b/src/libdoorwood/cell/cell_many_ends_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A worker has about as many ended runs as one report can list, or more, when a
-// new leader contacts it for the first time. A run that the first report does
-// not name may have ended nevertheless.
+// A worker has fewer, as many, or more ended runs than one report can list
+// (500) when a new leader contacts it for the first time. A run that the first
+// report does not name may have ended nevertheless.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
--- a/src/libdoorwood/cell/cell_repeated_takeover_wait_test.cpp
+++ b/src/libdoorwood/cell/cell_repeated_takeover_wait_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// When one leader has completed its wait for a not yet contacted worker, the
-// next leader must not repeat the wait, even if the first has recorded its
-// workers since.
+// A leader has completed its wait for a worker that it could not contact. The
+// next leader must not repeat the wait, even if the earlier one has recorded
+// its workers again since the wait.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
--- a/src/libdoorwood/cell/cell_takeover_wait_test.cpp
+++ b/src/libdoorwood/cell/cell_takeover_wait_test.cpp
@@ -34,10 +34,12 @@
 }
 
 // Returns the time in ms from the loss of a leader until a waiting task is
-// started, at the last of `takeovers` takeovers. If `far_listed`, there is an
-// unreachable worker "far", which the first leader has contacted if
-// `far_contacted`.
-int WaitAfterLeaderLoss(bool far_listed, bool far_contacted, int takeovers) {
+// started, at the last of `takeovers` takeovers; 30,000 if it is not started by
+// then. If `far_listed`, there is a worker "far", which is unreachable from the
+// beginning or, if `far_contacted`, after the first leader has contacted it.
+int MeasureWaitAfterLeaderLoss(bool far_listed,
+                               bool far_contacted,
+                               int takeovers) {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
   world.AddWorker("w1", 8000);
@@ -79,12 +81,12 @@
 }
 
 BOOST_AUTO_TEST_CASE(Wait_WorkerListedNeverContacted_IsShort) {
-  BOOST_TEST(WaitAfterLeaderLoss(true, false, 1) <= kWaitBoundMs);
+  BOOST_TEST(MeasureWaitAfterLeaderLoss(true, false, 1) <= kWaitBoundMs);
 }
 
 BOOST_AUTO_TEST_CASE(Wait_WorkerNotContactedInWholeTakeover_IsNotRepeated) {
-  BOOST_TEST(WaitAfterLeaderLoss(true, true, 2) <= kWaitBoundMs);
-  BOOST_TEST(WaitAfterLeaderLoss(true, true, 3) <= kWaitBoundMs);
+  BOOST_TEST(MeasureWaitAfterLeaderLoss(true, true, 2) <= kWaitBoundMs);
+  BOOST_TEST(MeasureWaitAfterLeaderLoss(true, true, 3) <= kWaitBoundMs);
 }
 
 // A task fails after the second takeover. A draining worker is gone, and its
--- a/src/libdoorwood/cell/cell_unresponsive_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_unresponsive_takeover_test.cpp
@@ -37,24 +37,25 @@
       instance->unreachable_workers.insert("shared");
     }
   }
-  /// Runs the world for `duration` and submits a small job every 50 ms, so that
-  /// tasks are started on each worker that seems healthy.
+  /// Runs the world for `duration`, or up to 0.1 s longer, and submits a small
+  /// job every 150 ms (`Submit` takes 100 ms of these), so that tasks are
+  /// started on each worker that seems healthy.
   void RunWithStarts(Millis duration) {
-    constexpr Millis kSubmitInterval{50};
+    constexpr Millis kPauseAfterSubmit{50};
     const Instant until = world.time().now() + duration;
-    while (world.time().now() + kSubmitInterval < until) {
+    while (world.time().now() + kPauseAfterSubmit < until) {
       char id[17];
       std::snprintf(id, sizeof(id), "%016x", ++jobs_made_);
       world.Submit(fakes::MakePlan(id, 1, 2, "ms=300"));
-      world.Run(kSubmitInterval);
+      world.Run(kPauseAfterSubmit);
     }
     if (world.time().now() < until) {
       world.Run(std::chrono::duration_cast<Millis>(until - world.time().now()));
     }
   }
-  /// Runs the world until both tasks run on "near", because their runs on
-  /// "shared" have ended, for 30 s at most. Returns the time since `since`.
-  Millis TimeUntilRestarted(Instant since) {
+  /// Runs the world, for 30 s at most, until both tasks run on "near" because
+  /// their runs on "shared" count as ended. Returns the time since `since`.
+  Millis RunUntilRestarted(Instant since) {
     const auto& near = world.workers().at("near")->model;
     const auto restarted = [&] {
       return near.IsRunning(fakes::kPartitionedLeaderJob +
@@ -83,7 +84,7 @@
     const Instant since = scenario.world.time().now();
     scenario.world.Run(Millis(unresponsive_ms));
     scenario.world.Kill(scenario.old_leader->name);
-    const Millis downtime = scenario.TimeUntilRestarted(since);
+    const Millis downtime = scenario.RunUntilRestarted(since);
     BOOST_TEST(
         downtime.count() <= kDowntimeBound.count(),
         "unresponsive for " << unresponsive_ms << " ms: " << downtime.count());
@@ -106,7 +107,7 @@
       scenario.RunWithStarts(Millis(unresponsive_ms));
       const Instant lost = scenario.world.time().now();
       scenario.world.Kill(scenario.old_leader->name);
-      const Millis wait = scenario.TimeUntilRestarted(lost);
+      const Millis wait = scenario.RunUntilRestarted(lost);
       const std::string context = "seed " + std::to_string(seed) +
                                   ", unresponsive for " +
                                   std::to_string(unresponsive_ms);
@@ -148,9 +149,10 @@
   }
 }
 
-// The old leader loses the store and reaches the worker again 0 to 1.5 s later,
-// so that the record still says that the worker is unresponsive. A successor
-// that reaches only the other worker relies on that record.
+// The old leader loses the store and the other instances, and reaches the
+// worker again 0 to 1.5 s later, so that the record may still say that the
+// worker is unresponsive. A successor that reaches only the other worker relies
+// on that record.
 BOOST_AUTO_TEST_CASE(Successor_WorkerBackWithoutTheStore_NothingRunsTwice) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     for (int unresponsive_ms = 3500; unresponsive_ms <= 6250;
@@ -176,9 +178,9 @@
   }
 }
 
-// The worker is healthy, but no instance can reach it. The store revokes the
-// leader's key, so that a successor leads at once, before the lease of the runs
-// there has expired.
+// The worker is healthy, but no instance can reach it. The store removes the
+// leader's key without notice, so that a successor leads at once, in some cases
+// before the lease of the runs there has expired.
 BOOST_AUTO_TEST_CASE(Successor_LeadsAtOnce_NothingRunsTwice) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     for (int unresponsive_ms = 3500; unresponsive_ms <= 6500;
@@ -200,12 +202,12 @@
   }
 }
 
+// The lease of the runs expires 5.2 s after the worker becomes unresponsive.
 // The runs continue if the worker can be reached again early enough before
-// their lease expires, which is 5.2 s after it becomes unresponsive. It may
-// take 0.85 s until the next poll, and then up to 27 ms until the record says
-// that the worker answers; before that no lease is extended. If the worker is
-// unreachable for more than 4.25 s, the runs may therefore end.
-BOOST_AUTO_TEST_CASE(Worker_AnswersBeforeItsLeaseExpires_RunsContinue) {
+// that: 0.85 s may pass until the next poll, and then up to 27 ms until the
+// record says that the worker answers; no lease is extended before. If the
+// worker is unreachable for more than 4.25 s, the runs may therefore end.
+BOOST_AUTO_TEST_CASE(Worker_ReachableEarlyEnough_RunsContinue) {
   constexpr int kAnswersInTimeMs = 4250;
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     for (int unresponsive_ms = 3500; unresponsive_ms <= 5000;
--- a/src/libdoorwood/cell/cell_unresponsive_worker_test.cpp
+++ b/src/libdoorwood/cell/cell_unresponsive_worker_test.cpp
@@ -2,10 +2,10 @@
 
 // Guards against starts on a worker that is still unresponsive when the lease
 // of its runs has expired. The leader then correctly takes the runs to have
-// ended, so the worker is idle, and idle workers are not polled. If they all
-// counted as responsive, the tasks would be ordered on this worker again at
-// once, and elsewhere only 6.5 s later, although other workers have free
-// capacity.
+// ended, so the worker is idle, and idle workers are not polled regularly. If
+// every idle worker counted as responsive, the tasks would be ordered on this
+// worker again at once, and elsewhere only 6.5 s later, although other workers
+// have free capacity.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -72,7 +72,7 @@
   BOOST_TEST(fixture.world.log_count("start ordered") == kTasks);
 }
 
-BOOST_AUTO_TEST_CASE(UnresponsiveWorker_AnotherJoins_TakesTheTasksAtOnce) {
+BOOST_AUTO_TEST_CASE(UnresponsiveWorker_AnotherJoins_GetsATaskIn800Ms) {
   UnresponsiveWorkerFixture fixture;
   fixture.world.Run(kLeaseExpiry);
   fixture.world.AddWorker("w2", 8000);
@@ -81,7 +81,7 @@
   BOOST_TEST(WorkerRunning(fixture.world, fixture.task) == "w2");
 }
 
-BOOST_AUTO_TEST_CASE(UnresponsiveWorker_AnswersAgain_TakesTheTasksAtOnce) {
+BOOST_AUTO_TEST_CASE(UnresponsiveWorker_AnswersAgain_GetsATaskInASecond) {
   UnresponsiveWorkerFixture fixture;
   fixture.world.Run(kLeaseExpiry + Millis(3000));
   fixture.Heal();
--- a/src/libdoorwood/cell/commit_flow_test.cpp
+++ b/src/libdoorwood/cell/commit_flow_test.cpp
@@ -13,14 +13,15 @@
   Instant now{std::chrono::hours(1)};
 
   void AdvanceTime(int millis) { now += Millis(millis); }
-  // One commit that is answered after `millis`.
+  // Sends one commit, and answers it after `millis`.
   void SendAndAnswer(int millis) {
     flow.OnSent(0, now);
     AdvanceTime(millis);
     flow.OnAnswered(0, now);
   }
-  // Number of commits sent within `millis` while none is answered.
-  size_t CountSentWithin(int millis) {
+  // Sends a commit whenever one is allowed, checked every 10 ms for `millis`,
+  // while none is answered; returns their number.
+  size_t SendForAndCount(int millis) {
     constexpr int kStep = 10;
     size_t lane = 0;
     for (int passed = 0; passed < millis; passed += kStep, AdvanceTime(kStep)) {
@@ -50,12 +51,12 @@
 BOOST_FIXTURE_TEST_CASE(MaySend_FastStoreStopsAnswering_FewAreSent,
                         FlowFixture) {
   SendAndAnswer(4);
-  BOOST_TEST(CountSentWithin(1000) == 4U);
+  BOOST_TEST(SendForAndCount(1000) == 4U);
 }
 
-BOOST_FIXTURE_TEST_CASE(MaySend_SlowStore_ManyAreSent, FlowFixture) {
+BOOST_FIXTURE_TEST_CASE(MaySend_SlowStore_AllLanesAreUsed, FlowFixture) {
   SendAndAnswer(364);
-  BOOST_TEST(CountSentWithin(340) == options.max_lanes);
+  BOOST_TEST(SendForAndCount(340) == options.max_lanes);
 }
 
 BOOST_FIXTURE_TEST_CASE(IsUnresponsive_NoAnswerInTime_UntilTheNextAnswer,
--- a/src/libdoorwood/cell/leader_succession_fixture.h
+++ b/src/libdoorwood/cell/leader_succession_fixture.h
@@ -61,9 +61,9 @@
       : world(7) {
     world.SetTable({MakeQueue("queue", 4)});
     // Has memory for only two tasks, so that the others go elsewhere.
-    constexpr int64_t kMemoryOfTwoMib = 250;
+    constexpr int64_t kMemoryForTwoTasksMib = 250;
     world.AddWorker("old_only", 5000).incarnation.capacity.memory_mib =
-        kMemoryOfTwoMib;
+        kMemoryForTwoTasksMib;
     world.AddInstance("a1", "plaka", 2.0);
     world.AddInstance("b1", "kerameikos");
     world.AddInstance("c1", "pireas");
--- a/src/libdoorwood/cell/ticket_book_test.cpp
+++ b/src/libdoorwood/cell/ticket_book_test.cpp
@@ -50,7 +50,7 @@
                   [this] { ++changes; }};
 };
 
-BOOST_FIXTURE_TEST_CASE(RequestTickets_Answered_TicketIsValidForItsTime,
+BOOST_FIXTURE_TEST_CASE(RequestTickets_Answered_TicketIsUsedUntilNearExpiry,
                         TicketFixture) {
   book.RequestTickets("s", {"w1", "refused"});
   book.RequestTickets("s", {"w1", "refused"});  // Already requested.
@@ -68,7 +68,7 @@
   BOOST_TEST(adviser.requests == 2);
 }
 
-BOOST_FIXTURE_TEST_CASE(RequestTickets_AdviserBusy_RetriesAfterAPause,
+BOOST_FIXTURE_TEST_CASE(RequestTickets_AdviserBusy_NextIsSentAfterAPause,
                         TicketFixture) {
   adviser.error = CoreErrc::kNoOwner;
   book.RequestTickets("s", {"w1"});
@@ -83,7 +83,7 @@
   BOOST_TEST(book.Find("s", "w1") == "s-w1");
 }
 
-BOOST_FIXTURE_TEST_CASE(RequestTickets_ManyWorkers_SendsBatches,
+BOOST_FIXTURE_TEST_CASE(RequestTickets_ManyWorkers_RepeatedCallsCoverAll,
                         TicketFixture) {
   std::vector<std::string> workers;
   for (int i = 0; i < 70; ++i) {
