--- a/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Leaders that are partitioned from the store and their peers, that lose the
-// store together with all instances, or that are succeeded. Checks which leader
-// may conclude that the runs on an unresponsive or crashed worker have ended,
-// and that the limit of attempts holds; several tests try times on both sides
-// of a bound. All in virtual time.
+// Leaders that are partitioned from the store and their peers, that cannot
+// reach the store because it is down for all instances, or that are succeeded.
+// Checks which leader may conclude that the runs on an unresponsive or crashed
+// worker have ended, and that the limit of attempts holds; several tests try
+// times on both sides of a bound. All in virtual time.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -44,8 +44,7 @@
 // A worker crashes 0 to 6 s after the partition. Its next incarnation answers
 // both leaders; only the successor, which may have adopted the runs there, may
 // start the tasks again.
-BOOST_AUTO_TEST_CASE(
-    PartitionedLeader_SharedWorkerCrashes_OneLeaderStartsAgain) {
+BOOST_AUTO_TEST_CASE(PartitionedLeader_SharedWorkerCrashes_NothingRunsTwice) {
   for (int after = 0; after <= 6000; after += 250) {
     PartitionedLeaderFixture fixture;
     fixture.PartitionOldLeader();
@@ -59,11 +58,11 @@
   }
 }
 
-// A leader that the store confirms as such may conclude that the runs on a
-// worker have ended once the worker was unresponsive for longer than their
-// lease.
+// A leader whose lead the store confirms may conclude that the runs on a worker
+// have ended once the worker was unresponsive for longer than the lease of
+// these runs.
 BOOST_FIXTURE_TEST_CASE(
-    LeaseIsCertain_WorkerUnresponsiveForItsLease_StartsElsewhere,
+    LeadConfirmed_WorkerUnresponsiveForItsLease_StartsElsewhere,
     PartitionedLeaderFixture) {
   for (const auto& [name, instance] : world.instances()) {
     instance->unreachable_workers.insert("shared");
@@ -71,13 +70,14 @@
   world.Run(Millis(9000));
   BOOST_TEST(world.workers().at("near")->model.IsRunning(
       std::string(kPartitionedLeaderJob) + ".0.0.0"));
-  ExpectNoViolations("certain of its lease");
+  ExpectNoViolations("lead confirmed");
 }
 
-// During a store outage for all instances, a worker's crash does not prove to
-// the leader that the runs there have ended: a successor might have started the
-// tasks again. Once the store confirms that the leader still leads, the earlier
-// answer of the worker's next incarnation proves that the runs have ended.
+// During a store outage for all instances, the answer of a crashed worker's
+// next incarnation does not yet allow the leader to start the tasks again: its
+// lead is not confirmed up to the time of that answer, so a successor might
+// have started them. Once the store confirms the lead, the earlier answer
+// suffices.
 BOOST_FIXTURE_TEST_CASE(Store_DownForAllAndWorkerCrashes_TasksRestartWithStore,
                         PartitionedLeaderFixture) {
   for (const auto& [name, instance] : world.instances()) {
@@ -95,9 +95,9 @@
   ExpectNoViolations("store down");
 }
 
-// Two takeovers while a worker that is permanently gone may still hold runs:
-// the second successor continues the first one's wait instead of starting a new
-// one.
+// Two takeovers while runs may continue on a worker that is unlisted and stays
+// unreachable: the second successor continues the first one's wait for the
+// worker instead of starting a new wait.
 BOOST_FIXTURE_TEST_CASE(Successor_WorkerIsGoneForTwoLeaders_WaitIsContinued,
                         PartitionedLeaderFixture) {
   world.AddInstance("d1", "plaka");
@@ -120,12 +120,12 @@
   ExpectNoViolations("wait continued");
 }
 
-// The first successor reaches the worker after 1 to 5.5 s, stays in contact and
-// extends the leases there during the next 0.1 to 2.1 s, and is lost; the
-// worker is unresponsive again. The next successor's wait must count from the
-// last lease granted to the worker, not from the older record. If the store is
-// unreachable when the worker answers, no lease is extended. Leaders with a
-// planned shutdown are succeeded at once, which leaves the least time; a leader
+// The first successor reaches the worker after 1 to 5.5 s and stays in contact
+// for 0.1 to 2.1 s, in which it extends the leases there unless it cannot reach
+// the store. Then it is lost, and the worker is unresponsive again. The next
+// successor's wait must count from the last extension of a lease there, not
+// from the older workers' record. Leaders with a planned shutdown are succeeded
+// at once, so that the least time has passed since that extension; a leader
 // that cannot reach the store is killed instead.
 struct ContactedAndLost {
   int not_contacted_ms;
@@ -196,17 +196,17 @@
 }
 
 // Runs 1 and 2 fail, both or only the second while the store is unreachable, so
-// that one or both failures are not recorded. For 1 to 8 s the successor
-// cannot reach the worker of one of them. The limit of four attempts must still
-// hold.
-struct UnreportedFailure {
+// that one or both failures are not recorded. For 1 to 8 s after the leader is
+// killed, the other instances cannot reach the worker of one of these runs. The
+// limit of four attempts must still hold.
+struct UnrecordedFailure {
   int recorded;
   int partitioned_run;
   int partitioned_ms;
 };
 
-std::vector<UnreportedFailure> UnreportedFailures() {
-  std::vector<UnreportedFailure> rows;
+std::vector<UnrecordedFailure> UnrecordedFailures() {
+  std::vector<UnrecordedFailure> rows;
   for (int partitioned_ms = 1000; partitioned_ms <= 8000;
        partitioned_ms += 1000) {
     rows.push_back({1, 2, partitioned_ms});
@@ -218,7 +218,7 @@
 
 BOOST_AUTO_TEST_CASE(Successor_FailureNotReported_AttemptsAreNotExceeded) {
   for (const auto& [recorded, partitioned_run, partitioned_ms] :
-       UnreportedFailures()) {
+       UnrecordedFailures()) {
     fakes::CellWorld world(3);
     world.SetTable({fakes::MakeQueue("queue", 4)});
     for (const char* id : {"w1", "w2", "w3", "w4", "w5", "w6"}) {
--- a/src/libdoorwood/cell/cell_pause_test.cpp
+++ b/src/libdoorwood/cell/cell_pause_test.cpp
@@ -4,8 +4,9 @@
 // wait until the runs on workers that it has not contacted must have ended, and
 // start the tasks again. On resuming, the old leader handles answers that
 // waited in its sockets before the tick that detects the pause, and may send an
-// order after a check made before the pause. A run whose lease it extends then
-// must not overlap the successor's run of the same task. All in virtual time.
+// order after a check made before the pause. If the old leader then extends the
+// lease of a run, that run must not overlap the successor's run of the same
+// task. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -18,13 +19,14 @@
 using fakes::LeaderSuccession;
 using fakes::ViolationReport;
 
-// The pauses begin at 20 offsets, 60 ms apart, within the 1.2 s for which a
-// poll waits.
+// Where the pauses begin at offsets of 0 to 19 steps, these offsets lie within
+// the 1.2 s for which a poll waits. `CellWorld::Run` rounds each offset up to a
+// multiple of 50 ms.
 constexpr int kOffsets = 20;
 constexpr Millis kOffsetStep{60};
 constexpr Millis kSettleTime{13'000};
-// How long a leader continues to send orders after its last confirmation
-// (`CellOptions::order_grace`).
+// How long a leader continues to order starts and extend leases after its lead
+// was last confirmed (`CellOptions::order_grace`).
 constexpr Millis kOrderGrace{3000};
 
 std::string Describe(
@@ -77,8 +79,8 @@
 }
 
 // The old leader cannot reach the store and the other instances. It continues
-// to send orders for 3 s after its last confirmation, and is paused 3 to 5.34 s
-// after the partition.
+// to order starts and extend leases for 3 s after its lead was last confirmed,
+// and is paused 3 to 5.35 s after the partition.
 BOOST_AUTO_TEST_CASE(PartitionedLeader_Paused_NothingRunsTwice) {
   ViolationReport violation_report;
   for (const bool partitioned : {false, true}) {
@@ -100,8 +102,8 @@
   }
 }
 
-// A pause in the middle of processing: between a check and the order that
-// follows from it.
+// The pause begins within one of the next 300 reads of the clock, so that in
+// some cases it lies between a check and the order that follows from the check.
 BOOST_AUTO_TEST_CASE(
     PartitionedLeader_PausedBetweenCheckAndOrder_NothingRunsTwice) {
   ViolationReport violation_report;
@@ -127,8 +129,8 @@
   }
 }
 
-// A pause between a check and the order that follows from it, of a leader that
-// the store serves: it loses the lead only because of the pause.
+// Likewise, with every third of the next 300 reads of the clock, for a leader
+// that the store serves: only the pause can make it lose the lead.
 BOOST_AUTO_TEST_CASE(OldLeader_PausedBetweenCheckAndOrder_NothingRunsTwice) {
   ViolationReport violation_report;
   for (const bool partitioned : {false, true}) {
--- a/src/libdoorwood/cell/cell_random_faults_test.cpp
+++ b/src/libdoorwood/cell/cell_random_faults_test.cpp
@@ -2,8 +2,8 @@
 
 // A seeded random walk that submits jobs and injects faults into a cell in
 // virtual time. After each walk all faults are cleared. 60 s later every
-// accepted job must have the outcome that its tasks lead to, and no rule of the
-// world may have been violated.
+// accepted job must have the outcome that its payload determines, and no rule
+// of the world may have been violated.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -198,7 +198,7 @@
   int instances_made_ = 0;
 };
 
-BOOST_AUTO_TEST_CASE(Cells_RandomFaults_EveryAcceptedJobEndsOnce) {
+BOOST_AUTO_TEST_CASE(Cells_RandomFaults_EveryAcceptedJobHasItsOutcome) {
   const char* only_seed = std::getenv("DOORWOOD_SEED");
   const int first = only_seed == nullptr ? 1 : std::atoi(only_seed);
   const int last = only_seed == nullptr ? kSeeds : first;
--- a/src/libdoorwood/cell/cell_random_replacement_test.cpp
+++ b/src/libdoorwood/cell/cell_random_replacement_test.cpp
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Guards against overlapping runs of a task and, with short tasks, against new
-// starts of completed ones. The walk of cell_long_running_fault_walk_test, with
-// lost replies, late writes and orders, slow stops, and leaders shut down or
-// killed, sometimes two in a row. Workers are replaced: one joins; another,
-// which may announce that it drains, ends up to 8 s later. The latter's
-// directory entry is removed before or after its end.
+// Guards against overlapping runs of a task and against new starts of completed
+// tasks. Extends the walk of cell_long_running_fault_walk_test by tasks that
+// complete, lost replies, late writes and orders, slow stops, and leaders that
+// are shut down or killed, sometimes two in a row. Workers are replaced: a new
+// one joins, and the replaced one, which may announce that it drains, ends 0.2
+// to 8 s later. Its directory entry is removed before its end or up to
+// 2.5 s after that end.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -20,7 +21,8 @@
 
 constexpr int kSeeds = 400;
 constexpr int kSteps = 70;
-// Share of replies that are lost, and of calls that are executed late.
+// Share of an instance's writes or orders that are executed late, or whose
+// replies are lost, while the respective fault is on.
 constexpr double kFaultShare = 0.35;
 constexpr unsigned kShortJobLimit = 40;
 constexpr unsigned kLongJobLimit = 12;
@@ -45,13 +47,13 @@
       case 17:
         return ReplaceOneWorker();
       case 18:
-        return ShutDownLeader();
+        return ShutDownAndReplaceLeader();
       case 19:
-        return KillLeader();
+        return KillAndReplaceLeader();
       case 20:
-        ShutDownLeader();
+        ShutDownAndReplaceLeader();
         world_.Run(Between(300, 3500));
-        return KillLeader();
+        return KillAndReplaceLeader();
       case 21:
         LeaderOrRandomInstance().store_faults.delayed_write_share = kFaultShare;
         return;
@@ -59,6 +61,8 @@
         LeaderOrRandomInstance().store_faults.lost_reply_share = kFaultShare;
         return;
       case 23:
+        // Each call chooses an instance, so the share and the delay may go to
+        // different ones. An instance without a set delay uses the default.
         LeaderOrRandomInstance().delayed_order_share = kFaultShare;
         LeaderOrRandomInstance().order_delay = Between(300, 6000);
         return;
@@ -75,9 +79,9 @@
       case 30:
         return SubmitShort();
       case 32:
-        return CancelDrainAndKillLeader();
+        return CancelDrainAndReplaceLeader();
       case 33:
-        return LoseStartRepliesAndKillLeader();
+        return LoseOrderRepliesAndReplaceLeader();
       case 31:
         for (const auto& [name, instance] : world_.instances()) {
           instance->lost_order_reply_share = 0;
@@ -114,7 +118,7 @@
     const Instant ends_at = now + Between(200, 8000);
     const Instant unlisted_at = ends_at + Between(0, 2500);
     if (RandomBelow(3) == 0) {
-      // Unannounced: at most its entry is removed before it ends.
+      // Ends unannounced. Its entry is removed now or at `unlisted_at`.
       worker.listed = RandomBelow(2) == 0;
     } else {
       worker.incarnation.draining = true;
@@ -136,7 +140,8 @@
     });
   }
 
-  // Marks a worker as draining, or removes its entry, for a while.
+  // Marks a worker as draining, or removes its entry, for 0.3 to 5 s. Does
+  // nothing if the worker already drains or has no entry.
   void ChangeEntryTemporarily() {
     const std::string id = PickRunningWorker();
     auto& worker = *world_.workers().at(id);
@@ -155,10 +160,10 @@
     });
   }
 
-  // The drain of a worker is cancelled while the leader's writes are not
-  // answered; then the leader is replaced. Of the instances, only that leader
-  // and its replacement can reach the worker.
-  void CancelDrainAndKillLeader() {
+  // A worker drains, and at most the leader, or its replacement, can reach it.
+  // The drain is cancelled while the leader's writes are not answered. Then the
+  // instance that leads, if any, is killed and replaced.
+  void CancelDrainAndReplaceLeader() {
     auto* leader = world_.Leader();
     const std::string id = PickRunningWorker();
     if (leader == nullptr || world_.workers().at(id)->incarnation.draining) {
@@ -179,13 +184,14 @@
     }
     SubmitLong();
     world_.Run(Between(200, 2500));
-    KillLeader();
+    KillAndReplaceLeader();
   }
 
-  // Starts are executed, but the leader gets no reply, and it can no longer
-  // reach one of the workers. Then the leader is replaced, and no instance
-  // reaches that worker.
-  void LoseStartRepliesAndKillLeader() {
+  // Workers execute the leader's orders, but the leader gets no replies. After
+  // a job is submitted, no instance can reach one of the workers any more. 1 to
+  // 4 s later the instance that leads, if any, is killed and replaced by one
+  // that cannot reach that worker either.
+  void LoseOrderRepliesAndReplaceLeader() {
     auto* leader = world_.Leader();
     if (leader == nullptr) {
       return;
@@ -196,10 +202,11 @@
     SubmitLong();
     leader->unreachable_workers.insert(id);
     world_.Run(Between(1000, 4000));
-    KillLeader();
+    KillAndReplaceLeader();
   }
 
-  // Submits a job whose tasks run for longer than a leader's successor waits.
+  // Submits a job whose tasks run for 15 s, which is longer than a leader's
+  // successor waits for workers that it has not contacted.
   void SubmitLong() {
     if (long_jobs_ == kLongJobLimit) {
       return;
@@ -221,7 +228,8 @@
     }
   }
 
-  // Only the leader, or no instance at all, reaches a worker that is up.
+  // Partitions a worker that is up from all instances but the leader or, in a
+  // third of the calls and while no instance leads, from all instances.
   void PartitionRunningWorker() {
     const std::string worker = PickRunningWorker();
     const WorldInstance* reaching_instance =
@@ -235,18 +243,19 @@
     }
   }
 
-  // Replaces an instance by one that reaches the same workers.
+  // Kills an instance and adds one in the same data centre with the same
+  // `unreachable_workers`.
   void ReplaceInstance(fakes::WorldInstance* before) {
     const std::string name = before->name;
     const auto unreachable_workers = before->unreachable_workers;
     world_.Kill(name);
     const std::string next =
-        name.substr(0, 1) + "s" + std::to_string(++successors_);
+        name.substr(0, 1) + "s" + std::to_string(++replacement_instances_);
     world_.AddInstance(next, fakes::LeaderSuccession::DataCentreOf(name))
         .unreachable_workers = unreachable_workers;
   }
 
-  void ShutDownLeader() {
+  void ShutDownAndReplaceLeader() {
     auto* leader = world_.Leader();
     if (leader == nullptr) {
       return;
@@ -257,7 +266,7 @@
     ReplaceInstance(leader);
   }
 
-  void KillLeader() {
+  void KillAndReplaceLeader() {
     auto* leader = world_.Leader();
     if (leader != nullptr) {
       ReplaceInstance(leader);
@@ -278,7 +287,7 @@
   }
 
   int replaced_ = 0;
-  int successors_ = 0;
+  int replacement_instances_ = 0;
   unsigned short_jobs_ = 0;
   unsigned long_jobs_ = 0;
 };
--- a/src/libdoorwood/cell/cell_random_restarts_test.cpp
+++ b/src/libdoorwood/cell/cell_random_restarts_test.cpp
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// The random walk of cell_long_running_fault_walk_test with more faults:
-// replies of the store are lost, or writes are executed seconds later; workers
-// execute orders seconds later; instances announce a planned shutdown, end, and
-// restart under their names. Checks the invariants of the simulated cell, above
-// all that no task runs twice at a time, and not whether jobs end.
+// The random walk of cell_long_running_fault_walk_test with more faults: the
+// store's replies to writes are lost, or writes are executed seconds later;
+// workers execute orders seconds later; instances announce a planned shutdown,
+// or are killed and restart under their names. Checks the invariants of the
+// simulated cell, above all that no task runs twice at a time, and not whether
+// jobs end.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -17,7 +18,8 @@
 
 constexpr int kSeeds = 1000;
 constexpr int kSteps = 70;
-// Share of replies that are lost, and of calls that are executed late.
+// Share of an instance's writes or orders that are executed late, or of its
+// writes whose replies are lost, while the respective fault is on.
 constexpr double kFaultShare = 0.35;
 
 class RestartWalk : public fakes::LongRunningFaultWalk {
@@ -48,8 +50,8 @@
     }
   }
 
-  // Restarts an instance under its name. It remains partitioned from the same
-  // workers and instances; its other faults end.
+  // Kills an instance and restarts it under its name. It keeps its
+  // `unreachable_workers` and `unreachable_instances`; its other faults end.
   void RestartInstance() {
     auto& before = LeaderOrRandomInstance();
     const std::string name = before.name;
@@ -63,7 +65,7 @@
   }
 };
 
-BOOST_AUTO_TEST_CASE(Cells_LostAndLateRepliesAndRestarts_NothingRunsTwice) {
+BOOST_AUTO_TEST_CASE(Cells_LostRepliesLateCallsAndRestarts_NothingRunsTwice) {
   const char* only_seed = std::getenv("DOORWOOD_SEED");
   const int first = only_seed == nullptr ? 1 : std::atoi(only_seed);
   const int last = only_seed == nullptr ? kSeeds : first;
--- a/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
+++ b/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // The workers' record names the tasks that may run on each draining worker. In
-// these tests the leader is lost right before or after the record that names a
-// task is confirmed, its successors can or cannot reach the worker, and drains
-// are cancelled. Runs of a task must not overlap, no completed task may be
-// started again, and tasks must restart in time. All in virtual time.
+// these tests leaders are lost at many points in time around the writes of the
+// record, successors can or cannot reach the worker, or a drain is cancelled.
+// Runs of a task must not overlap, no completed task may be started again, and
+// tasks must restart in time. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <functional>
@@ -84,7 +84,7 @@
     }
     world.WaitForLeader();
     world.Run(Millis(1000));
-    old = world.Leader();
+    old_leader = world.Leader();
     BOOST_REQUIRE(world.Submit(plan));
     world.Run(Millis(300));
     BOOST_REQUIRE(WorkerRunning(world, kTask) == "leaves");
@@ -117,10 +117,10 @@
     }
   }
 
-  /// Partitions all instances except `reaches` from "leaves".
-  void PartitionAllExcept(const WorldInstance* reaches) const {
+  /// Partitions all instances except `reaching_instance` from "leaves".
+  void PartitionAllExcept(const WorldInstance* reaching_instance) const {
     for (const auto& [name, instance] : world.instances()) {
-      if (instance != reaches) {
+      if (instance != reaching_instance) {
         instance->unreachable_workers.insert("leaves");
       }
     }
@@ -135,26 +135,28 @@
     }
   }
 
-  /// Makes the first leader lose the lead. Unless `reachable`, the other
-  /// instances are first partitioned from "leaves".
+  /// Kills the first leader, partitions it from the store and the other
+  /// instances, or freezes it for 5 s. Unless `reachable`, the other instances
+  /// are first partitioned from "leaves".
   void LoseLeader(LeaderLoss loss, bool reachable) {
     if (!reachable) {
-      PartitionAllExcept(old);
+      PartitionAllExcept(old_leader);
     }
     if (loss == LeaderLoss::kKilled) {
-      world.Kill(old->name);
-      old = nullptr;
+      world.Kill(old_leader->name);
+      old_leader = nullptr;
     } else if (loss == LeaderLoss::kPartitioned) {
-      old->store_faults.unresponsive = true;
-      old->partitioned_from_peers = true;
+      old_leader->store_faults.unresponsive = true;
+      old_leader->partitioned_from_peers = true;
     } else {
-      old->executor->Freeze();
-      WorldInstance* frozen = old;
+      old_leader->executor->Freeze();
+      WorldInstance* frozen = old_leader;
       world.time().RunAt(world.time().now() + Millis(5000),
                          [frozen] { frozen->executor->Thaw(); });
     }
   }
 
+  /// Also reports starts of completed tasks, as test errors and at once.
   void AddViolationsTo(ViolationReport* violation_report,
                        const std::string& context) const {
     violation_report->Add(context, world);
@@ -164,7 +166,7 @@
   }
 
   mutable CellWorld world;
-  WorldInstance* old = nullptr;
+  WorldInstance* old_leader = nullptr;
   /// For how long `kTask` has now run on no worker.
   Millis downtime{0};
   Millis longest_downtime{0};
@@ -193,7 +195,8 @@
 
 // The leader is lost 0 to 1.5 s after the worker's entry says that it drains,
 // so before or after the workers' record that names the task is confirmed.
-BOOST_AUTO_TEST_CASE(RecordedTask_LeaderLostAroundRecord_RunsOnceAndInTime) {
+BOOST_AUTO_TEST_CASE(
+    RecordedTask_LeaderLostAroundRecord_RestartsInTimeAndNothingRunsTwice) {
   ViolationReport violation_report;
   Millis longest_reachable{0};
   Millis longest_unreachable{0};
@@ -239,7 +242,7 @@
       scenario.LoseLeader(loss, /*reachable=*/false);
       scenario.world.AddWorker("large", 16'000);
       if (loss == LeaderLoss::kPartitioned) {
-        scenario.old->unreachable_workers.insert("large");
+        scenario.old_leader->unreachable_workers.insert("large");
       }
       scenario.waited = Millis(0);
       scenario.Run(kSettleTime);
@@ -275,9 +278,9 @@
   }
 }
 
-// A worker reports a completion to the leader, which cannot record it, because
-// the store no longer answers the leader. The successor can or cannot reach the
-// worker.
+// A worker reports a completion to the leader around the time from which the
+// store no longer answers the leader, which therefore cannot record the
+// completion in most cases. The successor can or cannot reach the worker.
 BOOST_AUTO_TEST_CASE(RecordedTask_CompletionNotStored_NotStartedAgain) {
   ViolationReport violation_report;
   ForEachLeaderLoss(
@@ -286,7 +289,7 @@
         scenario.SetDraining(true);
         scenario.leaves().incarnation.min_time_to_leave = Millis(9000);
         scenario.Run(Millis(1000 + at));
-        scenario.old->store_faults.unresponsive = true;
+        scenario.old_leader->store_faults.unresponsive = true;
         scenario.Run(Millis(1500));
         scenario.LoseLeader(loss, reachable);
         scenario.Run(kSettleTime);
@@ -323,7 +326,7 @@
     world.AddInstance("a1", "plaka", 2.0);
     world.AddInstance("b1", "kerameikos");
     world.AddInstance("c1", "pireas");
-    WorldInstance* old = world.WaitForLeader();
+    WorldInstance* old_leader = world.WaitForLeader();
     world.Run(Millis(1000));
     unsigned jobs = 0;
     // The tasks of a job end one after the other.
@@ -334,19 +337,19 @@
         const auto takes = std::to_string(100 + world.random()() % 500);
         JobPlan plan = fakes::MakePlan(id, 3, 1, "ms=" + takes);
         plan.accepted_at = world.time().now_ms();
-        old->cell->Submit(plan, [](std::error_code, AcceptOutcome) {});
+        old_leader->cell->Submit(plan, [](std::error_code, AcceptOutcome) {});
         world.time().Run(kSubmitInterval);
         world.AdvanceModelsToNow();
       }
     };
     run_with_load(Millis(1500));
-    old->store_faults.lost_reply_share = 0.2;
+    old_leader->store_faults.lost_reply_share = 0.2;
     WorldWorker& leaves = *world.workers().at("leaves");
     leaves.incarnation.draining = seed % 3 != 0;
     leaves.listed = seed % 3 == 1;
     run_with_load(Millis(500 + seed * 2));
     PartitionAllFrom(world, "leaves");
-    world.Kill(old->name);
+    world.Kill(old_leader->name);
     world.Run(kSettleTime);
     const std::string context = "seed " + std::to_string(seed);
     violation_report.Add(context, world);
@@ -360,7 +363,7 @@
 // leader loses contact with the worker, the worker drains, both, or neither. If
 // the workers' record then names the worker's tasks, it must name the started
 // one.
-BOOST_AUTO_TEST_CASE(UnansweredStart_WorkerClosedToNewTasks_NotStartedAgain) {
+BOOST_AUTO_TEST_CASE(UnansweredStart_LeaderIsLost_NothingRunsTwice) {
   ViolationReport violation_report;
   int new_task_starts = 0;
   for (const bool drains : {true, false}) {
@@ -368,11 +371,11 @@
       for (int at = 100; at <= 4000; at += 100) {
         RecordedTasksScenario scenario(LongRunningPlan(), Millis(0),
                                        /*stays=*/false);
-        scenario.old->lost_order_reply_share = 1;
+        scenario.old_leader->lost_order_reply_share = 1;
         scenario.world.Submit(UnboundedPlan(kNewJob, 1000));
         new_task_starts += scenario.world.starts(kNewTask);
         if (partitioned) {
-          scenario.old->unreachable_workers.insert("leaves");
+          scenario.old_leader->unreachable_workers.insert("leaves");
         }
         scenario.SetDraining(drains);
         scenario.Run(Millis(at));
@@ -391,8 +394,8 @@
 
 // The worker's entry no longer says that it drains. New tasks may start there
 // only once a record that no longer names the worker's tasks is confirmed. From
-// up to 0.6 s before or after the change of the entry the leader's writes are
-// delayed and not answered; its reads are answered.
+// a time between 0.6 s before and 0.6 s after the change of the entry, the
+// leader's writes are delayed and not answered; its reads are answered.
 BOOST_AUTO_TEST_CASE(DrainCancelled_RecordNotConfirmed_NothingRunsTwice) {
   ViolationReport violation_report;
   int new_task_starts = 0;
@@ -409,13 +412,13 @@
         scenario.Run(Millis(500));
         BOOST_REQUIRE(scenario.world.starts(kNewTask) == 0);
         if (writes_delayed_after < 0) {
-          scenario.old->store_faults.delayed_write_share = 1;
+          scenario.old_leader->store_faults.delayed_write_share = 1;
           scenario.Run(Millis(-writes_delayed_after));
           scenario.SetDraining(false);
         } else {
           scenario.SetDraining(false);
           scenario.Run(Millis(writes_delayed_after));
-          scenario.old->store_faults.delayed_write_share = 1;
+          scenario.old_leader->store_faults.delayed_write_share = 1;
         }
         scenario.Run(Millis(lost_after));
         new_task_starts += scenario.world.starts(kNewTask);
@@ -424,7 +427,7 @@
             /*reachable=*/false);
         scenario.AddRemainingWorker();
         if (!killed) {
-          scenario.old->unreachable_workers.insert("stays");
+          scenario.old_leader->unreachable_workers.insert("stays");
         }
         scenario.Run(kSettleTime);
         scenario.AddViolationsTo(
@@ -472,15 +475,15 @@
                                      /*stays=*/false);
       scenario.world.Submit(UnboundedPlan(kNewJob, 12'000));
       // A joining worker causes a new record, which includes "leaves".
-      scenario.old->store_faults.lost_reply_share = 1;
+      scenario.old_leader->store_faults.lost_reply_share = 1;
       scenario.world.AddWorker("joins", 500);
       scenario.Run(Millis(500));
-      scenario.old->store_faults.lost_reply_share = 0;
+      scenario.old_leader->store_faults.lost_reply_share = 0;
       scenario.SetDraining(true);
       scenario.Run(Millis(drained_ms));
       scenario.world.Submit(UnboundedPlan("00112233aabbcc01", 1000));
       scenario.Run(Millis(cancelled_after));
-      scenario.old->store_faults.delayed_write_share = 1;
+      scenario.old_leader->store_faults.delayed_write_share = 1;
       scenario.SetDraining(false);
       scenario.Run(Millis(1500));
       scenario.LoseLeader(LeaderLoss::kKilled, /*reachable=*/false);
@@ -495,10 +498,10 @@
 }
 
 // A second leader reads a record that names the tasks on the worker, while the
-// entry no longer says that the worker drains. From a time 0 to 0.25 s after it
-// took the lead, its writes are delayed and not answered. New tasks may start
-// on the worker only once a record that no longer names the worker's tasks is
-// confirmed. Later leaders cannot reach the worker.
+// entry no longer says that the worker drains. From a time 0 to 0.25 s after
+// that leader took the lead, its writes are delayed and not answered. New tasks
+// may start on the worker only once a record that no longer names the worker's
+// tasks is confirmed. Later leaders cannot reach the worker.
 BOOST_AUTO_TEST_CASE(DrainCancelled_SecondLeaderCannotRecord_NothingRunsTwice) {
   constexpr Millis kFineStep{5};
   ViolationReport violation_report;
@@ -545,7 +548,8 @@
 // The second leader reads the record of a worker that it can or cannot reach,
 // and is lost 0.5 to 14 s later; the third reads the record that the second
 // wrote.
-BOOST_AUTO_TEST_CASE(ThirdLeader_ReadsRecordOfSecond_RunsOnceAndInTime) {
+BOOST_AUTO_TEST_CASE(
+    ThirdLeader_ReadsRecordOfSecond_RestartsInTimeAndNothingRunsTwice) {
   ViolationReport violation_report;
   // The third leader continues the wait of the second, which is recorded once a
   // second. The second change of leader adds 4.5 s: up to 3 s without a leader,
--- a/src/libdoorwood/cell/cell_restarted_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_restarted_leader_test.cpp
@@ -2,11 +2,11 @@
 
 // Guards against a restarted leader that takes a partial outage of the store
 // for an outage for all instances. The store refuses one instance until the
-// instance's key has expired. Meanwhile the leader restarts, so it never knows
-// that instance. Then the store serves only that instance. All instances
-// that the leader knows then confirm an outage. If the leader relied on them
-// alone, it would keep extending leases while the other instance leads and
-// starts the same tasks. All in virtual time.
+// instance's key has expired. After that the leader restarts, so its new
+// process never sees that key. Then the store serves only that instance. All
+// instances whose keys the leader has seen confirm an outage. If the leader
+// relied on them alone, it would keep extending leases while the other instance
+// leads and starts the same tasks. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -21,7 +21,7 @@
 using fakes::WorldInstance;
 
 constexpr Millis kSettleTime{20'000};
-// Time until the killed leader's key has expired and its successor has read the
+// Time in which the killed leader's key expires and its successor reads the
 // records.
 constexpr Millis kTimeToLeadAgain{4000};
 constexpr double kHighestCpuShare = 4.0;
@@ -42,11 +42,11 @@
 // The instance that becomes leader waits until every lease that it must expect
 // has expired, and then starts the tasks. The restarted leader must not extend
 // leases beyond that. It did so in cell_random_restarts_test, seed 927: it
-// restarted at 1076.9 s, asked only one instance out of six whether it reaches
-// the store, and extended leases until 1090.9 s, while another instance led
-// from 1082.5 s.
+// restarted at 1076.9 s, asked only one of six instances whether that instance
+// reaches the store, and extended leases until 1090.9 s, while another instance
+// led from 1082.5 s.
 BOOST_AUTO_TEST_CASE(
-    RestartedLeader_StoreServesUnknownInstance_NothingRunsTwice) {
+    RestartedLeader_StoreServesUnregisteredInstance_NothingRunsTwice) {
   ViolationReport violation_report;
   int led_again = 0;
   for (int refused_ms = 2500; refused_ms <= 6000; refused_ms += 250) {
@@ -92,12 +92,12 @@
 }
 
 // When a leader checks whether the store is down for all, an instance that has
-// ended is disregarded after a minute, also if the leader started after that
-// end. Until then the leader must assume that the store may serve it, and does
-// not extend leases.
+// ended is disregarded after a minute (`LiveOptions::missing_retention`), also
+// if the leader started after that end. Until then the leader must assume that
+// the store may serve the ended instance, and does not extend leases.
 BOOST_AUTO_TEST_CASE(RestartedLeader_AnotherIsGone_DisregardedAfterAMinute) {
   for (const bool within_a_minute : {true, false}) {
-    BOOST_TEST_CONTEXT((within_a_minute ? "at once" : "after a minute")) {
+    BOOST_TEST_CONTEXT((within_a_minute ? "after 5 s" : "after 65 s")) {
       LeaderSuccession scenario;
       auto& world = scenario.world;
       world.Kill("c1");
--- a/src/libdoorwood/cell/cell_returning_instance_test.cpp
+++ b/src/libdoorwood/cell/cell_returning_instance_test.cpp
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // A leader that the store refuses has an outdated copy of the directory of
-// instances. In the first test it no longer knows an instance. In the others an
-// instance shuts down as planned and restarts under its name meanwhile, so the
-// copy still lists it as leaving. Guards against a leader that does not ask
-// the instance whether the store is down for all: it would take an outage as
-// confirmed although the instance reaches the store and may lead.
+// instances. In the first test the copy no longer lists an instance. In the
+// others an instance announces a planned shutdown and restarts under its name
+// meanwhile, so the copy still lists it as leaving. Guards against a leader
+// that does not ask the instance whether the store is down for all: it would
+// take an outage as confirmed although the instance reaches the store and may
+// lead.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -44,9 +45,9 @@
 }
 
 // The store refuses an instance until the instance's key has expired. Then it
-// serves only this instance. It refuses the leader, which no longer knows the
-// instance, and all instances that the leader knows.
-BOOST_AUTO_TEST_CASE(UnknownInstance_AloneIsServedAgain_NothingRunsTwice) {
+// serves only this instance. It refuses the leader, whose copy of the directory
+// no longer lists the instance, and the third instance.
+BOOST_AUTO_TEST_CASE(UnregisteredInstance_AloneIsServedAgain_NothingRunsTwice) {
   ViolationReport violation_report;
   for (int refused_ms = 2500; refused_ms <= 6000; refused_ms += 250) {
     LeaderSuccession trial;
--- a/src/libdoorwood/cell/cell_three_leaders_test.cpp
+++ b/src/libdoorwood/cell/cell_three_leaders_test.cpp
@@ -36,7 +36,7 @@
 
 // 0.5 to 11 s after it took the lead, the second leader loses contact with all
 // workers but "old_only", which it reaches only from then on. It may adopt the
-// runs there and start more, and is lost 0.05 to 2 s later. The third leader
+// runs there and start more, and is lost 0.15 to 2.1 s later. The third leader
 // never reaches that worker.
 BOOST_AUTO_TEST_CASE(ThirdLeader_OnlySecondReachedWorker_NothingRunsTwice) {
   ViolationReport violation_report;
@@ -109,12 +109,12 @@
   bool third_reaches;
 };
 
-// A leader waits until runs on a worker that is not yet contacted have ended;
-// the third leader deducts what the second has waited. With `within_wait`,
-// returns the cases in which the third leader reaches the worker before that
-// wait is over. Otherwise, returns those in which it reaches the worker after
-// the wait, and those in which it does not reach the worker for at least
-// kSettleTime.
+// A leader waits until runs on a worker that is not yet contacted must have
+// ended; the third leader deducts what the second has waited. With
+// `within_wait`, returns the cases in which the third leader reaches the worker
+// before that wait is over. Otherwise, returns those in which it reaches the
+// worker after the wait, and those in which it can reach the worker only
+// kSettleTime after it took the lead.
 std::vector<AttemptsRow> MakeAttemptsRows(bool within_wait) {
   std::vector<AttemptsRow> rows;
   for (int second_leads_ms = 500; second_leads_ms <= 11'000;
@@ -146,9 +146,10 @@
   return failures;
 }
 
-// Two runs of a task fail, and the store records the failure of the first or of
-// neither. The second leader cannot reach the worker of one of the two runs,
-// and the third can or cannot. The task is allowed four attempts.
+// Two runs of a task fail under the first leader, and the store records the
+// failure of the first run or of neither. The second leader cannot reach the
+// worker of one of the two runs; the third can, at once or after kSettleTime.
+// The task is allowed four attempts.
 void RunAttemptsRows(bool within_wait) {
   const std::string task = std::string(fakes::kSuccessionJob) + ".0.0.0";
   for (const AttemptsRow& row : MakeAttemptsRows(within_wait)) {
--- a/src/libdoorwood/cell/cell_worker_replacement_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_replacement_test.cpp
@@ -56,7 +56,9 @@
   }
 
   /// Replaces a worker and submits a short job every 0.7 s, and calls `change`,
-  /// which makes another instance lead, once every `interval`.
+  /// which makes another instance lead, once every `interval`. The time that
+  /// passes within submissions and `change` counts neither towards these
+  /// intervals nor towards the downtimes.
   template <typename Change>
   void Run(Millis interval, Change change) {
     Millis next_replaced = kReplacementInterval;
@@ -157,7 +159,7 @@
   world.AddInstance("n" + std::to_string(++added), "plaka");
 }
 
-void ShutDownLeader(CellWorld& world) {
+void ShutDownAndReplaceLeader(CellWorld& world) {
   WorldInstance* leader = world.Leader();
   if (leader == nullptr) {
     return;
@@ -168,7 +170,7 @@
   ReplaceInstance(world, leader);
 }
 
-void KillLeader(CellWorld& world) {
+void KillAndReplaceLeader(CellWorld& world) {
   WorldInstance* leader = world.Leader();
   if (leader != nullptr) {
     ReplaceInstance(world, leader);
@@ -190,19 +192,20 @@
 
 // Guards against a successor that delays all tasks until the longest lease that
 // any predecessor may have granted has expired: 9.6 s with these options. Seen
-// where runs continue for longer and that time is 12.2 s: the successor logged
-// "waiting for workers whose runs are not yet accounted for" (two workers, 650
-// tasks held back), and 12.2 s later "all runs of earlier leaders are accounted
-// for" with all_heard false; then it started all waiting tasks.
+// where runs continue for longer after their leader's loss, so that this time
+// is 12.2 s: the successor logged "waiting for workers whose runs are not yet
+// accounted for" (two workers, 650 tasks held back), and 12.2 s later "all runs
+// of earlier leaders are accounted for" with all_heard false; then it started
+// all waiting tasks.
 BOOST_AUTO_TEST_CASE(LongRunningTasks_LeadersShutDownInTurn_RestartInTime) {
   for (const int interval : {2000, 3100, 5300, 9700}) {
-    RunAndCheckAllSeeds(Millis(interval), ShutDownLeader);
+    RunAndCheckAllSeeds(Millis(interval), ShutDownAndReplaceLeader);
   }
 }
 
 BOOST_AUTO_TEST_CASE(LongRunningTasks_LeadersKilledInTurn_RestartInTime) {
   for (const int interval : {3300, 5300, 7900, 11'900}) {
-    RunAndCheckAllSeeds(Millis(interval), KillLeader);
+    RunAndCheckAllSeeds(Millis(interval), KillAndReplaceLeader);
   }
 }
 
--- a/src/libdoorwood/cell/long_running_fault_walk.h
+++ b/src/libdoorwood/cell/long_running_fault_walk.h
@@ -63,8 +63,8 @@
                 ->second;
   }
 
-  /// The leader, if there is one, in half of the calls; otherwise a random
-  /// instance.
+  /// With probability 1/2 the leader, if there is one; otherwise a random
+  /// instance, which may also be the leader.
   WorldInstance& LeaderOrRandomInstance() {
     auto* leader = world_.Leader();
     return leader != nullptr && RandomBelow(2) == 0 ? *leader
@@ -77,7 +77,8 @@
         ->first;
   }
 
-  /// Submits a job of three long-running tasks, up to four jobs in all.
+  /// Submits a job of three long-running tasks to the leader, if there is one.
+  /// Does nothing from the fifth call on.
   void Submit() {
     char id[17];
     std::snprintf(id, sizeof(id), "%016x", ++jobs_made_);
@@ -87,8 +88,9 @@
     }
   }
 
-  /// Injects the fault with this number (0 to 13; 4 and 11 end faults instead),
-  /// or submits a job if the number is higher.
+  /// Injects the fault with this number (0 to 13), or submits a job if the
+  /// number is higher. 4 and 11 only end faults; 5 to 7, 10, 12 and 13 may also
+  /// end earlier ones.
   void InjectFault(uint64_t fault) {
     switch (fault) {
       case 0:
@@ -114,7 +116,7 @@
       case 8:
         return ReplaceWorker();
       case 9:
-        return RevokeLease();
+        return DropLeaseKeysOfInstance();
       case 10:
         LeaderOrRandomInstance().partitioned_from_peers = RandomBelow(2) == 0;
         return;
@@ -223,16 +225,16 @@
     world_.AddWorker("w" + std::to_string(++workers_made_), 4000);
   }
 
-  void RevokeLease() {
+  void DropLeaseKeysOfInstance() {
     auto& instance = LeaderOrRandomInstance();
     if (instance.live->lease()) {
       world_.store().DropLeaseKeys(*instance.live->lease());
     }
   }
 
-  // Ends the faults of the store, partitions, and delays of orders. Lost
-  // replies to orders and changed directory entries, which derived walks add,
-  // stay.
+  // Ends the faults of the store, all partitions, and delays of orders. Does
+  // not cancel pauses that have not begun yet, and does not end two faults that
+  // derived walks add: lost replies to orders, and changed directory entries.
   void Heal() {
     for (const auto& [name, instance] : world_.instances()) {
       instance->store_faults = {};
--- a/src/libdoorwood/cell/partitioned_leader_fixture.h
+++ b/src/libdoorwood/cell/partitioned_leader_fixture.h
@@ -54,6 +54,7 @@
     }
   }
 
+  /// Ends all faults of the store and all partitions.
   void HealPartition() const {
     for (const auto& [name, instance] : world.instances()) {
       instance->store_faults = {};
