--- a/src/include/doorwood/cell_policy.h
+++ b/src/include/doorwood/cell_policy.h
@@ -46,13 +46,15 @@
   /// their tail latency is then expected to be at most this share of its
   /// target.
   double wanted_tail_share = 0.85;
-  /// Above this share of the target best-effort work is slowed down.
+  /// While a serving task's tail latency is above this share of its target, the
+  /// best-effort work beside the task is slowed down.
   double throttle_tail_share = 0.9;
-  /// Above this multiple of the target all best-effort work stops.
+  /// While a serving task's tail latency is above this multiple of its target,
+  /// all best-effort work beside the task is stopped.
   double stop_tail_share = 2.0;
-  /// A serving task whose mean tail latency is at or above this share of its
-  /// target counts as over the target. The share is below 1 because reported
-  /// latencies are noisy.
+  /// A serving task counts as over its target while the moving average of its
+  /// tail latency is at or above this share of the target. The share is below 1
+  /// because reported latencies are noisy.
   double over_target_tail_share = 0.95;
   /// All best-effort work beside a serving task stops once the task has been
   /// over its target for this long. The platform's bound is 4 s; latencies
@@ -69,7 +71,8 @@
   RunTimeOptions run_times;
 };
 
-/// Processors that the long-running steps of a plan reserve, in thousandths.
+/// Processors that the long-running steps of a plan reserve, in thousandths;
+/// without best-effort steps.
 int64_t LongRunningCpu(const JobPlan& plan);
 
 /// Urgency of a step. Lower sorts first, member by member.
@@ -80,9 +83,10 @@
   int priority = 0;
   /// On time: the remaining work of the job's repetition, in thousandths of a
   /// processor times ms.
-  /// When there is more work than capacity, this finishes some jobs in time
-  /// instead of all of them late: the total value for callers rose by 8% on a
-  /// heavily overloaded deployment and changed by -1% to +2% on four others.
+  /// When there is more work than capacity, putting the least remaining work
+  /// first finishes some jobs in time instead of all of them late: the total
+  /// value for callers rose by 8% on a heavily overloaded deployment and
+  /// changed by -1% to +2% on four others.
   /// Late: the latest start that is still of value, in ms since 1970.
   /// Otherwise: when the repetition was due, in ms since 1970.
   int64_t order_in_class = 0;
@@ -115,8 +119,8 @@
                                    std::span<const Millis> run_times);
 
 /// One serving task on a worker: its modelled utilization, and the highest
-/// utilization allowed. The former includes the effect of best-effort work that
-/// the newest report does not cover; see `PendingCores`.
+/// utilization allowed. `utilization` includes the effect of best-effort work
+/// that the newest report does not cover; see `PendingCores`.
 struct ServingUtilization {
   ImageId image = 0;
   double utilization = 0;
@@ -167,7 +171,8 @@
   kNoMemory,
   kNoCpu,
   kNoAccelerators,
-  /// Best-effort work would push serving tasks there over their latency target.
+  /// With this best-effort task, a serving task there would exceed the
+  /// utilization at `wanted_tail_share` of its latency target.
   kDisturbs,
   /// Not checked again: the worker could not take a task of the same kind that
   /// was no larger, and has not changed since.
--- a/src/include/doorwood/crash_policy.h
+++ b/src/include/doorwood/crash_policy.h
@@ -4,8 +4,8 @@
 /// Handling of tasks that crash their workers: which runs are suspected after a
 /// crash, when a task is given up, and which workers are reserved for trials.
 /// In a trial, a suspect starts on a worker on which no other run is new,
-/// except runs of its gang, and which gets no other work meanwhile. Pure
-/// decisions; the caller passes the time.
+/// except runs of its gang, and which gets no other work until the trial passes
+/// or ends. Pure decisions; the caller passes the time.
 
 #ifndef DOORWOOD_CRASH_POLICY_H_
 #define DOORWOOD_CRASH_POLICY_H_
@@ -58,12 +58,14 @@
 
 /// A run that was on a worker when the worker crashed.
 struct RunAtCrash {
-  /// Time for which the worker kept reporting after it had confirmed the run.
+  /// Time from the arrival of the worker's confirmation of the run to that of
+  /// its last response; zero if the run was not confirmed.
   Millis observed_running{0};
   /// The worker had confirmed the run, which this leader had started there as a
   /// trial, and the trial had not passed.
   bool in_trial = false;
-  /// The run had been active for some time before this leader learned of it.
+  /// This leader learned of the run from a report, so it is not known when the
+  /// run began.
   bool adopted = false;
 };
 
@@ -90,7 +92,7 @@
   kSound,
   /// The task is started only in a trial.
   kSuspect,
-  /// The task is not started again; its job has failed.
+  /// The task is not started again; its job fails.
   kGivenUp,
 };
 
@@ -168,11 +170,12 @@
 
   explicit CrashTrials(const CrashOptions& options) : options_(options) {}
 
-  /// Reserves a worker for the task and replaces any earlier reservation.
+  /// Reserves `trial.worker` for the task or, if `trial.started`, begins the
+  /// trial there. Replaces the task's earlier reservation or trial.
   void Reserve(const std::string& task, Trial trial);
   void MarkPassed(const std::string& task);
   void End(const std::string& task);
-  /// Drops reservations whose trial did not start in time.
+  /// Drops reservations whose trial did not start in `reservation_timeout`.
   void Expire(Instant now);
   void Clear() { trials_.clear(); }
 
--- a/src/include/doorwood/interference.h
+++ b/src/include/doorwood/interference.h
@@ -60,11 +60,11 @@
 };
 
 /// Number of an image in the model, from 0. Names are looked up once per step
-/// and run rather than for each pair on each worker: the latter took a sixth of
-/// a leader's processor time on days with 490 workers.
+/// and run: looking them up for each pair on each worker took a sixth of a
+/// leader's processor time on days with 490 workers.
 using ImageId = int;
 
-/// Best-effort work on one worker: its image and the cores it uses.
+/// One best-effort run on a worker: its image and the cores it uses.
 struct BestEffortLoad {
   ImageId image = 0;
   double cores = 0;
@@ -91,15 +91,17 @@
 
   /// Updates the model from one report of a serving task and the best-effort
   /// work beside it. `load` is the current estimate of the task's own
-  /// utilization, negative if there is none yet. Returns the new estimate, or
-  /// `load` if the latency or the target is not positive.
+  /// utilization, negative if there is none yet; the factors are then left
+  /// unchanged. Returns the new estimate, or `load`, without any update, if the
+  /// latency or the target is not positive.
   double Observe(ImageId serving,
                  int64_t tail_latency_ms,
                  Millis target,
                  std::span<const BestEffortLoad> best_effort,
                  double load);
 
-  /// Decays the factors by `passed`; to be called periodically.
+  /// Decays the factors above their initial value. To be called periodically;
+  /// the decay is linear in `passed`, which must be short against `decay_time`.
   void Decay(Millis passed);
 
  private:
--- a/src/include/doorwood/long_running_admission.h
+++ b/src/include/doorwood/long_running_admission.h
@@ -8,8 +8,9 @@
 /// No fixed share of the processors suits all workloads: for the same requests
 /// in different mixes, the total value for callers was highest at a share of
 /// 0.8 in one case and 0.5 in another (docs/design/shifted-work.md). Admission
-/// therefore starts with a conservative share, raises it once other work has
-/// left capacity free for a while, and stops while other work needs the
+/// therefore starts with a conservative share. It raises the share while the
+/// peak use of other work is low, once such work was first observed
+/// `observation_time` ago, and admits nothing while other work needs the
 /// capacity.
 
 #ifndef DOORWOOD_LONG_RUNNING_ADMISSION_H_
@@ -20,11 +21,11 @@
 namespace doorwood {
 
 struct LongRunningAdmissionOptions {
-  /// Share of a service's processors that long-running work may reserve before
-  /// other work has been observed for `observation_time`, and while the peak
+  /// Share of a service's processors that long-running work may reserve until
+  /// `observation_time` after other work was first observed, and while the peak
   /// use of other work is above `low_use`.
   double initial_share = 0.6;
-  /// The share once other work was observed to leave capacity free. In trials
+  /// The share while other work leaves capacity free; see `low_use`. In trials
   /// on three deployments the total value for callers was highest at 0.8 (in
   /// thousands: 20.1 at 0.9, 21.0 at 0.8, 20.9 at 0.7, 20.6 at 0.6).
   double raised_share = 0.8;
--- a/src/include/doorwood/pacing.h
+++ b/src/include/doorwood/pacing.h
@@ -31,7 +31,7 @@
   ImageId image = 0;
   /// Processors that the task would use at full speed.
   double full_cores = 0;
-  /// Processors that the task uses, as last measured.
+  /// Processors that the task uses, as last measured; until then `full_cores`.
   double cores = 0;
   /// Pace that was wanted so far, in percent of full speed.
   int pace = 100;
@@ -59,11 +59,11 @@
     const InterferenceModel& model,
     const PolicyOptions& options);
 
-/// Processors that a best-effort task will use beyond those in the newest
-/// report: all of them for a `fresh` task, whose load that report does not
-/// cover yet, and otherwise those that its pace withholds. Withheld processors
-/// stay reserved for the slowed task: they count as used when newer work is
-/// placed.
+/// Processors to be counted for a best-effort task in addition to those in the
+/// newest report: all of them for a `fresh` task, whose load that report does
+/// not cover yet, and otherwise those that its pace withholds. Withheld
+/// processors stay reserved for the slowed task: they count as used when newer
+/// work is placed.
 double PendingCores(double full_cores, bool fresh, int pace);
 
 }  // namespace doorwood
--- a/src/libdoorwood/policy/cell_policy.cpp
+++ b/src/libdoorwood/policy/cell_policy.cpp
@@ -203,8 +203,8 @@
     score += ShareOfImage(worker, need.image);
     score -= best_effort_share;
   } else if (step.best_effort) {
-    // Prefer the worker with the least interference, then the most free
-    // processors.
+    // Prefer workers whose serving tasks keep the most headroom and whose
+    // best-effort work requests few processors; both terms have equal weight.
     const double cores =
         static_cast<double>(step.size.cpu_millis) / kMillisPerCore;
     score -= worker.serving_utilizations.empty()
@@ -212,7 +212,8 @@
                  : 1.0 + ExcessUtilization(worker, need.image, cores, model);
     score -= best_effort_share;
   } else {
-    // Short ordinary tasks leave whole workers to best-effort work.
+    // Other tasks avoid workers with best-effort work and fill up the fullest
+    // ones first, which leaves whole workers to best-effort work.
     score -= kStrongWeight * best_effort_share;
     score += reserved;
   }
--- a/src/libdoorwood/policy/cell_policy_test.cpp
+++ b/src/libdoorwood/policy/cell_policy_test.cpp
@@ -40,7 +40,8 @@
   TaskRequirements need;
 };
 
-BOOST_FIXTURE_TEST_CASE(FindPlaceProblem_EachReason_IsNamed, PolicyFixture) {
+BOOST_FIXTURE_TEST_CASE(FindPlaceProblem_WorkerOrTaskChanged_ReturnsReason,
+                        PolicyFixture) {
   struct Row {
     PlaceProblem problem;
     std::function<void(PolicyFixture*)> change;
--- a/src/libdoorwood/policy/crash_policy.cpp
+++ b/src/libdoorwood/policy/crash_policy.cpp
@@ -13,8 +13,9 @@
 // with a confirmed process restart, and in total.
 constexpr size_t kConfirmedTrialCrashesToGiveUp = 2;
 constexpr size_t kTrialCrashesToGiveUp = 3;
-// A task is given up after this many crashes as a suspect, which may have
-// another cause, if at least `kMinConfirmedCrashes` of them are confirmed.
+// A task is given up after this many crashes or possible crashes as a suspect,
+// which may have other causes, if at least `kMinConfirmedCrashes` of them are
+// confirmed.
 constexpr size_t kSuspectCrashesToGiveUp = 5;
 constexpr size_t kMinConfirmedCrashes = 2;
 
--- a/src/libdoorwood/policy/crash_policy_test.cpp
+++ b/src/libdoorwood/policy/crash_policy_test.cpp
@@ -12,15 +12,15 @@
 constexpr CrashOptions kOptions;
 constexpr Instant kNow(Millis(1'000'000));
 
-CrashNote AloneCrash(uint32_t run, const std::string& machine) {
+CrashNote CrashInTrial(uint32_t run, const std::string& machine) {
   return {run, machine, machine + "+", CrashEvidence::kRestarted, true, true};
 }
 
-CrashNote CrashBesideOthers(uint32_t run, const std::string& machine) {
+CrashNote CrashOutsideTrial(uint32_t run, const std::string& machine) {
   return {run, machine, machine + "+", CrashEvidence::kRestarted, true, false};
 }
 
-CrashNote VanishedCrash(uint32_t run, const std::string& machine) {
+CrashNote VanishedInTrial(uint32_t run, const std::string& machine) {
   return {run, machine, machine + "+", CrashEvidence::kVanished, true, true};
 }
 
@@ -46,51 +46,52 @@
     bool likely;
   } rows[] = {
       {"none", {}, kSound, false},
-      {"once beside others", {CrashBesideOthers(1, "a")}, kSuspect, false},
-      {"once alone", {AloneCrash(1, "a")}, kSuspect, true},
-      {"alone on two machines",
-       {AloneCrash(1, "a"), AloneCrash(2, "b")},
+      {"once outside of trials", {CrashOutsideTrial(1, "a")}, kSuspect, false},
+      {"once in a trial", {CrashInTrial(1, "a")}, kSuspect, true},
+      {"in trials on two machines",
+       {CrashInTrial(1, "a"), CrashInTrial(2, "b")},
        kGivenUp,
        true},
-      {"alone on one machine twice",
-       {AloneCrash(1, "a"), AloneCrash(2, "a")},
+      {"in two trials on one machine",
+       {CrashInTrial(1, "a"), CrashInTrial(2, "a")},
        kSuspect,
        true},
-      {"beside others, then alone",
-       {CrashBesideOthers(1, "a"), AloneCrash(2, "b")},
+      {"outside of trials, then in a trial",
+       {CrashOutsideTrial(1, "a"), CrashInTrial(2, "b")},
        kSuspect,
        true},
-      {"three beside others",
-       {CrashBesideOthers(1, "a"), CrashBesideOthers(2, "b"),
-        CrashBesideOthers(3, "c")},
+      {"three outside of trials",
+       {CrashOutsideTrial(1, "a"), CrashOutsideTrial(2, "b"),
+        CrashOutsideTrial(3, "c")},
        kSuspect,
        false},
-      {"four beside others",
-       {CrashBesideOthers(1, "a"), CrashBesideOthers(2, "b"),
-        CrashBesideOthers(3, "c"), CrashBesideOthers(4, "d")},
+      {"four outside of trials",
+       {CrashOutsideTrial(1, "a"), CrashOutsideTrial(2, "b"),
+        CrashOutsideTrial(3, "c"), CrashOutsideTrial(4, "d")},
        kSuspect,
        false},
-      {"five beside others",
-       {CrashBesideOthers(1, "a"), CrashBesideOthers(2, "b"),
-        CrashBesideOthers(3, "c"), CrashBesideOthers(4, "d"),
-        CrashBesideOthers(5, "e")},
+      {"five outside of trials",
+       {CrashOutsideTrial(1, "a"), CrashOutsideTrial(2, "b"),
+        CrashOutsideTrial(3, "c"), CrashOutsideTrial(4, "d"),
+        CrashOutsideTrial(5, "e")},
        kGivenUp,
        false},
-      {"alone on two workers that vanished",
-       {VanishedCrash(1, "a"), VanishedCrash(2, "b")},
+      {"in trials on two workers that vanished",
+       {VanishedInTrial(1, "a"), VanishedInTrial(2, "b")},
        kSuspect,
        true},
-      {"alone on three workers that vanished",
-       {VanishedCrash(1, "a"), VanishedCrash(2, "b"), VanishedCrash(3, "c")},
+      {"in trials on three workers that vanished",
+       {VanishedInTrial(1, "a"), VanishedInTrial(2, "b"),
+        VanishedInTrial(3, "c")},
        kGivenUp,
        true},
-      {"unconfirmed starts prove nothing",
-       {AloneCrash(1, "a"), UnconfirmedCrash(2), UnconfirmedCrash(3),
+      {"unconfirmed crashes prove nothing",
+       {CrashInTrial(1, "a"), UnconfirmedCrash(2), UnconfirmedCrash(3),
         UnconfirmedCrash(4), UnconfirmedCrash(5)},
        kSuspect,
        true},
-      {"unconfirmed starts count beside two crashes",
-       {CrashBesideOthers(1, "a"), CrashBesideOthers(2, "b"),
+      {"unconfirmed crashes count with two confirmed ones",
+       {CrashOutsideTrial(1, "a"), CrashOutsideTrial(2, "b"),
         UnconfirmedCrash(3), UnconfirmedCrash(4), UnconfirmedCrash(5)},
        kGivenUp,
        false},
@@ -118,7 +119,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ClassifyRuns_RunsOnWorker_NewestOrInTrialAreSuspects) {
+BOOST_AUTO_TEST_CASE(ClassifyRuns_RunsOnWorker_NewOrInTrialAreSuspects) {
   const RunAtCrash fresh{Millis(0)};
   const RunAtCrash young{Millis(2000)};
   const RunAtCrash old{Millis(60'000)};
@@ -151,7 +152,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(TrialDuration_CrashesAtAnAge_IsTwiceTheLongest) {
-  CrashNote crash = CrashBesideOthers(1, "a");
+  CrashNote crash = CrashOutsideTrial(1, "a");
   const auto trial = [&](int observed_ms, bool mass_crash) {
     crash.observed_running = Millis(observed_ms);
     crash.mass_crash = mass_crash;
--- a/src/libdoorwood/policy/pacing.cpp
+++ b/src/libdoorwood/policy/pacing.cpp
@@ -16,7 +16,7 @@
 }
 
 // Smallest difference between wanted and current utilization, over all serving
-// tasks.
+// tasks; 1 if there are none.
 double Headroom(const std::vector<PacedServingTask>& serving,
                 const InterferenceModel& model,
                 const PolicyOptions& options) {
@@ -31,6 +31,8 @@
   return least;
 }
 
+// Highest utilization that a core of the best-effort task adds to any of the
+// serving tasks.
 double WorstInterference(const std::vector<PacedServingTask>& serving,
                          const PacedBestEffortTask& best_effort_task,
                          const InterferenceModel& model) {
@@ -42,22 +44,27 @@
   return worst;
 }
 
-std::vector<PaceDecision> SlowDown(const PacedServingTask& worst,
+std::vector<PaceDecision> SlowDown(const PacedServingTask& serving_task,
                                    std::vector<PacedBestEffortTask> best_effort,
                                    const InterferenceModel& model,
                                    const PolicyOptions& options) {
   std::sort(best_effort.begin(), best_effort.end(),
             [&](const PacedBestEffortTask& a, const PacedBestEffortTask& b) {
-              return model.InterferencePerCore(worst.image, a.image) * a.cores >
-                     model.InterferencePerCore(worst.image, b.image) * b.cores;
+              return model.InterferencePerCore(serving_task.image, a.image) *
+                         a.cores >
+                     model.InterferencePerCore(serving_task.image, b.image) *
+                         b.cores;
             });
-  // If a tail latency is far above its target, or above it for long, the model
-  // is unreliable, so all best-effort tasks stop.
-  const bool stop_all = ShareOfTarget(worst) > options.stop_tail_share ||
-                        worst.over_target_for >= options.max_over_target_time;
+  // If the tail latency is far above its target (`stop_tail_share`), or has
+  // been over the target for `max_over_target_time`, the model is unreliable,
+  // so all best-effort tasks stop.
+  const bool stop_all =
+      ShareOfTarget(serving_task) > options.stop_tail_share ||
+      serving_task.over_target_for >= options.max_over_target_time;
   double excess =
-      model.Utilization(worst.image, worst.tail_latency_ms, worst.target) -
-      model.UtilizationAtShare(worst.image, worst.target,
+      model.Utilization(serving_task.image, serving_task.tail_latency_ms,
+                        serving_task.target) -
+      model.UtilizationAtShare(serving_task.image, serving_task.target,
                                options.wanted_tail_share);
   std::vector<PaceDecision> decisions;
   for (const PacedBestEffortTask& best_effort_task : best_effort) {
@@ -68,7 +75,7 @@
       continue;
     }
     const double relief =
-        model.InterferencePerCore(worst.image, best_effort_task.image) *
+        model.InterferencePerCore(serving_task.image, best_effort_task.image) *
         best_effort_task.cores;
     // Share of the pace that remains if only the excess utilization is removed;
     // 0 if stopping the task does not remove all of the excess.
--- a/src/libdoorwood/policy/place_search_test.cpp
+++ b/src/libdoorwood/policy/place_search_test.cpp
@@ -52,7 +52,7 @@
   BOOST_TEST(candidates.CountProblems().at(PlaceProblem::kNoCpu) == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(Best_WorkerItFailedOn_ComesLast, CandidatesFixture) {
+BOOST_FIXTURE_TEST_CASE(Best_AvoidedWorker_ComesLast, CandidatesFixture) {
   workers[1].reserved.cpu_millis = 20'000;
   EvaluateAll();
   BOOST_TEST(candidates.Best("w1") != 1);
@@ -62,7 +62,7 @@
   BOOST_TEST(candidates.Best("w1") == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(Best_WorkerFilledUp_IsEvaluatedAgain,
+BOOST_FIXTURE_TEST_CASE(Evaluate_BestWorkerFilledUp_OtherIsBest,
                         CandidatesFixture) {
   workers[1].reserved.cpu_millis = 26'000;
   EvaluateAll();
