--- a/src/include/doorwood/upkeep_wave_controller.h
+++ b/src/include/doorwood/upkeep_wave_controller.h
@@ -3,7 +3,7 @@
 /// \file
 /// Carries out the operators' upkeep waves: evacuates machines, takes them down
 /// a few at a time, and reports to the operators when a wave is running and
-/// when every machine of it that is still listed has been down.
+/// when every machine of it that is still listed has been taken down.
 
 #ifndef DOORWOOD_UPKEEP_WAVE_CONTROLLER_H_
 #define DOORWOOD_UPKEEP_WAVE_CONTROLLER_H_
@@ -27,8 +27,8 @@
   Millis read_interval{2000};
   /// How often machines are listed while a wave is not reported as completed.
   Millis list_interval{500};
-  /// A new leader sends no orders for this long, because orders of an earlier
-  /// leader may still be in flight. Must be at least
+  /// A new leader advances no wave for this long after `Open`, because orders
+  /// of an earlier leader may still be in flight. Must be at least
   /// `EntrySettings::machine_holder_lease`, the minimum time before another
   /// leader may take over the handling of a machine.
   Millis holder_lease{3000};
@@ -54,9 +54,10 @@
  public:
   virtual ~WorkerEvacuator() = default;
 
-  /// Places no new work on the worker and moves its work away, as far as the
-  /// limits of that work allow. Returns what ran there when this was called. To
-  /// be called again until the worker is empty.
+  /// Closes the worker to new work for a short time and moves its work away, as
+  /// far as the limits of that work allow. Returns what ran there when this was
+  /// called; kEmpty for an unknown worker. To be called a few times a second
+  /// until upkeep of the machine is ordered.
   virtual Occupancy EvacuateWorker(const std::string& worker) = 0;
 };
 
@@ -107,7 +108,8 @@
     bool reported_running = false;
     bool reported_completed = false;
     bool reporting = false;
-    /// Store revision of the wave's status key; 0: the key does not exist yet.
+    /// Store revision of the wave's status key, as far as this leader knows; 0:
+    /// it knows of no such key.
     int64_t status_revision = 0;
   };
 
--- a/src/libdoorwood/pool/upkeep_wave_controller.cpp
+++ b/src/libdoorwood/pool/upkeep_wave_controller.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // A machine that is missing from this many consecutive lists is treated as
-// permanently removed.
+// removed until it is listed again.
 constexpr int kMissedListsUntilRemoved = 3;
 
 std::string WaveKey(std::string_view cell, int64_t wave) {
@@ -249,8 +249,8 @@
 }
 
 void UpkeepWaveController::StartEvacuations(Wave* wave) {
-  // As many machines are evacuated as may be down at a time, so that the next
-  // ones are empty when the current ones are up again.
+  // Besides the machines that are down, as many are evacuated as may be down at
+  // a time, so that the next ones are empty when the current ones are up again.
   int free_slots =
       wave->plan.max_down - CountInStages(*wave, {Stage::kEvacuating});
   for (auto& [machine, progress] : wave->machines) {
@@ -352,14 +352,15 @@
   StoreTransaction transaction;
   transaction.expected.push_back({LeadKey(cell_), epoch_});
   transaction.puts.push_back({WaveKey(cell_, wave.plan.number), done.dump()});
-  // If a record is lost, a successor only evacuates the machines again: the
+  // If this write fails, a successor only evacuates the machines again: the
   // platform takes no machine down twice for one wave.
   store_.Commit(transaction, [this, number = wave.plan.number](
                                  std::error_code error, const StoreCommit&) {
     if (error) {
-      log_.Write("warn", "pool",
-                 "failed to record the progress of an upkeep wave",
-                 {{"wave", number}, {"error", error.message()}});
+      log_.Write(
+          "warn", "pool",
+          "no confirmation that the progress of an upkeep wave was recorded",
+          {{"wave", number}, {"error", error.message()}});
     }
   });
 }
--- a/src/libdoorwood/pool/upkeep_wave_controller_test.cpp
+++ b/src/libdoorwood/pool/upkeep_wave_controller_test.cpp
@@ -13,7 +13,7 @@
 constexpr char kJob[] = "00112233aabbccdd";
 
 // Six workers on six machines. The simulation itself reports a violation if
-// more machines of a wave are down than allowed, or if a task runs twice.
+// more machines of a wave are down than allowed, or if runs of a task overlap.
 struct WaveFixture {
   WaveFixture() : world(7) {
     world.SetTable({fakes::MakeQueue("queue", 3)});
@@ -58,7 +58,8 @@
     StoreItem item;
     return world.store().Get("wave-status/1", &item) ? "" : item.value;
   }
-  // Submits a job of long-running tasks, at most one per worker.
+  // Submits a job of long-running tasks, at most one per worker, and runs the
+  // world for 2 s.
   void SubmitLongRunning(int count, std::optional<int> max_unavailable) {
     JobPlan plan = fakes::MakePlan(kJob, 1, count, "");
     plan.steps[0].long_running = true;
