--- a/src/include/doorwood/live_directory.h
+++ b/src/include/doorwood/live_directory.h
@@ -44,8 +44,9 @@
   /// CPU share available to the instance, in processors.
   double cpu_share = 1.0;
   bool leaving = false;
-  /// See LiveDirectory::no_agreement_since. If the instance wrote 0, this is
-  /// the revision of the key that holds this record.
+  /// In a record read from the store: the value of
+  /// `LiveDirectory::no_agreement_since` when the instance wrote the record or,
+  /// if that was 0, the store revision of the write.
   int64_t no_agreement_since = 0;
 };
 
@@ -75,7 +76,7 @@
                                          Callback done) = 0;
   /// Asks the instance to agree that a leader which cannot reach the store
   /// starts long-running tasks without recording their workers. `done` gets an
-  /// error if the instance does not agree.
+  /// error if the instance does not agree or does not answer.
   virtual void RequestUnrecordedStartsAgreement(
       const LiveInstance& instance,
       std::function<void(std::error_code)> done) = 0;
@@ -93,7 +94,8 @@
   Millis lease_ttl{2000};
   Millis lease_renewal_interval{500};
   Millis watch_wait{5000};
-  /// Interval of full reads, which find changes that a watch has missed.
+  /// A watch call that took at least this long is followed by a full read,
+  /// which finds changes that watches have missed.
   Millis list_interval{2500};
   Millis retry_pause{150};
   /// Once the store has not answered for `store_unresponsive_threshold`, or as
@@ -101,8 +103,8 @@
   /// every `query_interval` whether they reach it.
   Millis store_unresponsive_threshold{800};
   Millis query_interval{400};
-  /// How long an answer of another instance is valid, from the time of the
-  /// query.
+  /// How long another instance's answer that it cannot reach the store, or its
+  /// agreement to unrecorded starts, is valid, from when it was asked.
   Millis answer_validity{1500};
   /// How long an instance whose key has disappeared is still queried, because
   /// the store may serve it again and let it lead. As long as an instance that
@@ -115,8 +117,8 @@
   /// so that a renewal is due in it.
   Millis isolation_threshold{600};
   /// Another instance counts as reaching the store if the store answered it
-  /// more than this long after this instance's renewals began to fail. The
-  /// margin allows for the transit time of the reply.
+  /// more than this long after this instance sent the first of its consecutive
+  /// failed renewals. The margin allows for the transit time of the reply.
   Millis store_answer_margin{60};
 };
 
@@ -131,22 +133,28 @@
                 const LiveOptions& options,
                 LiveInstance self);
 
-  /// `on_change` runs whenever instances, leads or this process's lease
-  /// changed.
+  /// Starts reading the directory and requests a lease. `on_change` runs after
+  /// each full read that is not outdated and each watch call that returned
+  /// events, even if nothing changed; when a lease is granted or lost; and when
+  /// `registered_since` is set. It does not run for SetLead, RemoveLead,
+  /// AgreeToUnrecordedStarts or Stop, nor when the lease expires by the clock.
   void Start(ChangeHandler on_change);
-  /// Announces in the store that this instance is leaving.
+  /// Announces in the store that this instance is leaving, as soon as it has a
+  /// lease.
   void AnnounceLeaving();
-  /// Ends the lease, which removes all keys that are attached to it.
+  /// Ends the periodic work and asks the store to end the lease, which removes
+  /// all keys that are attached to it. Does not wait for the answer.
   void Stop();
 
   /// The lease to which keys of this process are attached; empty if there is
   /// none.
   std::optional<int64_t> lease() const { return lease_; }
-  /// True if the store confirmed the lease recently enough that it cannot have
-  /// expired.
+  /// True if there is a lease and less than `lease_ttl` has passed since its
+  /// last successful request or renewal was sent, so that it has not expired.
   bool IsLeaseValid() const;
-  /// When the store confirmed this instance's key; empty while the key is not
-  /// known to be in the store.
+  /// When the store first confirmed the current registration; empty while this
+  /// instance's key is not known to be in the store, and from
+  /// AgreeToUnrecordedStarts to the next registration.
   std::optional<Instant> registered_since() const { return registered_since_; }
   /// Store revision of a registration of this process. Since then this process
   /// has not agreed to unrecorded starts, and its key has not been missing for
@@ -155,34 +163,41 @@
   /// that read: it would have needed this process's agreement. 0: not
   /// registered yet, or not registered again since it agreed.
   int64_t no_agreement_since() const { return no_agreement_since_; }
-  /// Agrees to unrecorded starts for as long as this instance cannot reach the
-  /// store. Returns false, without agreeing, if it can.
+  /// Agrees to unrecorded starts until this instance registers again. Returns
+  /// false, without agreeing, if the store answered this process within
+  /// `store_unresponsive_threshold`.
   bool AgreeToUnrecordedStarts();
   /// Sets whether the other instances are to be asked to agree.
   void set_needs_agreement(bool needs) { needs_agreement_ = needs; }
   /// Until when the agreement of all instances that `OutageConfirmedUntil`
-  /// considers is valid; zero if one of them has not agreed.
+  /// considers is valid. Zero if one of them has not agreed, if there is none,
+  /// or if the store answered this process after the oldest of these requests
+  /// or less than `store_unresponsive_threshold` before it.
   Instant UnrecordedStartsAgreedUntil() const;
   /// Store revision up to which the directory is complete.
   int64_t revision() const { return revision_; }
   /// Earliest time in `revision_times_` by which the store had reached the
   /// revision; empty if none is known.
   std::optional<Instant> TimeRevisionReached(int64_t revision) const;
-  /// The newest `no_agreement_since` of all live instances; 0 if there is
-  /// none.
+  /// The largest `no_agreement_since` of all instances in the directory, this
+  /// one included; 0 if the directory has none.
   int64_t NewestNoAgreementSince() const;
   /// Epoch of the newest leader of the cell that this process knows of; 0 if
   /// there is none.
   int64_t NewestKnownEpoch(const std::string& cell) const;
   /// Until when no other instance can take a lead, because every other instance
-  /// that is known, or was recently, answered that it cannot reach the store
-  /// either. An answer is valid from the time of its query. Zero if this does
-  /// not hold.
+  /// in the directory, and every missing one that may return (see `MayReturn`),
+  /// answered that it cannot reach the store either. An answer is valid for
+  /// `answer_validity` from the time of its query. Zero if the answer of one is
+  /// missing, if no such instance is known, or if the store answered this
+  /// process after the oldest of these queries or less than
+  /// `store_unresponsive_threshold` before it.
   Instant OutageConfirmedUntil() const;
-  /// Of the instances that recently answered that they reach the store, and
-  /// that are not leaving, the one with the largest `cpu_share`. Null if there
-  /// is none, if no renewal of this instance has failed since the last
-  /// successful one, or if the store answered this instance within
+  /// Of the instances that are not leaving and whose answer that they reach the
+  /// store (see `store_answer_margin`) arrived less than
+  /// `store_unresponsive_threshold` ago, the one with the largest `cpu_share`.
+  /// Null if there is none, if no renewal of this instance has failed since the
+  /// last successful one, or if the store answered this instance within
   /// `isolation_threshold`.
   const LiveInstance* FindInstanceReachingStore() const;
   void HandOverLead(const LiveInstance& instance,
@@ -193,7 +208,8 @@
   /// True if the store has not answered this process for
   /// `store_unresponsive_threshold`.
   bool IsStoreUnresponsive(Instant now) const;
-  /// When the store last answered this process.
+  /// When the store last answered a lease call, full read or watch call of this
+  /// object; its other calls do not count.
   Instant last_store_answer_at() const { return last_store_answer_at_; }
 
   const LiveInstance& self() const { return self_; }
@@ -211,7 +227,8 @@
   void RemoveLead(const std::string& cell);
 
  private:
-  /// An instance whose key has disappeared from the store, and since when.
+  /// An instance that has registered but whose own key is no longer in the
+  /// store; `since` is when this process noticed this.
   struct MissingInstance {
     LiveInstance instance;
     Instant since{};
@@ -230,11 +247,12 @@
   void ReregisterIfMissing();
   void QueryOthers();
   /// Queries when the store last answered the instance and, if agreement is
-  /// needed and the store does not answer this process, asks it to agree.
+  /// needed and `IsStoreUnresponsive`, asks the instance to agree.
   void QueryInstance(const LiveInstance& instance);
   void RequestAgreement(const LiveInstance& instance);
-  /// Earliest time in `answers` of all instances that may take a lead; zero if
-  /// the answer of one is missing, or if there is no such instance.
+  /// Earliest time in `answers` of all other instances in the directory and of
+  /// the missing ones that may return (see `MayReturn`); zero if the answer of
+  /// one is missing, or if there is no such instance.
   Instant EarliestAnswer(const std::map<std::string, Instant>& answers) const;
   /// Until when the answers to queries sent at `sent_at` are valid; zero if the
   /// store answered this process later, or less than
@@ -242,8 +260,8 @@
   Instant AnswersValidUntil(Instant sent_at) const;
   void MarkMissing(const LiveInstance& instance);
   void ApplyKnownInstance(const std::string& name, const StoreItem& item);
-  /// True if the instance's key disappeared so recently that the instance may
-  /// return and take a lead.
+  /// True until `missing_retention` after `missing.since`: the instance may
+  /// still return and take a lead.
   bool MayReturn(const MissingInstance& missing) const;
   void RemoveOneStaleKnownInstanceKey();
   /// Number of leads that this instance holds according to the directory.
@@ -270,8 +288,8 @@
   std::deque<std::pair<int64_t, Instant>> revision_times_;
   std::map<std::string, LiveInstance> instances_;
   std::map<std::string, MissingInstance> missing_instances_;
-  /// By instance that has ever registered and was not removed as permanently
-  /// gone: the revision of its `KnownInstanceKey`.
+  /// By instance, this one included, that has a `KnownInstanceKey` in the
+  /// store: the revision of that key.
   std::map<std::string, int64_t> known_instances_;
   bool known_instance_removal_pending_ = false;
   std::map<std::string, CellLead> leads_;
@@ -292,8 +310,8 @@
   /// By instance whose newest answer was that it reaches the store: when the
   /// answer arrived.
   std::map<std::string, Instant> reaching_store_at_;
-  /// When the first of the consecutive failed renewals was sent; zero if the
-  /// newest renewal succeeded.
+  /// When the first of the consecutive failed renewals was sent; zero if none
+  /// has failed since the last successful renewal or grant of a lease.
   Instant failing_since_{};
 };
 
--- a/src/include/doorwood/membership.h
+++ b/src/include/doorwood/membership.h
@@ -25,11 +25,14 @@
   /// A peer of this data centre is removed after this long without a heartbeat;
   /// a peer of another data centre after ten times as long.
   Millis heartbeat_timeout{2000};
-  /// An instance becomes a candidate holder and owner only this long after its
-  /// first heartbeat, so that an instance that repeatedly appears and
-  /// disappears does not cause reassignments of workers and shards.
+  /// A peer becomes a candidate holder and owner only this long after the first
+  /// heartbeat of its process, so that an instance that repeatedly appears and
+  /// disappears does not cause reassignments of workers and shards. This
+  /// instance becomes one twice this long after its own start.
   Millis settle_time{1000};
-  /// How long a worker is kept after it left the platform's list.
+  /// How long `RecentWorkers` still returns a worker after the last received
+  /// platform list that contained it. `AssignedWorkers` drops it with the first
+  /// list without it.
   Millis worker_retention{20000};
 };
 
@@ -39,7 +42,8 @@
 std::string ChooseByRendezvousHash(std::string_view key,
                                    std::span<const std::string> candidates);
 
-/// Another entry instance and its newest heartbeat.
+/// Another entry instance and its newest heartbeat. `first_heartbeat_at` is
+/// that of its current process.
 struct PeerState {
   Heartbeat heartbeat;
   Instant first_heartbeat_at{};
@@ -76,17 +80,19 @@
   /// Instances of this data centre that may be running: this one, and those
   /// that send heartbeats or are in the platform's list.
   std::vector<std::string> PossibleHolders() const;
-  /// When an instance of this data centre last left the platform's list or
-  /// timed out; the start of this instance if none did.
+  /// When this process last noticed that an entry instance of this data centre
+  /// had left the platform's list, or that its heartbeats had timed out; the
+  /// start of this instance if neither has happened.
   Instant last_departure() const { return last_departure_; }
-  /// Workers of this data centre that were in the platform's list within
-  /// `worker_retention`.
+  /// Workers of this data centre that a platform list received within the last
+  /// `worker_retention` contained.
   std::vector<std::string> RecentWorkers(Instant now) const;
   /// Workers of this data centre that the platform's list or a peer reports as
   /// leaving.
   std::vector<std::string> LeavingWorkers() const;
-  /// Entry instances to send heartbeats to: all others of this data centre, and
-  /// one of each other data centre, in rotation by `round`.
+  /// Entry instances in the platform's list to send heartbeats to: all others
+  /// of this data centre, and one of each other data centre, in rotation by
+  /// `round`.
   std::vector<InstanceInfo> HeartbeatTargets(uint64_t round) const;
   /// Entry instances of `data_centre` other than this one; those that send
   /// heartbeats come first.
--- a/src/include/doorwood/shard_owner.h
+++ b/src/include/doorwood/shard_owner.h
@@ -81,8 +81,8 @@
   /// False until the platform's list has been received. Until then, absence
   /// from `PossibleHolders` and `Workers` proves nothing.
   virtual bool IsViewComplete() const = 0;
-  /// Workers of the data centre that are, or recently were, in the platform's
-  /// list.
+  /// Workers of the data centre that a platform list received within the last
+  /// `MembershipOptions::worker_retention` contained.
   virtual std::vector<std::string> Workers() const = 0;
   virtual void CallInstance(const std::string& instance,
                             PeerRequest request,
--- a/src/libdoorwood/membership/live_directory.cpp
+++ b/src/libdoorwood/membership/live_directory.cpp
@@ -310,7 +310,7 @@
                                         : std::optional(found->second);
 }
 
-// --- Other instances ---
+// --- Contents of the directory ---
 
 void LiveDirectory::Refresh() {
   List();
--- a/src/libdoorwood/membership/live_outage.cpp
+++ b/src/libdoorwood/membership/live_outage.cpp
@@ -19,7 +19,7 @@
   Instant earliest = Instant::max();
   const auto include_answer = [&](const std::string& name) {
     // Every instance must answer for itself: the store may serve one and refuse
-    // others near it, and any instance that reaches it may take the lead.
+    // others near that one, and any that reaches the store may take a lead.
     const auto answer = answers.find(name);
     earliest = std::min(earliest,
                         answer == answers.end() ? Instant{} : answer->second);
@@ -94,9 +94,10 @@
   }
 }
 
-// Tries to remove the `KnownInstanceKey` of one instance whose own key has been
-// missing for longer than `missing_retention`. Only an instance that leads a
-// cell and reaches the store does this.
+// Forgets the missing instances that may no longer return and have no
+// `KnownInstanceKey`. Then tries to remove the `KnownInstanceKey` of one
+// instance whose own key has been missing for longer than `missing_retention`.
+// Only an instance that leads a cell and reaches the store sends the removal.
 void LiveDirectory::RemoveOneStaleKnownInstanceKey() {
   std::erase_if(missing_instances_, [this](const auto& entry) {
     return !MayReturn(entry.second) && !known_instances_.contains(entry.first);
