--- a/src/include/doorwood/job_plan.h
+++ b/src/include/doorwood/job_plan.h
@@ -95,7 +95,8 @@
 /// core-seconds.
 double EstimatedWork(const JobPlan& plan);
 
-/// Convert a plan to and from its form in the store.
+/// Convert a plan to and from its form in the store and in calls between
+/// instances.
 void to_json(Json& json, const StepPlan& step);
 void from_json(const Json& json, StepPlan& step);
 void to_json(Json& json, const JobPlan& plan);
--- a/src/include/doorwood/job_table.h
+++ b/src/include/doorwood/job_table.h
@@ -42,7 +42,8 @@
   kTrial,
 };
 
-/// A worker's crash or possible crash soon after a run began there; or a trial.
+/// A worker's crash or possible crash while a suspect or bystander run (see
+/// CrashRole) was there; or a trial.
 struct CrashNote {
   uint32_t run = 0;
   /// The worker's machine, or the worker's id if the machine is unknown.
@@ -95,12 +96,14 @@
   /// first task records the failures of all.
   std::vector<uint32_t> failed_runs;
   std::string checkpoint;
-  /// Notes made since the task was last observed running for long, one per run.
+  /// One note per run. All are removed once a run that began as a trial was
+  /// observed running for `CrashOptions::unrelated_after`.
   std::vector<CrashNote> crashes;
 
   /// For a long-running task: the only worker on which a run of it may be
-  /// active; empty: none. It is recorded before the task is ordered there, so
-  /// that a successor need not consider other workers.
+  /// active; empty: none. Unless all other instances agree to unrecorded
+  /// starts, it is recorded before the task is ordered there, so that a
+  /// successor need not consider other workers.
   std::string assigned_worker;
   AssignmentRecord assignment_record = AssignmentRecord::kRecorded;
 
@@ -175,7 +178,7 @@
   std::string reason;
   /// Milliseconds since 1970; 0: not finished.
   int64_t finished_at = 0;
-  /// A task of the job has started.
+  /// A task of the job has been placed, or a run of one adopted.
   bool started = false;
   int repetitions_done = 0;
   /// The state has changed since it was last encoded for the store.
@@ -220,7 +223,7 @@
   /// The task, or its whole gang, is done; also through a run that was given
   /// up before.
   kDone,
-  /// The task waits for another run.
+  /// The task is not done; if the job is still open, it waits for another run.
   kRetry,
   /// The job has failed, because the task has used up its attempts.
   kJobFailed,
@@ -273,8 +276,9 @@
   }
 
  private:
-  /// Counts a failure of `run`. Returns true if the attempts are used up.
-  static bool CountFailure(Task* task, uint32_t run, int max_attempts);
+  /// Adds `run` to `failed_runs` of the task, or of the first task of its gang.
+  /// Returns true if the attempts are used up.
+  static bool AddFailedRun(Task* task, uint32_t run, int max_attempts);
   /// Marks the task as done; for a task of a gang, all tasks of the gang.
   void MarkTaskOrGangDone(Task* task);
   /// Marks one task as done, and finishes the job if no task is left.
--- a/src/include/doorwood/types.h
+++ b/src/include/doorwood/types.h
@@ -67,8 +67,8 @@
 /// Identity of one attempt to run a task. It is unique within a shard: the
 /// epoch rises with each change of owner, and the counter with each attempt by
 /// that owner. Attempts are ordered, so an attempt id also serves as a fencing
-/// token: a holder starts no attempt below the floor that a census or a call of
-/// `WorkerHolder::Fence` has set for the shard.
+/// token: a holder accepts no new placement of an attempt below the floor that
+/// a census or a call of `WorkerHolder::Fence` has set for the shard.
 struct AttemptId {
   uint64_t epoch = 0;
   uint64_t counter = 0;
--- a/src/libdoorwood/job/job_plan.cpp
+++ b/src/libdoorwood/job/job_plan.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr size_t kIdLength = 16;
-constexpr double kMillisPerSecond = 1000.0;
+constexpr double kMillisPerUnit = 1000.0;
 
 std::string FieldPath(size_t step, std::string_view field) {
   return "steps[" + std::to_string(step) + "]." + std::string(field);
@@ -107,9 +107,9 @@
   double work = 0;
   for (const StepPlan& step : plan.steps) {
     const double cores =
-        static_cast<double>(step.size.cpu_millis) / kMillisPerSecond;
+        static_cast<double>(step.size.cpu_millis) / kMillisPerUnit;
     const double seconds =
-        static_cast<double>(step.estimate.count()) / kMillisPerSecond;
+        static_cast<double>(step.estimate.count()) / kMillisPerUnit;
     work += cores * seconds * step.count;
   }
   return work;
@@ -212,8 +212,8 @@
 std::optional<JobPlan> ParsePlan(std::string_view text) {
   auto plan =
       DecodeObject(text, [](const Json& json) { return json.get<JobPlan>(); });
-  // Every accepted plan was validated before it was recorded. An invalid one
-  // was written by another program and is ignored.
+  // Instances validate a plan before they record it or send it to another
+  // instance, so an invalid one was written by another program.
   return plan && !FindProblem(*plan) ? plan : std::nullopt;
 }
 
--- a/src/libdoorwood/job/job_plan_test.cpp
+++ b/src/libdoorwood/job/job_plan_test.cpp
@@ -79,8 +79,8 @@
   BOOST_TEST(Json(written.get<JobPlan>()).dump() == written.dump());
 }
 
-// Guards against plans from another writer. Recorded plans, and those sent by
-// other instances, were validated before; unvalidated text would cause
+// Guards against plans from another program. Plans that instances recorded or
+// sent were validated before; unvalidated text would cause
 // out-of-bounds access.
 BOOST_AUTO_TEST_CASE(ParsePlan_InvalidPlan_IsRejected) {
   const Json valid = fakes::MakePlan(kId, 2, 2, "");
@@ -102,7 +102,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(CriticalPathLength_DependentSteps_AddsUp) {
+BOOST_AUTO_TEST_CASE(CriticalPathAndWork_DependentSteps_AddUp) {
   const JobPlan plan = fakes::MakePlan(kId, 3, 2, "");
   const std::vector<Millis> run_times{Millis(300), Millis(200), Millis(400)};
   BOOST_TEST(CriticalPathLength(plan, run_times).count() == 900);
--- a/src/libdoorwood/job/job_table.cpp
+++ b/src/libdoorwood/job/job_table.cpp
@@ -246,7 +246,7 @@
   }
 }
 
-bool JobTable::CountFailure(Task* task, uint32_t run, int max_attempts) {
+bool JobTable::AddFailedRun(Task* task, uint32_t run, int max_attempts) {
   Task* counter = task;
   if (task->plan().gang) {
     counter = &task->job->repetitions[task->repetition]
@@ -271,7 +271,7 @@
       end == RunEnd::kFailed && !task->plan().long_running && !task->done;
   if (counts_as_failure) {
     job->dirty = true;
-    if (CountFailure(task, run, max_attempts) &&
+    if (AddFailedRun(task, run, max_attempts) &&
         Finish(job, JobOutcome::kFailed)) {
       task->counted_run = std::max(task->counted_run, run);
       return EndEffect::kJobFailed;
--- a/src/libdoorwood/job/job_table_test.cpp
+++ b/src/libdoorwood/job/job_table_test.cpp
@@ -25,7 +25,7 @@
   JobOutcome outcome;
 };
 
-BOOST_AUTO_TEST_CASE(ApplyRunEnd_EndsOfOneTask_EachCountsOnce) {
+BOOST_AUTO_TEST_CASE(ApplyRunEnd_EndsOfOneTask_SetFailuresAndOutcome) {
   const EndsRow rows[] = {
       {"done", {{1, RunEnd::kDone}}, true, 0, JobOutcome::kCompleted},
       {"stopped", {{1, RunEnd::kStopped}}, false, 0, JobOutcome::kOpen},
@@ -48,7 +48,7 @@
        false,
        3,
        JobOutcome::kFailed},
-      {"lost ends do not use up attempts",
+      {"expired leases do not use up attempts",
        {{1, RunEnd::kLeaseExpired},
         {2, RunEnd::kLeaseExpired},
         {3, RunEnd::kLeaseExpired}},
@@ -180,7 +180,7 @@
              static_cast<int>(JobOutcome::kFailed));
 }
 
-BOOST_AUTO_TEST_CASE(IsUnblocked_EarlierStepOpen_Waits) {
+BOOST_AUTO_TEST_CASE(IsUnblocked_EarlierStepOpen_IsFalse) {
   JobTable table;
   Job* job = table.Add(fakes::MakePlan(kId, 2, 2, ""));
   BOOST_TEST(JobTable::IsUnblocked(*job, 0, 0));
