--- a/src/include/doorwood/holder.h
+++ b/src/include/doorwood/holder.h
@@ -41,11 +41,12 @@
  public:
   virtual ~HolderListener() = default;
 
-  /// An attempt ended or will definitely never start. Called repeatedly until
+  /// An attempt ended or will definitely never start. Called again with each
+  /// answer of the worker, while it is held, until
   /// `WorkerHolder::AcknowledgeEnds` is called for the attempt.
   virtual void OnAttemptEnded(const ShardId& shard,
                               const AttemptReport& ended) = 0;
-  /// The set of held workers has changed.
+  /// The set of held workers may have changed.
   virtual void OnHeldWorkersChanged() = 0;
 };
 
@@ -77,14 +78,17 @@
 
   /// Sets the workers that this instance should hold. Other workers are
   /// released: no new attempts go there, and the lease is released once no
-  /// order is pending or in flight.
+  /// order is pending or in flight, or is lost before that.
   void SetAssignedWorkers(std::span<const InstanceInfo> workers);
   /// Sets the workers that an operator has drained. They get no new attempts,
   /// and their repeatable attempts are evicted.
   void SetDrainedWorkers(std::set<std::string> workers);
 
-  /// Reserves capacity and starts the attempt. A request for an attempt that is
-  /// already on a held worker starts nothing and is answered with that worker.
+  /// Reserves capacity and orders the start of the attempt. A request for an
+  /// attempt that was already placed on one of the workers, even if it has
+  /// ended there, starts nothing and is answered with that worker. If the
+  /// policy evicts other attempts to free capacity, the attempt is not placed
+  /// yet.
   PlaceReply Place(const PlaceRequest& request);
   StopReply Stop(const StopRequest& request);
   /// Fences the shard at the request's `min_attempt`, as `Fence` does, and
@@ -94,7 +98,8 @@
   /// their records of them.
   void AcknowledgeEnds(const ShardId& shard,
                        std::span<const AttemptId> attempts);
-  /// Refuses all later placements of `shard` whose attempt is below `floor`.
+  /// Refuses all later placements of `shard` whose attempt is below `floor`,
+  /// except repeated requests for an attempt that was placed before.
   void Fence(const ShardId& shard, const AttemptId& floor);
 
   /// True if `worker` is held and its lease is valid by the local clock.
@@ -152,8 +157,8 @@
     // a service.
     Instant reserved_until{};
     Executor::TimerId timer = 0;
-    // Running attempts as the policy sees them; rebuilt when `attempts`
-    // changes.
+    // Running attempts as the policy sees them; rebuilt when the set of running
+    // attempts or their `stopping` changes.
     std::vector<ResidentAttempt> residents;
   };
 
@@ -167,8 +172,8 @@
                   const WorkerInventory& inventory);
   void ApplyInventory(HeldWorker& held, const WorkerInventory& inventory);
   // Sends the pending orders, up to a maximum per call, which also renews the
-  // lease. No effect while a call is in flight. If the lease has expired, sends
-  // nothing and handles its loss.
+  // lease. No effect while a call is in flight. If the lease may have expired,
+  // sends nothing and handles its loss.
   void RenewAndSendOrders(const std::shared_ptr<HeldWorker>& held);
   void OnAnswer(const std::shared_ptr<HeldWorker>& held,
                 Instant sent,
@@ -215,7 +220,7 @@
   HolderListener& listener_;
   Instant started_;
   HeldWorkerMap held_;
-  // The worker on which each attempt runs.
+  // The worker whose `attempts` contains each attempt, running or ended.
   std::map<AttemptKey, std::string> worker_of_;
   std::set<std::string> drained_;
   std::map<ShardId, AttemptId> fence_floors_;
--- a/src/libdoorwood/holder/holder.cpp
+++ b/src/libdoorwood/holder/holder.cpp
@@ -173,8 +173,9 @@
     if (held.attempts.contains(key)) {
       continue;
     }
-    // The worker does not have the attempt and refuses orders of older epochs,
-    // so the attempt can no longer start.
+    // The worker does not have the attempt. It refuses orders of older epochs,
+    // or this instance has waited for the older lease to expire, so the attempt
+    // can no longer start.
     Attempt ended = old;
     if (old.state == RunState::kRunning) {
       const bool never_started = !old.start_sent;
@@ -193,8 +194,8 @@
     return;
   }
   if (!HasValidLease(*held)) {
-    // This process was paused for longer than the lease, and another instance
-    // may hold the worker. No orders may be sent.
+    // The lease may have expired, for example while this process was paused,
+    // and another instance may hold the worker. No orders may be sent.
     OnLeaseLost(held);
     return;
   }
--- a/src/libdoorwood/holder/holder_attempts.cpp
+++ b/src/libdoorwood/holder/holder_attempts.cpp
@@ -110,8 +110,8 @@
   };
   for (const auto& [name, held] : held_) {
     if (!IsHeld(name)) {
-      // Another instance may have changed the attempts on this worker, so they
-      // are not reported.
+      // Another instance may have changed the attempts on this worker, or may
+      // soon do so, so they are not reported.
       if (held->acquired_once) {
         reply.released.push_back({name, age_of(held->last_renewal_sent)});
       }
--- a/src/libdoorwood/holder/placement.cpp
+++ b/src/libdoorwood/holder/placement.cpp
@@ -16,8 +16,8 @@
 // configurations and manifests, so the same texts recur often.
 class SelectorCache {
  public:
-  // Returns nullopt if the text is not a valid selector, which matches no
-  // labels.
+  // Returns nullopt if the text is not a valid selector. An invalid selector
+  // matches no labels.
   const std::optional<Selector>& Parsed(const std::string& text) {
     const auto known = parsed_.find(text);
     if (known != parsed_.end()) {
@@ -44,7 +44,7 @@
   std::map<std::string, std::optional<Selector>> parsed_;
 };
 
-// Constraints set by labels, selectors and capacity; shared by all policies.
+// Constraints set by labels, selectors and capacity; used by each policy.
 class PlacementRules {
  public:
   bool SelectsWorker(const TaskSpec& spec, const WorkerView& worker) {
@@ -196,9 +196,9 @@
   }
 
   // Batch attempts to evict, highest `yields` first. An empty list: enough
-  // attempts are already stopping. Nullopt: evicting all of them would not free
-  // enough capacity, or an attempt that cannot be evicted may not run beside
-  // the task.
+  // attempts are already stopping. Nullopt: evicting all evictable attempts
+  // would not free enough capacity, or an attempt that cannot be evicted may
+  // not run beside the task.
   std::optional<std::vector<AttemptKey>> SelectVictims(
       const TaskSpec& spec,
       const WorkerView& worker) {
--- a/src/libdoorwood/holder/placement_test.cpp
+++ b/src/libdoorwood/holder/placement_test.cpp
@@ -161,7 +161,7 @@
   ledger.Release(a);
   ledger.Release(a);
   BOOST_TEST((ledger.free() == kCapacity));
-  // A running attempt is counted even if it exceeds the capacity.
+  // Adopt reserves capacity even beyond what is free.
   ledger.Adopt(a, {5000, 100, 0});
   BOOST_TEST(ledger.free().cpu_millis == -1000);
   BOOST_TEST(!ledger.Reserve(b, {1, 1, 0}));
