--- a/src/include/doorwood/instance.h
+++ b/src/include/doorwood/instance.h
@@ -93,7 +93,9 @@
 
   void Start();
   /// Starts a planned shutdown: releases workers and hands over shards. Calls
-  /// `done` when all of them are released or `shutdown_timeout` has elapsed.
+  /// `done` when all workers are released and all shards are handed over (or
+  /// cannot be, because the store does not answer), or when `shutdown_timeout`
+  /// has elapsed.
   void BeginShutdown(Millis shutdown_timeout, std::function<void()> done);
 
   // PeerService:
@@ -126,8 +128,8 @@
     std::shared_ptr<ShardOwner> owner;
     bool active = false;
     bool closing = false;
-    // True until it is verified that the store still records this instance as
-    // the owner.
+    // True from a sign that another instance may own the shard until it is
+    // verified that the store still records this instance as the owner.
     bool needs_verification = false;
     bool verifying = false;
   };
@@ -177,8 +179,7 @@
   void VerifyShard(const ShardId& shard);
   ShardOwner* ActiveOwner(const ShardId& shard);
   // Returns the peer whose heartbeats report the shard as owned with the
-  // highest epoch; empty if there is none, also when this instance owns the
-  // shard.
+  // highest epoch; empty if no peer's do. Does not consider this instance.
   std::string FindOwningPeer(const ShardId& shard) const;
 
   // Attempt ends that are reported to the shards' owners.
--- a/src/libdoorwood/instance/instance.cpp
+++ b/src/libdoorwood/instance/instance.cpp
@@ -86,8 +86,8 @@
     if (!*alive) {
       return;
     }
-    // Without the store no shard can be handed over. Its next owner waits until
-    // this instance's registration expires.
+    // Without the store no shard can be handed over. A shard's next owner waits
+    // until this instance's registration expires.
     const bool shards_released = shards_.empty() || !IsStoreReachable();
     const bool all_released =
         shards_released && holder_.DescribeHeldWorkers().empty();
@@ -258,8 +258,9 @@
 }
 
 // The reply to a heartbeat contains the receiver's state, so only one instance
-// of a pair needs to send: the one whose id sorts first. The other one sends
-// only if it has received no heartbeat within the heartbeat interval.
+// of a pair in a data centre needs to send: the one whose id sorts first. The
+// other one sends only if it is leaving or has received no heartbeat within the
+// heartbeat interval.
 bool Instance::IsPeerSendingHeartbeats(const std::string& peer) const {
   const auto known = membership_.peers().find(peer);
   const bool peer_sends = peer < options_.self.id;
@@ -565,8 +566,9 @@
     const bool here = info.role == InstanceRole::kBackend &&
                       info.data_centre == options_.self.data_centre;
     // The instance that holds a backend server's worker counts its slots. On
-    // other instances the backend server is listed as closed, so that requests
-    // know which services exist and can wait for them.
+    // other instances the backend server is listed as closed, so that a request
+    // for its service waits for a server to open instead of being refused at
+    // once.
     if (here) {
       const bool open = holder_.IsHeld(info.worker) && !info.leaving &&
                         !closing_workers_.contains(info.worker);
--- a/src/libdoorwood/instance/instance_shards.cpp
+++ b/src/libdoorwood/instance/instance_shards.cpp
@@ -97,8 +97,8 @@
   shards_.erase(ownership);
 }
 
-// Called when this instance's registration may have expired: other instances
-// may have taken over its shards since then.
+// Called when the store no longer knows the lease of this instance's
+// registration: other instances may have taken over its shards since it ended.
 void Instance::MarkAllShardsUnverified() {
   for (auto& [shard, ownership] : shards_) {
     ownership.needs_verification = true;
--- a/src/libdoorwood/instance/instance_test.cpp
+++ b/src/libdoorwood/instance/instance_test.cpp
@@ -60,7 +60,7 @@
     return id == "plaka-1" ? "plaka-2" : "plaka-1";
   }
 
-  bool RunUntilFinished(const std::string& via, const std::string& job) {
+  bool RunUntilSucceeded(const std::string& via, const std::string& job) {
     return world.RunUntil(
         kTimeout, [&]() { return world.JobPhase(via, job) == "succeeded"; });
   }
@@ -89,7 +89,7 @@
 BOOST_AUTO_TEST_CASE(Job_NoFaults_RunsEachTaskOnce) {
   RunningCluster cluster;
   const std::string job = cluster.Submit(5, "run-ms=1000");
-  BOOST_TEST(cluster.RunUntilFinished("plaka-2", job));
+  BOOST_TEST(cluster.RunUntilSucceeded("plaka-2", job));
   for (int n = 0; n < 5; ++n) {
     const std::string task = "task-" + std::to_string(n);
     BOOST_TEST(cluster.world.StartCount(task) == 1);
@@ -108,8 +108,8 @@
   BOOST_TEST((cluster.world.time().now() - submitted <= Millis(2400)));
 }
 
-// A fault that is injected while a job of long tasks runs. The job must end and
-// the invariants must hold.
+// A fault that is injected while a job of long tasks runs. The job must still
+// end, and the invariants must hold.
 struct FaultCase {
   const char* name;
   std::function<void(RunningCluster&, const std::string& job)> inject;
@@ -254,7 +254,7 @@
   }
   const std::string via =
       cluster.world.IsRunning("plaka-1") ? "plaka-1" : "plaka-2";
-  BOOST_TEST(cluster.RunUntilFinished(via, job), "job does not finish");
+  BOOST_TEST(cluster.RunUntilSucceeded(via, job), "the job does not succeed");
   for (int n = 0; n < 5; ++n) {
     const std::string task = "task-" + std::to_string(n);
     BOOST_TEST(cluster.world.SuccessCount(task) == 1);
@@ -330,7 +330,7 @@
 
 BOOST_AUTO_TEST_CASE(ServiceTask_FullWorker_EvictsOneTaskThatResumes) {
   EvictingCluster cluster;
-  BOOST_TEST(cluster.RunUntilFinished("plaka-1", cluster.batch));
+  BOOST_TEST(cluster.RunUntilSucceeded("plaka-1", cluster.batch));
   BOOST_TEST(cluster.CountEvictions() == 1);
   cluster.CheckResumes();
   cluster.CheckInvariants();
@@ -338,7 +338,8 @@
 
 // Injects a fault after every second step of virtual time around the eviction,
 // each time in a new cluster.
-void InjectAtEveryStep(const std::function<void(EvictingCluster&)>& inject) {
+void InjectAtEverySecondStep(
+    const std::function<void(EvictingCluster&)>& inject) {
   constexpr int kSteps = 240;
   for (int steps = 0; steps < kSteps; steps += 2) {
     EvictingCluster cluster;
@@ -348,7 +349,7 @@
     inject(cluster);
     cluster.RestartKilledInstances();
     BOOST_TEST_CONTEXT("after " << steps << " steps") {
-      BOOST_TEST(cluster.RunUntilFinished("plaka-1", cluster.batch));
+      BOOST_TEST(cluster.RunUntilSucceeded("plaka-1", cluster.batch));
       for (int n = 0; n < 4; ++n) {
         const std::string task = "task-" + std::to_string(n);
         BOOST_TEST(cluster.world.SuccessCount(task) == 1);
@@ -360,7 +361,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(EvictedTask_OwnerKilledAtEverySecondStep_Resumes) {
-  InjectAtEveryStep([](EvictingCluster& cluster) {
+  InjectAtEverySecondStep([](EvictingCluster& cluster) {
     const std::string owner = cluster.OwnerOf(cluster.batch);
     if (!owner.empty()) {
       cluster.world.Kill(owner);
@@ -369,13 +370,13 @@
 }
 
 BOOST_AUTO_TEST_CASE(EvictedTask_HolderKilledAtEverySecondStep_Resumes) {
-  InjectAtEveryStep([](EvictingCluster& cluster) {
+  InjectAtEverySecondStep([](EvictingCluster& cluster) {
     cluster.world.Kill(cluster.world.LeaseHolderOf("plaka-w1"));
   });
 }
 
 BOOST_AUTO_TEST_CASE(EvictedTask_BothInstancesKilledAtEverySecondStep_Resumes) {
-  InjectAtEveryStep([](EvictingCluster& cluster) {
+  InjectAtEverySecondStep([](EvictingCluster& cluster) {
     cluster.world.Kill("plaka-1");
     cluster.world.Kill("plaka-2");
   });
@@ -438,7 +439,7 @@
           cluster.world.CallOperatorMethod("plaka-2", "submit", body);
       BOOST_REQUIRE(again.status == 200);
       const std::string job = Json::parse(again.body).at("id");
-      BOOST_TEST(cluster.RunUntilFinished("plaka-1", job));
+      BOOST_TEST(cluster.RunUntilSucceeded("plaka-1", job));
       BOOST_TEST(cluster.world.StartCount("task") == 1);
     }
   }
@@ -496,7 +497,7 @@
   const Json task = cluster.world.JobStatus("plaka-1", giant).at("tasks").at(0);
   BOOST_TEST(task.at("reason").get<std::string>().starts_with("never: "));
   const std::string job = cluster.Submit(2, "run-ms=500");
-  BOOST_TEST(cluster.RunUntilFinished("plaka-1", job));
+  BOOST_TEST(cluster.RunUntilSucceeded("plaka-1", job));
 }
 
 BOOST_AUTO_TEST_CASE(Job_TaskAlwaysFails_FailsAfterThreeStarts) {
@@ -517,7 +518,7 @@
   cluster.world.Run(Millis(4000));
   cluster.world.Kill(cluster.world.LeaseHolderOf("plaka-w1"));
   cluster.RestartKilledInstances();
-  BOOST_TEST(cluster.RunUntilFinished("plaka-1", job));
+  BOOST_TEST(cluster.RunUntilSucceeded("plaka-1", job));
   cluster.CheckInvariants();
 }
 
@@ -529,7 +530,7 @@
   cluster.world.Run(Millis(2000));
   const size_t before = cluster.world.events().size();
   const std::string job = cluster.Submit(8, "run-ms=500");
-  BOOST_TEST(cluster.RunUntilFinished("plaka-1", job));
+  BOOST_TEST(cluster.RunUntilSucceeded("plaka-1", job));
   for (size_t n = before; n < cluster.world.events().size(); ++n) {
     const auto& event = cluster.world.events()[n];
     const bool started = event.kind == standin::WorkerEventKind::kStart;
@@ -550,7 +551,7 @@
   BOOST_TEST(instance->holder().DescribeHeldWorkers().empty());
   BOOST_TEST(instance->owned_shards().empty());
   cluster.world.Kill("plaka-1");
-  BOOST_TEST(cluster.RunUntilFinished("plaka-2", job));
+  BOOST_TEST(cluster.RunUntilSucceeded("plaka-2", job));
   BOOST_TEST(cluster.world.StartCount("task-0") == 1);
   cluster.CheckInvariants();
 }
