--- a/src/include/doorwood/router.h
+++ b/src/include/doorwood/router.h
@@ -27,7 +27,8 @@
 
 namespace doorwood {
 
-/// A backend server whose slots in use are counted by this instance.
+/// A backend server of this data centre. It is open only on the instance that
+/// holds its worker, which counts its slots in use.
 struct BackendTarget {
   std::string id;
   std::string service;
@@ -272,12 +273,14 @@
          RequestObserver& observer,
          IdempotencyKeyStore& claims);
 
-  /// Executes a request and returns its response. Begins no retry after the
-  /// deadline; see RequestSender for how long an attempt may take. Waits for a
-  /// slot only if the queue has room and the estimated wait ends before the
-  /// deadline; while all backend servers of the service are closed, gives up
-  /// about 4 s after the start, or after half of the time to the deadline if
-  /// that is less.
+  /// Executes a request and returns its response. The deadline is checked
+  /// before each attempt, but not again after a peer has been tried or the
+  /// idempotency key recorded, so that an attempt on a local slot may begin
+  /// after the deadline; see RequestSender for how long an attempt may take.
+  /// Waits for a slot only if the queue has room and the estimated wait ends
+  /// before the deadline; while all backend servers of the service are closed,
+  /// gives up about 4 s after the start, or after half of the time to the
+  /// deadline if that is less.
   CallerResponse Handle(const CallerRequest& request);
 
   SlotTable& slots() { return slots_; }
--- a/src/include/doorwood/run_times.h
+++ b/src/include/doorwood/run_times.h
@@ -17,11 +17,11 @@
 namespace doorwood {
 
 struct RunTimeOptions {
-  /// After this many steps the observations weigh as much as the estimate
-  /// alone.
+  /// After this many completed steps of a queue the observations weigh as much
+  /// as the estimate.
   double estimate_weight = 4;
-  /// After this many further steps the weight of an observation has fallen to
-  /// about a third.
+  /// Once this many more steps of the queue have completed since its recording,
+  /// the weight of an observation has fallen to about a third.
   double decay_steps = 300;
 };
 
