--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -159,7 +159,7 @@
                       const Run& run,
                       std::error_code error) override;
   void OnReport(WorkerSession& session) override;
-  void OnFenced(WorkerSession& session) override;
+  void OnHigherTokenSeen(WorkerSession& session) override;
 
   // JournalOwner
   std::string EncodeState(const std::string& job) override;
--- a/src/include/doorwood/worker_session.h
+++ b/src/include/doorwood/worker_session.h
@@ -184,8 +184,9 @@
                               std::error_code error) = 0;
   /// A report was processed.
   virtual void OnReport(WorkerSession& session) = 0;
-  /// The worker has seen a higher fencing token. Called at most once.
-  virtual void OnFenced(WorkerSession& session) = 0;
+  /// The worker has seen a higher fencing token than this leader's. Called at
+  /// most once. Unrelated to `WorkerSession::fenced`.
+  virtual void OnHigherTokenSeen(WorkerSession& session) = 0;
 };
 
 /// Owned by its leader and by its own pending calls. Sends no notifications
@@ -283,7 +284,8 @@
   /// Increases with each change of `OutstandingTasks`.
   uint64_t tasks_version() const { return tasks_version_; }
   /// The worker has answered a poll of this leader at least once, so it refuses
-  /// orders of earlier leaders.
+  /// orders of earlier leaders. Says nothing of later leaders: see
+  /// `OnHigherTokenSeen`.
   bool fenced() const { return fenced_; }
   /// A report to this leader has listed every end that the worker then had left
   /// to list; one report lists only a limited number. Stays true.
@@ -428,7 +430,8 @@
   /// When another incarnation was noticed.
   Instant dead_since_{};
   bool fenced_ = false;
-  /// `OnFenced` was called: the worker has seen a higher token than `token_`.
+  /// `OnHigherTokenSeen` was called: the worker has seen a higher token than
+  /// `token_`.
   bool higher_token_reported_ = false;
   bool all_ends_listed_ = false;
   bool unresponsive_logged_ = false;
--- a/src/libdoorwood/cell/cell_leader.cpp
+++ b/src/libdoorwood/cell/cell_leader.cpp
@@ -93,7 +93,7 @@
   StepDown(reason);
 }
 
-void CellLeader::OnFenced(WorkerSession& session) {
+void CellLeader::OnHigherTokenSeen(WorkerSession& session) {
   log_.Write("warn", "cell",
              "a worker has seen the fencing token of a newer leader",
              {{"worker", session.incarnation().id}, {"epoch", epoch_}});
--- a/src/libdoorwood/cell/null_session_listener.h
+++ b/src/libdoorwood/cell/null_session_listener.h
@@ -23,7 +23,7 @@
   }
   void OnStartRefused(WorkerSession&, const Run&, std::error_code) override {}
   void OnReport(WorkerSession&) override {}
-  void OnFenced(WorkerSession&) override {}
+  void OnHigherTokenSeen(WorkerSession&) override {}
 };
 
 }  // namespace doorwood::fakes
--- a/src/libdoorwood/cell/worker_orders.cpp
+++ b/src/libdoorwood/cell/worker_orders.cpp
@@ -159,7 +159,7 @@
   if (error == make_error_code(RunErrc::kFenced) && !closed_ &&
       !higher_token_reported_) {
     higher_token_reported_ = true;
-    listener_.OnFenced(*this);
+    listener_.OnHigherTokenSeen(*this);
   }
 }
 
--- a/src/libdoorwood/cell/worker_session.cpp
+++ b/src/libdoorwood/cell/worker_session.cpp
@@ -236,7 +236,7 @@
   if (error == make_error_code(RunErrc::kFenced)) {
     if (!higher_token_reported_) {
       higher_token_reported_ = true;
-      listener_.OnFenced(*this);
+      listener_.OnHigherTokenSeen(*this);
     }
     return;
   }
--- a/src/libdoorwood/cell/worker_session_test.cpp
+++ b/src/libdoorwood/cell/worker_session_test.cpp
@@ -144,7 +144,7 @@
       reporting.MarkRecorded(reporting.last_end());
     }
   }
-  void OnFenced(WorkerSession&) override { ++fenced; }
+  void OnHigherTokenSeen(WorkerSession&) override { ++higher_token_reports; }
 
   void AdvanceTime(Millis duration) {
     for (Millis passed{0}; passed < duration; passed += Millis(100)) {
@@ -169,7 +169,7 @@
   std::vector<std::string> ends;
   int64_t ended_at = 0;
   int refused = 0;
-  int fenced = 0;
+  int higher_token_reports = 0;
   bool record_at_once = true;
 };
 
@@ -371,7 +371,7 @@
   WorkerReport ignored;
   workers.model.Poll({6, 0, 0, Millis(0)}, &ignored);
   AdvanceTime(Millis(3000));
-  BOOST_TEST(fenced == 1);
+  BOOST_TEST(higher_token_reports == 1);
 }
 
 BOOST_FIXTURE_TEST_CASE(Poll_NothingRuns_SendsNoPolls, SessionFixture) {
