--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -603,7 +603,7 @@
   /// drops those that may no longer be ordered or whose task or worker is gone.
   void SendDeferredStarts();
   /// Whether a deferred start may be ordered on the worker now: see
-  /// `MayOrderStarts` and `MayReceiveOrders`.
+  /// `MayOrderStarts` and `MayReceiveStarts`.
   bool MaySendDeferredStart(const CellWorker& cell_worker) const;
   /// Whether, as far as this leader can know, the store has the placement of
   /// every long-running task.
@@ -637,7 +637,7 @@
   /// worker accepts new work) and returns them.
   std::vector<CandidateWorker*> CollectCandidates();
   /// Whether the start of a task that was placed on the worker may be ordered.
-  bool MayReceiveOrders(const CellWorker& cell_worker) const;
+  bool MayReceiveStarts(const CellWorker& cell_worker) const;
   /// Whether the worker may get new work. Ignores reservations for trial runs.
   bool MayReceiveNewWork(const std::string& id,
                          const CellWorker& cell_worker) const;
--- a/src/libdoorwood/cell/cell_placement_records.cpp
+++ b/src/libdoorwood/cell/cell_placement_records.cpp
@@ -38,7 +38,7 @@
 }
 
 bool CellLeader::MaySendDeferredStart(const CellWorker& cell_worker) const {
-  return MayOrderStarts() && MayReceiveOrders(cell_worker);
+  return MayOrderStarts() && MayReceiveStarts(cell_worker);
 }
 
 void CellLeader::SendDeferredStarts() {
--- a/src/libdoorwood/cell/cell_places.cpp
+++ b/src/libdoorwood/cell/cell_places.cpp
@@ -54,7 +54,7 @@
   cell_worker->candidate_at = now;
 }
 
-bool CellLeader::MayReceiveOrders(const CellWorker& cell_worker) const {
+bool CellLeader::MayReceiveStarts(const CellWorker& cell_worker) const {
   const WorkerSession& session = *cell_worker.session;
   return IsAddressRecorded(cell_worker) && !cell_worker.renewals_blocked &&
          !cell_worker.starts_blocked && cell_worker.listed &&
@@ -66,7 +66,7 @@
 bool CellLeader::MayReceiveNewWork(const std::string& id,
                                    const CellWorker& cell_worker) const {
   const Instant now = executor_.Now();
-  return MayReceiveOrders(cell_worker) &&
+  return MayReceiveStarts(cell_worker) &&
          !cell_worker.session->has_unwanted_runs() &&
          now >= cell_worker.backoff_until && quarantine_.AllowsStart(id, now);
 }
