--- a/src/include/doorwood/cell_journal.h
+++ b/src/include/doorwood/cell_journal.h
@@ -65,7 +65,7 @@
   /// order that may have extended a lease there, plus
   /// `CellOptions::order_grace`. A successor's wait includes `order_grace` for
   /// later orders, but this leader sends the worker none that extend a lease.
-  Millis not_contacted_for{0};
+  Millis deductible_wait{0};
   /// All tasks that may run there or whose end there is not recorded. No
   /// leader, except of an older version (see `KeepsToTaskLists`), starts any
   /// task there until a newer record has no such list. Empty optional: any task
--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -214,14 +214,14 @@
     /// still run there is not started while the worker is unaccounted (see
     /// `UnaccountedWorkers`).
     bool from_takeover = false;
-    /// `KnownWorker::not_contacted_for` of the worker at the takeover, which
+    /// `KnownWorker::deductible_wait` of the worker at the takeover, which
     /// shortens the wait for its runs. If it is not zero, the age of the record
     /// is added as far as it is known.
     Millis predecessors_waited{0};
     /// `KnownWorker::tasks` of the worker at the takeover. Empty optional: any
     /// task may run there.
     std::optional<std::vector<std::string>> inherited_tasks;
-    /// The record in the store may have a `KnownWorker::not_contacted_for`
+    /// The record in the store may have a `KnownWorker::deductible_wait`
     /// above zero. Since a successor relies on that time, no lease is extended
     /// on the worker until a newer record has the time zero.
     bool renewals_blocked = false;
@@ -240,7 +240,7 @@
     /// confirmed or added the crash notes for it.
     bool death_processed = false;
     /// The worker has responded again, and a record that says so was requested
-    /// after the last one with a `KnownWorker::not_contacted_for` above zero.
+    /// after the last one with a `KnownWorker::deductible_wait` above zero.
     bool contact_record_pending = false;
     /// The worker gets no new work before this time, because it refused a
     /// start.
@@ -344,7 +344,7 @@
   /// Whether the worker was in contact, but its newest poll failed and no order
   /// extended a lease there for `CellOptions::unresponsive_record_delay`.
   bool IsLongUnresponsive(const CellWorker& cell_worker) const;
-  /// The value of `KnownWorker::not_contacted_for` to record for the worker
+  /// The value of `KnownWorker::deductible_wait` to record for the worker
   /// now.
   Millis TimeWithoutRenewal(const CellWorker& cell_worker) const;
   /// Time since this leader finished reading the records of earlier leaders.
--- a/src/libdoorwood/cell/cell_campaign.cpp
+++ b/src/libdoorwood/cell/cell_campaign.cpp
@@ -247,11 +247,11 @@
     if (item.key == WorkersKey(options_.cell)) {
       std::vector<KnownWorker> known = DecodeWorkers(item.value);
       // Since this record was written, no leader has extended a lease on the
-      // workers that the record lists as out of contact.
+      // workers whose deductible wait in the record is above zero.
       const Millis age = AgeOfRecord(item.revision);
       for (KnownWorker& worker : known) {
-        worker.not_contacted_for +=
-            worker.not_contacted_for > Millis(0) ? age : Millis(0);
+        worker.deductible_wait +=
+            worker.deductible_wait > Millis(0) ? age : Millis(0);
       }
       return known;
     }
@@ -323,8 +323,8 @@
     incarnation.draining = true;
     AddWorker(incarnation, /*from_takeover=*/true);
     CellWorker& cell_worker = cell_workers_.at(worker.id);
-    cell_worker.predecessors_waited = worker.not_contacted_for;
-    cell_worker.renewals_blocked = worker.not_contacted_for > Millis(0);
+    cell_worker.predecessors_waited = worker.deductible_wait;
+    cell_worker.renewals_blocked = worker.deductible_wait > Millis(0);
     cell_worker.inherited_tasks = worker.tasks;
     cell_worker.starts_blocked = worker.tasks.has_value();
     cell_worker.submitted_record = worker;
--- a/src/libdoorwood/cell/cell_foreign_entries_test.cpp
+++ b/src/libdoorwood/cell/cell_foreign_entries_test.cpp
@@ -279,7 +279,7 @@
   BOOST_TEST(known[0].id == "w1");
   BOOST_TEST(known[1].id == "w8");
   BOOST_TEST(known[2].id == "w9");
-  BOOST_TEST(known[2].not_contacted_for.count() == 700);
+  BOOST_TEST(known[2].deductible_wait.count() == 700);
   for (const char* text : {"", "{}", "7", "\xff", R"({"a":[["w","x"]]})"}) {
     BOOST_TEST(DecodeWorkers(text).empty(), text);
   }
--- a/src/libdoorwood/cell/cell_journal.cpp
+++ b/src/libdoorwood/cell/cell_journal.cpp
@@ -36,9 +36,9 @@
     worker.id = ToNonEmptyString(row.at(0), "id");
     worker.address = ToNonEmptyString(row.at(1), "address");
     // Earlier versions wrote no third element.
-    const int64_t not_contacted_ms =
+    const int64_t deductible_ms =
         row.size() > 2 ? ToInteger(row.at(2), "unheard", {0, kMaxMillis}) : 0;
-    worker.not_contacted_for = Millis(not_contacted_ms);
+    worker.deductible_wait = Millis(deductible_ms);
     if (row.size() > 3) {
       worker.tasks = DecodeTasks(row.at(3));
     }
@@ -124,7 +124,7 @@
 std::string EncodeWorkers(const std::vector<KnownWorker>& workers) {
   Json rows = Json::array();
   for (const KnownWorker& worker : workers) {
-    Json row = {worker.id, worker.address, worker.not_contacted_for.count()};
+    Json row = {worker.id, worker.address, worker.deductible_wait.count()};
     if (worker.tasks) {
       row.push_back(*worker.tasks);
     }
--- a/src/libdoorwood/cell/cell_journal_build.cpp
+++ b/src/libdoorwood/cell/cell_journal_build.cpp
@@ -74,7 +74,7 @@
       {WorkersKey(cell_), EncodeWorkers(workers_)});
   const bool any_not_contacted = std::any_of(
       workers_.begin(), workers_.end(),
-      [](const auto& worker) { return worker.not_contacted_for > Millis(0); });
+      [](const auto& worker) { return worker.deductible_wait > Millis(0); });
   if (any_not_contacted) {
     batch->transaction.puts.push_back(
         {UncontactedWorkersKey(cell_), std::to_string(batch->number)});
--- a/src/libdoorwood/cell/cell_worker_records.cpp
+++ b/src/libdoorwood/cell/cell_worker_records.cpp
@@ -62,7 +62,7 @@
     KnownWorker worker;
     worker.id = id;
     worker.address = cell_worker.session->incarnation().address;
-    worker.not_contacted_for = TimeWithoutRenewal(cell_worker);
+    worker.deductible_wait = TimeWithoutRenewal(cell_worker);
     worker.tasks = TasksToRecord(cell_worker);
     known.push_back(std::move(worker));
   }
@@ -76,7 +76,7 @@
   for (const KnownWorker& worker : known) {
     CellWorker& cell_worker = cell_workers_.at(worker.id);
     entries += CountTasks(worker);
-    if (worker.not_contacted_for > Millis(0)) {
+    if (worker.deductible_wait > Millis(0)) {
       cell_worker.renewals_blocked = true;
       cell_worker.contact_record_pending = false;
       cell_worker.session->SetLeaseExtensionEnd(Instant{});
@@ -228,7 +228,7 @@
     // record was sent.
     cell_worker.starts_blocked =
         cell_worker.starts_blocked || worker.tasks.has_value();
-    if (worker.not_contacted_for > Millis(0) && !cell_worker.renewals_blocked) {
+    if (worker.deductible_wait > Millis(0) && !cell_worker.renewals_blocked) {
       cell_worker.renewals_blocked = true;
       UpdateSessionLimits(cell_worker, OrderDeadline());
     }
@@ -238,8 +238,8 @@
       cell_worker.starts_blocked = false;
       changed = true;
     }
-    if (worker.not_contacted_for == Millis(0) &&
-        newest.not_contacted_for == Millis(0) && cell_worker.renewals_blocked) {
+    if (worker.deductible_wait == Millis(0) &&
+        newest.deductible_wait == Millis(0) && cell_worker.renewals_blocked) {
       cell_worker.renewals_blocked = false;
       UpdateSessionLimits(cell_worker, OrderDeadline());
       cell_worker.session->PollNow();
--- a/src/libdoorwood/cell/cell_workers_record_test.cpp
+++ b/src/libdoorwood/cell/cell_workers_record_test.cpp
@@ -25,12 +25,12 @@
 constexpr size_t kUsualRecordLimit = kStoreValueLimit / 8;
 
 KnownWorker MakeWorker(const std::string& id,
-                       Millis not_contacted_for,
+                       Millis deductible_wait,
                        std::optional<Names> task_names) {
   KnownWorker worker;
   worker.id = id;
   worker.address = "http://" + id + ":80";
-  worker.not_contacted_for = not_contacted_for;
+  worker.deductible_wait = deductible_wait;
   worker.tasks = std::move(task_names);
   return worker;
 }
@@ -50,7 +50,7 @@
   std::string text;
   for (const KnownWorker& worker : workers) {
     text += worker.id + " " + worker.address + " " +
-            std::to_string(worker.not_contacted_for.count()) + " " +
+            std::to_string(worker.deductible_wait.count()) + " " +
             ToText(worker.tasks) + "\n";
   }
   return text;
