--- a/src/libdoorwood/cell/cell_journal_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_test.cpp
@@ -231,7 +231,7 @@
   BOOST_TEST(accepted.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(MarkDirty_EarlierBatchTakesEffectLate_NewerStateStays,
+BOOST_FIXTURE_TEST_CASE(MarkDirty_EarlierAttemptArrivesLate_NewerStateStays,
                         JournalFixture) {
   store.script = {Step::kDelay};
   state = "older";
--- a/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
@@ -216,7 +216,7 @@
   return rows;
 }
 
-BOOST_AUTO_TEST_CASE(Successor_FailureNotReported_AttemptsAreNotExceeded) {
+BOOST_AUTO_TEST_CASE(Successor_FailureNotRecorded_AttemptsAreNotExceeded) {
   for (const auto& [recorded, partitioned_run, partitioned_ms] :
        UnrecordedFailures()) {
     fakes::CellWorld world(3);
