--- a/src/include/doorwood/live_directory.h
+++ b/src/include/doorwood/live_directory.h
@@ -96,7 +96,7 @@
   Millis watch_wait{5000};
   /// A watch call that took at least this long is followed by a full read,
   /// which finds changes that watches have missed.
-  Millis list_interval{2500};
+  Millis min_watch_before_full_read{2500};
   Millis retry_pause{150};
   /// Once the store has not answered for `store_unresponsive_threshold`, or as
   /// soon as a renewal of the lease has failed, the other instances are queried
--- a/src/libdoorwood/cell/cell_journal_build.cpp
+++ b/src/libdoorwood/cell/cell_journal_build.cpp
@@ -72,10 +72,10 @@
   batch->workers = workers_;
   batch->transaction.puts.push_back(
       {WorkersKey(cell_), EncodeWorkers(workers_)});
-  const bool any_not_contacted = std::any_of(
+  const bool any_deductible_wait = std::any_of(
       workers_.begin(), workers_.end(),
       [](const auto& worker) { return worker.deductible_wait > Millis(0); });
-  if (any_not_contacted) {
+  if (any_deductible_wait) {
     batch->transaction.puts.push_back(
         {UncontactedWorkersKey(cell_), std::to_string(batch->number)});
   }
--- a/src/libdoorwood/membership/live_directory.cpp
+++ b/src/libdoorwood/membership/live_directory.cpp
@@ -344,34 +344,34 @@
     return;
   }
   const Instant sent = executor_.Now();
-  store_.Watch(std::string(kLivePrefix), revision_, options_.watch_wait,
-               [this, sent](std::error_code error, const StoreItems& events) {
-                 if (stopped_) {
-                   return;
-                 }
-                 if (error) {
-                   List();
-                   executor_.Schedule(options_.retry_pause,
-                                      [this] { Watch(); });
-                   return;
-                 }
-                 last_store_answer_at_ = executor_.Now();
-                 RecordRevisionTime(events.revision);
-                 if (events.revision > revision_) {
-                   revision_ = events.revision;
-                   for (const StoreItem& item : events.items) {
-                     Apply(item);
-                   }
-                   ReregisterIfMissing();
-                 }
-                 if (!events.items.empty()) {
-                   on_change_();
-                 }
-                 if (executor_.Now() - sent >= options_.list_interval) {
-                   List();
-                 }
-                 Watch();
-               });
+  store_.Watch(
+      std::string(kLivePrefix), revision_, options_.watch_wait,
+      [this, sent](std::error_code error, const StoreItems& events) {
+        if (stopped_) {
+          return;
+        }
+        if (error) {
+          List();
+          executor_.Schedule(options_.retry_pause, [this] { Watch(); });
+          return;
+        }
+        last_store_answer_at_ = executor_.Now();
+        RecordRevisionTime(events.revision);
+        if (events.revision > revision_) {
+          revision_ = events.revision;
+          for (const StoreItem& item : events.items) {
+            Apply(item);
+          }
+          ReregisterIfMissing();
+        }
+        if (!events.items.empty()) {
+          on_change_();
+        }
+        if (executor_.Now() - sent >= options_.min_watch_before_full_read) {
+          List();
+        }
+        Watch();
+      });
 }
 
 void LiveDirectory::Apply(const StoreItem& item) {
