--- a/src/libdoorwood/cell/cell_campaign.cpp
+++ b/src/libdoorwood/cell/cell_campaign.cpp
@@ -69,7 +69,7 @@
     return;
   }
   if (led && live_.loaded() && lead == live_.leads().end()) {
-    StepDown("the lead key is gone");
+    StepDown("the lead key no longer exists");
   }
   // The key may be from any campaign of this process: a write that got no
   // answer may take effect seconds later.
--- a/src/libdoorwood/cell/lead_proof.cpp
+++ b/src/libdoorwood/cell/lead_proof.cpp
@@ -71,7 +71,7 @@
                        const StoreItem& item) {
   reading_ = false;
   if (error == make_error_code(KvErrc::kNotFound)) {
-    listener_.OnLeadDisproved("the lead key is gone");
+    listener_.OnLeadDisproved("the lead key no longer exists");
     return;
   }
   if (!error && item.created != epoch_) {
--- a/src/libdoorwood/cell/ticket_book.cpp
+++ b/src/libdoorwood/cell/ticket_book.cpp
@@ -74,7 +74,7 @@
   if (error) {
     entry.retry_at = executor_.Now() + options_.retry_pause;
     log_.Write("warn", "tickets",
-               "request for tickets failed; retrying after a pause",
+               "request for tickets failed; pausing requests for the step",
                {{"step", step}, {"error", error.message()}});
     return;
   }
--- a/src/libdoorwood/cell/worker_orders.cpp
+++ b/src/libdoorwood/cell/worker_orders.cpp
@@ -136,7 +136,7 @@
     if (run->phase == RunPhase::kStarting) {
       run->phase = RunPhase::kUnresolved;
       log_.Write(
-          "warn", "worker", "start order was not answered",
+          "warn", "worker", "start order got no usable answer",
           {{"worker", incarnation_.id}, {"task", task}, {"run", number}});
       Poll(Millis(0));
     }
