--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -341,8 +341,9 @@
   /// Such a worker need not be unaccounted (see `UnaccountedWorkers`), nor need
   /// an unaccounted worker be uncontacted.
   bool IsUncontacted(const CellWorker& cell_worker) const;
-  /// Whether the worker was in contact, but its newest poll failed and no order
-  /// extended a lease there for `CellOptions::unresponsive_record_delay`.
+  /// Whether the worker was in contact, but the poll that completed last failed
+  /// and no order extended a lease there for
+  /// `CellOptions::unresponsive_record_delay`.
   bool IsLongUnresponsive(const CellWorker& cell_worker) const;
   /// The value of `KnownWorker::deductible_wait` to record for the worker
   /// now.
@@ -419,8 +420,10 @@
   /// Allows the start of tasks that can neither be active on an unaccounted
   /// worker nor have ended there unreported.
   void ReleaseTasks();
-  /// Longest time that a run may continue after its leader lost the lead: that
-  /// leader may still extend leases for `CellOptions::order_grace`.
+  /// Upper bound of the time that a run may continue after its leader lost the
+  /// lead. That leader may extend leases until `CellOptions::order_grace` after
+  /// it last confirmed its lead key, so for less than that after the loss; for
+  /// longer only while no other instance can take the lead.
   Millis MaxRunTimeAfterLeadLoss() const;
   /// Whether the worker was added from an earlier leader's record, has answered
   /// this leader and is not dead, but has not yet listed all its ended runs.
@@ -597,7 +600,8 @@
   /// on the worker, may run there.
   void RecordAdoptedPlacement(Task* task, const std::string& worker);
   /// Whether long-running tasks may be started before their placement is
-  /// recorded: no instance can reach the store, and all of them agreed.
+  /// recorded: this instance cannot reach the store, and all others agreed (see
+  /// `LiveDirectory::UnrecordedStartsAgreedUntil`).
   bool MayStartUnrecorded() const;
   /// Sends the deferred starts whose placement is recorded or need not be, and
   /// drops those that may no longer be ordered or whose task or worker is gone.
--- a/src/include/doorwood/peer.h
+++ b/src/include/doorwood/peer.h
@@ -101,8 +101,9 @@
   std::string checkpoint;
 };
 
-/// Time since an instance last sent a lease renewal to a worker that it no
-/// longer holds.
+/// Time since an instance last sent a lease renewal to a worker that it does
+/// not hold now, or since the last renewal before it stopped holding the
+/// worker. In the latter case it may hold the worker again.
 struct WorkerAge {
   std::string worker;
   Millis age{0};
