--- a/src/include/doorwood/placement.h
+++ b/src/include/doorwood/placement.h
@@ -46,8 +46,9 @@
   std::vector<AttemptKey> victims;
   /// Index of the worker to evict from; -1: nothing to evict.
   int evict_on = -1;
-  /// True if no worker's labels match the task's selector `on`, or if the task
-  /// is larger than the total capacity of each worker that they match.
+  /// True if none of the given workers' labels match the task's selector `on`,
+  /// or if the task is larger than the total capacity of each given worker that
+  /// they match.
   bool impossible = false;
   /// Explanation for the decision record.
   std::string reason;
--- a/src/include/doorwood/shard_owner.h
+++ b/src/include/doorwood/shard_owner.h
@@ -5,7 +5,8 @@
 /// attempt. A holder is an instance that holds control leases of workers. A
 /// census asks all instances that may be holders for the state of the attempts
 /// on their workers: after a takeover of the shard, after a change of the
-/// holders, after a lost answer and at intervals. See
+/// holders, after a lost answer and at intervals; a request made while a census
+/// is already scheduled is dropped, and the scheduled one serves it. See
 /// docs/design/job-shards.md.
 
 #ifndef DOORWOOD_SHARD_OWNER_H_
@@ -41,9 +42,11 @@
   Millis unplaceable_retry{10000};
   /// Delay after n failures: 2^min(n, 6) times this, plus a random 0 to 50 %.
   Millis failure_backoff{200};
-  /// Delay before the next round of an incomplete census, and before a census
-  /// that a change of the holders causes. An incomplete census has left the
-  /// state of at least one attempt unknown.
+  /// Delay before the next round of an incomplete census. Also the delay before
+  /// a census that a change of the holders causes, unless one is already
+  /// scheduled: that one is not moved forward, so the delay can then be up to
+  /// `census_interval`. An incomplete census has left the state of at least one
+  /// attempt unknown.
   Millis census_retry{500};
   /// Delay from a complete census to the next one while tasks are open.
   Millis census_interval{60000};
--- a/src/libdoorwood/holder/holder.cpp
+++ b/src/libdoorwood/holder/holder.cpp
@@ -174,8 +174,8 @@
       continue;
     }
     // The worker does not have the attempt. It refuses orders of older epochs,
-    // or this instance has waited for the older lease to expire, so the attempt
-    // can no longer start.
+    // or this instance has waited until the previous lease expired; so the
+    // attempt can no longer start.
     Attempt ended = old;
     if (old.state == RunState::kRunning) {
       const bool never_started = !old.start_sent;
--- a/src/libdoorwood/holder/placement.cpp
+++ b/src/libdoorwood/holder/placement.cpp
@@ -110,10 +110,12 @@
   }
   decision.impossible = true;
   decision.reason =
-      selectable ? "larger than any worker it may use: needs " +
-                       ResourcesToString(spec.size)
-                 : "no worker's labels match the task's `on` selector '" +
-                       spec.on + "'";
+      selectable
+          ? "larger than any worker of this holder that it may use: needs " +
+                ResourcesToString(spec.size)
+          : "the labels of no worker of this holder match the task's `on` "
+            "selector '" +
+                spec.on + "'";
   return decision;
 }
 
