--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -159,7 +159,7 @@
                       const Run& run,
                       std::error_code error) override;
   void OnReport(WorkerSession& session) override;
-  void OnFenced(WorkerSession& session) override;
+  void OnHigherTokenSeen(WorkerSession& session) override;
 
   // JournalOwner
   std::string EncodeState(const std::string& job) override;
@@ -214,14 +214,14 @@
     /// still run there is not started while the worker is unaccounted (see
     /// `UnaccountedWorkers`).
     bool from_takeover = false;
-    /// `KnownWorker::not_contacted_for` of the worker at the takeover, which
+    /// `KnownWorker::deductible_wait` of the worker at the takeover, which
     /// shortens the wait for its runs. If it is not zero, the age of the record
     /// is added as far as it is known.
     Millis predecessors_waited{0};
     /// `KnownWorker::tasks` of the worker at the takeover. Empty optional: any
     /// task may run there.
     std::optional<std::vector<std::string>> inherited_tasks;
-    /// The record in the store may have a `KnownWorker::not_contacted_for`
+    /// The record in the store may have a `KnownWorker::deductible_wait`
     /// above zero. Since a successor relies on that time, no lease is extended
     /// on the worker until a newer record has the time zero.
     bool renewals_blocked = false;
@@ -240,7 +240,7 @@
     /// confirmed or added the crash notes for it.
     bool death_processed = false;
     /// The worker has responded again, and a record that says so was requested
-    /// after the last one with a `KnownWorker::not_contacted_for` above zero.
+    /// after the last one with a `KnownWorker::deductible_wait` above zero.
     bool contact_record_pending = false;
     /// The worker gets no new work before this time, because it refused a
     /// start.
@@ -341,10 +341,11 @@
   /// Such a worker need not be unaccounted (see `UnaccountedWorkers`), nor need
   /// an unaccounted worker be uncontacted.
   bool IsUncontacted(const CellWorker& cell_worker) const;
-  /// Whether the worker was in contact, but its newest poll failed and no order
-  /// extended a lease there for `CellOptions::unresponsive_record_delay`.
+  /// Whether the worker was in contact, but the poll that completed last failed
+  /// and no order extended a lease there for
+  /// `CellOptions::unresponsive_record_delay`.
   bool IsLongUnresponsive(const CellWorker& cell_worker) const;
-  /// The value of `KnownWorker::not_contacted_for` to record for the worker
+  /// The value of `KnownWorker::deductible_wait` to record for the worker
   /// now.
   Millis TimeWithoutRenewal(const CellWorker& cell_worker) const;
   /// Time since this leader finished reading the records of earlier leaders.
@@ -419,8 +420,10 @@
   /// Allows the start of tasks that can neither be active on an unaccounted
   /// worker nor have ended there unreported.
   void ReleaseTasks();
-  /// Longest time that a run may continue after its leader lost the lead: that
-  /// leader may still extend leases for `CellOptions::order_grace`.
+  /// Upper bound of the time that a run may continue after its leader lost the
+  /// lead. That leader may extend leases until `CellOptions::order_grace` after
+  /// it last confirmed its lead key, so for less than that after the loss; for
+  /// longer only while no other instance can take the lead.
   Millis MaxRunTimeAfterLeadLoss() const;
   /// Whether the worker was added from an earlier leader's record, has answered
   /// this leader and is not dead, but has not yet listed all its ended runs.
@@ -597,13 +600,14 @@
   /// on the worker, may run there.
   void RecordAdoptedPlacement(Task* task, const std::string& worker);
   /// Whether long-running tasks may be started before their placement is
-  /// recorded: no instance can reach the store, and all of them agreed.
+  /// recorded: this instance cannot reach the store, and all others agreed (see
+  /// `LiveDirectory::UnrecordedStartsAgreedUntil`).
   bool MayStartUnrecorded() const;
   /// Sends the deferred starts whose placement is recorded or need not be, and
   /// drops those that may no longer be ordered or whose task or worker is gone.
   void SendDeferredStarts();
   /// Whether a deferred start may be ordered on the worker now: see
-  /// `MayOrderStarts` and `MayReceiveOrders`.
+  /// `MayOrderStarts` and `MayReceiveStarts`.
   bool MaySendDeferredStart(const CellWorker& cell_worker) const;
   /// Whether, as far as this leader can know, the store has the placement of
   /// every long-running task.
@@ -637,7 +641,7 @@
   /// worker accepts new work) and returns them.
   std::vector<CandidateWorker*> CollectCandidates();
   /// Whether the start of a task that was placed on the worker may be ordered.
-  bool MayReceiveOrders(const CellWorker& cell_worker) const;
+  bool MayReceiveStarts(const CellWorker& cell_worker) const;
   /// Whether the worker may get new work. Ignores reservations for trial runs.
   bool MayReceiveNewWork(const std::string& id,
                          const CellWorker& cell_worker) const;
--- a/src/libdoorwood/cell/worker_orders.cpp
+++ b/src/libdoorwood/cell/worker_orders.cpp
@@ -136,7 +136,7 @@
     if (run->phase == RunPhase::kStarting) {
       run->phase = RunPhase::kUnresolved;
       log_.Write(
-          "warn", "worker", "start order was not answered",
+          "warn", "worker", "start order got no usable answer",
           {{"worker", incarnation_.id}, {"task", task}, {"run", number}});
       Poll(Millis(0));
     }
@@ -159,7 +159,7 @@
   if (error == make_error_code(RunErrc::kFenced) && !closed_ &&
       !higher_token_reported_) {
     higher_token_reported_ = true;
-    listener_.OnFenced(*this);
+    listener_.OnHigherTokenSeen(*this);
   }
 }
 
