--- a/src/build-scripts/run-tests.sh
+++ b/src/build-scripts/run-tests.sh
@@ -50,7 +50,8 @@
 for folder in testsuite/*/; do
   integration_tests+=("$(basename "$folder")")
 done
-port_base=20000
+# The ranges of up to 13 tests lie below 32768, where the ephemeral ports begin.
+port_base=19000
 for name in "${integration_tests[@]}"; do
   run_integration_test "$name" "$port_base" &
   port_base=$((port_base + 1000))
--- a/testsuite/lib.sh
+++ b/testsuite/lib.sh
@@ -200,6 +200,30 @@
   curl -fs -m 5 -X POST -d "$1" "http://127.0.0.1:${PORT[instances]}/instances/change" >/dev/null
 }
 
+# --- Entry instances under faults -----------------------------------------------
+
+# start_soak NAME INDEX ARG...: starts a soak in the background. --block sets the
+# third octet of all its addresses. Each PORT_BASE / 1000 has six octets of its
+# own from 1 to 240 (modulo 40; run-tests.sh uses 19 to 31), and INDEX, 0 to 5,
+# selects one of them. Each soak of testsuite/ has another INDEX, so the addresses
+# differ even if two tests run with the same PORT_BASE.
+start_soak() {
+  local name=$1 block=$((${PORT_BASE:-20000} / 1000 % 40 * 6 + 1 + $2))
+  shift 2
+  "$BIN/doorwood-soak" --celld "$BIN/doorwood-celld" --logs "$WORK/$name" --block "$block" "$@" \
+    >"$WORK/$name.out" 2>&1 &
+  PID[$name]=$!
+  STARTED+=("$name")
+}
+
+# print_soak_result NAME: waits until a soak has ended and prints its exit code
+# and number of violations; prints up to five of the violations to stderr.
+print_soak_result() {
+  wait "${PID[$1]}"
+  echo "$1: exit $?, $(sed -n 's/.* starts, \([0-9]* violations\);.*/\1/p' "$WORK/$1.out")"
+  grep ' ms: ' "$WORK/$1.out" | head -5 >&2
+}
+
 # --- Checks of what happened, from the stand-ins' records ---------------------
 
 # Prints the tasks that ran twice at the same time. An attempt without an end
