--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -569,11 +569,13 @@
       const TaskRequirements& need,
       const std::vector<CandidateWorker*>& candidates,
       StepCandidates* places);
-  /// Closes workers with new runs to a gang that has a suspect task. Returns
-  /// false, and closes none, if the gang has to wait for the record of an
-  /// unconfirmed crash or for a free trial slot.
-  bool CloseWorkersWithNewRuns(std::vector<Task>* gang,
-                               std::vector<CandidateWorker>* candidates);
+  /// Prepares the trial run of a gang that has a suspect task. First notes an
+  /// unconfirmed crash of one of the gang's tasks, if there is one to note (see
+  /// `NoteUnconfirmedCrash`). Then closes the candidates with new runs to the
+  /// gang. Returns false, and closes none, if a crash was noted and has to be
+  /// recorded first, or if there is no free trial slot.
+  bool PrepareGangTrial(std::vector<Task>* gang,
+                        std::vector<CandidateWorker>* candidates);
   void BeginTrial(const Task& task,
                   const std::shared_ptr<WorkerSession>& session);
   /// Schedules a poll of the worker for shortly after `active_for` from now,
--- a/src/libdoorwood/cell/cell_scheduling.cpp
+++ b/src/libdoorwood/cell/cell_scheduling.cpp
@@ -300,7 +300,7 @@
     evaluate(place);
   }
   const bool suspect = std::any_of(tasks.begin(), tasks.end(), IsSuspect);
-  if (suspect && !CloseWorkersWithNewRuns(&tasks, &planned_candidates)) {
+  if (suspect && !PrepareGangTrial(&tasks, &planned_candidates)) {
     return;
   }
   for (size_t place = 0; suspect && place < planned_candidates.size();
@@ -342,9 +342,8 @@
   }
 }
 
-bool CellLeader::CloseWorkersWithNewRuns(
-    std::vector<Task>* gang,
-    std::vector<CandidateWorker>* candidates) {
+bool CellLeader::PrepareGangTrial(std::vector<Task>* gang,
+                                  std::vector<CandidateWorker>* candidates) {
   for (Task& task : *gang) {
     if (NoteUnconfirmedCrash(&task)) {
       return false;
