--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The leader of one cell: a subset of the workers and the jobs that run on
-/// them. While this process holds the cell's lead key, it accepts jobs, sends
-/// orders to the cell's workers and records durable state in the store.
-/// Otherwise it is on standby.
+/// The leader of one cell. A cell is a subset of the workers, with the jobs
+/// that run on them. While this process holds the cell's lead key, it accepts
+/// jobs, sends orders to the cell's workers and records durable state in the
+/// store. Otherwise this process is on standby.
 
 #ifndef DOORWOOD_CELL_LEADER_H_
 #define DOORWOOD_CELL_LEADER_H_
@@ -70,12 +70,13 @@
 /// Runs that earlier leaders ordered may still be active on workers that this
 /// leader has not yet contacted. A task that may have such a run is held back
 /// until each of those workers has listed all its ended runs, or all leases on
-/// it have certainly expired.
+/// that worker have certainly expired.
 ///
-/// Tasks are started, and leases are extended, only for a bounded time after
-/// the lead key was last confirmed; longer only while every other instance
-/// confirms that it cannot reach the store. A leader that is paused or loses
-/// the store therefore stops both before a successor starts its tasks again.
+/// A leader starts tasks and extends leases only for a bounded time after the
+/// lead key was last confirmed. It continues longer only while all other
+/// instances answer that they cannot reach the store either. A leader that is
+/// paused or loses the store has therefore stopped before a successor starts
+/// the same tasks again.
 class CellLeader : public WorkerSessionListener,
                    public JournalOwner,
                    public LeadProofListener,
@@ -102,25 +103,26 @@
   ~CellLeader() override;
 
   void Start();
-  /// Planned shutdown: records pending changes (after 0.3 s, only the jobs that
-  /// were submitted and the changes that were urgent by then), releases the
-  /// lead, then runs `done`. An instance that does not lead runs `done`
-  /// immediately.
+  /// Planned shutdown: records pending changes, releases the lead, then runs
+  /// `done`. After 0.3 s, the shutdown waits only for the jobs that were
+  /// submitted, and the changes that were urgent, by then. An instance that
+  /// does not lead runs `done` immediately.
   void ShutDown(std::function<void()> done);
 
   void OnQueueTable(std::shared_ptr<const QueueTable> table);
-  /// Called when instances, leads or the lease of this instance have changed.
+  /// Called when instances, leads or the lease of this instance may have
+  /// changed.
   void OnLiveChange();
   /// Called when the leader of `epoch`, which cannot reach the store, has
   /// stepped down. Removes that leader's key if this instance is on standby.
   void OnLeadHandedOver(int64_t epoch);
 
   bool leading() const { return stage_ == Stage::kLeading; }
-  /// Time since the store last answered this instance. Another instance that
-  /// cannot reach the store queries this time: if that instance leads, it may
-  /// continue only while no other instance can take over. Empty if this
-  /// instance cannot reach the store either, but leads or is taking the lead:
-  /// the other instance must not count this one as unable to lead.
+  /// Time since the store last answered this instance. Instances that cannot
+  /// reach the store query this time from the others: without the store, a
+  /// leader may continue only while no other instance can take the lead. Empty
+  /// if this instance cannot reach the store either, but leads or is taking the
+  /// lead: the querying instance must not count this one as unable to lead.
   std::optional<Millis> TimeSinceStoreAnswer(Instant now) const;
   /// Agrees that a leader which cannot reach the store starts long-running
   /// tasks without recording their placement. Returns false, without agreeing,
@@ -191,20 +193,21 @@
   struct CellWorker {
     std::shared_ptr<WorkerSession> session;
     /// The worker's record as last passed to the journal for the workers' key
-    /// or, until then, as read at the takeover. An empty address: neither.
+    /// or, until then, as read at the takeover. Its address is empty if there
+    /// is no such record.
     KnownWorker submitted_record;
     /// The worker's address under the workers' key in the store. Empty: the key
     /// does not name the worker.
     std::optional<std::string> recorded_address;
-    /// The newest directory read has an entry for the worker, and that entry is
-    /// not rejected (see `entry_rejected`).
+    /// The directory, as last read, has an entry for the worker, and that entry
+    /// is not rejected (see `entry_rejected`).
     bool listed = false;
     /// Since when the directory has no entry for the worker; zero: it has one,
     /// or was not read yet.
     Instant unlisted_since{};
     /// The directory entry is unreadable, names a data centre outside the cell,
-    /// or contradicts this incarnation, so another process is taken to have
-    /// written it. The worker gets no new work; its runs continue.
+    /// or contradicts this incarnation. Another process is then assumed to have
+    /// written the entry. The worker gets no new work; its runs continue.
     bool entry_rejected = false;
     /// No new work is placed on the worker before this time, because its
     /// machine is being evacuated for upkeep. Extended while the evacuation
@@ -215,8 +218,8 @@
     /// `UnaccountedWorkers`).
     bool from_takeover = false;
     /// `KnownWorker::deductible_wait` of the worker at the takeover, which
-    /// shortens the wait for its runs. If it is not zero, the age of the record
-    /// is added as far as it is known.
+    /// shortens the wait for the worker's runs. If not zero, this time includes
+    /// the age of the record, as far as the age is known.
     Millis predecessors_waited{0};
     /// `KnownWorker::tasks` of the worker at the takeover. Empty optional: any
     /// task may run there.
@@ -239,8 +242,9 @@
     /// The incarnation is proven to have ended, and `HandleDeadWorkers` has
     /// confirmed or added the crash notes for it.
     bool death_processed = false;
-    /// The worker has responded again, and a record that says so was requested
-    /// after the last one with a `KnownWorker::deductible_wait` above zero.
+    /// The worker has responded again, and a record that says so was requested.
+    /// Reset when a record of the worker with a `KnownWorker::deductible_wait`
+    /// above zero is passed to the journal.
     bool contact_record_pending = false;
     /// The worker gets no new work before this time, because it refused a
     /// start.
@@ -338,8 +342,8 @@
   /// Whether the worker is not yet contacted: it was added from an earlier
   /// leader's record, has not answered this leader, is not proven to have
   /// ended, and the takeover goes on. This leader has extended no lease there.
-  /// Such a worker need not be unaccounted (see `UnaccountedWorkers`), nor need
-  /// an unaccounted worker be uncontacted.
+  /// Not the same as unaccounted (see `UnaccountedWorkers`): a worker can be
+  /// either one without the other.
   bool IsUncontacted(const CellWorker& cell_worker) const;
   /// Whether the worker was in contact, but the poll that completed last failed
   /// and no order extended a lease there for
@@ -382,9 +386,9 @@
   Instant OrderDeadline() const;
   /// Extends `order_deadline_` to the later of two times: `order_grace` after
   /// the lead key was last confirmed, and the time that
-  /// `LiveDirectory::OutageConfirmedUntil` returns. The second counts only
-  /// before the current deadline: once it has passed, another instance may have
-  /// led, and only the lead key proves the lead.
+  /// `LiveDirectory::OutageConfirmedUntil` returns. The second time counts only
+  /// if the current deadline has not passed: after that deadline, another
+  /// instance may have led, and only the lead key proves the lead.
   void ExtendOrderDeadline();
   /// Whether starts may be ordered now.
   bool MayOrderStarts() const;
@@ -421,9 +425,9 @@
   /// worker nor have ended there unreported.
   void ReleaseTasks();
   /// Upper bound of the time that a run may continue after its leader lost the
-  /// lead. That leader may extend leases until `CellOptions::order_grace` after
-  /// it last confirmed its lead key, so for less than that after the loss; for
-  /// longer only while no other instance can take the lead.
+  /// lead: a run's lease, `CellOptions::order_grace` and a margin for the last
+  /// orders. Later than `order_grace` after its lead key was last confirmed, a
+  /// leader extends leases only while no other instance can take the lead.
   Millis MaxRunTimeAfterLeadLoss() const;
   /// Whether the worker was added from an earlier leader's record, has answered
   /// this leader and is not dead, but has not yet listed all its ended runs.
@@ -433,14 +437,15 @@
   /// meanwhile; zero: the worker is accounted for.
   Millis RemainingWait(const CellWorker& cell_worker) const;
   /// Workers for which the takeover still waits (see `RemainingWait`), and the
-  /// tasks that may run, or may have ended unreported, on them. Unlike
-  /// `IsUncontacted`, this includes contacted workers that have not listed all
-  /// their ends, and excludes workers that were not contacted but can run
-  /// nothing: their record has an empty task list, or all leases there have
-  /// expired.
+  /// tasks that may run, or may have ended unreported, on them. Contacted
+  /// workers that have not listed all their ends are included. Uncontacted
+  /// workers (see `IsUncontacted`) are not included if they can run nothing:
+  /// their record has an empty task list, or all leases there have expired.
   struct UnaccountedWorkers {
     std::set<std::string_view> workers;
-    /// On at least one of the workers, this is possible for any task.
+    /// At least one of the workers has no recorded task list (see
+    /// `CellWorker::inherited_tasks`), so any task may run, or may have ended
+    /// unreported, there.
     bool any_task = false;
     std::set<std::string> tasks;
   };
@@ -448,12 +453,12 @@
   static void AddUnaccountedWorker(std::string_view worker,
                                    const CellWorker& cell_worker,
                                    UnaccountedWorkers* unaccounted);
-  /// Whether one of these workers may run the task, or may have ended it
-  /// without having reported this.
+  /// Whether the task may be active on one of these workers, or may have ended
+  /// there unreported.
   bool MayRunOn(const Task& task, const UnaccountedWorkers& unaccounted) const;
-  /// Whether an unaccounted worker may run the task, or may have ended it
-  /// without having reported this. As of the last `ReleaseTasks`; ignores
-  /// recorded placements of long-running tasks.
+  /// Whether the task may be active on an unaccounted worker, or may have ended
+  /// there unreported. As of the last `ReleaseTasks`; ignores recorded
+  /// placements of long-running tasks.
   bool MayRunOnUnaccountedWorker(const Task& task) const;
   /// Logs the unaccounted workers, at most once a second.
   void LogWait();
@@ -480,9 +485,11 @@
   /// done tasks.
   void StopRunsOfCompletedTask(const Task& task);
   int MaxAttempts(const Job& job) const;
-  /// Number of the task's run that a session has on its worker; empty: none.
+  /// Run number of the task's run that a worker's session knows; empty: none
+  /// knows one.
   std::optional<uint32_t> NumberOfPlacedRun(const std::string& task) const;
-  /// The queue as currently or last configured; null: never configured.
+  /// The job's queue as currently or last configured; null: not configured
+  /// since this process started.
   const Queue* QueueOf(const Job& job) const;
   /// Passes the job to the journal if its state has changed.
   void MarkDirty(Job* job, bool urgent);
@@ -507,16 +514,16 @@
   void HandleDeadWorkers();
   /// Confirms the unconfirmed crash notes that name the worker.
   void ConfirmCrashes(const std::string& worker);
-  /// Called for a worker that is proven to have ended, for which
-  /// `IsUncontacted` is therefore false. If the worker is from the takeover and
-  /// never answered this leader, notes a crash for the tasks that may have run
-  /// there and have no note of that worker yet; for none if there are more such
+  /// Called for a worker that is proven to have ended (`IsUncontacted` is then
+  /// false). Does nothing unless the worker is from the takeover and never
+  /// answered this leader. Notes a crash for each task that may have run there
+  /// and has no note of that worker yet. Notes none if there are more such
   /// tasks than workers in the cell.
   void NoteCrashBeforeContact(const std::string& worker,
                               const CellWorker& cell_worker);
-  /// Tasks that are not released yet (see `ReleaseTasks`) and may have run on a
-  /// worker that ended without having answered this leader. Unaccounted workers
-  /// (see `UnaccountedWorkers`), in contrast, are not proven to have ended.
+  /// Tasks that are not released yet (see `ReleaseTasks`) and may have run on
+  /// the worker, which ended without having answered this leader. Such a worker
+  /// is no longer unaccounted (see `UnaccountedWorkers`).
   std::vector<Task*> FindTasksOnWorkerEndedBeforeContact(
       const std::string& worker,
       const CellWorker& cell_worker);
@@ -545,9 +552,9 @@
   int ChooseTrialWorker(const Task& task,
                         const StepCandidates& places,
                         const std::vector<CandidateWorker*>& candidates) const;
-  /// Whether the recorded task is a suspect that is not done, and its last
-  /// crash note is not an unconfirmed one: an earlier leader may then have
-  /// started the task after the last crash that it recorded.
+  /// Whether a task restored at the takeover is a suspect that is not done and
+  /// whose last crash note is not an unconfirmed one. An earlier leader may
+  /// have started such a task after that leader recorded the last crash.
   static bool MayHaveUnconfirmedCrash(const Task& task);
   /// Notes an unconfirmed crash if an earlier leader may have started the task
   /// after the last crash that it recorded. Returns false if there is none to
@@ -558,11 +565,13 @@
   /// record.
   bool RecordTrial(Task* task, const WorkerIncarnation& incarnation);
   /// Returns the index of the worker where the suspect may be started now;
-  /// empty: it has to wait. `candidates` are the workers that `places`
-  /// evaluates. If the suspect has no reserved worker, reserves one, closes it
-  /// to other work and schedules a poll of it. Ends the reservation if the
-  /// reserved worker may no longer get work. First notes, and then waits for
-  /// the record of, an unconfirmed crash (see `NoteUnconfirmedCrash`).
+  /// empty: the suspect has to wait. `candidates` are the workers that `places`
+  /// evaluates. In this order:
+  /// - If there is an unconfirmed crash to note (see `NoteUnconfirmedCrash`),
+  ///   notes the crash and returns empty, because the note has to be recorded.
+  /// - If the suspect has no reserved worker, reserves one, closes that worker
+  ///   to other work and schedules a poll of the worker.
+  /// - Ends the reservation if the reserved worker may no longer get work.
   std::optional<int> ReserveTrialPlace(
       const ReadyStep& ready,
       Task* task,
@@ -615,9 +624,9 @@
   /// every long-running task.
   bool ArePlacementsRecorded() const;
   /// Requests a record of a higher `placements_valid_to_` if the lead is
-  /// confirmed, all placements are recorded and an instance has registered
-  /// since the last one, so that the instance may rely on the recorded
-  /// placements.
+  /// confirmed, all placements are recorded and an instance registered at a
+  /// later revision than the current `placements_valid_to_`. That instance may
+  /// then rely on the recorded placements as well.
   void PublishRecordedPlacements();
 
   // cell_overdue.cpp: runs that take far longer than expected.
@@ -642,15 +651,17 @@
   /// Updates the candidates of all workers (free capacity, and whether the
   /// worker accepts new work) and returns them.
   std::vector<CandidateWorker*> CollectCandidates();
-  /// Whether the start of a task that was placed on the worker may be ordered.
+  /// Whether a task that was placed on the worker may be started there.
+  /// `MayOrderStarts` is checked separately.
   bool MayReceiveStarts(const CellWorker& cell_worker) const;
   /// Whether the worker may get new work. Ignores reservations for trial runs.
   bool MayReceiveNewWork(const std::string& id,
                          const CellWorker& cell_worker) const;
   void RefreshCandidate(const std::string& id, CellWorker* cell_worker);
   bool IsReady(const Task& task) const;
-  /// Whether the task has used up its attempts if every run that an earlier
-  /// leader may have left without a recorded end has failed.
+  /// Whether the task would have used up its attempts if every run that may
+  /// have failed without a report (see `Task::CountUnreportedEnds`) had failed.
+  /// False if there is no such run or the task is long-running.
   bool MayHaveUsedUpAttempts(const Task& task) const;
   void PlaceStep(const ReadyStep& ready,
                  const std::vector<CandidateWorker*>& candidates);
@@ -681,20 +692,21 @@
                  CandidateWorker* candidate,
                  const std::string& ticket);
   /// Returns a copy of `candidates` in which workers without a ticket for the
-  /// step are closed, and requests tickets for those that were open.
+  /// step are closed, and requests tickets for those of them that were open.
   std::vector<CandidateWorker> CandidatesWithTickets(
       const ReadyStep& ready,
       const std::vector<CandidateWorker*>& candidates);
   /// After a report of the worker: updates the interference model, sets the
   /// paces of best-effort runs, and calls `MoveStuckBestEffortRuns`.
   void UpdatePaces(WorkerSession& session);
-  /// Stops best-effort runs with checkpoints, except long-running ones, whose
-  /// wanted pace is at most `kStuckPace` and that have been throttled for
-  /// longer than `kStuckDuration`, so that their tasks continue on other
-  /// workers.
+  /// Stops best-effort runs whose wanted pace is at most `kStuckPace` and that
+  /// have been throttled for longer than `kStuckDuration`, so that their tasks
+  /// continue on other workers. Stops only runs with checkpoints, and no
+  /// long-running ones.
   void MoveStuckBestEffortRuns(WorkerSession& session);
-  /// Utilization of each serving task on the worker, including the interference
-  /// to be expected of best-effort work beyond that in the newest report.
+  /// Utilization of each serving task on the worker. Includes the interference
+  /// expected from best-effort work that the newest report does not cover (see
+  /// `PendingCores`).
   std::vector<ServingUtilization> CollectUtilizations(
       const WorkerSession& session) const;
   // cell_evacuation.cpp: moving work off workers that leave or are evacuated.
@@ -774,15 +786,15 @@
   /// Earliest time of the next scheduling pass: passes may use only part of the
   /// processor.
   Instant next_pass_{};
-  /// Runs after a planned shutdown, once the removal of the lead key was
-  /// answered; null: none is under way.
+  /// The callback of a planned shutdown, set while the removal of the lead key
+  /// is under way. Runs once the removal was answered or has failed.
   std::function<void()> on_shut_down_;
   /// Since when a planned shutdown is under way; zero: it is not.
   Instant shutdown_since_{};
 
   std::shared_ptr<const QueueTable> table_;
-  /// Every queue that was ever configured, so that jobs of a removed queue
-  /// still finish.
+  /// Every queue configured since this process started, so that jobs of a queue
+  /// that is removed meanwhile still finish.
   std::map<std::string, Queue> known_queues_;
   JobTable jobs_;
   CellJournal journal_;
@@ -794,8 +806,8 @@
   /// An instance may treat the recorded placements as complete if its
   /// `LiveDirectory::no_agreement_since` is not 0 and is at most this revision.
   int64_t placements_valid_to_ = 0;
-  /// Long-running tasks that may run on a worker although the store may not
-  /// have it as their assigned worker.
+  /// Long-running tasks that may run on a worker that the store may not have as
+  /// their assigned worker.
   std::set<std::string> unrecorded_placements_;
   /// Long-running tasks whose start is deferred until their placement is
   /// recorded or need not be (see `MayStartUnrecorded`).
--- a/src/include/doorwood/cell_options.h
+++ b/src/include/doorwood/cell_options.h
@@ -56,8 +56,9 @@
   /// How long after its key was last confirmed a leader continues to order
   /// starts and extend leases; longer only while all other instances have
   /// answered that they cannot reach the store either, so that none can take
-  /// the lead. A successor's wait before it starts a task again that may still
-  /// run on a worker not yet contacted includes this time and a run's lease.
+  /// the lead. Before a successor starts a task again that may still run on a
+  /// worker not yet contacted, the successor waits. Its wait includes this time
+  /// and a run's lease.
   Millis order_grace{3000};
   /// Interval between records of workers that are not yet contacted after a
   /// takeover or are unresponsive.
@@ -67,8 +68,8 @@
   Millis first_unreachable_record{250};
   /// An unresponsive worker whose leases were not extended for this long is
   /// recorded as not in contact. Most of the run lease has elapsed by then.
-  /// Until a newer record says that it is in contact, no lease is extended
-  /// there, even if the worker answers again while the store does not.
+  /// Until a newer record says that the worker is in contact again, no lease is
+  /// extended there, even if the worker answers while the store does not.
   Millis unresponsive_record_delay{4000};
   /// Maximum total size of the task names under the workers' key, in bytes: a
   /// third of the largest value that the store accepts. If the names are
@@ -76,9 +77,9 @@
   /// list, and a successor assumes that any task may run there.
   size_t max_name_bytes = 320'000;
   /// Maximum rate of worker polls for observing interference, per second: in a
-  /// large cell each worker is polled less often. The rate is exceeded if it
-  /// would need a wait above `WorkerSessionOptions::long_poll_wait`. A poll
-  /// costs a leader about 60 us.
+  /// large cell each worker is polled less often. The wait between such polls
+  /// is limited to `WorkerSessionOptions::long_poll_wait`, so a very large cell
+  /// exceeds the rate. A poll costs a leader about 60 us.
   int max_interference_polls = 700;
   /// A worker that was not listed for this long is treated as leaving. Entries
   /// that were lost in an outage of the store are back within 2 s.
