--- a/src/include/doorwood/cell_journal.h
+++ b/src/include/doorwood/cell_journal.h
@@ -8,14 +8,14 @@
 /// the lead key and its lane's chain key at the revisions last seen, and writes
 /// the chain key with the next sequence number. A batch without an answer is
 /// sent again unchanged. If a later attempt takes effect, the earlier ones
-/// never will. If it fails because the chain key already has the batch's
-/// sequence number, an earlier attempt took effect.
+/// never will. If a later attempt fails because the chain key already has the
+/// batch's sequence number, an earlier attempt took effect.
 ///
 /// Until a batch's outcome is known, no other lane writes or removes the states
-/// and the workers' key that it carries. A job that was submitted twice may be
-/// in batches on two lanes, but only one of them can take effect. A store that
-/// answers in milliseconds gets one batch at a time; one that answers slowly,
-/// or loses answers, gets several (commit_flow.h).
+/// and the workers' key that the batch carries. A job that was submitted twice
+/// may be in batches on two lanes, but only one of them can take effect. A
+/// store that answers in milliseconds gets one batch at a time. A store that
+/// answers slowly, or loses single answers, gets several (commit_flow.h).
 
 #ifndef DOORWOOD_CELL_JOURNAL_H_
 #define DOORWOOD_CELL_JOURNAL_H_
@@ -57,14 +57,15 @@
   std::string id;
   std::string address;
   /// Time that a successor deducts from its wait for the worker's runs, because
-  /// no leader extended a lease there; zero: nothing to deduct. If the
-  /// recording leader has not yet contacted the worker
-  /// (`CellLeader::IsUncontacted`): the time that this leader could deduct
-  /// itself, plus the time that it has led. If the worker is long unresponsive
-  /// (`CellLeader::IsLongUnresponsive`): the time since this leader's last
-  /// order that may have extended a lease there, plus
-  /// `CellOptions::order_grace`. A successor's wait includes `order_grace` for
-  /// later orders, but this leader sends the worker none that extend a lease.
+  /// no leader extended a lease there; zero: nothing to deduct.
+  /// - If the recording leader has not yet contacted the worker
+  ///   (`CellLeader::IsUncontacted`): the time that this leader could deduct
+  ///   itself, plus the time that it has led.
+  /// - If the worker is long unresponsive (`CellLeader::IsLongUnresponsive`):
+  ///   the time since this leader's last order that may have extended a lease
+  ///   there, plus `CellOptions::order_grace`. A successor's wait includes
+  ///   `order_grace` for later orders that extend leases, but this leader sends
+  ///   the worker no such orders.
   Millis deductible_wait{0};
   /// All tasks that may run there or whose end there is not recorded. No
   /// leader, except of an older version (see `KeepsToTaskLists`), starts any
@@ -116,8 +117,9 @@
   virtual ~JournalOwner() = default;
 
   virtual std::string EncodeState(const std::string& job) = 0;
-  /// An instance may rely on the recorded placements of long-running tasks if
-  /// its `LiveDirectory::no_agreement_since` is at most this, and neither is 0.
+  /// Returns a store revision. An instance may rely on the recorded placements
+  /// of long-running tasks if its `LiveDirectory::no_agreement_since` is at
+  /// most this revision, and neither is 0.
   virtual int64_t PlacementsValidTo() = 0;
   /// For each worker with ends that are not recorded yet, the number of the
   /// newest end that the worker has listed. Every job that these ends changed
@@ -165,11 +167,13 @@
   /// Answers all pending calls; sends nothing more until the next `Open`.
   void Close();
 
-  /// Records a new job, and runs `done` with the result. Refuses it at once if
-  /// the journal is closed and, unless the job is already being recorded, if
-  /// the journal is sealed, or if the store does not accept batches, is
-  /// unresponsive or is expected to record it late
-  /// (`CommitFlowOptions::max_record_wait`).
+  /// Records a new job, and runs `done` with the result. Refuses the job at
+  /// once if the journal is closed. Unless the job is already being recorded,
+  /// also refuses it at once if one of these holds:
+  /// - the journal is sealed;
+  /// - the store does not accept batches, or is unresponsive;
+  /// - the store is expected to record the job too late
+  ///   (`CommitFlowOptions::max_record_wait`).
   void Accept(JobPlan plan, AcceptCallback done);
   void MarkDirty(const std::string& job, bool urgent);
   /// Replaces the workers stored under the workers' key.
@@ -177,7 +181,8 @@
   /// For a leader that shuts down: new jobs and urgent changes that are pending
   /// now are still sent, other changes only if they fit into the batches sent
   /// for these. If a batch fails, its changes are not urgent any more (see
-  /// `Requeue`). Workers continue to list ends that are not recorded.
+  /// `Requeue`). Ends that are not recorded are not lost, since workers
+  /// continue to list them.
   void Seal();
   /// After `Seal`: nothing that still has to be sent is waiting, and no batch
   /// is in flight.
@@ -264,13 +269,13 @@
   /// Puts the contents of the batch back into the queues, except for new jobs
   /// whose callers have been answered. States that were urgent no longer are.
   void Requeue(Batch batch);
-  /// Answers calls whose deadline has passed; of the queued ones, only those
-  /// before the first whose deadline has not passed. Also rejects all queued
-  /// calls if the store is unresponsive or does not accept batches.
+  /// Answers the calls in flight whose deadline has passed. Then rejects queued
+  /// calls from the front, up to the first whose deadline has not passed; or
+  /// all of them if the store is unresponsive or does not accept batches.
   void AnswerExpiredAccepts();
   void RejectQueuedAccepts();
   void RejectAccept(PendingAccept* accept);
-  /// A batch in flight carries the new job, so it may still be accepted.
+  /// A batch in flight carries the new job, so the job may still be accepted.
   bool IsInFlight(std::string_view job) const;
   static void CompleteAccept(PendingAccept* accept,
                              std::error_code error,
@@ -314,9 +319,9 @@
   std::set<std::string> in_flight_jobs_;
   std::set<std::string> to_remove_;
   std::optional<EndsToRecord> ends_;
-  /// Set if the store refuses a batch, or does not answer one and has accepted
-  /// none since that one was sent. Cleared when it accepts a batch or reports a
-  /// conflict.
+  /// Set if the store refuses a batch. Also set if the store does not answer a
+  /// batch, and has accepted no other batch since that batch was sent. Cleared
+  /// when the store accepts a batch or reports a conflict.
   bool store_unavailable_ = false;
   Instant last_success_{};
   uint64_t commits_ = 0;
--- a/src/include/doorwood/lead_proof.h
+++ b/src/include/doorwood/lead_proof.h
@@ -65,8 +65,8 @@
   /// earlier and no read is under way. To be called several times a second.
   void Tick();
 
-  /// When the latest call since `Open` was sent that found the key in place;
-  /// zero: none has, or the proof is closed.
+  /// When the latest call to the store that found the key in place was sent.
+  /// Zero: no call since `Open` has found it, or the proof is closed.
   Instant confirmed_at() const { return confirmed_at_; }
 
  private:
--- a/src/include/doorwood/ticket_book.h
+++ b/src/include/doorwood/ticket_book.h
@@ -75,10 +75,11 @@
   std::string Find(const std::string& step, const std::string& worker) const;
   /// Requests tickets for the step on those workers for which there is no
   /// answer, or one that expires within `TicketOptions::expiry_margin`; for at
-  /// most the first `TicketOptions::workers_per_request` of them. Does nothing
-  /// without an adviser, while a request for the step or
-  /// `TicketOptions::max_pending_requests` in all are pending, or within
-  /// `TicketOptions::retry_pause` after one for the step has failed.
+  /// most the first `TicketOptions::workers_per_request` of them. Does nothing:
+  /// - without an adviser;
+  /// - while a request for the step is pending;
+  /// - while `TicketOptions::max_pending_requests` in all are pending;
+  /// - for `TicketOptions::retry_pause` after a request for the step failed.
   void RequestTickets(const std::string& step,
                       const std::vector<std::string>& workers);
   /// Drops all tickets, and ignores the answers to pending requests.
--- a/src/include/doorwood/worker_session.h
+++ b/src/include/doorwood/worker_session.h
@@ -27,9 +27,11 @@
 enum class RunPhase {
   /// The start order was sent and is not answered yet, or is still deferred.
   kStarting,
-  /// The start order got no answer, so the worker may have carried it out or
-  /// may still do so; or the worker refused it with `RunErrc::kStaleRun`, so
-  /// the run may already have ended.
+  /// One of these holds:
+  /// - The start order got no answer. The worker may have carried it out, or
+  ///   may still do so.
+  /// - The worker refused the start order with `RunErrc::kStaleRun`. The run
+  ///   may already have ended.
   kUnresolved,
   kRunning,
   /// A stop was ordered; the worker has not listed the end yet.
@@ -45,10 +47,10 @@
   /// The start order is withheld until `WorkerSession::SendDeferredStart`; the
   /// run's resources are already reserved.
   bool start_deferred = false;
-  /// When the start order was sent or, until then, deferred; or when this
-  /// leader adopted the run.
+  /// When the start order was sent; while it is deferred, when it was deferred.
+  /// For an adopted run: when this leader adopted it.
   Instant ordered{};
-  /// When the worker's confirmation of the run arrived; zero: it has not.
+  /// When the worker's confirmation of the run arrived; zero: none has arrived.
   Instant confirmed{};
   /// The worker has confirmed the stop, or has refused the start with
   /// `RunErrc::kStaleRun`. Either way it refuses any later start of this run.
@@ -60,7 +62,8 @@
   /// delivered twice, this run itself may already have ended there.
   bool refused_as_stale = false;
 
-  /// Copied from the step, since a run may outlive its job.
+  /// `size` to `estimate` are copied from the step, since a run may outlive its
+  /// job.
   Resources size;
   bool best_effort = false;
   bool long_running = false;
@@ -108,8 +111,8 @@
 /// A run of `task` that is not ordered yet, without a checkpoint.
 Run MakeRun(const Task& task, uint32_t number);
 
-/// The longest time on this process's clock that `on_worker`, measured on a
-/// worker's clock, can take. The platform allows a worker's clock to run 2%
+/// The longest time that can pass on this process's clock while `on_worker`
+/// passes on a worker's clock. The platform allows a worker's clock to run 2%
 /// slow.
 Millis MaxOnLocalClock(Millis on_worker);
 
@@ -120,10 +123,10 @@
   Millis run_lease{6000};
   /// Longest time for which a worker with both serving tasks and best-effort
   /// work may delay its answer to a poll. In a large cell, the leader sets a
-  /// longer time with `WorkerSession::SetShortPollWait`. Simulations of a day
-  /// with little load in two deployments (5 and 3 seeds) scored 0.677 and 0.658
-  /// at 500 ms, and 0.712 and 0.666 at 250 ms, in the users' benchmark without
-  /// its charge for processors; higher is better.
+  /// longer time with `WorkerSession::SetShortPollWait`. Scores of simulated
+  /// days with little load (higher is better; the cost of processors is left
+  /// out): in one deployment (5 seeds) 0.677 at 500 ms and 0.712 at 250 ms, in
+  /// another (3 seeds) 0.658 at 500 ms and 0.666 at 250 ms.
   Millis short_poll_wait{250};
   /// Longest time for which any other worker may delay its answer to a poll.
   Millis long_poll_wait{1200};
@@ -133,8 +136,8 @@
   Millis retry_pause{150};
   /// Delay after a failed poll if another incarnation has answered at the
   /// listed address, and this one has never answered. A directory entry with
-  /// another address ends the delay at once. Without one, an entry that names
-  /// another worker's address causes at most two polls there in 10 s.
+  /// another address ends the delay at once. While the entry wrongly names the
+  /// address of another worker, at most two of these polls go there in 10 s.
   Millis other_incarnation_pause{8000};
   /// A worker that has not responded for this long plus `long_poll_wait` gets
   /// no new work. A worker without runs is not polled regularly, so it is
@@ -151,11 +154,13 @@
  public:
   virtual ~WorkerSessionListener() = default;
 
-  /// The run has ended and is removed from the session. `end` is what the
-  /// worker reported; kStopped if the start was deferred and never sent; and
-  /// kLeaseExpired if the worker is lost (see `OnWorkerLost`) or a report with
-  /// all ends proves that the run is not active and cannot begin any more.
-  /// `reported_by_worker` is false only for that kLeaseExpired.
+  /// The run has ended and is removed from the session. `end` is one of:
+  /// - what the worker reported;
+  /// - kStopped, if the start was deferred and never sent;
+  /// - kLeaseExpired, if the worker is lost (see `OnWorkerLost`), or if a
+  ///   report without `has_more_ends` proves that the run is not active and
+  ///   cannot begin any more.
+  /// `reported_by_worker` is false only in the third case.
   virtual void OnRunEnded(WorkerSession& session,
                           const Run& run,
                           RunEnd end,
@@ -164,11 +169,11 @@
   /// another incarnation has replaced it, or all leases there have expired.
   /// `OnRunEnded` follows for each run.
   virtual void OnWorkerLost(WorkerSession& session) = 0;
-  /// A poll failed, and the one that completed before did not, or there was
-  /// none. Not called if the poll was refused with `RunErrc::kFenced` or shows
-  /// that this incarnation has ended.
+  /// A poll failed for the first time since a poll succeeded or, if none has,
+  /// since the session was opened. Not called if the poll was refused with
+  /// `RunErrc::kFenced` or shows that this incarnation has ended.
   virtual void OnPollFailed(WorkerSession& session) = 0;
-  /// A poll was answered after one that failed.
+  /// A poll succeeded after one that failed.
   virtual void OnPollRecovered(WorkerSession& session) = 0;
   /// The worker lists the end of a run that this session does not know.
   virtual void OnUnknownEnd(WorkerSession& session, const EndedRun& end) = 0;
@@ -217,22 +222,22 @@
 
   /// Replaces `WorkerSessionOptions::short_poll_wait`.
   void SetShortPollWait(Millis wait) { short_wait_ = wait; }
-  /// From `until` on, polls extend no lease, and no start order carries a later
-  /// lease end than one sent at `until`. A successor relies on this when it
-  /// computes how long runs may continue. A time rather than a flag, so that
-  /// the limit also holds after a pause of the process that the leader has not
-  /// noticed yet.
+  /// From `until` on, polls extend no lease, and start orders carry no later
+  /// lease end than a start order sent at `until` would. A successor relies on
+  /// this limit when it computes how long runs may continue. The limit is a
+  /// time rather than a flag, so that it also holds after a pause of the
+  /// process that the leader has not noticed yet.
   void SetLeaseExtensionEnd(Instant until) { lease_extension_end_ = until; }
   /// Polls at once if there are runs, even if a poll is in flight: that poll
   /// may have been sent while leases were not allowed to be extended, or the
   /// worker may still delay its answer.
   void PollNow();
-  /// Sets the time up to which this leader provably led, so that no other
-  /// leader can have extended a lease there before. A lease that expired before
-  /// `until`, or another incarnation that answered before `until`, therefore
-  /// proves that the runs have ended. Later events do not prove this yet: a
-  /// successor may have adopted the runs and extended their leases, or started
-  /// the tasks again.
+  /// Sets the time up to which this leader provably led. No successor can have
+  /// extended a lease on the worker before that time. A lease that expired
+  /// before `until`, or another incarnation that answered before `until`,
+  /// therefore proves that the runs have ended. Later events do not prove this
+  /// yet: a successor may have adopted the runs and extended their leases, or
+  /// started the tasks again.
   void SetLeadConfirmedUntil(Instant until) { lead_confirmed_until_ = until; }
   /// Another incarnation has answered or all leases there have expired, but
   /// leadership is not yet confirmed up to that time.
@@ -266,9 +271,12 @@
   const WorkerIncarnation& incarnation() const { return incarnation_; }
   const std::map<std::string, Run>& runs() const { return runs_; }
   Run* FindRun(const std::string& task);
-  /// Increases with each report, unless that of a poll sent later was processed
-  /// first; with each run that is added or removed; with each directory entry;
-  /// and when a poll at the address named by a later entry succeeds.
+  /// Increases with:
+  /// - each report, unless the report of a poll sent later was processed first;
+  /// - each run that is added or removed;
+  /// - each call of `UpdateFromDirectory`;
+  /// - each change to an address that `UpdateFromDirectory` named, after this
+  ///   incarnation has answered a poll there.
   uint64_t version() const { return version_; }
   /// `EndedRun::number` of the latest end that the worker has listed.
   uint64_t last_end() const { return last_end_; }
@@ -287,16 +295,18 @@
   /// orders of earlier leaders. Says nothing of later leaders: see
   /// `OnHigherTokenSeen`.
   bool fenced() const { return fenced_; }
-  /// A report to this leader has listed every end that the worker then had left
-  /// to list; one report lists only a limited number. Stays true.
+  /// A report to this leader had `WorkerReport::has_more_ends` false: no ends
+  /// were left to list. One report lists only a limited number. Stays true.
   bool all_ends_listed() const { return all_ends_listed_; }
   /// This incarnation has ended: another one has answered at the address at
   /// which this one had answered.
   bool dead() const { return dead_; }
   /// The worker has answered a poll of this leader, this incarnation is not
-  /// known to have ended, and either `last_response_at` is less than
-  /// `unresponsive_after` plus `long_poll_wait` ago, or the worker has no runs,
-  /// no poll is in flight, and the last poll did not fail.
+  /// known to have ended, and at least one of these holds:
+  /// - `last_response_at` is less than `unresponsive_after` plus
+  ///   `long_poll_wait` ago;
+  /// - the worker has no runs, no poll is in flight, and the last poll did not
+  ///   fail.
   bool responsive() const;
   /// When the worker last responded or, if later, when the session was opened
   /// or the worker got a run while it had none.
@@ -304,11 +314,11 @@
   /// The poll that completed last failed. Until one succeeds, polls extend no
   /// lease there.
   bool last_poll_failed() const { return last_poll_failed_; }
-  /// When the latest order was sent that may have extended a lease there. The
-  /// first answer to a poll counts as such an order, since an earlier leader
-  /// may have extended leases until then, and so does a deferred start. Orders
-  /// after the time set with `SetLeaseExtensionEnd` count as sent at that time.
-  /// Zero: none was sent.
+  /// When the latest order that may have extended a lease there was sent. A
+  /// deferred start counts as such an order. The first answer to a poll counts
+  /// as well, since an earlier leader may have extended leases until then.
+  /// Orders after the time set with `SetLeaseExtensionEnd` count as sent at
+  /// that time. Zero: no such order was sent.
   Instant last_lease_order_at() const { return last_lease_order_at_; }
   /// When the worker last responded again after it was logged as unresponsive;
   /// zero: this has not happened.
@@ -330,7 +340,7 @@
   Millis ObservedRunTime(const Run& run) const;
 
  private:
-  /// An address named by the directory at which this incarnation has not
+  /// An address that the directory names, and at which this incarnation has not
   /// answered yet.
   struct NextAddress {
     std::string address;
@@ -347,10 +357,10 @@
   void ApplyReport(Instant sent, WorkerReport report);
   void ApplyEndedRuns(const std::vector<EndedRun>& ended);
   void ApplyActiveRuns(const std::vector<ActiveRun>& active);
-  /// Processes the runs that are not in `active`, the active runs of a report
-  /// with all ends that answers a poll sent at `sent`. Ends those that provably
-  /// are not active and cannot begin any more, and sends a stop order for those
-  /// whose start got no answer, unless one is in flight or confirmed.
+  /// `active` is from a report without `has_more_ends`, the answer to a poll
+  /// sent at `sent`. Of the runs that are not in `active`, ends those that
+  /// provably are not active and cannot begin any more. Sends a stop order for
+  /// those whose start got no answer, unless one is in flight or confirmed.
   void ResolveUnlistedRuns(Instant sent, const std::vector<ActiveRun>& active);
   void OnStartAnswer(const std::string& task,
                      uint32_t number,
@@ -372,8 +382,9 @@
   /// in flight.
   void ProbeNextAddress();
   void OnNextAddressResponse(const std::string& address, std::error_code error);
-  /// Notes and logs, once, that another incarnation answers at `address`, if
-  /// `address` is the listed one and this incarnation has never answered.
+  /// Notes and logs, unless already noted, that another incarnation answers at
+  /// `address`, if `address` is the listed one and this incarnation has never
+  /// answered.
   void NoteOtherIncarnation(const std::string& address);
   /// Returns the error to handle after a call to `address` completed with
   /// `error`: an answer of another incarnation counts as no answer unless
