--- a/src/libdoorwood/cell/worker_address.cpp
+++ b/src/libdoorwood/cell/worker_address.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Which address is used to reach an incarnation of a worker. Its directory
-// entry may be wrong, so only at an address where this one has answered does
-// the answer of another incarnation prove that this one has ended.
+// entry may be wrong. The answer of another incarnation therefore proves that
+// this one has ended only at an address at which this one has answered before.
 
 #include <utility>
 
--- a/src/libdoorwood/cell/worker_session.cpp
+++ b/src/libdoorwood/cell/worker_session.cpp
@@ -107,8 +107,8 @@
   // response. A worker whose runs have just been ended because it was
   // unresponsive has no runs either, but its last poll failed. Without the
   // check of `last_poll_failed_`, up to 814 starts a day went to such workers
-  // in simulations with partitions, and each started run was lost until its
-  // lease of 6 s had expired.
+  // in simulations with partitions. Each of these runs held its task back
+  // until its lease of 6 s had expired.
   if (runs_.empty() && !poll_in_flight_ && !last_poll_failed_) {
     return true;
   }
@@ -447,7 +447,7 @@
 }
 
 // A successor that took over before the runs ended may have adopted them. Only
-// a later read of the lead key shows that there was no such successor.
+// a later proof of the lead shows that there was no such successor.
 void WorkerSession::EndRunsIfWorkerLost() {
   const std::optional<Instant> ended_since = EndedSince();
   if (runs_.empty() || !ended_since || *ended_since >= lead_confirmed_until_) {
