--- a/src/libdoorwood/cell/commit_flow_test.cpp
+++ b/src/libdoorwood/cell/commit_flow_test.cpp
@@ -83,7 +83,7 @@
   BOOST_TEST(flow.answer_time().count() == 310);
 }
 
-BOOST_AUTO_TEST_CASE(ExpectedWait_AnswerTimeAndCommitsAhead_MatchTable) {
+BOOST_AUTO_TEST_CASE(ExpectedWait_AnswerTimeAndRecordsAhead_MatchesTable) {
   struct Row {
     int answer_ms;
     size_t ahead;
