--- a/src/libdoorwood/cell/cell_suspects.cpp
+++ b/src/libdoorwood/cell/cell_suspects.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Trial runs of suspects, that is of tasks that may have crashed a worker: each
-// one is started on a worker on which no other run is new, except runs of its
-// gang, so that another crash shows whether the suspect caused it.
+// Trial runs of suspects, that is of tasks that may have crashed a worker. A
+// suspect is started on a worker on which no other run is new, except runs of
+// its gang. Another crash then shows whether the suspect caused it.
 
 #include <algorithm>
 #include <limits>
@@ -16,8 +16,8 @@
 // Weight of a long-running task, relative to any other run, in the cost of
 // losing the worker on which a suspect is tried.
 constexpr int kLongRunningWeight = 10;
-// The additional poll of a trial is sent this long after the time for which a
-// run has to be active, so that the answer shows it active for that time.
+// Added to the delay before a trial's additional poll, so that the answer shows
+// the run active for at least the required time.
 constexpr Millis kTrialCheckDelay{30};
 // From this many noted crashes on, a trial run is recorded before it begins, in
 // case the leader fails together with the worker.
@@ -57,9 +57,10 @@
 }
 
 // Returns the index of the suitable worker with the lowest cost, or kNoWorker
-// if none is suitable. The cost is that of a crash; a worker with new runs
-// costs kNewRunsCost more, and one on a machine that the task's crash notes
-// name kCrashedThereCost more, far above the usual cost of a crash.
+// if none is suitable. The cost is CrashCost. It is higher by kNewRunsCost if
+// the worker has new runs. It is higher by kCrashedThereCost, which is far more
+// than a usual CrashCost, if a crash note of the task names the worker's
+// machine.
 int CellLeader::ChooseTrialWorker(
     const Task& task,
     const StepCandidates& places,
@@ -110,9 +111,9 @@
   return true;
 }
 
-// Reserves a worker first, and allows the start once the task fits there, no
-// other run on that worker is new, and the trial is recorded where required, so
-// that a crash during the trial shows whether the suspect caused it.
+// Reserves a worker first. Allows the start once the task fits there, no other
+// run on that worker is new, and the trial is recorded where required. A crash
+// during the trial then shows whether the suspect caused it.
 std::optional<int> CellLeader::ReserveTrialPlace(
     const ReadyStep& ready,
     Task* task,
@@ -202,7 +203,8 @@
   trials_.Reserve(task.name(),
                   {incarnation.id, incarnation.service, executor_.Now(),
                    IsLikelyCulprit(task.crashes), length, /*started=*/true});
-  log_.Write("info", "cell", "trial run of a suspect begins",
+  log_.Write("info", "cell",
+             "trial run begins for a suspect or a task of its gang",
              {{"task", task.name()},
               {"worker", incarnation.id},
               {"crashes", task.crashes.size()},
@@ -257,7 +259,8 @@
 }
 
 void CellLeader::ClearCrashes(Task* task) {
-  log_.Write("info", "cell", "a task is no longer a suspect",
+  log_.Write("info", "cell",
+             "crash notes cleared: the task ran long enough in its trial",
              {{"task", task->name()}, {"crashes", task->crashes.size()}});
   task->crashes.clear();
   task->job->dirty = true;
