--- a/src/libdoorwood/cell/cell_calls.cpp
+++ b/src/libdoorwood/cell/cell_calls.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Client requests to a cell's leader: submitting and cancelling jobs, job
-// states, and the summary.
+// Submission and cancellation of a cell's jobs, admission of long-running jobs,
+// job states, and the cell's summary.
 
 #include <utility>
 
@@ -34,8 +34,8 @@
     done({}, AcceptOutcome::kAlreadyKnown);
     return;
   }
-  // A job that is already being recorded may be accepted by an earlier call, so
-  // it is not refused for lack of capacity.
+  // If the job is already being recorded, an earlier call for it may still
+  // succeed, so this call is not refused for lack of capacity.
   if (!journal_.IsRecording(plan.id) &&
       (AreAllWorkersInClosedDataCentres(plan.queue) ||
        !HasLongRunningCapacity(plan))) {
--- a/src/libdoorwood/cell/cell_campaign.cpp
+++ b/src/libdoorwood/cell/cell_campaign.cpp
@@ -11,10 +11,10 @@
 namespace doorwood {
 namespace {
 
-// After a takeover, new run numbers exceed the task's recorded run number by
-// more than this, so that they differ from the numbers of up to this many runs
-// that the leader of that record started afterwards without recording them. A
-// later leader that read the same record may have used the same numbers.
+// Added to a task's recorded run number at a takeover. The leader that wrote
+// the record may have started further runs without recording them. New run
+// numbers differ from those of up to this many such runs. Two later leaders
+// that read the same record may still use the same numbers.
 constexpr uint32_t kRunNumberGap = 16;
 
 }  // namespace
--- a/src/libdoorwood/cell/cell_crashes.cpp
+++ b/src/libdoorwood/cell/cell_crashes.cpp
@@ -192,11 +192,11 @@
 }
 
 // The previous leader may have failed before it could record the crash, so it
-// is not known what ran on the worker. Every task that may have run there, and
-// has no crash note that names the worker, is noted as a bystander; two such
-// notes make the task a suspect. A task gets at most one such note per
-// takeover, because the note refers to the task's newest run, and a task has
-// one note per run.
+// is not known what ran on the worker. Unless there are too many of them, the
+// tasks that may have run there, and have no crash note that names the worker,
+// are noted as bystanders; two such notes make a task a suspect. A task gets at
+// most one such note per takeover, because the note refers to the task's newest
+// run, and a task has one note per run.
 void CellLeader::NoteCrashBeforeContact(const std::string& worker,
                                         const CellWorker& cell_worker) {
   if (!cell_worker.from_takeover || cell_worker.session->fenced()) {
--- a/src/libdoorwood/cell/cell_evacuation.cpp
+++ b/src/libdoorwood/cell/cell_evacuation.cpp
@@ -49,9 +49,9 @@
 
 // Some workers leave without announcing it: their entry is removed, and they
 // continue to run for an unknown time. Work that can continue elsewhere is
-// therefore moved once the entry has been missing for `unlisted_grace`. A
-// worker that was partitioned from the leader is listed again only some time
-// after it answers again, so the time before it answered again does not count.
+// therefore moved once the entry has been missing for `unlisted_grace`. After a
+// partition, a worker answers the leader some time before its entry returns.
+// The time before this answer therefore does not count.
 void CellLeader::EvacuateUnlisted(const std::string& id,
                                   const CellWorker& cell_worker) {
   const Instant since = std::max(cell_worker.unlisted_since,
--- a/src/libdoorwood/cell/cell_leader.cpp
+++ b/src/libdoorwood/cell/cell_leader.cpp
@@ -15,7 +15,7 @@
 // recorded.
 constexpr Millis kShutdownCheckInterval{30};
 // After this time a leader that shuts down waits only for the records of new
-// jobs and for urgent ones. Workers report the rest to its successor.
+// jobs and of urgent changes. Workers report the rest to its successor.
 constexpr Millis kFullRecordTimeout{300};
 // Intervals at which all jobs are visited: to remove old ones, which are kept
 // for minutes, and to update the summary, which each other instance requests
--- a/src/libdoorwood/cell/cell_placement_records.cpp
+++ b/src/libdoorwood/cell/cell_placement_records.cpp
@@ -75,10 +75,10 @@
          unrecorded_placements_.empty();
 }
 
-// Keeps its last value once placements are no longer all recorded: an instance
+// The value stays unchanged while not all placements are recorded. An instance
 // that may rely on the recorded placements may do so until it agrees to
-// unrecorded starts. Until then, this leader records the placement of a
-// long-running task before it orders the start.
+// unrecorded starts: without the agreement of all instances, this leader
+// records the placement of a long-running task before it orders the start.
 int64_t CellLeader::PlacementsValidTo() {
   if (ArePlacementsRecorded()) {
     placements_valid_to_ = live_.revision();
--- a/src/libdoorwood/cell/cell_run_ends.cpp
+++ b/src/libdoorwood/cell/cell_run_ends.cpp
@@ -293,7 +293,8 @@
              HasUnrecordedTaskChanges(cell_worker->second)) {
     RecordTasksOfClosedWorkers();
   }
-  // With no write pending, ends that changed no state need no record.
+  // If the journal is idle, all changes of state are stored. The remaining ends
+  // changed no state, so they need no record.
   if (journal_.idle()) {
     OnEndsRecorded(HighestUnrecordedEnds());
   }
--- a/src/libdoorwood/cell/cell_scheduling.cpp
+++ b/src/libdoorwood/cell/cell_scheduling.cpp
@@ -67,11 +67,11 @@
          !MayHaveUsedUpAttempts(task);
 }
 
-// Failures that the previous leader received but could not record are listed by
-// workers that its successor may not have contacted yet. Each run before the
-// adopted one whose end is not reported counts as a failure until every worker
-// from the takeover has listed its ends, has no lease left, or has a record
-// that does not name the task.
+// The previous leader may have received failures that it could not record.
+// Workers list these failures to this leader, but it may not have contacted all
+// workers yet. Each run that `Task::CountUnreportedEnds` counts is therefore
+// taken to have failed, as long as an unaccounted worker may run the task or
+// may have ended it.
 bool CellLeader::MayHaveUsedUpAttempts(const Task& task) const {
   const uint32_t unreported_ends =
       MayRunOnUnaccountedWorker(task) ? task.CountUnreportedEnds() : 0;
@@ -277,8 +277,7 @@
     return;
   }
   // All tasks of a gang are started, or none, so they are first placed on a
-  // copy of the candidates. All of them share one run number and one
-  // checkpoint.
+  // copy of the candidates. The tasks share one run number and one checkpoint.
   const bool advised = queue->advice.has_value();
   std::vector<CandidateWorker> planned_candidates =
       advised ? CandidatesWithTickets(ready, candidates)
--- a/src/libdoorwood/cell/cell_takeover.cpp
+++ b/src/libdoorwood/cell/cell_takeover.cpp
@@ -59,12 +59,14 @@
   return std::max(MaxRunTimeAfterLeadLoss() + Millis(1) - waited, Millis(0));
 }
 
-// A task is held back as long as it may be active, or have ended unreported, on
-// any worker that is still waited for. For a worker that was closed to new
-// work, the record lists the tasks for which this is possible, unless the lists
-// were too long to record; on any other worker it is possible for every task.
-// If the recorded placements were valid at the takeover, a long-running task is
-// held back only for the worker that its placement names.
+// A task is held back as long as it may be active, or may have ended
+// unreported, on a worker that is still waited for:
+// - If the worker's record has a task list, only the listed tasks are held
+//   back. Only workers that were closed to new work have such a list, and only
+//   if the lists were not too long to record.
+// - If the record has no task list, all tasks are held back.
+// - If the recorded placements were valid at the takeover, a long-running task
+//   is held back only for the worker that its placement names.
 void CellLeader::ReleaseTasks() {
   UnaccountedWorkers unaccounted = FindUnaccountedWorkers();
   size_t freed = 0;
--- a/src/libdoorwood/cell/cell_worker_records.cpp
+++ b/src/libdoorwood/cell/cell_worker_records.cpp
@@ -12,11 +12,11 @@
 namespace doorwood {
 namespace {
 
-// Minimum time from one record of the workers to the next one that is due only
-// to changed task lists, or to workers that were closed to new work or opened
-// again; per worker and per listed task of the first of the two records.
-// All workers are always recorded together, under one key; the pause bounds the
-// load on a small machine's network link.
+// Minimum time between two records of the workers, for each worker and each
+// listed task in the first record. Applies only if the second record is due to
+// changed task lists, or to workers that were closed to new work or opened
+// again. All workers are always recorded together, under one key; the pause
+// bounds the load on a small machine's network link.
 constexpr std::chrono::microseconds kWriteDelayPerEntry{250};
 
 size_t CountTasks(const KnownWorker& worker) {
@@ -191,10 +191,11 @@
 }
 
 // Lets the next leader deduct from its wait the time in which no lease was
-// extended. Without the record, with three workers permanently lost, two
-// takeovers in ten seconds held all stopped long-running tasks back for 18 s;
-// with workers lost 6 s before their leader, a single takeover held these tasks
-// back for 20 s.
+// extended. Without the record, all stopped long-running tasks were held back:
+// - for 18 s, when three workers were permanently lost and two takeovers took
+//   place in ten seconds;
+// - for 20 s at a single takeover, when workers were lost 6 s before their
+//   leader.
 void CellLeader::RecordUnreachableWorkers() {
   const Instant now = executor_.Now();
   if (!IsLeadConfirmed() ||
--- a/src/libdoorwood/cell/cell_workers.cpp
+++ b/src/libdoorwood/cell/cell_workers.cpp
@@ -134,8 +134,8 @@
   RequestSchedulingPass();
 }
 
-// An entry that another process wrote does not prove that the worker's runs
-// have ended, as expired leases or the answer of another incarnation do. The
+// Unlike expired leases or the answer of another incarnation, an entry that
+// another process wrote does not prove that the worker's runs have ended. The
 // runs continue, but the worker gets no new work.
 void CellLeader::ApplyDirectoryEntry(const WorkerIncarnation& incarnation,
                                      CellWorker* cell_worker) {
