--- a/src/libdoorwood/cell/cell_campaign_test.cpp
+++ b/src/libdoorwood/cell/cell_campaign_test.cpp
@@ -61,9 +61,9 @@
 
 // The lead becomes vacant twice, the second time when campaigns that were
 // scheduled in the first vacancy would be due. The delays must start again, or
-// a weak instance may campaign first. Machines that fail together with the
-// leader stay listed for a moment, so that the instances on strong machines
-// delay their campaigns as well.
+// a weak instance may campaign first. Strong instances that fail together with
+// the leader stay listed until their leases expire. The remaining strong
+// instance may therefore delay its campaign as well.
 BOOST_AUTO_TEST_CASE(Lead_BecomesVacantTwice_AStrongInstanceTakesIt) {
   for (int seed = 1; seed <= LargeSiteFixture::kSeeds; ++seed) {
     LargeSiteFixture fixture(seed);
--- a/src/libdoorwood/cell/cell_changing_capacity_test.cpp
+++ b/src/libdoorwood/cell/cell_changing_capacity_test.cpp
@@ -50,9 +50,9 @@
   int64_t UsedCpu() const {
     return static_cast<int64_t>(worker->model.running_count()) * kTaskCpu;
   }
-  /// Runs the world, and returns the worker's highest processor use at the end
-  /// of a 50 ms step in which a run started, in thousandths of a processor; 0
-  /// if nothing started.
+  /// Runs the world in steps of 50 ms. Returns the worker's highest processor
+  /// use, in thousandths of a processor, at the ends of the steps in which a
+  /// run started; 0 if none started.
   int64_t RunAndGetMaxUsageAfterStarts(Millis duration) {
     constexpr Millis kStep{50};
     int64_t max_usage = 0;
@@ -122,8 +122,8 @@
 }
 
 // A job is cancelled while its leader cannot reach the worker, so a successor
-// has to stop the runs. Guards against starts that ignore these runs: they use
-// capacity until they have ended.
+// has to stop the runs. Guards against starts that ignore these runs: a run
+// that is being stopped uses capacity until it has ended.
 BOOST_AUTO_TEST_CASE(Runs_StoppedBySuccessor_UseCapacityUntilTheyHaveEnded) {
   constexpr Millis kStopDuration{900};
   for (uint64_t seed = 1; seed <= 8; ++seed) {
--- a/src/libdoorwood/cell/cell_closed_data_centre_test.cpp
+++ b/src/libdoorwood/cell/cell_closed_data_centre_test.cpp
@@ -10,8 +10,8 @@
 namespace doorwood {
 namespace {
 
-// Time after its closure from which a data centre gets no new work if the store
-// answers. The platform allows 5 s.
+// If the store answers, a data centre gets no new work once it has been closed
+// for this long. The platform allows 5 s.
 constexpr Millis kClosingTime{1000};
 
 struct ClosedFixture {
--- a/src/libdoorwood/cell/cell_crashing_task_test.cpp
+++ b/src/libdoorwood/cell/cell_crashing_task_test.cpp
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A task crashes every worker that starts it. Its job must fail, and jobs that
-// ran on the same workers must not. Nor must jobs whose workers crash for
-// another reason, such as a faulty machine. The bound in the names of the
-// tests: a task must not be started three more times after three workers have
-// crashed while running it; the world reports a violation. All in virtual time.
+// Tasks that crash every worker that starts them. The job of such a task must
+// fail. Jobs that ran on the same workers must not fail, and neither must jobs
+// whose workers crash for another reason, for example a faulty machine. "Bound"
+// in test names: after three workers have crashed while running a task, the
+// task may be started at most twice more. CellWorld reports a violation
+// otherwise. All tests run in virtual time.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -176,8 +177,8 @@
      }},
 };
 
-// Guards against starting any kind of crashing task without end, next to short
-// tasks.
+// Guards against starting a crashing task without end, for each kind of task in
+// `crashing_task_cases`. Jobs of short healthy tasks run at the same time.
 BOOST_AUTO_TEST_CASE(CrashingTask_OfAnyKind_ItsJobFailsWithinTheBound) {
   for (const CrashingTaskCase& row : crashing_task_cases) {
     for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -231,8 +232,8 @@
   }
 }
 
-// Guards against delaying tasks whose workers crashed twice together with half
-// of the workers and the leader.
+// Guards against delaying tasks that lost their workers when half of the
+// workers and the leader crashed together, twice.
 BOOST_AUTO_TEST_CASE(
     LongRunningTasks_WorkersAndLeaderCrashTwice_AllRunWithin6s) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -250,8 +251,8 @@
   }
 }
 
-// Guards against blaming tasks for a faulty machine that crashes with each
-// start.
+// Guards against failing jobs because of a faulty machine that crashes whenever
+// a run starts there.
 BOOST_AUTO_TEST_CASE(Machine_CrashesWithEachStart_NoJobFails) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
@@ -313,9 +314,9 @@
       ++samples;
     }
   }
-  // Trials run on at most a third of the workers at a time, those of likely
-  // culprits on at most a tenth. Averaged over the 20 s, fewer than a fifth of
-  // the workers may be down.
+  // Trial runs of suspects (crash_policy.h) use at most a third of the workers
+  // at a time, those of likely culprits at most a tenth. Averaged over 20 s,
+  // fewer than a fifth of the workers may be down.
   BOOST_TEST(down * 5 < samples);
   const std::string healthy_job = "0000000000000011";
   BOOST_REQUIRE(
@@ -407,9 +408,9 @@
         fixture.world.Submit(
             fakes::MakePlan(healthy_jobs.back(), 2, 12, "ms=1500"));
         fixture.world.Run(Millis(500));
-        // The bound on starts after three crashes applies whatever caused the
-        // crashes. Workers with long-running tasks are not crashed, because
-        // such a task could be hit by each of the crashes.
+        // CellWorld limits the starts of a task after three crashes, whatever
+        // caused them. A long-running task could run on each crashed worker and
+        // exceed the limit, so workers with such a task are not crashed.
         for (const auto& [id, worker] : fixture.world.workers()) {
           const auto tasks = worker->model.running_tasks();
           const bool runs_long_task = std::any_of(
@@ -434,8 +435,8 @@
   }
 }
 
-// Guards against trial runs on workers that have other new runs, including
-// those of the same step.
+// Guards against a trial run on a worker that has another new run, even one of
+// the same step.
 BOOST_AUTO_TEST_CASE(CrashingTask_OfAWaitingStep_IsTriedAlone) {
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
--- a/src/libdoorwood/cell/cell_fixture.h
+++ b/src/libdoorwood/cell/cell_fixture.h
@@ -18,8 +18,8 @@
 inline constexpr char kFixtureJob[] = "00112233aabbccdd";
 
 /// Three workers and, by default, three instances in different data centres;
-/// one instance leads. The destructor reports each violated rule of the world
-/// as a test error.
+/// one instance leads. The destructor reports each entry of
+/// `CellWorld::violations` as a test error.
 struct CellFixture {
   /// Data centres of the instances, by instance name.
   using DataCentres = std::map<std::string, std::string>;
--- a/src/libdoorwood/cell/cell_journal_load_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_load_test.cpp
@@ -181,7 +181,7 @@
 const std::error_code store_unavailable = CoreErrc::kStoreUnavailable;
 const std::error_code outcome_unknown = CoreErrc::kOutcomeUnknown;
 
-BOOST_AUTO_TEST_CASE(Journal_AnswersWithin400Ms_KeepsUpWithTheLoad) {
+BOOST_AUTO_TEST_CASE(Journal_StoreAnswersWithin400Ms_KeepsUpWithTheLoad) {
   struct Row {
     Millis answer_time;
     Millis accept_within;
@@ -251,8 +251,8 @@
   BOOST_TEST(fixture.CountAnswers(outcome_unknown) <= 10);
   BOOST_TEST(fixture.SlowestAnswerTime(store_unavailable).count() <= 800);
   // 40 jobs are submitted before the outage and 80 after it. Up to 45 of these
-  // may not be accepted, because the calls in flight first have to time out,
-  // after 1 s, and be sent again.
+  // 120 may not be accepted: calls that are in flight when the outage ends are
+  // only sent again once they have timed out, after 1 s.
   BOOST_TEST(fixture.CountAnswers(no_error) >= 40 + 80 - 45);
   BOOST_TEST((fixture.encoded == fixture.changed));
   BOOST_TEST(!fixture.lead_lost);
--- a/src/libdoorwood/cell/cell_large_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_large_takeover_test.cpp
@@ -2,9 +2,9 @@
 
 // A takeover in a large cell of 7,500 runs on 60 workers. Two thirds of the
 // workers drain and have ended when the next leader takes over. The workers'
-// record names the tasks that may run on them, up to a size bound; a single
-// lost worker whose tasks are not named, because they exceed the bound, would
-// delay all tasks by 9.9 s.
+// record lists the tasks that may run on each worker, up to a size bound. If
+// the bound left out the list of a single lost worker, all tasks would be
+// delayed by 9.9 s.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdio>
@@ -21,7 +21,7 @@
 constexpr int kReleaseBoundMs = 2000;
 
 // Loses the leader and two thirds of the workers. Returns the time in ms from
-// the takeover until the tasks that cannot run on the lost workers are
+// the takeover until the tasks that cannot be running on the lost workers are
 // released; 20,000 if they are not released by then.
 int MeasureTimeUntilRelease() {
   CellWorld world(5);
--- a/src/libdoorwood/cell/cell_late_campaign_test.cpp
+++ b/src/libdoorwood/cell/cell_late_campaign_test.cpp
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // A campaign write that gets no answer may take effect seconds later, when its
-// instance has sent another one or has won and lost the lead since. The key
-// then names an instance that is on standby, and the cell has no leader as long
-// as that instance renews its lease. The tests run in virtual time.
+// instance has sent another one or has won and lost the lead since. The lead
+// key then names an instance that is on standby. Guards against an instance
+// that neither leads nor removes the key: the cell would have no leader as long
+// as that instance renewed its lease. The tests run in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -16,8 +17,8 @@
 using fakes::CellWorld;
 using fakes::WorldInstance;
 
-// Longer than it takes, once the store works again, until a lease has expired
-// and an instance has won a campaign and read the records.
+// Once the store works again, a lease expires, and an instance wins a campaign
+// and reads the records, in less than this time.
 constexpr Millis kRecoveryTime{15'000};
 
 struct Fixture {
--- a/src/libdoorwood/cell/cell_late_done_test.cpp
+++ b/src/libdoorwood/cell/cell_late_done_test.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // A worker completes a task while its leader cannot reach it, and the run's
-// lease of 6 s expires. Guards against a leader that then ignores the worker's
-// report because it has counted the run as lost and queued the task again: the
-// task ran again and the next step waited. In an overload with repeated
+// lease of 6 s expires. The leader counts the run as lost and queues the task
+// again. Guards against a leader that then ignores the worker's report: the
+// task ran again, and the next step waited. In an overload with repeated
 // partitions, jobs ended 14 s after the last request although all tasks of
 // their first step were done. All tests run in virtual time.
 
@@ -24,8 +24,8 @@
 using fakes::WorkerRunning;
 using fakes::WorldInstance;
 
-// Time until a worker that is back is listed and called, and its report is
-// processed.
+// Time from `RestoreContact` until the worker is listed and called again, and
+// its report is processed.
 constexpr Millis kReportDelay{1100};
 
 std::string TaskOf(int step, int index) {
@@ -91,12 +91,12 @@
   JobPlan plan;
 };
 
-// The lease has expired at most 6.5 s after the last call that the worker
-// answered, and until the report arrives the leader correctly counts the run as
-// lost. A leader that ignored the report logged "run ended without a report
-// from the worker" for run 1, then "late end of a run neither completes its
-// task nor fails its job" with end "done" for the same run. Each of five
-// simulations of the standard days had 3,662 to 5,252 such lines.
+// The lease expires at most 6.5 s after the last call that the worker answered.
+// Until the report arrives, the leader correctly counts the run as lost. A
+// leader that ignored the report logged "run ended without a report from the
+// worker" for run 1. For the same run, it then logged "late end of a run
+// neither completes its task nor fails its job" with end "done". Each of five
+// simulations had 3,662 to 5,252 such lines.
 BOOST_AUTO_TEST_CASE(LateCompletion_TaskWaits_CountsAndTaskDoesNotRunAgain) {
   for (int unreachable_ms = 7000; unreachable_ms <= 12'000;
        unreachable_ms += 1000) {
@@ -189,7 +189,7 @@
 }
 
 // The next leader reads in the store that the task is done, or receives the
-// report from the worker, which discards it only once it has been recorded.
+// worker's report: a worker keeps an end until a leader has recorded it.
 BOOST_AUTO_TEST_CASE(LateCompletion_LeaderFailsSoonAfter_TaskDoesNotRunAgain) {
   for (int leader_delay_ms = 0; leader_delay_ms <= 900;
        leader_delay_ms += 100) {
--- a/src/libdoorwood/cell/cell_lead_proof_test.cpp
+++ b/src/libdoorwood/cell/cell_lead_proof_test.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Guards against a leader that has lost the store and the lead and takes a
-// newly granted lease for proof that it still leads. Its leases on workers that
-// it cannot reach have expired, so it considers their runs ended and starts the
-// tasks again, although its successor has adopted and kept the runs. This once
-// started nineteen tasks twice at the same time. Only the lead key proves the
-// lead.
+// Guards against a leader that was partitioned from the store, has lost the
+// lead, and takes a new lease from the store for proof that it still leads.
+// Only the lead key proves the lead. Such a leader considered runs ended on
+// workers that it could not reach and whose leases had expired. It started
+// their tasks again, although its successor had adopted the runs. Nineteen
+// tasks once ran twice at the same time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
--- a/src/libdoorwood/cell/cell_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_leader_test.cpp
@@ -202,9 +202,9 @@
   BOOST_TEST(world.instances().at("a1")->cell->leading());
 }
 
-// A worker may start a run of a cancelled job seconds later, from an order that
-// was not answered. The run must be stopped, even if the leader that ordered it
-// is gone.
+// A worker may carry out an unanswered start order seconds after the job was
+// cancelled. The run must be stopped, even if the leader that ordered it is
+// gone.
 BOOST_AUTO_TEST_CASE(Cancelled_OrdersAreCarriedOutLate_RunsAreStopped) {
   constexpr int kSeeds = 12;
   for (int seed = 1; seed <= kSeeds; ++seed) {
--- a/src/libdoorwood/cell/cell_leaving_test.cpp
+++ b/src/libdoorwood/cell/cell_leaving_test.cpp
@@ -45,8 +45,8 @@
     }
   }
 
-  /// Adds a new job, and submits all jobs that no leader has accepted and for
-  /// which no answer is pending.
+  /// Adds a new job, and submits all jobs that are not known to be accepted and
+  /// for which no answer is pending.
   void SubmitJob() {
     char id[17];
     std::snprintf(id, sizeof(id), "%016x", ++jobs_made);
--- a/src/libdoorwood/cell/cell_long_running_fault_walk_test.cpp
+++ b/src/libdoorwood/cell/cell_long_running_fault_walk_test.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Seeded random faults in a cell with long-running tasks, so that a run which a
-// leader wrongly takes to have ended overlaps with even a much later run. Among
-// others, the store fails and recovers, or refuses some instances and serves
-// others, and instances are partitioned from each other and from workers. This
-// test checks the rules of CellWorld, such as that no task runs twice at a
-// time; cell_random_faults_test checks that jobs end.
+// Seeded random faults in a cell with long-running tasks. If a leader wrongly
+// takes a run to have ended, the run overlaps with even a much later run of the
+// task. Faults are, for example, a store that refuses some or all instances,
+// and partitions of instances from each other and from workers. This test
+// checks the invariants of CellWorld, for example that no task runs twice at a
+// time. cell_random_faults_test checks that jobs end.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
--- a/src/libdoorwood/cell/cell_outage_test.cpp
+++ b/src/libdoorwood/cell/cell_outage_test.cpp
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // A leader continues while the store is down for all instances, since none can
-// succeed it. If the store serves some instances and refuses one of each data
-// centre, among them the leader, the leader must not conclude that the store is
-// down for all: it would extend without bound the leases of runs that its
-// successor considers ended. All in virtual time.
+// succeed it. The store may also refuse one instance of each data centre, among
+// them the leader, and serve the others. The leader must not conclude then that
+// the store is down for all. Otherwise, it would extend without bound the
+// leases of runs that its successor considers ended. All tests run in virtual
+// time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
--- a/src/libdoorwood/cell/leader_succession_fixture.h
+++ b/src/libdoorwood/cell/leader_succession_fixture.h
@@ -22,9 +22,9 @@
 inline constexpr char kOtherSuccessionJob[] = "00112233aabbccd0";
 inline constexpr int kSuccessionTasks = 2;
 
-/// Collects the cases that violated a rule of the world, with the first rule
-/// that each violated. The destructor reports them in one test error, if there
-/// are any: the first 12, or all if the environment variable
+/// Collects the cases in which `CellWorld::violations` is not empty, each with
+/// the first violation. If there are any, the destructor reports them in one
+/// test error: the first 12 cases, or all if the environment variable
 /// DOORWOOD_ALL is set.
 class ViolationReport {
  public:
--- a/src/libdoorwood/cell/long_running_fault_walk.h
+++ b/src/libdoorwood/cell/long_running_fault_walk.h
@@ -186,11 +186,11 @@
     }
   }
 
-  // Partitions the cell. Each worker is reachable either by the leader or by
-  // all other instances. The store refuses the leader or does not answer it,
-  // and serves some of the other instances, chosen at random; the leader cannot
-  // reach these. If the store refuses the leader, it also refuses the remaining
-  // instances; if it does not answer the leader, it does not refuse them.
+  // Partitions the leader, if there is one:
+  // - Each worker is reachable either by the leader or by all other instances.
+  // - The store refuses the leader, or does not answer it.
+  // - The store serves some other instances, and the leader can't reach these.
+  // - If the store refuses the leader, it refuses the remaining instances too.
   void PartitionLeader() {
     auto* leader = world_.Leader();
     if (leader == nullptr) {
