--- a/src/libdoorwood/cell/cell_worker_loss_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_loss_test.cpp
@@ -17,8 +17,9 @@
 
 constexpr auto& kJob = fakes::kFixtureJob;
 
-BOOST_FIXTURE_TEST_CASE(Worker_UnresponsiveAtTakeover_ItsTaskWaitsForProof,
-                        CellFixture) {
+BOOST_FIXTURE_TEST_CASE(
+    Worker_UnresponsiveAtTakeover_ItsTaskRestartsOnceWithoutOverlap,
+    CellFixture) {
   JobPlan plan = fakes::MakePlan(kJob, 1, 1, "");
   plan.steps[0].long_running = true;
   world.Submit(plan);
