--- a/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
@@ -74,9 +74,9 @@
 }
 
 // During a store outage for all instances, the answer of a crashed worker's
-// next incarnation does not yet allow the leader to start the tasks again: its
+// next incarnation does not yet allow the leader to start the tasks again. The
 // lead is not confirmed up to the time of that answer, so a successor might
-// have started them. Once the store confirms the lead, the earlier answer
+// have started the tasks. Once the store confirms the lead, the earlier answer
 // suffices.
 BOOST_FIXTURE_TEST_CASE(Store_DownForAllAndWorkerCrashes_TasksRestartWithStore,
                         PartitionedLeaderFixture) {
@@ -121,11 +121,11 @@
 }
 
 // The first successor reaches the worker after 1 to 5.5 s and stays in contact
-// for 0.1 to 2.1 s, in which it extends the leases there unless it cannot reach
-// the store. Then it is lost, and the worker is unresponsive again. The next
-// successor's wait must count from the last extension of a lease there, not
-// from the older workers' record. Leaders with a planned shutdown are succeeded
-// at once, so that the least time has passed since that extension; a leader
+// for 0.1 to 2.1 s. It extends the leases there unless it cannot reach the
+// store. Then this successor is lost, and no instance reaches the worker. The
+// next successor's wait must count from the last extension of a lease there,
+// not from an older record of the workers. A leader with a planned shutdown is
+// succeeded at once, which leaves the least time after that extension. A leader
 // that cannot reach the store is killed instead.
 struct ContactedAndLost {
   int not_contacted_ms;
--- a/src/libdoorwood/cell/cell_pause_test.cpp
+++ b/src/libdoorwood/cell/cell_pause_test.cpp
@@ -2,11 +2,11 @@
 
 // A leader's process is paused for 0.25 to 12 s. A successor may take the lead,
 // wait until the runs on workers that it has not contacted must have ended, and
-// start the tasks again. On resuming, the old leader handles answers that
-// waited in its sockets before the tick that detects the pause, and may send an
-// order after a check made before the pause. If the old leader then extends the
-// lease of a run, that run must not overlap the successor's run of the same
-// task. All in virtual time.
+// start the tasks again. On resuming, the old leader first handles answers that
+// waited in its sockets; only a later tick detects the pause. The old leader
+// may also send an order after a check made before the pause. If it then
+// extends the lease of a run, that run must not overlap the successor's run of
+// the same task. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -19,9 +19,9 @@
 using fakes::LeaderSuccession;
 using fakes::ViolationReport;
 
-// Where the pauses begin at offsets of 0 to 19 steps, these offsets lie within
-// the 1.2 s for which a poll waits. `CellWorld::Run` rounds each offset up to a
-// multiple of 50 ms.
+// Number of offsets that a test tries; PartitionedLeader_Paused tries twice as
+// many. Offsets of 0 to 19 steps lie within the 1.2 s for which a poll waits.
+// `CellWorld::Run` rounds each offset up to a multiple of 50 ms.
 constexpr int kOffsets = 20;
 constexpr Millis kOffsetStep{60};
 constexpr Millis kSettleTime{13'000};
@@ -129,8 +129,9 @@
   }
 }
 
-// Likewise, with every third of the next 300 reads of the clock, for a leader
-// that the store serves: only the pause can make it lose the lead.
+// As in the previous test, but only every third read of the clock is tried, and
+// the store serves the leader: only the pause can make the leader lose the
+// lead.
 BOOST_AUTO_TEST_CASE(OldLeader_PausedBetweenCheckAndOrder_NothingRunsTwice) {
   ViolationReport violation_report;
   for (const bool partitioned : {false, true}) {
--- a/src/libdoorwood/cell/cell_random_replacement_test.cpp
+++ b/src/libdoorwood/cell/cell_random_replacement_test.cpp
@@ -160,9 +160,9 @@
     });
   }
 
-  // A worker drains, and at most the leader, or its replacement, can reach it.
-  // The drain is cancelled while the leader's writes are not answered. Then the
-  // instance that leads, if any, is killed and replaced.
+  // A worker drains, and no instance except possibly the leader can reach the
+  // worker. The drain is cancelled while the leader's writes are not answered.
+  // Then the instance that leads, if any, is killed and replaced.
   void CancelDrainAndReplaceLeader() {
     auto* leader = world_.Leader();
     const std::string id = PickRunningWorker();
@@ -228,8 +228,8 @@
     }
   }
 
-  // Partitions a worker that is up from all instances but the leader or, in a
-  // third of the calls and while no instance leads, from all instances.
+  // Partitions a worker that is up from all instances except the leader. In a
+  // third of the calls, or if no instance leads, from all instances.
   void PartitionRunningWorker() {
     const std::string worker = PickRunningWorker();
     const WorldInstance* reaching_instance =
--- a/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
+++ b/src/libdoorwood/cell/cell_recorded_tasks_test.cpp
@@ -35,9 +35,9 @@
 // There is no leader for 3 s at most, and a leader that reaches all workers
 // starts tasks within another 1.5 s.
 constexpr Millis kReachableBound{4500};
-// In addition, 9 s: for 3 s after its lead was last confirmed (`order_grace`),
-// the old leader may extend leases by 6 s on a worker that its successor cannot
-// reach.
+// In addition, 9 s on a worker that the successor cannot reach: the old leader
+// may extend leases for 3 s after its lead was last confirmed (`order_grace`),
+// and each lease lasts 6 s.
 constexpr Millis kUnreachableBound{13'500};
 
 enum class LeaderLoss { kKilled, kPartitioned, kFrozen };
@@ -60,8 +60,8 @@
   return plan;
 }
 
-/// A job whose task runs until it is stopped, and which is accepted even when
-/// there is no free capacity for it.
+/// A job whose task runs until it is stopped. The job is accepted even when
+/// there is no free capacity for the task.
 JobPlan UnboundedPlan(const std::string& id, int64_t cpu_millis) {
   JobPlan plan = fakes::MakePlan(id, 1, 1, "");
   plan.steps[0].size.cpu_millis = cpu_millis;
@@ -156,7 +156,7 @@
     }
   }
 
-  /// Also reports starts of completed tasks, as test errors and at once.
+  /// Reports starts of completed tasks as well, but directly as test errors.
   void AddViolationsTo(ViolationReport* violation_report,
                        const std::string& context) const {
     violation_report->Add(context, world);
@@ -193,8 +193,8 @@
   }
 }
 
-// The leader is lost 0 to 1.5 s after the worker's entry says that it drains,
-// so before or after the workers' record that names the task is confirmed.
+// The leader is lost 0 to 1.5 s after the worker's entry says that the worker
+// drains. By then the record that names the task may or may not be confirmed.
 BOOST_AUTO_TEST_CASE(
     RecordedTask_LeaderLostAroundRecord_RestartsInTimeAndNothingRunsTwice) {
   ViolationReport violation_report;
@@ -278,9 +278,9 @@
   }
 }
 
-// A worker reports a completion to the leader around the time from which the
-// store no longer answers the leader, which therefore cannot record the
-// completion in most cases. The successor can or cannot reach the worker.
+// The store stops answering the leader. Around that time a worker reports a
+// completion to the leader. In most cases the leader cannot record the
+// completion. The successor can or cannot reach the worker.
 BOOST_AUTO_TEST_CASE(RecordedTask_CompletionNotStored_NotStartedAgain) {
   ViolationReport violation_report;
   ForEachLeaderLoss(
@@ -551,9 +551,9 @@
 BOOST_AUTO_TEST_CASE(
     ThirdLeader_ReadsRecordOfSecond_RestartsInTimeAndNothingRunsTwice) {
   ViolationReport violation_report;
-  // The third leader continues the wait of the second, which is recorded once a
-  // second. The second change of leader adds 4.5 s: up to 3 s without a leader,
-  // and 1.5 s until the third leader starts tasks.
+  // The third leader continues the second leader's wait, which is recorded at
+  // intervals of 1 s. The second change of leader adds 4.5 s: up to 3 s without
+  // a leader, and 1.5 s until the third leader starts tasks.
   constexpr Millis kBothSuccessorsBound = kUnreachableBound + Millis(4500);
   const ReachabilityRow rows[] = {
       {true, true}, {true, false}, {false, true}, {false, false}};
--- a/src/libdoorwood/cell/cell_restarted_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_restarted_leader_test.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Guards against a restarted leader that takes a partial outage of the store
-// for an outage for all instances. The store refuses one instance until the
-// instance's key has expired. After that the leader restarts, so its new
-// process never sees that key. Then the store serves only that instance. All
-// instances whose keys the leader has seen confirm an outage. If the leader
-// relied on them alone, it would keep extending leases while the other instance
-// leads and starts the same tasks. All in virtual time.
+// for an outage for all instances. In the first test the store refuses one
+// instance until the instance's key has expired. Then the leader restarts, so
+// its new process never sees that key. Finally the store serves only the
+// refused instance, and all instances whose keys the leader has seen confirm an
+// outage. A leader that relied on these alone would keep extending leases while
+// the other instance leads and starts the same tasks. All in virtual time.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -39,12 +39,10 @@
   scenario->old_leader = &restarted;
 }
 
-// The instance that becomes leader waits until every lease that it must expect
-// has expired, and then starts the tasks. The restarted leader must not extend
-// leases beyond that. It did so in cell_random_restarts_test, seed 927: it
-// restarted at 1076.9 s, asked only one of six instances whether that instance
-// reaches the store, and extended leases until 1090.9 s, while another instance
-// led from 1082.5 s.
+// Guards against a restarted leader that asks only some instances whether they
+// reach the store, and extends leases while another instance leads
+// (cell_random_restarts_test, seed 927). The other instance waits until every
+// lease that it must expect has expired, and then starts the tasks.
 BOOST_AUTO_TEST_CASE(
     RestartedLeader_StoreServesUnregisteredInstance_NothingRunsTwice) {
   ViolationReport violation_report;
--- a/src/libdoorwood/cell/cell_returning_instance_test.cpp
+++ b/src/libdoorwood/cell/cell_returning_instance_test.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // A leader that the store refuses has an outdated copy of the directory of
-// instances. In the first test the copy no longer lists an instance. In the
-// others an instance announces a planned shutdown and restarts under its name
-// meanwhile, so the copy still lists it as leaving. Guards against a leader
-// that does not ask the instance whether the store is down for all: it would
-// take an outage as confirmed although the instance reaches the store and may
-// lead.
+// instances. In the first test the copy no longer lists an instance that the
+// store serves again. In the others an instance has announced a planned
+// shutdown and then restarted under its name, but the copy still lists the
+// instance as leaving. Guards against a leader that does not ask this instance
+// whether the store is down for all. Such a leader would take an outage as
+// confirmed although the instance reaches the store and may lead.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
--- a/src/libdoorwood/cell/cell_run_number_test.cpp
+++ b/src/libdoorwood/cell/cell_run_number_test.cpp
@@ -69,8 +69,8 @@
 
 // The fourth leader reaches both workers. One reports a run that ended because
 // its lease expired, before the other reports an active run of the same number.
-// Guards against a leader that orders the active run to stop and starts the
-// task again before that order, which is executed late, has ended the run.
+// Guards against a leader that orders the active run to stop, and starts the
+// task again before the run has ended. The stop order is executed late.
 BOOST_AUTO_TEST_CASE(
     FourthLeader_ReceivesBothRunsOfOneNumber_NothingRunsTwice) {
   const std::string task = std::string(kJob) + ".0.0.0";
--- a/src/libdoorwood/cell/cell_stale_record_test.cpp
+++ b/src/libdoorwood/cell/cell_stale_record_test.cpp
@@ -1,11 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Guards against a task that runs twice because the record of the workers is
-// stale. A leader records that nothing runs on a worker. Before the write is
-// confirmed, it removes the worker from its cell, because the worker's
-// directory entry is missing for a while, and adds it again. After the
-// confirmation it starts a task there. A successor that cannot reach the worker
-// relies on the record and starts the task on another worker.
+// stale. The fault occurred as follows:
+// - A leader sent a record that nothing ran on a worker.
+// - Before the write was confirmed, the leader removed the worker, whose
+//   directory entry was missing for a while, from its cell and added it again.
+// - After the confirmation, the leader started a task there.
+// - A successor that could not reach the worker relied on the record, and
+//   started the task on another worker.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -37,14 +39,17 @@
   }
 }
 
-// Removes a worker's directory entry, so that the worker is evacuated.
-// `lost_from` ms after the end of its run, the store's replies to the leader's
-// writes are lost for 0.7 s; if the leader removes the worker from its cell by
-// then, the entry comes back. `unresponsive_from` ms after the 0.7 s, the store
-// becomes unresponsive to the leader. If a run starts on the worker within
-// 1.5 s after the 0.7 s, the leader is killed, the other instances are
-// partitioned from the worker, and another worker is added; returns the number
-// of violated rules. Returns -1 if no run starts there in that time.
+// Removes a worker's directory entry, so that the worker is evacuated and its
+// run ends. After that end:
+// - `lost_from` ms later, the store's replies to the leader's writes are lost
+//   for 0.7 s. If the leader has removed the worker from its cell by the end of
+//   this time, the entry is added again.
+// - `unresponsive_from` ms after the 0.7 s, the store becomes unresponsive to
+//   the leader.
+// - If a run starts on the worker within 1.5 s after the 0.7 s, the leader is
+//   killed, the other instances are partitioned from the worker, and another
+//   worker is added.
+// Returns the number of violated rules; -1 if no run starts there in the 1.5 s.
 int CountViolationsAfterReadmission(int lost_from, int unresponsive_from) {
   CellWorld world(5);
   world.SetTable({fakes::MakeQueue("queue", 4)});
@@ -91,7 +96,7 @@
   return -1;
 }
 
-// Tries many timings, since the fault occurs only if the write is confirmed
+// Tries many timings, since the fault occurred only if the write was confirmed
 // after the worker was added again and before the next start there.
 BOOST_AUTO_TEST_CASE(
     WorkersRecord_WorkerReadmittedBeforeConfirmation_NothingRunsTwice) {
--- a/src/libdoorwood/cell/cell_takeover_wait_test.cpp
+++ b/src/libdoorwood/cell/cell_takeover_wait_test.cpp
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Guards against an unreachable worker, on which nothing can run, that delays
-// all tasks after each takeover: a listed worker that no leader has ever
-// contacted; one that an earlier leader has waited for in full; and, for tasks
-// that have failed, one whose record names other tasks only. With such a worker
-// 11.9 s passed from the loss of a leader until a waiting task was started,
-// without one 2.1 s.
+// Guards against an unreachable worker that delays tasks after a takeover
+// although they cannot run there:
+// - all tasks, if no leader has ever contacted the listed worker;
+// - all tasks, if an earlier leader has waited for the worker in full;
+// - tasks that have failed, if the worker's record names other tasks only.
+// With such a worker, 11.9 s passed from the loss of a leader until a waiting
+// task was started; without one, 2.1 s.
 
 #include <boost/test/unit_test.hpp>
 #include <cstdio>
--- a/src/libdoorwood/cell/cell_three_leaders_test.cpp
+++ b/src/libdoorwood/cell/cell_three_leaders_test.cpp
@@ -3,9 +3,10 @@
 // Three leaders in a row, in virtual time. For a worker that is not yet
 // contacted, the third leader deducts from its wait what the second has waited.
 // Despite the shorter wait, it must not overlook runs that the second leader
-// started on a worker that only the second could reach, or that joined while
-// the second led. A failure that no leader recorded must count as an attempt if
-// the worker reports it to the third leader before the worker's lease expires.
+// started on a worker that only the second could reach, or on one that joined
+// while the second led. A failure that no leader recorded must count as an
+// attempt if the worker reports it to the third leader before the worker's
+// lease expires.
 
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -34,10 +35,10 @@
   return next;
 }
 
-// 0.5 to 11 s after it took the lead, the second leader loses contact with all
-// workers but "old_only", which it reaches only from then on. It may adopt the
-// runs there and start more, and is lost 0.15 to 2.1 s later. The third leader
-// never reaches that worker.
+// 0.5 to 11 s after it took the lead, the second leader begins to reach the
+// worker "old_only" and loses contact with all others. The second leader may
+// adopt the runs on "old_only" and start more. It is lost 0.15 to 2.1 s later.
+// The third leader never reaches "old_only".
 BOOST_AUTO_TEST_CASE(ThirdLeader_OnlySecondReachedWorker_NothingRunsTwice) {
   ViolationReport violation_report;
   for (int not_contacted_ms = 500; not_contacted_ms <= 11'000;
@@ -121,8 +122,8 @@
        second_leads_ms += 500) {
     for (const int recorded : {0, 1}) {
       for (const int partitioned_run : {1, 2}) {
-        // There is no leader for two seconds, which are part of the wait. The
-        // third leader needs one more to take over and to get answers.
+        // Of the wait, 2 s are allowed for the time without a leader, and 1 s
+        // for the third leader to take over and to get answers.
         const bool is_within_wait = second_leads_ms <= 6500;
         if (is_within_wait == within_wait) {
           rows.push_back({recorded, partitioned_run, second_leads_ms, true});
--- a/src/libdoorwood/cell/cell_unresponsive_takeover_test.cpp
+++ b/src/libdoorwood/cell/cell_unresponsive_takeover_test.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Guards against a successor that repeats a whole wait for a worker that was
-// already unresponsive to its predecessor. A worker crashes and stays down; 5 s
-// later the leader is lost. If that leader records the wait only for workers
-// that it never contacted, its successor does not know when the worker's lease
-// was last extended, and waits for a full lease and more. Long-running tasks
-// then run nowhere for up to 20 s although there is free capacity.
+// already unresponsive to its predecessor. Leaders used to record the wait only
+// for workers that they had never contacted. If a worker crashed 5 s before the
+// leader was lost, the successor did not know when a lease there was last
+// extended, and waited for a full lease and more. Long-running tasks then ran
+// nowhere for up to 20 s although there was free capacity.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -73,9 +73,9 @@
   unsigned jobs_made_ = 0;
 };
 
-// Seen with workers lost at 9.8 s and the leader at 16.4 s: "read the records
-// of earlier leaders" at 18.4 s listed the lost workers, and "all runs of
-// earlier leaders are accounted for" came only at 30 s.
+// Guards against a successor that waits for lost workers as if their leases had
+// just been extended. The workers were lost 6.6 s before their leader, but the
+// successor waited for another 11.6 s after it had read the records.
 BOOST_AUTO_TEST_CASE(Successor_WorkerWasUnresponsiveBefore_WaitIsNotRepeated) {
   for (int unresponsive_ms = 4500; unresponsive_ms <= 6000;
        unresponsive_ms += 250) {
@@ -94,9 +94,9 @@
 }
 
 // Tasks are started on the worker until its polls fail, and each start extends
-// a lease. Once the leader has extended none there for 4 s it has recorded
-// that, and its successor waits only for the rest of the lease, not for a
-// predecessor that might still send orders.
+// a lease. Once the leader has extended no lease there for 4 s, the leader
+// records that. Its successor then waits only for the rest of the lease, and
+// not also for the time in which a predecessor might still extend leases.
 BOOST_AUTO_TEST_CASE(Successor_StartsWentToLostWorker_WaitsForLeaseOnly) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     for (int unresponsive_ms = 5500; unresponsive_ms <= 6500;
@@ -203,10 +203,10 @@
 }
 
 // The lease of the runs expires 5.2 s after the worker becomes unresponsive.
-// The runs continue if the worker can be reached again early enough before
-// that: 0.85 s may pass until the next poll, and then up to 27 ms until the
-// record says that the worker answers; no lease is extended before. If the
-// worker is unreachable for more than 4.25 s, the runs may therefore end.
+// Once the worker can be reached again, up to 0.85 s pass until the next poll,
+// and then up to 27 ms until the record says that the worker answers. No lease
+// is extended before that. If the worker is unreachable for more than 4.25 s,
+// the runs may therefore end.
 BOOST_AUTO_TEST_CASE(Worker_ReachableEarlyEnough_RunsContinue) {
   constexpr int kAnswersInTimeMs = 4250;
   for (uint64_t seed = 1; seed <= 30; ++seed) {
--- a/src/libdoorwood/cell/cell_unresponsive_worker_test.cpp
+++ b/src/libdoorwood/cell/cell_unresponsive_worker_test.cpp
@@ -59,9 +59,9 @@
   const std::string task = std::string(kFixtureJob) + ".0.0.0";
 };
 
-// Seen as "start ordered" for a worker after "the run lease of an unresponsive
-// worker has expired" and before "worker responds again": 116 to 814 such
-// starts in each of six test runs with partitioned workers.
+// In each of six test runs with partitioned workers, "start ordered" was logged
+// 116 to 814 times for a worker after "the run lease of an unresponsive worker
+// has expired" and before "worker responds again".
 BOOST_AUTO_TEST_CASE(UnresponsiveWorker_LeaseExpired_GetsNothingNew) {
   UnresponsiveWorkerFixture fixture;
   fixture.world.Run(kLeaseExpiry);
--- a/src/libdoorwood/cell/cell_worker_replacement_test.cpp
+++ b/src/libdoorwood/cell/cell_worker_replacement_test.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Guards against long-running tasks that run nowhere for 9 s and more although
-// other workers have free capacity. Workers are replaced one by one while
-// leaders are shut down or killed. A draining worker reports the end of all its
-// runs, and disappears while no instance leads. The next leader finds it in the
-// workers' record, cannot contact it, and delays all tasks, since it assumes
-// that any of them may run there.
+// Workers are replaced one by one while leaders are shut down or killed. A
+// draining worker reports the end of all its runs, and may disappear while no
+// instance leads. Guards against a next leader that finds this worker in the
+// workers' record, cannot contact it and therefore delays all tasks, as if any
+// of them might run there: long-running tasks then ran nowhere for 9 s and
+// more, although other workers had free capacity.
 
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -55,10 +55,10 @@
     world_.Run(kStep * static_cast<int>(20 + seed));
   }
 
-  /// Replaces a worker and submits a short job every 0.7 s, and calls `change`,
-  /// which makes another instance lead, once every `interval`. The time that
-  /// passes within submissions and `change` counts neither towards these
-  /// intervals nor towards the downtimes.
+  /// Every 0.7 s, replaces a worker and, if an instance leads, submits a short
+  /// job. Every `interval`, calls `change`, which makes another instance lead.
+  /// The time that passes within submissions and `change` counts neither
+  /// towards these intervals nor towards the downtimes.
   template <typename Change>
   void Run(Millis interval, Change change) {
     Millis next_replaced = kReplacementInterval;
@@ -191,12 +191,10 @@
 }
 
 // Guards against a successor that delays all tasks until the longest lease that
-// any predecessor may have granted has expired: 9.6 s with these options. Seen
-// where runs continue for longer after their leader's loss, so that this time
-// is 12.2 s: the successor logged "waiting for workers whose runs are not yet
-// accounted for" (two workers, 650 tasks held back), and 12.2 s later "all runs
-// of earlier leaders are accounted for" with all_heard false; then it started
-// all waiting tasks.
+// any predecessor may have granted has expired: 9.6 s with these options. With
+// options under which runs continued for longer after their leader's loss, the
+// successor held back 650 tasks for 12.2 s because it could not contact two
+// workers.
 BOOST_AUTO_TEST_CASE(LongRunningTasks_LeadersShutDownInTurn_RestartInTime) {
   for (const int interval : {2000, 3100, 5300, 9700}) {
     RunAndCheckAllSeeds(Millis(interval), ShutDownAndReplaceLeader);
--- a/src/libdoorwood/cell/cell_workers_record_test.cpp
+++ b/src/libdoorwood/cell/cell_workers_record_test.cpp
@@ -148,8 +148,8 @@
   }
 }
 
-// A store key has 200 bytes at most, so a task's name, which begins with its
-// job's name, is shorter. The names here exceed the default of
+// Each name here has 200 bytes, the maximum length of a store key; names of
+// real tasks are shorter. Together the names exceed the default of
 // `CellOptions::max_name_bytes`.
 BOOST_AUTO_TEST_CASE(Workers_ManyLongNames_FitIntoAStoreValue) {
   constexpr size_t kLongName = 200;
--- a/src/libdoorwood/cell/worker_lease_clock_test.cpp
+++ b/src/libdoorwood/cell/worker_lease_clock_test.cpp
@@ -19,9 +19,9 @@
 namespace doorwood {
 namespace {
 
-// By how much a lease may exceed `run_lease` on the worker's clock: at most by
-// the margin (`kLastOrderMargin` in cell_takeover.cpp) that a successor adds to
-// its wait, on the successor's clock.
+// By how much a lease may exceed `run_lease`, on the worker's clock. A
+// successor adds the same margin to its wait, on the successor's clock
+// (`kLastOrderMargin` in cell_takeover.cpp).
 constexpr int64_t kMaxLeaseExcessMillis = 500;
 
 class SlowClockWorkers : public RunWorkerClient {
--- a/src/libdoorwood/cell/worker_session_test.cpp
+++ b/src/libdoorwood/cell/worker_session_test.cpp
@@ -292,8 +292,8 @@
 }
 
 // The start order was delivered twice because its connection broke. The first
-// copy ran and ended before the second arrived, which the worker refused as too
-// old.
+// copy began the run, which ended before the second copy arrived. The worker
+// refused the second copy as too old.
 BOOST_FIXTURE_TEST_CASE(Start_RefusedAsOldAfterItRan_ReportedEndCounts,
                         ManualFixture) {
   manual.starts.at(0)(RunErrc::kStaleRun, 1000);
@@ -313,8 +313,8 @@
   time.Run(Millis(10));
   manual.polls.back()({}, ReportOf({}));
   time.Run(Millis(10));
-  // This poll was sent no later than the answer to the start order arrived, so
-  // its report does not prove that the run is absent.
+  // This poll was not sent after the refusal of the start arrived, so its
+  // report does not prove that the run is absent.
   BOOST_TEST(ends.empty());
   manual.polls.back()({}, ReportOf({}));
   time.Run(Millis(10));
