--- a/src/include/doorwood/cell_policy.h
+++ b/src/include/doorwood/cell_policy.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Scheduling decisions of a cell's leader as pure functions: the order of
-/// steps, the choice of a worker for a task, the limits on best-effort work
-/// beside serving tasks, and the quarantine of failing workers. Equal inputs
-/// always give equal decisions.
+/// Scheduling decisions of a cell's leader: the order of steps, the choice of a
+/// worker for a task, the limits on best-effort work beside serving tasks, and
+/// the quarantine of failing workers. This code makes no calls and reads no
+/// clock, so equal inputs in the same order always give equal decisions.
 
 #ifndef DOORWOOD_CELL_POLICY_H_
 #define DOORWOOD_CELL_POLICY_H_
@@ -38,9 +38,10 @@
   int quarantine_failures = 3;
   Millis failure_window{6000};
   Millis quarantine_period{4000};
-  /// After its quarantine a worker gets one start per interval until a run
-  /// succeeds there, or until a start comes more than `failure_window` after
-  /// the end of the quarantine or of the last interval.
+  /// After its quarantine a worker gets at most one start per interval, apart
+  /// from starts of one gang. This limit ends when a run succeeds there. It
+  /// also ends with a start that comes more than `failure_window` after the end
+  /// of the last interval, or of the quarantine if there was no start since.
   Millis probe_interval{1000};
   /// Best-effort work is placed beside serving tasks, or sped up, only where
   /// their tail latency is then expected to be at most this share of its
@@ -201,15 +202,15 @@
 
 /// By how much the worst-off serving task of a worker would exceed its allowed
 /// utilization if best-effort work of `image` using `cores` were added.
-/// Negative values are headroom; at least -1, also if there are no serving
-/// tasks.
+/// Negative values are headroom. The result is at least -1; it is -1 if there
+/// are no serving tasks.
 double ExcessUtilization(const CandidateWorker& worker,
                          ImageId image,
                          double cores,
                          const InterferenceModel& model);
 
-/// Quarantines workers on which everything fails, as distinct from jobs that
-/// fail on every worker.
+/// Quarantines workers on which runs of several jobs fail. A single job that
+/// fails on every worker does not cause a quarantine.
 class WorkerQuarantine {
  public:
   explicit WorkerQuarantine(const PolicyOptions& options) : options_(options) {}
@@ -225,8 +226,9 @@
   struct Record {
     /// Last failure of each job on the worker.
     std::map<std::string, Instant, std::less<>> failures;
-    /// End of the quarantine, or of the probe interval after the last start
-    /// since; zero: not quarantined since the last success.
+    /// End of the quarantine or, if the worker got a start after the
+    /// quarantine, of the probe interval after the last such start; zero: not
+    /// quarantined since the last success.
     Instant quarantined_until{};
   };
 
--- a/src/include/doorwood/crash_policy.h
+++ b/src/include/doorwood/crash_policy.h
@@ -4,8 +4,8 @@
 /// Handling of tasks that crash their workers: which runs are suspected after a
 /// crash, when a task is given up, and which workers are reserved for trials.
 /// In a trial, a suspect starts on a worker on which no other run is new,
-/// except runs of its gang, and which gets no other work until the trial passes
-/// or ends. Pure decisions; the caller passes the time.
+/// except runs of its gang. That worker gets no other work until the trial
+/// passes or ends. Pure decisions; the caller passes the time.
 
 #ifndef DOORWOOD_CRASH_POLICY_H_
 #define DOORWOOD_CRASH_POLICY_H_
@@ -33,7 +33,8 @@
   /// for this long, the crash notes of its task are removed.
   Millis unrelated_after{10'000};
   /// A trial lasts twice as long as the longest time for which the suspect was
-  /// observed running before a crash, within these bounds: a faulty task
+  /// observed running before a crash, within these bounds. Of the time before a
+  /// mass crash, at most `unsuspected_after` counts. A faulty task
   /// crashes its workers at about the same age each time.
   Millis min_trial{1000};
   Millis max_trial{4000};
@@ -98,12 +99,14 @@
 
 std::string_view ToString(CrashVerdict verdict);
 
-/// A task is given up after crashes in trials on different machines: two with a
-/// confirmed process restart, or three whose worker restarted or vanished. It
-/// is also given up after five crashes or possible crashes as a suspect, if at
-/// least two of them are confirmed. Mass crashes do not count towards these
-/// limits. A task that is not given up is a suspect if it was one in any crash,
-/// or a bystander in more than one crash outside of mass crashes.
+/// A task is given up in each of these cases:
+/// - In its trials, workers on two machines crashed with a confirmed restart.
+/// - In its trials, workers on three machines restarted or vanished.
+/// - The task was a suspect in five crashes or possible crashes, and at least
+///   two of them are confirmed restarts.
+/// Mass crashes do not count in these cases. A task that is not given up is a
+/// suspect if it was a suspect in any crash, or a bystander in more than one
+/// crash outside of mass crashes.
 CrashVerdict AssessCrashes(std::span<const CrashNote> crashes);
 
 /// Whether a worker was observed to crash during a trial of the task. Such a
@@ -133,7 +136,7 @@
   explicit MassCrashDetector(const CrashOptions& options) : options_(options) {}
 
   /// Records a crash outside of trials. Calls must be in order of time;
-  /// IsMassCrash then returns whether the newest one belongs to a mass crash.
+  /// IsMassCrash then returns whether the newest crash belongs to a mass crash.
   void Add(Crash crash);
   bool IsMassCrash() const {
     return crashes_.size() >= options_.mass_crash_size;
--- a/src/include/doorwood/interference.h
+++ b/src/include/doorwood/interference.h
@@ -4,9 +4,9 @@
 /// Model of the effect of best-effort work on the serving tasks beside it. It
 /// is learned for each pair of images from delayed, noisy latency reports.
 ///
-/// The tail latency T of a serving task is modelled as that of a queue: B / (1
-/// - x), where B is its lowest tail latency and x its utilization, from 0
-/// (idle) to 1 (saturated). Best-effort work adds to the utilization in
+/// The tail latency of a serving task is modelled as that of a queue, by
+/// B / (1 - x): B is the task's lowest tail latency and x its utilization, from
+/// 0 (idle) to 1 (saturated). Best-effort work adds to the utilization in
 /// proportion to the cores it uses. The factor of each pair of images is fitted
 /// by normalized least mean squares as reports arrive. Each serving task also
 /// has a load of its own that drifts over seconds. Each report corrects the
@@ -29,7 +29,7 @@
 
 struct InterferenceOptions {
   /// Utilization assumed per core of best-effort work before there are reports.
-  /// On a simulated day the median pair added 0.01 to 0.03.
+  /// On one simulated day, typical pairs added 0.01 to 0.03.
   double default_interference = 0.025;
   /// Largest share of an error that one report corrects in the factors; the
   /// share is smaller where little best-effort work runs. The factor of a pair
@@ -54,8 +54,8 @@
   /// work beside it.
   double load_learning_rate = 0.3;
   double load_learning_rate_alone = 0.6;
-  /// Utilization assumed for a task without a report, and at least assumed for
-  /// a new task.
+  /// Utilization assumed for a task without a report. For a new task, at least
+  /// this utilization is assumed.
   double initial_load = 0.45;
 };
 
--- a/src/include/doorwood/long_running_admission.h
+++ b/src/include/doorwood/long_running_admission.h
@@ -8,10 +8,9 @@
 /// No fixed share of the processors suits all workloads: for the same requests
 /// in different mixes, the total value for callers was highest at a share of
 /// 0.8 in one case and 0.5 in another (docs/design/shifted-work.md). Admission
-/// therefore starts with a conservative share. It raises the share while the
-/// peak use of other work is low, once such work was first observed
-/// `observation_time` ago, and admits nothing while other work needs the
-/// capacity.
+/// therefore starts with a conservative share. Once other work was first
+/// observed `observation_time` ago, the share is raised while the peak use of
+/// other work is low. Nothing is admitted while other work needs the capacity.
 
 #ifndef DOORWOOD_LONG_RUNNING_ADMISSION_H_
 #define DOORWOOD_LONG_RUNNING_ADMISSION_H_
@@ -39,8 +38,8 @@
   /// other work was first observed `observation_time` ago.
   double low_use = 0.65;
   /// How long ago other work must first have been observed before a low use
-  /// counts as evidence: nearly two periods of the observed daily load swings
-  /// (11 s).
+  /// counts as evidence: nearly two periods of the load swings that were
+  /// observed on simulated days (11 s each).
   Millis observation_time{20'000};
   /// Other work counts as present above this use.
   double min_present_use = 0.1;
@@ -76,7 +75,7 @@
   /// decays to the current use.
   double peak_use() const { return peak_use_; }
   /// Whether other work was first observed at least `observation_time` ago.
-  bool HasObservedLoad(Instant now) const;
+  bool IsObservationTimeOver(Instant now) const;
 
  private:
   const LongRunningAdmissionOptions options_;
--- a/src/include/doorwood/pacing.h
+++ b/src/include/doorwood/pacing.h
@@ -60,10 +60,10 @@
     const PolicyOptions& options);
 
 /// Processors to be counted for a best-effort task in addition to those in the
-/// newest report: all of them for a `fresh` task, whose load that report does
-/// not cover yet, and otherwise those that its pace withholds. Withheld
-/// processors stay reserved for the slowed task: they count as used when newer
-/// work is placed.
+/// newest report. For a `fresh` task, whose load that report does not cover
+/// yet, these are all of its processors. For other tasks, these are the
+/// processors that the pace withholds. Withheld processors stay reserved for
+/// the slowed task: they count as used when newer work is placed.
 double PendingCores(double full_cores, bool fresh, int pace);
 
 }  // namespace doorwood
--- a/src/include/doorwood/place_search.h
+++ b/src/include/doorwood/place_search.h
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Search for workers for the tasks of one step. It avoids evaluating every
-/// worker for every task, and does not evaluate a worker again in the next pass
-/// if it has not changed.
+/// Search for workers for the tasks of one step, without evaluating every
+/// worker for every task. If a task found no worker, a task of the same
+/// kind that is at least as large need later be tried only on workers that have
+/// changed since (see FailedPlacements).
 
 #ifndef DOORWOOD_PLACE_SEARCH_H_
 #define DOORWOOD_PLACE_SEARCH_H_
@@ -24,10 +25,12 @@
 /// Number of workers that cannot take a task, by reason.
 using ProblemCounts = std::map<PlaceProblem, int>;
 
-/// The workers as candidates for the tasks of one step. A worker is evaluated
-/// once, and again only after a task was placed there: according to a profile,
-/// a leader of 490 workers spent half of its processor time on evaluating each
-/// worker for each task.
+/// The workers as candidates for the tasks of one step. Keeps the result of
+/// each evaluation, so that the caller need not evaluate every worker for every
+/// task of the step. The caller evaluates a worker again after the worker has
+/// changed, for example because a task was placed there. According to a
+/// profile, a leader of 490 workers spent half of its processor time on
+/// evaluating each worker for each task.
 class StepCandidates {
  public:
   /// All of `workers` count as unchanged, and therefore unsuitable, until they
@@ -66,15 +69,17 @@
   /// The newest pass in which a task of the same kind, no larger than `step`'s,
   /// found no worker of `service`; 0: none.
   uint64_t LastFailedPass(const StepPlan& step, std::string_view service) const;
-  /// Records that `step` found no worker in `pass`. Ignored if constraints
-  /// other than the step's size and kind may have ruled out workers.
+  /// Records that a task of `step` found no worker in `pass`. Records nothing
+  /// if constraints other than the step's size and kind may have ruled out
+  /// workers.
   void Add(const StepPlan& step, std::string_view service, uint64_t pass);
 
  private:
   struct Entry {
     std::string service;
     bool best_effort = false;
-    /// Set for best-effort work, whose placement depends on its interference.
+    /// Compared only for best-effort work, whose placement depends on its
+    /// interference.
     std::string image;
     Resources size;
     uint64_t pass = 0;
--- a/src/libdoorwood/cell/cell_calls.cpp
+++ b/src/libdoorwood/cell/cell_calls.cpp
@@ -80,7 +80,7 @@
               {"lasting_cpu", reserved},
               {"capacity_cpu", capacity},
               {"use", admission.peak_use()},
-              {"proved", admission.HasObservedLoad(now)}});
+              {"proved", admission.IsObservationTimeOver(now)}});
   return false;
 }
 
--- a/src/libdoorwood/policy/cell_policy.cpp
+++ b/src/libdoorwood/policy/cell_policy.cpp
@@ -258,8 +258,8 @@
     return;
   }
   // The quarantine, or the probe interval after the last start, ended more than
-  // a failure window ago and was not renewed, so the worker counts as healthy
-  // again.
+  // a failure window ago, and no new quarantine began. The worker counts as
+  // healthy again.
   if (now > found->second.quarantined_until + options_.failure_window) {
     records_.erase(found);
     return;
--- a/src/libdoorwood/policy/cell_policy_test.cpp
+++ b/src/libdoorwood/policy/cell_policy_test.cpp
@@ -110,7 +110,7 @@
   BOOST_TEST(PlaceScore(step, need, other, model) < alone);
 }
 
-BOOST_AUTO_TEST_CASE(RankStep_Later_RanksLower) {
+BOOST_AUTO_TEST_CASE(RankStep_Later_IsLessUrgent) {
   JobPlan plan = fakes::MakePlan(kId, 2, 1, "");
   const std::vector<Millis> run_times{Millis(300), Millis(300)};
   Queue queue = fakes::MakeQueue("queue", 3);
@@ -129,12 +129,12 @@
   BOOST_TEST(rank(6001, false) == 3);
 }
 
-// Two equal jobs that are both on time; one has finished its first step and is
-// ranked first. With more work than capacity, ordering by remaining work lets
-// some jobs finish in time: ten of twenty equal jobs where capacity suffices
-// for ten. Ordering by latest start advances all of them together, and all are
+// Two equal jobs are on time. One has finished its first step and is ranked
+// first. Suppose that there are twenty equal jobs and that the capacity
+// suffices for ten. If the jobs are ordered by remaining work, ten finish in
+// time. If they are ordered by latest start, all advance together, and all are
 // late.
-BOOST_AUTO_TEST_CASE(RankStep_MoreThanCapacity_LeastWorkLeftGoesFirst) {
+BOOST_AUTO_TEST_CASE(RankStep_BothOnTime_LeastWorkLeftGoesFirst) {
   JobPlan plan = fakes::MakePlan(kId, 2, 10, "");
   const std::vector<Millis> run_times{Millis(300), Millis(300)};
   const Queue queue = fakes::MakeQueue("queue", 3);
@@ -188,9 +188,9 @@
   BOOST_TEST(quarantine.AllowsStart("w", start));
   quarantine.OnFailure("w", "c", start);
   BOOST_TEST(!quarantine.AllowsStart("w", start + Millis(3999)));
-  // The quarantine must end without a success, which a worker with only
-  // long-running tasks never reports: in day scale-1 of site kgs such a worker
-  // stayed quarantined permanently.
+  // Guards against a quarantine that only a success ends: a worker with only
+  // long-running tasks never reports a success. In a simulation (day scale-1 of
+  // site kgs) such a worker stayed quarantined permanently.
   const Instant reopened = start + Millis(4000);
   BOOST_TEST(quarantine.AllowsStart("w", reopened));
   quarantine.OnStart("w", reopened);
--- a/src/libdoorwood/policy/crash_policy.cpp
+++ b/src/libdoorwood/policy/crash_policy.cpp
@@ -9,8 +9,8 @@
 namespace doorwood {
 namespace {
 
-// A task is given up once this many different machines crashed in its trials:
-// with a confirmed process restart, and in total.
+// A task is given up once workers on this many different machines crashed in
+// its trials: with a confirmed process restart, and in total.
 constexpr size_t kConfirmedTrialCrashesToGiveUp = 2;
 constexpr size_t kTrialCrashesToGiveUp = 3;
 // A task is given up after this many crashes or possible crashes as a suspect,
--- a/src/libdoorwood/policy/crash_policy_test.cpp
+++ b/src/libdoorwood/policy/crash_policy_test.cpp
@@ -37,7 +37,7 @@
           true, false,   true};
 }
 
-BOOST_AUTO_TEST_CASE(AssessCrashes_Notes_GiveUpOnlyOnProof) {
+BOOST_AUTO_TEST_CASE(AssessCrashes_Notes_GiveUpOnlyAtLimits) {
   using enum CrashVerdict;
   const struct {
     const char* name;
@@ -85,7 +85,7 @@
         VanishedInTrial(3, "c")},
        kGivenUp,
        true},
-      {"unconfirmed crashes prove nothing",
+      {"unconfirmed crashes with only one confirmed",
        {CrashInTrial(1, "a"), UnconfirmedCrash(2), UnconfirmedCrash(3),
         UnconfirmedCrash(4), UnconfirmedCrash(5)},
        kSuspect,
@@ -151,7 +151,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(TrialDuration_CrashesAtAnAge_IsTwiceTheLongest) {
+BOOST_AUTO_TEST_CASE(TrialDuration_LongestObservedTime_IsDoubledWithinBounds) {
   CrashNote crash = CrashOutsideTrial(1, "a");
   const auto trial = [&](int observed_ms, bool mass_crash) {
     crash.observed_running = Millis(observed_ms);
--- a/src/libdoorwood/policy/long_running_admission.cpp
+++ b/src/libdoorwood/policy/long_running_admission.cpp
@@ -22,7 +22,7 @@
   }
 }
 
-bool LongRunningAdmission::HasObservedLoad(Instant now) const {
+bool LongRunningAdmission::IsObservationTimeOver(Instant now) const {
   return present_since_ != Instant{} &&
          now - present_since_ >= options_.observation_time;
 }
@@ -40,7 +40,7 @@
     return false;
   }
   const bool has_free_capacity =
-      HasObservedLoad(now) && peak_use_ <= options_.low_use;
+      IsObservationTimeOver(now) && peak_use_ <= options_.low_use;
   return share <=
          (has_free_capacity ? options_.raised_share : options_.initial_share);
 }
--- a/src/libdoorwood/policy/long_running_admission_test.cpp
+++ b/src/libdoorwood/policy/long_running_admission_test.cpp
@@ -69,9 +69,10 @@
   BOOST_TEST(Share() == 80);
 }
 
-// Load of a deployment that is full even under light load: other work used 0.77
-// of the capacity that a share of 0.6 left, and requested 1.68 of the capacity
-// that a share of 0.8 left.
+// Guards against a raised share in a deployment without spare capacity. In one
+// such deployment, other work used 0.77 of the rest when long-running work
+// could reserve a share of 0.6. Other work requested 1.68 times the rest when
+// long-running work could reserve a share of 0.8.
 BOOST_FIXTURE_TEST_CASE(Allows_RisingLoad_KeepsInitialShareThenAdmitsNone,
                         AdmissionFixture) {
   for (const double use : {0.25, 0.31, 0.54, 0.77, 0.78, 0.87}) {
--- a/src/libdoorwood/policy/pacing.cpp
+++ b/src/libdoorwood/policy/pacing.cpp
@@ -147,10 +147,10 @@
 }
 
 // A paused task does not disturb others at the moment, but its processors are
-// not free: newer work on the same worker kept it waiting for up to 20 s.
-// Counting its processors raised the share of the callers' work that was served
-// by 0.008, 0.018 and 0.019 on three simulated days, run once each, with the
-// load of docs/design/shifted-work.md.
+// not free. When they counted as free, newer work on the same worker kept the
+// task waiting for up to 20 s. With these processors counted, the served share
+// of the callers' work rose by 0.008, 0.018 and 0.019 on three simulated days,
+// run once each, with the load of docs/design/shifted-work.md.
 double PendingCores(double full_cores, bool fresh, int pace) {
   return fresh ? full_cores : full_cores * (kFullPace - pace) / kFullPace;
 }
--- a/src/libdoorwood/policy/pacing_test.cpp
+++ b/src/libdoorwood/policy/pacing_test.cpp
@@ -9,7 +9,8 @@
 
 constexpr Millis kTarget{150};
 
-// The model learns that heavy work adds 0.06 per core and light work 0.005.
+// The model gets reports as if heavy work added 0.06 per core and light work
+// 0.005.
 struct PacingFixture {
   PacingFixture() {
     model.Observe(serving, 30, kTarget, {}, -1);
@@ -64,8 +65,9 @@
   }
 }
 
-// The last latency of the task that was over its target for long is only 0.8 of
-// the target. The other task, at 0.93, would only slow down the heavy work.
+// The first task was over its target for long, but its last latency is only 0.8
+// of the target. The second task is at 0.93 of its target; on its own it would
+// only cause the heavy work to be slowed down.
 BOOST_FIXTURE_TEST_CASE(DecidePaces_OverTargetForLong_StopsAll, PacingFixture) {
   const std::vector<PacedServingTask> tasks{
       {serving, 120, kTarget, options.max_over_target_time},
