--- a/src/libdoorwood/pool/upkeep_wave_controller_test.cpp
+++ b/src/libdoorwood/pool/upkeep_wave_controller_test.cpp
@@ -91,7 +91,7 @@
   BOOST_TEST((world.StateOf(kJob) == JobPhase::kCompleted));
 }
 
-BOOST_FIXTURE_TEST_CASE(Wave_LongRunningMayMissOne_OneIsStoppedAtATime,
+BOOST_FIXTURE_TEST_CASE(Wave_OneTaskMayBeUnavailable_OneIsStoppedAtATime,
                         WaveFixture) {
   SubmitLongRunning(3, 1);
   RequestWave(3);
@@ -113,7 +113,7 @@
   BOOST_TEST(Status() == "completed");
 }
 
-BOOST_FIXTURE_TEST_CASE(Wave_LongRunningMayMissNone_StaysAndWaveContinues,
+BOOST_FIXTURE_TEST_CASE(Wave_NoTaskMayBeUnavailable_TaskStaysAndWaveContinues,
                         WaveFixture) {
   SubmitLongRunning(1, 0);
   RequestWave(2);
