--- a/src/include/doorwood/job_plan.h
+++ b/src/include/doorwood/job_plan.h
@@ -18,8 +18,9 @@
 
 namespace doorwood {
 
-/// Limits on a plan, so that a single job cannot exhaust an instance's memory.
-/// `kMaxTasksPerJob` counts the tasks of one repetition.
+/// Limits on a plan. `kMaxTasksPerJob` counts the tasks of one repetition. The
+/// product of tasks and repetitions is not limited, although the tasks of all
+/// repetitions are held in memory.
 constexpr int kMaxTasksPerJob = 20'000;
 constexpr int kMaxStepsPerJob = 200;
 constexpr int kMaxRepetitionsPerJob = 10'000;
--- a/src/include/doorwood/job_table.h
+++ b/src/include/doorwood/job_table.h
@@ -33,12 +33,12 @@
   /// shutdown, or another incarnation answered after a shutdown had been
   /// announced.
   kVanished,
-  /// Whether the worker crashed is not known yet: it became unresponsive when
-  /// the run was new, or an earlier leader may have started the task after it
-  /// recorded the last crash.
+  /// Whether the worker crashed is not known yet: the worker became
+  /// unresponsive when the run was new, or an earlier leader may have started
+  /// the task after that leader recorded the last crash.
   kUnconfirmed,
   /// A trial of the run is in progress or about to start; this leader knows of
-  /// no crash. A successor reads it as kUnconfirmed.
+  /// no crash. A successor reads this value as kUnconfirmed.
   kTrial,
 };
 
@@ -53,7 +53,7 @@
   /// The run was a suspect, not a bystander; see CrashRole.
   bool suspect = false;
   /// The run was in a trial on the worker (see `CrashTrials`). For a kTrial
-  /// note: it is in one or is about to be.
+  /// note: the run is in a trial or is about to be.
   bool in_trial = false;
   /// Many workers crashed at about the same time.
   bool mass_crash = false;
@@ -85,11 +85,12 @@
   bool done = false;
   /// Highest run number assigned or reported.
   uint32_t last_run = 0;
-  /// Highest run whose end was applied, also if it was given up; adopting a run
-  /// lowers it below that run. A later report of the end of this or a lower run
-  /// counts only if the run completed the task, or failed and is not in
-  /// `failed_runs` yet. The checkpoint in such a report is kept only if it is
-  /// of this run and the task is not placed.
+  /// Highest run whose end was applied, even if the run was given up without a
+  /// report. Adopting a run lowers this number below that run. A later report
+  /// of the end of this run or a lower one counts only if that run completed
+  /// the task, or failed and is not in `failed_runs` yet. The checkpoint in
+  /// such a report is kept only if the report is of this run and the task is
+  /// not placed.
   uint32_t counted_run = 0;
   /// Runs that failed, each once, in the order of their reports: after a
   /// takeover the end of an earlier run may be reported later. For a gang, the
@@ -102,8 +103,8 @@
 
   /// For a long-running task: the only worker on which a run of it may be
   /// active; empty: none. Unless all other instances agree to unrecorded
-  /// starts, it is recorded before the task is ordered there, so that a
-  /// successor need not consider other workers.
+  /// starts, the assigned worker is recorded before the task is ordered there.
+  /// A successor then need not consider other workers.
   std::string assigned_worker;
   AssignmentRecord assignment_record = AssignmentRecord::kRecorded;
 
--- a/src/libdoorwood/job/job_plan_test.cpp
+++ b/src/libdoorwood/job/job_plan_test.cpp
@@ -37,7 +37,7 @@
        "most_per_worker"},
       {"times without interval", [](JobPlan* p) { p->repeat_count = 2; },
        "interval"},
-      {"lasting and timed",
+      {"lasting and repeated",
        [](JobPlan* p) {
          p->repeat_count = 1;
          p->steps[0].long_running = true;
--- a/src/libdoorwood/job/job_table.cpp
+++ b/src/libdoorwood/job/job_table.cpp
@@ -282,8 +282,8 @@
   }
   const bool given_up = run <= task->counted_run;
   task->counted_run = std::max(task->counted_run, run);
-  // A run that was given up without a report also completes the task: its
-  // worker completed it within its lease, so the result is valid even if
+  // A run that was given up without a report also completes the task: the
+  // worker completed the run within the lease, so the result is valid even if
   // further runs were ordered since. Without this rule 3,400 to 4,681 tasks
   // were started again within 80 s of an overload with unreachable workers
   // (five simulated runs, counted in the leader's log).
--- a/src/libdoorwood/job/job_table_test.cpp
+++ b/src/libdoorwood/job/job_table_test.cpp
@@ -40,9 +40,10 @@
        false,
        3,
        JobOutcome::kFailed},
-      // A new leader gets the workers' reports in any order. In day trouble-1
-      // of site kgs (seed 134162069050) a task was started again after three
-      // failed runs.
+      // Guards against not counting failures that are reported out of order:
+      // a new leader gets the workers' reports in any order. In a simulation
+      // (day trouble-1 of site kgs, seed 134162069050) a task was therefore
+      // started again after three failed runs.
       {"attempts used up, reported in reverse order",
        {{3, RunEnd::kFailed}, {2, RunEnd::kFailed}, {1, RunEnd::kFailed}},
        false,
@@ -118,8 +119,8 @@
   const char* checkpoint;
 };
 
-// A run that was given up continued until its lease expired; what it saved
-// meanwhile is reported with its end.
+// A run that was given up may continue until its lease expires. A checkpoint
+// that it saves meanwhile is reported with the end of the run.
 BOOST_AUTO_TEST_CASE(ApplyRunEnd_CheckpointOfRunGivenUp_IsKeptIfNoLaterRun) {
   const CheckpointRow rows[] = {
       {"no later run", {1}, false, "later"},
