--- a/src/include/doorwood/shard_log.h
+++ b/src/include/doorwood/shard_log.h
@@ -67,7 +67,10 @@
 
   /// Releases the shard once all queued records are written. On failure the
   /// shard stays owned and open. Also succeeds if the log is not open or if
-  /// another owner takes over before the release.
+  /// another owner takes over before the release. `done` is not called as long
+  /// as the writes of queued records fail. If such a failure drops the last
+  /// queued records, `done` is called only once a later append is written or
+  /// another owner takes over.
   void Close(Done done);
 
   /// Reads the head; if its epoch is newer than this owner's, the log is
--- a/src/include/doorwood/shard_owner.h
+++ b/src/include/doorwood/shard_owner.h
@@ -84,8 +84,8 @@
   /// False until the platform's list has been received. Until then, absence
   /// from `PossibleHolders` and `Workers` proves nothing.
   virtual bool IsViewComplete() const = 0;
-  /// Workers of the data centre that a platform list received within the last
-  /// `MembershipOptions::worker_retention` contained.
+  /// Workers of the data centre that were in a platform list received within
+  /// the last `MembershipOptions::worker_retention`.
   virtual std::vector<std::string> Workers() const = 0;
   virtual void CallInstance(const std::string& instance,
                             PeerRequest request,
@@ -132,8 +132,9 @@
   /// Takes over the shard; see ShardLog::Open. On success the first census
   /// starts.
   void Open(Done done);
-  /// Releases the shard in a planned shutdown; see ShardLog::Close. On failure
-  /// this owner continues as before.
+  /// Releases the shard, in a planned shutdown or because it is now assigned to
+  /// another instance; see ShardLog::Close. On failure this owner continues as
+  /// before.
   void Close(Done done);
   /// See ShardLog::VerifyOwnership.
   void VerifyOwnership(Done done) { log_->VerifyOwnership(std::move(done)); }
--- a/src/libdoorwood/owner/shard_census.cpp
+++ b/src/libdoorwood/owner/shard_census.cpp
@@ -171,8 +171,8 @@
   const bool may_have_run = state.intent || task.attempt.counter != 0;
   if (!may_have_run) {
     Requeue(task, Millis(0),
-            "queued again; no instance reported an attempt of the task that "
-            "runs or whose end is not logged yet");
+            "queued again; no instance reported a running attempt of the task, "
+            "or an attempt whose end is not logged yet");
     return true;
   }
   ++counters_.resolved_lost;
