--- a/src/include/doorwood/holder.h
+++ b/src/include/doorwood/holder.h
@@ -28,6 +28,8 @@
   /// Lifetime of a control lease, as granted by the workers.
   Millis control_lease{3000};
   /// How long a worker keeps tasks running after the last renewal it received.
+  /// Not read by `WorkerHolder`, but by the tests' `FakeWorkers`; `HttpWorkers`
+  /// gets the same setting as `HttpWorkersOptions::task_lease`.
   Millis task_lease{10000};
   Millis renew_interval{1300};
   /// Delay before a failed acquisition or renewal is retried.
--- a/src/include/doorwood/peer.h
+++ b/src/include/doorwood/peer.h
@@ -68,6 +68,9 @@
 struct PlaceReply {
   bool placed = false;
   std::string worker;
+  /// Why the attempt was not placed. Starts with `never: ` if the task could
+  /// not run on any worker that the holder has acquired, even if the worker
+  /// were empty.
   std::string reason;
 };
 
@@ -149,6 +152,8 @@
 
 /// Requests the configuration in force at the receiver.
 struct ConfigFetch {
+  /// Revision in force at the sender. The receiver answers with its
+  /// configuration whatever the value is.
   uint64_t newer_than = 0;
 };
 
--- a/src/libdoorwood/holder/holder.cpp
+++ b/src/libdoorwood/holder/holder.cpp
@@ -146,6 +146,10 @@
   RenewAndSendOrders(held);
 }
 
+// Drops all pending orders. Stops that were ordered before are forgotten and
+// are ordered again where still needed: OnAcquired repeats the evictions from a
+// leaving or drained worker, the owner of an attempt repeats its stop after its
+// next census, and a service that still needs capacity causes new evictions.
 void WorkerHolder::ApplyInventory(HeldWorker& held,
                                   const WorkerInventory& inventory) {
   const std::map<AttemptKey, Attempt> before = std::move(held.attempts);
--- a/src/libdoorwood/holder/placement.cpp
+++ b/src/libdoorwood/holder/placement.cpp
@@ -65,7 +65,7 @@
                        });
   }
 
-  bool HasFreeCapacity(const TaskSpec& spec, const WorkerView& worker) const {
+  bool IsOpenAndFits(const TaskSpec& spec, const WorkerView& worker) const {
     return worker.open && Fits(spec.size, worker.free);
   }
 
@@ -75,7 +75,7 @@
   }
 
   bool CanStart(const TaskSpec& spec, const WorkerView& worker) {
-    return HasFreeCapacity(spec, worker) && SelectorsAllow(spec, worker);
+    return IsOpenAndFits(spec, worker) && SelectorsAllow(spec, worker);
   }
 
  private:
@@ -109,13 +109,12 @@
     return decision;
   }
   decision.impossible = true;
-  decision.reason =
-      selectable
-          ? "larger than any worker of this holder that it may use: needs " +
-                ResourcesToString(spec.size)
-          : "the labels of no worker of this holder match the task's `on` "
-            "selector '" +
-                spec.on + "'";
+  decision.reason = selectable ? "larger than any worker of the refusing "
+                                 "holder that it may use: needs " +
+                                     ResourcesToString(spec.size)
+                               : "the labels of no worker of the refusing "
+                                 "holder match the task's `on` selector '" +
+                                     spec.on + "'";
   return decision;
 }
 
@@ -146,7 +145,7 @@
     int64_t best_score = std::numeric_limits<int64_t>::min();
     for (size_t i = 0; i < workers.size(); ++i) {
       const WorkerView& worker = workers[i];
-      if (!rules_.HasFreeCapacity(spec, worker)) {
+      if (!rules_.IsOpenAndFits(spec, worker)) {
         continue;
       }
       // Selectors are evaluated last and only for a worker with a better
--- a/src/libdoorwood/holder/placement_test.cpp
+++ b/src/libdoorwood/holder/placement_test.cpp
@@ -116,7 +116,8 @@
   BOOST_TEST(fleet.Decide(accelerated).impossible);
 }
 
-BOOST_AUTO_TEST_CASE(Decide_ServiceWithoutFreeCapacity_EvictsFewestByYields) {
+BOOST_AUTO_TEST_CASE(
+    Decide_ServiceWithoutFreeCapacity_EvictsHighestYieldsFirst) {
   Fleet fleet;
   fleet.Add({}, {Batch(1000, 20), Batch(1000, 90), Batch(2000, 60)});
   const Decision one = fleet.Decide(Service(1000));
