--- a/src/include/doorwood/router.h
+++ b/src/include/doorwood/router.h
@@ -99,6 +99,8 @@
 
 /// Outcome of sending a request once, to a backend server or to a peer.
 enum class AttemptOutcome {
+  /// A complete response was received. A peer's response may itself report
+  /// RequestOutcome::kUnknown.
   kAnswered,
   /// The request definitely did not reach the receiver.
   kNotSent,
@@ -126,8 +128,8 @@
   virtual AttemptResult Send(const BackendTarget& target,
                              const CallerRequest& request,
                              Millis timeout) = 0;
-  /// Forwards the request to a peer, with `timeout` as the time until the
-  /// request's deadline, and blocks until the call has ended. An incomplete
+  /// Forwards the request to a peer, tells it `timeout` as the time left until
+  /// the request's deadline, and blocks until the call has ended. An incomplete
   /// response counts as AttemptOutcome::kUnknown.
   virtual AttemptResult Forward(const PeerTarget& target,
                                 const CallerRequest& request,
@@ -135,7 +137,14 @@
 };
 
 /// Why no slot was granted.
-enum class SlotRefusal { kNone, kNoBackend, kQueueFull, kDeadlineExceeded };
+enum class SlotRefusal {
+  kNone,
+  /// No backend server of the service is listed, or all are closed and the
+  /// request may not wait any longer for one to open.
+  kNoBackend,
+  kQueueFull,
+  kDeadlineExceeded
+};
 
 struct SlotGrant {
   SlotRefusal refusal = SlotRefusal::kNone;
@@ -303,7 +312,7 @@
     bool ended_by_peer = false;
     // Until when to wait while all local backend servers of the service are
     // closed.
-    Instant no_backend_deadline{};
+    Instant closed_wait_deadline{};
 
     void RecordRefusal(CallerResponse refusal);
   };
@@ -318,8 +327,8 @@
   bool ClaimKeyIfNeeded(const CallerRequest& request, Progress* progress);
   bool TryPeer(const CallerRequest& request, Progress* progress);
   std::optional<PeerTarget> PickPeer(const std::string& service);
-  AttemptResult SendAttempt(const BackendTarget& target,
-                            const CallerRequest& request);
+  AttemptResult SendAndReleaseSlot(const BackendTarget& target,
+                                   const CallerRequest& request);
   ServiceConfig ServiceConfigOf(const std::string& name) const;
 
   RequestSender& sender_;
--- a/src/libdoorwood/routing/router.cpp
+++ b/src/libdoorwood/routing/router.cpp
@@ -158,7 +158,7 @@
   budget_.Deposit(request.service, service.retry_share);
   Progress progress;
   const auto now = BootClock::now();
-  progress.no_backend_deadline =
+  progress.closed_wait_deadline =
       std::min(now + (request.deadline - now) / 2, now + kMaxClosedWait);
   progress.last =
       NotRunResponse(kStatusUnavailable, "the deadline had already passed",
@@ -203,7 +203,7 @@
     slots_.Release(*target, Millis(0));
     return false;
   }
-  const AttemptResult result = SendAttempt(*target, request);
+  const AttemptResult result = SendAndReleaseSlot(*target, request);
   progress->avoid = target->id;
   switch (result.outcome) {
     case AttemptOutcome::kAnswered:
@@ -238,7 +238,7 @@
     }
     const auto now = BootClock::now();
     const bool open_locally = slots_.HasOpenBackend(request.service);
-    if (!open_locally && now >= progress->no_backend_deadline) {
+    if (!open_locally && now >= progress->closed_wait_deadline) {
       return {.refusal = SlotRefusal::kNoBackend};
     }
     const Instant until =
@@ -336,8 +336,8 @@
   return std::nullopt;
 }
 
-AttemptResult Router::SendAttempt(const BackendTarget& target,
-                                  const CallerRequest& request) {
+AttemptResult Router::SendAndReleaseSlot(const BackendTarget& target,
+                                         const CallerRequest& request) {
   const Instant begin = BootClock::now();
   AttemptResult result =
       sender_.Send(target, request, TimeUntil(request.deadline));
--- a/src/libdoorwood/routing/slot_table.cpp
+++ b/src/libdoorwood/routing/slot_table.cpp
@@ -123,14 +123,15 @@
 
 std::vector<std::string> SlotTable::ServicesWithFreeSlots() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  std::map<std::string, bool> open;
+  std::map<std::string, bool> has_free_slot;
   for (const auto& [id, backend] : backends_) {
     const bool free =
         backend.target.open && backend.in_use < backend.target.slots;
-    open[backend.target.service] = open[backend.target.service] || free;
+    has_free_slot[backend.target.service] =
+        has_free_slot[backend.target.service] || free;
   }
   std::vector<std::string> names;
-  for (const auto& [name, free] : open) {
+  for (const auto& [name, free] : has_free_slot) {
     const auto service = services_.find(name);
     const bool idle =
         service == services_.end() || service->second.waiters.empty();
