--- a/src/include/doorwood/live_directory.h
+++ b/src/include/doorwood/live_directory.h
@@ -80,9 +80,9 @@
   virtual void RequestUnrecordedStartsAgreement(
       const LiveInstance& instance,
       std::function<void(std::error_code)> done) = 0;
-  /// Notifies the instance that the lead of this epoch is released and may be
-  /// taken in the store. There is no reply; if the message is lost, the lead's
-  /// lease expires.
+  /// Asks the instance to remove the lead key of this epoch from the store: its
+  /// leader has stepped down and cannot reach the store. The caller ignores the
+  /// reply; if the request is lost, the key stays until its lease expires.
   virtual void HandOverLead(const LiveInstance& instance,
                             const std::string& cell,
                             int64_t epoch) = 0;
--- a/src/include/doorwood/membership.h
+++ b/src/include/doorwood/membership.h
@@ -26,9 +26,10 @@
   /// a peer of another data centre after ten times as long.
   Millis heartbeat_timeout{2000};
   /// A peer becomes a candidate holder and owner only this long after the first
-  /// heartbeat of its process, so that an instance that repeatedly appears and
-  /// disappears does not cause reassignments of workers and shards. This
-  /// instance becomes one twice this long after its own start.
+  /// heartbeat of its process since `Expire` last removed the peer, so that an
+  /// instance that repeatedly appears and disappears does not cause
+  /// reassignments of workers and shards. This instance becomes a candidate
+  /// twice this long after its own start.
   Millis settle_time{1000};
   /// How long `RecentWorkers` still returns a worker after the last received
   /// platform list that contained it. `AssignedWorkers` drops it with the first
@@ -42,8 +43,9 @@
 std::string ChooseByRendezvousHash(std::string_view key,
                                    std::span<const std::string> candidates);
 
-/// Another entry instance and its newest heartbeat. `first_heartbeat_at` is
-/// that of its current process.
+/// Another entry instance and its newest heartbeat. `first_heartbeat_at` is the
+/// time of the first heartbeat of its current process since
+/// `Membership::Expire` last removed the instance.
 struct PeerState {
   Heartbeat heartbeat;
   Instant first_heartbeat_at{};
@@ -84,15 +86,15 @@
   /// had left the platform's list, or that its heartbeats had timed out; the
   /// start of this instance if neither has happened.
   Instant last_departure() const { return last_departure_; }
-  /// Workers of this data centre that a platform list received within the last
-  /// `worker_retention` contained.
+  /// Workers of this data centre that were in a platform list received within
+  /// the last `MembershipOptions::worker_retention`.
   std::vector<std::string> RecentWorkers(Instant now) const;
   /// Workers of this data centre that the platform's list or a peer reports as
   /// leaving.
   std::vector<std::string> LeavingWorkers() const;
   /// Entry instances in the platform's list to send heartbeats to: all others
-  /// of this data centre, and one of each other data centre, in rotation by
-  /// `round`.
+  /// of this data centre, and one of each other data centre: of its n instances
+  /// in the order of the list, the one at index `round` modulo n.
   std::vector<InstanceInfo> HeartbeatTargets(uint64_t round) const;
   /// Entry instances of `data_centre` other than this one; those that send
   /// heartbeats come first.
