--- a/src/libdoorwood/instance/instance_test.cpp
+++ b/src/libdoorwood/instance/instance_test.cpp
@@ -136,14 +136,16 @@
   cluster.world.Start(owner);
 }
 
-void FreezeOwnerPastLeases(RunningCluster& cluster, const std::string& job) {
+void FreezeOwnerPastControlLease(RunningCluster& cluster,
+                                 const std::string& job) {
   const std::string owner = cluster.OwnerOf(job);
   cluster.world.Freeze(owner);
   cluster.world.Run(Millis(9000));
   cluster.world.Thaw(owner);
 }
 
-void FreezeOtherPastLeases(RunningCluster& cluster, const std::string& job) {
+void FreezeOtherPastControlLease(RunningCluster& cluster,
+                                 const std::string& job) {
   const std::string other = RunningCluster::OtherInstance(cluster.OwnerOf(job));
   if (!cluster.world.IsRunning(other)) {
     return;
@@ -219,8 +221,8 @@
       {"kill_owner", KillOwner, true},
       {"kill_other", KillOther, true},
       {"restart_owner", RestartOwner, true},
-      {"freeze_owner", FreezeOwnerPastLeases, true},
-      {"freeze_other", FreezeOtherPastLeases, true},
+      {"freeze_owner", FreezeOwnerPastControlLease, true},
+      {"freeze_other", FreezeOtherPastControlLease, true},
       {"store_down", StoreDownPastLeases, true},
       {"store_loses_answers", StoreLosesAnswers, true},
       {"store_delays_writes", StoreDelaysWrites, true},
