--- a/src/include/doorwood/config_keeper.h
+++ b/src/include/doorwood/config_keeper.h
@@ -29,7 +29,8 @@
   /// Revision that the change is based on. Without one, the change applies to
   /// the newest revision.
   std::optional<uint64_t> base;
-  /// Id chosen by the client. A retry with the same id is not applied again.
+  /// Id chosen by the client. A retry with the same id is not applied again as
+  /// long as the stored value or its history contains the change.
   std::string operation;
   /// Author of the change, recorded in the history.
   std::string author;
--- a/src/include/doorwood/entry_settings.h
+++ b/src/include/doorwood/entry_settings.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Settings of one entry instance that schedules cells, read from a YAML file.
-/// Format: docs/CONFIGURATION.md.
+/// Settings of an entry instance that schedules cells (program
+/// `doorwood-celld`), read from a YAML file. Format: docs/CONFIGURATION.md.
 
 #ifndef DOORWOOD_ENTRY_SETTINGS_H_
 #define DOORWOOD_ENTRY_SETTINGS_H_
--- a/src/include/doorwood/settings.h
+++ b/src/include/doorwood/settings.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Settings of one process, read from a YAML file. Format:
-/// docs/CONFIGURATION.md.
+/// Settings of an entry instance that owns job shards (program `doorwoodd`),
+/// read from a YAML file. Format: docs/CONFIGURATION.md.
 
 #ifndef DOORWOOD_SETTINGS_H_
 #define DOORWOOD_SETTINGS_H_
@@ -16,7 +16,7 @@
 
 namespace doorwood {
 
-/// Settings of an entry instance.
+/// Settings of an entry instance that owns job shards.
 struct Settings {
   std::string instance;
   std::string data_centre;
--- a/src/libdoorwood/config/entry_settings.cpp
+++ b/src/libdoorwood/config/entry_settings.cpp
@@ -15,15 +15,15 @@
 // A run continues for this long without contact from a leader. The lease
 // outlasts the detection of a leader's failure (2 s) plus its successor's
 // takeover and a short outage of all instances. It also outlasts a network
-// partition of a data centre of 6 s (each standard simulated day has one) if
-// the last contact was 1.2 s before the partition. It is short enough that the
-// work of an unresponsive worker is restarted elsewhere.
+// partition of a data centre of 6 s, as simulated in deploy/days, if the last
+// contact was 1.2 s before the partition. It is short enough that the work of
+// an unresponsive worker is restarted elsewhere.
 constexpr Millis kRunLease{8500};
 // Added to the lease of a machine's holder, to cover a machine order that
 // completes late.
 constexpr Millis kHolderLeaseSlack{500};
-// Finished jobs are kept this much longer than the period in which they can be
-// queried.
+// Finished jobs are kept, and can be queried, this much longer than the
+// settings promise.
 constexpr Millis kRetentionSlack{30'000};
 
 }  // namespace
