--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -351,7 +351,7 @@
   bool IsLongUnresponsive(const CellWorker& cell_worker) const;
   /// The value of `KnownWorker::deductible_wait` to record for the worker
   /// now.
-  Millis TimeWithoutRenewal(const CellWorker& cell_worker) const;
+  Millis DeductibleWaitToRecord(const CellWorker& cell_worker) const;
   /// Time since this leader finished reading the records of earlier leaders.
   Millis TimeLeading() const;
   /// Records periodically how long no lease was extended on workers that are
--- a/src/libdoorwood/cell/cell_worker_records.cpp
+++ b/src/libdoorwood/cell/cell_worker_records.cpp
@@ -62,7 +62,7 @@
     KnownWorker worker;
     worker.id = id;
     worker.address = cell_worker.session->incarnation().address;
-    worker.deductible_wait = TimeWithoutRenewal(cell_worker);
+    worker.deductible_wait = DeductibleWaitToRecord(cell_worker);
     worker.tasks = TasksToRecord(cell_worker);
     known.push_back(std::move(worker));
   }
@@ -170,7 +170,7 @@
              options_.unresponsive_record_delay;
 }
 
-Millis CellLeader::TimeWithoutRenewal(const CellWorker& cell_worker) const {
+Millis CellLeader::DeductibleWaitToRecord(const CellWorker& cell_worker) const {
   if (IsUncontacted(cell_worker)) {
     return cell_worker.predecessors_waited + TimeLeading();
   }
