--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -491,8 +491,8 @@
   /// The job's queue as currently or last configured; null: not configured
   /// since this process started.
   const Queue* QueueOf(const Job& job) const;
-  /// Passes the job to the journal if its state has changed.
-  void MarkDirty(Job* job, bool urgent);
+  /// Passes the job to the journal if `Job::dirty` is set.
+  void JournalIfDirty(Job* job, bool urgent);
 
   // cell_crashes.cpp: worker crashes, and the crash notes of tasks.
   static std::string MachineOf(const WorkerIncarnation& incarnation);
--- a/src/libdoorwood/cell/cell_crashes.cpp
+++ b/src/libdoorwood/cell/cell_crashes.cpp
@@ -136,7 +136,7 @@
     const bool is_trial = task->FindTrialNote(note.run) != nullptr;
     if (note.suspect && !is_trial &&
         JobTable::NoteCrash(task, std::move(note))) {
-      MarkDirty(task->job, /*urgent=*/true);
+      JournalIfDirty(task->job, /*urgent=*/true);
     }
   }
 }
@@ -149,7 +149,7 @@
   for (const auto& [name, run] : session.runs()) {
     Task* task = jobs_.FindTask(name);
     if (task != nullptr && JobTable::RemoveUnconfirmedCrash(task, run.number)) {
-      MarkDirty(task->job, /*urgent=*/false);
+      JournalIfDirty(task->job, /*urgent=*/false);
     }
   }
 }
@@ -227,7 +227,7 @@
   for (const auto& [name, note] : notes) {
     Task* task = jobs_.FindTask(name);
     NoteCrash(task, note);
-    MarkDirty(task->job, /*urgent=*/true);
+    JournalIfDirty(task->job, /*urgent=*/true);
   }
 }
 
@@ -284,7 +284,7 @@
     known_task->no_start_before = Instant{};
     known_task->crash_unrecorded = false;
   }
-  MarkDirty(known_task->job, /*urgent=*/false);
+  JournalIfDirty(known_task->job, /*urgent=*/false);
 }
 
 void CellLeader::LogCrash(const WorkerSession& session,
@@ -343,7 +343,7 @@
   if (verdict == CrashVerdict::kGivenUp) {
     FailJobOfCrashingTask(task);
   } else {
-    MarkDirty(job, /*urgent=*/task->crash_unrecorded);
+    JournalIfDirty(job, /*urgent=*/task->crash_unrecorded);
   }
 }
 
--- a/src/libdoorwood/cell/cell_placement_records.cpp
+++ b/src/libdoorwood/cell/cell_placement_records.cpp
@@ -17,7 +17,7 @@
   if (!JobTable::SetAssignedWorker(task, worker)) {
     return true;
   }
-  MarkDirty(task->job, /*urgent=*/true);
+  JournalIfDirty(task->job, /*urgent=*/true);
   if (MayStartUnrecorded()) {
     unrecorded_placements_.insert(name);
     return true;
@@ -29,7 +29,7 @@
 void CellLeader::RecordAdoptedPlacement(Task* task, const std::string& worker) {
   if (JobTable::SetAssignedWorker(task, worker)) {
     unrecorded_placements_.insert(task->name());
-    MarkDirty(task->job, /*urgent=*/true);
+    JournalIfDirty(task->job, /*urgent=*/true);
   }
 }
 
--- a/src/libdoorwood/cell/cell_run_ends.cpp
+++ b/src/libdoorwood/cell/cell_run_ends.cpp
@@ -32,7 +32,7 @@
   return queue == nullptr ? 1 : queue->max_attempts;
 }
 
-void CellLeader::MarkDirty(Job* job, bool urgent) {
+void CellLeader::JournalIfDirty(Job* job, bool urgent) {
   if (job->dirty) {
     journal_.MarkDirty(job->plan.id, urgent);
   }
@@ -49,7 +49,7 @@
       jobs_.ApplyRunEnd(task, run, end, checkpoint, MaxAttempts(*job));
   if (effect == EndEffect::kIgnored) {
     // The failure count or the checkpoint may have changed nevertheless.
-    MarkDirty(job, /*urgent=*/false);
+    JournalIfDirty(job, /*urgent=*/false);
     log_.Write("info", "cell",
                "late end of a run neither completes its task nor fails its job",
                {{"task", task->name()},
@@ -86,7 +86,7 @@
   if (job_ended) {
     OnJobEnded(job);
   } else {
-    MarkDirty(job, /*urgent=*/false);
+    JournalIfDirty(job, /*urgent=*/false);
   }
 }
 
@@ -305,7 +305,7 @@
 void CellLeader::OnJobEnded(Job* job) {
   job->finished_at = unix_millis_();
   StopRunsOfJob(*job);
-  MarkDirty(job, /*urgent=*/true);
+  JournalIfDirty(job, /*urgent=*/true);
 }
 
 void CellLeader::StopRunsOfJob(const Job& job) {
--- a/src/libdoorwood/cell/cell_suspects.cpp
+++ b/src/libdoorwood/cell/cell_suspects.cpp
@@ -192,7 +192,7 @@
   JobTable::NoteTrial(task, std::move(trial));
   task->crash_unrecorded = true;
   task->job->crash_unrecorded = true;
-  MarkDirty(task->job, /*urgent=*/true);
+  JournalIfDirty(task->job, /*urgent=*/true);
   return false;
 }
 
@@ -250,7 +250,7 @@
     } else if (observed_running >= trial.duration && !trial.passed) {
       trials_.MarkPassed(name);
       JobTable::RemoveTrialNote(task);
-      MarkDirty(task->job, /*urgent=*/false);
+      JournalIfDirty(task->job, /*urgent=*/false);
     }
   }
   for (const std::string& name : ended) {
@@ -264,7 +264,7 @@
              {{"task", task->name()}, {"crashes", task->crashes.size()}});
   task->crashes.clear();
   task->job->dirty = true;
-  MarkDirty(task->job, /*urgent=*/false);
+  JournalIfDirty(task->job, /*urgent=*/false);
 }
 
 void CellLeader::OnCrashesRecorded(Job* job) {
