--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -660,8 +660,8 @@
   void RefreshCandidate(const std::string& id, CellWorker* cell_worker);
   bool IsReady(const Task& task) const;
   /// Whether the task would have used up its attempts if every run that may
-  /// have failed without a report (see `Task::CountUnreportedEnds`) had failed.
-  /// False if there is no such run or the task is long-running.
+  /// have failed without a report (see `Task::CountRunsWithoutReportedEnd`) had
+  /// failed. False if there is no such run or the task is long-running.
   bool MayHaveUsedUpAttempts(const Task& task) const;
   void PlaceStep(const ReadyStep& ready,
                  const std::vector<CandidateWorker*>& candidates);
--- a/src/include/doorwood/job_table.h
+++ b/src/include/doorwood/job_table.h
@@ -138,7 +138,7 @@
 
   /// Number of runs before the adopted one that may have failed without a
   /// report.
-  uint32_t CountUnreportedEnds() const;
+  uint32_t CountRunsWithoutReportedEnd() const;
 
   /// Returns the kTrial note with that run number, or null.
   const CrashNote* FindTrialNote(uint32_t run) const;
--- a/src/libdoorwood/cell/cell_scheduling.cpp
+++ b/src/libdoorwood/cell/cell_scheduling.cpp
@@ -69,13 +69,13 @@
 
 // The previous leader may have received failures that it could not record.
 // Workers list these failures to this leader, but it may not have contacted all
-// workers yet. Each run that `Task::CountUnreportedEnds` counts is therefore
-// taken to have failed, as long as an unaccounted worker may run the task or
-// may have ended it.
+// workers yet. Each run that `Task::CountRunsWithoutReportedEnd` counts is
+// therefore taken to have failed, as long as an unaccounted worker may run the
+// task or may have ended it.
 bool CellLeader::MayHaveUsedUpAttempts(const Task& task) const {
-  const uint32_t unreported_ends =
-      MayRunOnUnaccountedWorker(task) ? task.CountUnreportedEnds() : 0;
-  if (unreported_ends == 0 || task.plan().long_running) {
+  const uint32_t runs_without_reported_end =
+      MayRunOnUnaccountedWorker(task) ? task.CountRunsWithoutReportedEnd() : 0;
+  if (runs_without_reported_end == 0 || task.plan().long_running) {
     return false;
   }
   const Task& counting_task = task.plan().gang
@@ -83,7 +83,7 @@
                                         .steps[task.step]
                                         .tasks.front()
                                   : task;
-  return counting_task.failed_runs.size() + unreported_ends >=
+  return counting_task.failed_runs.size() + runs_without_reported_end >=
          static_cast<size_t>(MaxAttempts(*task.job));
 }
 
--- a/src/libdoorwood/job/job_table.cpp
+++ b/src/libdoorwood/job/job_table.cpp
@@ -21,7 +21,7 @@
   return job->plan.steps[step];
 }
 
-uint32_t Task::CountUnreportedEnds() const {
+uint32_t Task::CountRunsWithoutReportedEnd() const {
   if (adopted_run <= recorded_run) {
     return 0;
   }
