--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -594,9 +594,9 @@
   /// Ends reservations whose trial did not start within
   /// `CrashOptions::reservation_timeout`, and reservations and trials whose
   /// task is done, job has ended, or worker or run is gone. Marks a trial as
-  /// passed once its suspect was observed running for
-  /// `CrashTrials::Trial::duration`. Clears the suspect's crash notes and ends
-  /// the trial once the suspect was observed running for
+  /// passed once its task (a suspect, or another task of a suspect's gang) was
+  /// observed running for `CrashTrials::Trial::duration`. Clears the task's
+  /// crash notes and ends the trial once the task was observed running for
   /// `CrashOptions::unrelated_after`.
   void UpdateTrials();
   void ClearCrashes(Task* task);
--- a/src/include/doorwood/crash_policy.h
+++ b/src/include/doorwood/crash_policy.h
@@ -151,9 +151,10 @@
   std::vector<Crash> crashes_;
 };
 
-/// The trials of suspects, at most one per task, from the reservation of a
-/// worker to the end of the trial. The worker stays reserved until the trial
-/// passes or ends.
+/// The trials of suspects and of the other tasks of their gangs, at most one
+/// per task. A trial lasts from the reservation of a worker to the end of the
+/// trial; for gangs and adopted runs, from the start or adoption of the run.
+/// The worker stays reserved until the trial passes or ends.
 class CrashTrials {
  public:
   struct Trial {
@@ -161,12 +162,12 @@
     std::string service;
     /// When the worker was reserved or, if `started`, when the trial began.
     Instant since{};
-    /// The suspect is a likely culprit.
+    /// The task is a likely culprit.
     bool likely_culprit = false;
-    /// Time for which the suspect must be observed running.
+    /// Time for which the task must be observed running.
     Millis duration{0};
     bool started = false;
-    /// The suspect was observed running for `duration`, so its worker accepts
+    /// The task was observed running for `duration`, so its worker accepts
     /// other work again.
     bool passed = false;
   };
@@ -186,8 +187,8 @@
   const Trial* Find(const std::string& task) const;
   /// Whether the worker is reserved for a trial that has not passed.
   bool IsReserved(std::string_view worker) const;
-  /// Whether the task was started on the worker as a suspect and its trial has
-  /// neither ended nor passed.
+  /// Whether the task's trial on the worker has begun and has neither ended nor
+  /// passed.
   bool IsInTrial(const std::string& task, std::string_view worker) const;
   /// Whether another trial may begin on one of the service's `workers` workers.
   /// `likely_culprit`: the suspect is a likely culprit.
--- a/src/include/doorwood/run_times.h
+++ b/src/include/doorwood/run_times.h
@@ -20,8 +20,8 @@
   /// After this many completed steps of a queue the observations weigh as much
   /// as the estimate.
   double estimate_weight = 4;
-  /// Once this many more steps of the queue have completed since its recording,
-  /// the weight of an observation has fallen to about a third.
+  /// Number of further completed steps of the queue after which the weight of
+  /// an observation has fallen to about a third.
   double decay_steps = 300;
 };
 
