--- a/src/libdoorwood/owner/shard_owner.cpp
+++ b/src/libdoorwood/owner/shard_owner.cpp
@@ -209,7 +209,7 @@
 void ShardOwner::StopTask(Task& task) {
   const TaskId id = task.id;
   const AttemptId attempt = task.attempt;
-  RecordDecision(id, "stop", "cancelled");
+  RecordDecision(id, "stop", "the job was cancelled");
   environment_.CallInstance(
       task.holder, StopRequest{shard_, attempt, /*take_checkpoint=*/false},
       options_.call_timeout,
