--- a/src/libdoorwood/cell/cell_journal_test.cpp
+++ b/src/libdoorwood/cell/cell_journal_test.cpp
@@ -133,7 +133,7 @@
 
 BOOST_AUTO_TEST_CASE(Accept_StoreFails_AnswerAndStoreAgree) {
   const FaultRow rows[] = {
-      {"well", {}, {}, true},
+      {"no fault", {}, {}, true},
       {"refused", {Step::kRefuse}, CoreErrc::kStoreUnavailable, false},
       {"answer lost", {Step::kLoseAnswer}, {}, true},
       {"answer lost twice", {Step::kLoseAnswer, Step::kLoseAnswer}, {}, true},
--- a/src/libdoorwood/cell/cell_pause_test.cpp
+++ b/src/libdoorwood/cell/cell_pause_test.cpp
@@ -49,7 +49,7 @@
         trial.world.Run(kOffsetStep * offset);
         trial.Pause(Millis(pause));
         trial.world.Run(kSettleTime);
-        violation_report.Add(Describe({{"parted", partitioned},
+        violation_report.Add(Describe({{"partitioned from both", partitioned},
                                        {"pause", pause},
                                        {"offset", offset}}),
                              trial.world);
@@ -69,7 +69,7 @@
         trial.world.Run(Millis(1 + offset * 10));
         trial.Pause(Millis(pause));
         trial.world.Run(kSettleTime);
-        violation_report.Add(Describe({{"parted", partitioned},
+        violation_report.Add(Describe({{"partitioned from both", partitioned},
                                        {"pause", pause},
                                        {"between", 1 + offset * 10}}),
                              trial.world);
@@ -93,7 +93,7 @@
         trial.Pause(Millis(pause));
         trial.world.Run(kSettleTime);
         violation_report.Add(
-            Describe({{"parted", partitioned},
+            Describe({{"partitioned from both", partitioned},
                       {"pause", pause},
                       {"partitioned for", 3000 + 60 * offset}}),
             trial.world);
@@ -120,10 +120,10 @@
         trial.world.Run(remaining - Millis(1300));
         trial.old_leader->executor->PauseInNowCall(call, Millis(pause));
         trial.world.Run(kSettleTime);
-        violation_report.Add(
-            Describe(
-                {{"parted", partitioned}, {"pause", pause}, {"call", call}}),
-            trial.world);
+        violation_report.Add(Describe({{"partitioned from both", partitioned},
+                                       {"pause", pause},
+                                       {"call", call}}),
+                             trial.world);
       }
     }
   }
@@ -141,10 +141,10 @@
         trial.MaybePartitionOldLeaderFromBoth(partitioned);
         trial.old_leader->executor->PauseInNowCall(call, Millis(pause));
         trial.world.Run(kSettleTime + Millis(2000));
-        violation_report.Add(
-            Describe(
-                {{"parted", partitioned}, {"pause", pause}, {"call", call}}),
-            trial.world);
+        violation_report.Add(Describe({{"partitioned from both", partitioned},
+                                       {"pause", pause},
+                                       {"call", call}}),
+                             trial.world);
       }
     }
   }
--- a/src/libdoorwood/cell/worker_address_test.cpp
+++ b/src/libdoorwood/cell/worker_address_test.cpp
@@ -285,10 +285,11 @@
   const RecordedRow rows[] = {
       {"gone", Responder::kOtherIncarnation, Responder::kOtherIncarnation, true,
        false},
-      {"cut", Responder::kNobody, Responder::kOtherIncarnation, false, false},
+      {"unreachable", Responder::kNobody, Responder::kOtherIncarnation, false,
+       false},
       {"moved", Responder::kNobody, Responder::kThisIncarnation, false, true},
-      {"there", Responder::kThisIncarnation, Responder::kOtherIncarnation,
-       false, true},
+      {"still at the recorded address", Responder::kThisIncarnation,
+       Responder::kOtherIncarnation, false, true},
   };
   for (const RecordedRow& row : rows) {
     AddressFixture fixture;
--- a/src/libdoorwood/cell/worker_session_test.cpp
+++ b/src/libdoorwood/cell/worker_session_test.cpp
@@ -184,7 +184,7 @@
 // resources are released. A start order that is executed 4 s late is refused.
 BOOST_AUTO_TEST_CASE(Start_CallSucceedsOrFails_RunEndsExactlyOnce) {
   const StartRow rows[] = {
-      {"well", Fault::kNone, Fault::kNone, "t done reported"},
+      {"no fault", Fault::kNone, Fault::kNone, "t done reported"},
       {"answer lost", Fault::kReplyLost, Fault::kNone, "t done reported"},
       {"order lost", Fault::kRequestLost, Fault::kNone, "t lapsed inferred"},
       {"order late", Fault::kDelayed, Fault::kNone, "t lapsed inferred"},
