--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -351,7 +351,7 @@
   bool IsLongUnresponsive(const CellWorker& cell_worker) const;
   /// The value of `KnownWorker::deductible_wait` to record for the worker
   /// now.
-  Millis TimeWithoutRenewal(const CellWorker& cell_worker) const;
+  Millis DeductibleWaitToRecord(const CellWorker& cell_worker) const;
   /// Time since this leader finished reading the records of earlier leaders.
   Millis TimeLeading() const;
   /// Records periodically how long no lease was extended on workers that are
@@ -491,8 +491,8 @@
   /// The job's queue as currently or last configured; null: not configured
   /// since this process started.
   const Queue* QueueOf(const Job& job) const;
-  /// Passes the job to the journal if its state has changed.
-  void MarkDirty(Job* job, bool urgent);
+  /// Passes the job to the journal if `Job::dirty` is set.
+  void JournalIfDirty(Job* job, bool urgent);
 
   // cell_crashes.cpp: worker crashes, and the crash notes of tasks.
   static std::string MachineOf(const WorkerIncarnation& incarnation);
@@ -594,9 +594,9 @@
   /// Ends reservations whose trial did not start within
   /// `CrashOptions::reservation_timeout`, and reservations and trials whose
   /// task is done, job has ended, or worker or run is gone. Marks a trial as
-  /// passed once its suspect was observed running for
-  /// `CrashTrials::Trial::duration`. Clears the suspect's crash notes and ends
-  /// the trial once the suspect was observed running for
+  /// passed once its task (a suspect, or another task of a suspect's gang) was
+  /// observed running for `CrashTrials::Trial::duration`. Clears the task's
+  /// crash notes and ends the trial once the task was observed running for
   /// `CrashOptions::unrelated_after`.
   void UpdateTrials();
   void ClearCrashes(Task* task);
@@ -660,8 +660,8 @@
   void RefreshCandidate(const std::string& id, CellWorker* cell_worker);
   bool IsReady(const Task& task) const;
   /// Whether the task would have used up its attempts if every run that may
-  /// have failed without a report (see `Task::CountUnreportedEnds`) had failed.
-  /// False if there is no such run or the task is long-running.
+  /// have failed without a report (see `Task::CountRunsWithoutReportedEnd`) had
+  /// failed. False if there is no such run or the task is long-running.
   bool MayHaveUsedUpAttempts(const Task& task) const;
   void PlaceStep(const ReadyStep& ready,
                  const std::vector<CandidateWorker*>& candidates);
