--- a/src/include/doorwood/job_plan.h
+++ b/src/include/doorwood/job_plan.h
@@ -44,9 +44,10 @@
   /// Long-running: tasks run until the job is cancelled.
   bool long_running = false;
   /// Best-effort: the processors of these tasks are not reserved; they use what
-  /// other work leaves.
+  /// tasks that are not best-effort leave.
   bool best_effort = false;
-  /// Copies of a task may run at the same time.
+  /// Copies of a task may run at the same time. Stored, but the scheduler does
+  /// not use this field.
   bool duplicates = false;
   /// Label that a worker must have; empty: any worker.
   std::string required_label;
@@ -59,7 +60,8 @@
   std::optional<int> max_unavailable;
   /// Image that the tasks run. Tasks of one image behave alike.
   std::string image;
-  /// Upper bound on the tail latency of a serving task; 0: none.
+  /// Serving task: one that answers requests. Upper bound on its tail latency;
+  /// 0: the tasks are not serving tasks.
   Millis latency_target{0};
 };
 
--- a/src/include/doorwood/job_table.h
+++ b/src/include/doorwood/job_table.h
@@ -43,10 +43,12 @@
 };
 
 /// A worker's crash or possible crash while a suspect or bystander run (see
-/// CrashRole) was there; or a trial.
+/// CrashRole) was there or may have been there; or a trial.
 struct CrashNote {
+  /// `Task::last_run` if it is not known which run was there.
   uint32_t run = 0;
-  /// The worker's machine, or the worker's id if the machine is unknown.
+  /// The worker's machine, or the worker's id if the machine is unknown. Empty,
+  /// like `worker`, if the worker is unknown.
   std::string machine;
   std::string worker;
   CrashEvidence evidence = CrashEvidence::kRestarted;
@@ -83,7 +85,9 @@
   int index = 0;
 
   bool done = false;
-  /// Highest run number assigned or reported.
+  /// New runs get numbers above this one. Raised to each number that is
+  /// assigned, adopted, or passed to JobTable::ApplyRunEnd; raised further at a
+  /// takeover, and after a worker rejected a number as too old.
   uint32_t last_run = 0;
   /// Highest run whose end was applied, even if the run was given up without a
   /// report. Adopting a run lowers this number below that run. A later report
@@ -94,11 +98,11 @@
   uint32_t counted_run = 0;
   /// Runs that failed, each once, in the order of their reports: after a
   /// takeover the end of an earlier run may be reported later. For a gang, the
-  /// first task records the failures of all.
+  /// first task records the failures of all. Empty for a long-running task.
   std::vector<uint32_t> failed_runs;
   std::string checkpoint;
-  /// One note per run. All are removed once a run that began as a trial was
-  /// observed running for `CrashOptions::unrelated_after`.
+  /// One note per run. All are removed once a run in a trial was observed
+  /// running for `CrashOptions::unrelated_after`.
   std::vector<CrashNote> crashes;
 
   /// For a long-running task: the only worker on which a run of it may be
@@ -115,25 +119,31 @@
   bool may_have_unconfirmed_crash = false;
   /// The task is not started before this time after a crash.
   Instant no_start_before{};
-  /// True while a run is ordered, active, or not known to have ended. Changed
-  /// by JobTable::SetPlaced.
+  /// True while a start is deferred or ordered, or a run is active or not known
+  /// to have ended. Changed by JobTable::SetPlaced.
   bool placed = false;
   /// Set at takeover while a worker that was not contacted yet may still run
   /// the task.
   bool may_still_run = false;
-  /// After a takeover: the adopted run; 0: none.
+  /// The run that was adopted last, if all runs of earlier leaders were not yet
+  /// accounted for at that time; 0: none.
   uint32_t adopted_run = 0;
-  /// After a takeover: the highest run up to which all ends are recorded.
+  /// `counted_run` as read from the store at takeover. The ends of runs up
+  /// to this one are taken to be recorded.
   uint32_t recorded_run = 0;
-  /// After a takeover: the runs whose ends workers have reported although this
-  /// leader neither placed nor adopted them. Each other run between
+  /// The runs whose ends workers reported while this leader had no such run on
+  /// them, added only until all runs of earlier leaders are accounted for. Each
+  /// other run between
   /// `recorded_run` and `adopted_run` may have failed on a worker that was not
   /// contacted yet.
   std::vector<uint32_t> reported_runs;
   /// Worker where the task last failed, was refused, or was stopped because its
   /// pace was too low; others are preferred.
   std::string avoided_worker;
-  /// When the task last became ready; for measuring waiting times.
+  /// Start of the waiting time that is logged. First the time at which this
+  /// leader took over, or, for a job accepted since then, at which a scheduling
+  /// pass first found the step ready. Later the time at which an end of a run
+  /// was last applied. A refused start does not change this field.
   Instant ready_since{};
 
   /// Number of runs before the adopted one that may have failed without a
@@ -152,8 +162,8 @@
   int done = 0;
   /// Tasks that are neither done nor placed.
   int idle = 0;
-  /// Total run time of the tasks that ran at full speed from their start, and
-  /// the number of these tasks.
+  /// Total time from order to end of the runs that completed a task and have no
+  /// `Run::atypical_duration`, and the number of these runs.
   Millis total_run_time{0};
   int run_time_samples = 0;
   /// When it was last logged that the step waits for a worker.
@@ -182,7 +192,9 @@
   /// A task of the job has been placed, or a run of one adopted.
   bool started = false;
   int repetitions_done = 0;
-  /// The state has changed since it was last encoded for the store.
+  /// A change that must be recorded was made since the state was last encoded
+  /// for the store. A new run number, a checkpoint, or an end that neither
+  /// completes the task nor counts as a failure does not set this field.
   bool dirty = false;
   /// A task of the job waits until its newest crash or trial note is recorded
   /// in the store.
@@ -212,6 +224,8 @@
   int index = 0;
 };
 
+/// Returns nothing if one of the four parts is missing, or a number is
+/// malformed. Ignores further parts.
 std::optional<TaskName> ParseTaskName(std::string_view name);
 
 /// Consequence of the end of a run for its task.
@@ -224,7 +238,8 @@
   /// The task, or its whole gang, is done; also through a run that was given
   /// up before.
   kDone,
-  /// The task is not done; if the job is still open, it waits for another run.
+  /// The end was applied and the task is not done. If the job is still open and
+  /// no later run is placed, the task waits for another run.
   kRetry,
   /// The job has failed, because the task has used up its attempts.
   kJobFailed,
