--- a/src/libdoorwood/job/job_table.cpp
+++ b/src/libdoorwood/job/job_table.cpp
@@ -411,8 +411,9 @@
 }
 
 // [repetition, step, index, last run, counted run, failed runs, checkpoint,
-// done], followed by the crashes and the assigned worker if there are any.
-// Older versions ignore these extra columns.
+// done], followed by the crashes if there are crashes or an assigned worker,
+// and by the assigned worker if there is one. Older versions ignore these extra
+// columns.
 Json EncodeTask(const Task& task) {
   Json row = Json::array({task.repetition, task.step, task.index, task.last_run,
                           task.counted_run, task.failed_runs, task.checkpoint,
--- a/src/libdoorwood/job/job_table_test.cpp
+++ b/src/libdoorwood/job/job_table_test.cpp
@@ -119,8 +119,9 @@
   const char* checkpoint;
 };
 
-// A run that was given up may continue until its lease expires. A checkpoint
-// that it saves meanwhile is reported with the end of the run.
+// A run on an unreachable worker continues until its lease expires; only then
+// does the leader give it up. The checkpoint that the run saved last is
+// reported later, with the end of the run.
 BOOST_AUTO_TEST_CASE(ApplyRunEnd_CheckpointOfRunGivenUp_IsKeptIfNoLaterRun) {
   const CheckpointRow rows[] = {
       {"no later run", {1}, false, "later"},
@@ -235,7 +236,7 @@
   BOOST_TEST(step.idle == 1);
 }
 
-BOOST_AUTO_TEST_CASE(ParseTaskName_AnyText_RequiresFourParts) {
+BOOST_AUTO_TEST_CASE(ParseTaskName_TooFewOrMalformedParts_IsRejected) {
   BOOST_TEST(ParseTaskName("ab.0.1.17").has_value());
   for (const char* text : {"", "ab", "ab.0.1", "ab.0.1.x", "ab..1.2"}) {
     BOOST_TEST(!ParseTaskName(text).has_value(), text);
