--- a/src/libdoorwood/policy/cell_policy.cpp
+++ b/src/libdoorwood/policy/cell_policy.cpp
@@ -12,6 +12,7 @@
 // a term with a larger weight usually outweighs those with smaller weights.
 constexpr double kDecisiveWeight = 100.0;
 constexpr double kStrongWeight = 10.0;
+
 constexpr double kMillisPerCore = 1000.0;
 
 double ShareUsed(int64_t used, int64_t capacity) {
--- a/src/libdoorwood/policy/long_running_admission_test.cpp
+++ b/src/libdoorwood/policy/long_running_admission_test.cpp
@@ -10,7 +10,8 @@
 constexpr Millis kStep{300};
 
 struct AdmissionFixture {
-  // Other work requests `use` times what serving work leaves, for `duration`.
+  // For `duration`, non-serving work requests `use` times the processors that
+  // serving work leaves.
   void Simulate(double use, Millis duration) {
     for (Millis passed{0}; passed < duration; passed += kStep) {
       now += kStep;
@@ -70,9 +71,9 @@
 }
 
 // Guards against a raised share in a deployment without spare capacity. In one
-// such deployment, other work used 0.77 of the rest when long-running work
-// could reserve a share of 0.6. Other work requested 1.68 times the rest when
-// long-running work could reserve a share of 0.8.
+// such deployment, non-serving work requested 0.77 of the processors that
+// serving work left when long-running work could reserve a share of 0.6. It
+// requested 1.68 times these processors when the share was 0.8.
 BOOST_FIXTURE_TEST_CASE(Allows_RisingLoad_KeepsInitialShareThenAdmitsNone,
                         AdmissionFixture) {
   for (const double use : {0.25, 0.31, 0.54, 0.77, 0.78, 0.87}) {
