--- a/src/include/doorwood/crash_policy.h
+++ b/src/include/doorwood/crash_policy.h
@@ -191,7 +191,8 @@
   /// passed.
   bool IsInTrial(const std::string& task, std::string_view worker) const;
   /// Whether another trial may begin on one of the service's `workers` workers.
-  /// `likely_culprit`: the suspect is a likely culprit.
+  /// `likely_culprit`: the suspect, or any task of its gang, is a likely
+  /// culprit.
   bool HasFreeSlot(std::string_view service,
                    int workers,
                    bool likely_culprit) const;
--- a/src/include/doorwood/interference.h
+++ b/src/include/doorwood/interference.h
@@ -2,7 +2,8 @@
 
 /// \file
 /// Model of the effect of best-effort work on the serving tasks beside it. It
-/// is learned for each pair of images from delayed, noisy latency reports.
+/// is learned for each pair of images, that of a serving task and that of
+/// best-effort work, from delayed, noisy latency reports.
 ///
 /// The tail latency of a serving task is modelled as that of a queue, by
 /// B / (1 - x): B is the task's lowest tail latency and x its utilization, from
@@ -59,9 +60,10 @@
   double initial_load = 0.45;
 };
 
-/// Number of an image in the model, from 0. Names are looked up once per step
-/// and run: looking them up for each pair on each worker took a sixth of a
-/// leader's processor time on days with 490 workers.
+/// Number of an image in the model, from 0. A name is looked up once for each
+/// step in a scheduling pass and once for each run. Looking names up for each
+/// pair of images on each worker took a sixth of a leader's processor time on
+/// days with 490 workers.
 using ImageId = int;
 
 /// One best-effort run on a worker: its image and the cores it uses.
--- a/src/include/doorwood/long_running_admission.h
+++ b/src/include/doorwood/long_running_admission.h
@@ -3,14 +3,16 @@
 /// \file
 /// Admission control for the long-running work of a service. Such work stays
 /// for minutes and is not stopped to free capacity: admitting too much delays
-/// other work for as long, and admitting too little refuses callers.
+/// the service's other jobs for as long, and admitting too little refuses
+/// callers.
 ///
 /// No fixed share of the processors suits all workloads: for the same requests
 /// in different mixes, the total value for callers was highest at a share of
 /// 0.8 in one case and 0.5 in another (docs/design/shifted-work.md). Admission
-/// therefore starts with a conservative share. Once other work was first
+/// therefore starts with a conservative share. Once non-serving work was first
 /// observed `observation_time` ago, the share is raised while the peak use of
-/// other work is low. Nothing is admitted while other work needs the capacity.
+/// that work is low. Nothing is admitted while the peak use is above `max_use`.
+/// See `ServiceLoad` for what counts as non-serving work.
 
 #ifndef DOORWOOD_LONG_RUNNING_ADMISSION_H_
 #define DOORWOOD_LONG_RUNNING_ADMISSION_H_
@@ -21,37 +23,40 @@
 
 struct LongRunningAdmissionOptions {
   /// Share of a service's processors that long-running work may reserve until
-  /// `observation_time` after other work was first observed, and while the peak
-  /// use of other work is above `low_use`.
+  /// `observation_time` after non-serving work was first observed, and while
+  /// the peak use is above `low_use`.
   double initial_share = 0.6;
-  /// The share while other work leaves capacity free; see `low_use`. In trials
+  /// The share while the peak use is low; see `low_use`. In trials
   /// on three deployments the total value for callers was highest at 0.8 (in
   /// thousands: 20.1 at 0.9, 21.0 at 0.8, 20.9 at 0.7, 20.6 at 0.6).
   double raised_share = 0.8;
-  /// No more long-running work is admitted while the peak use of other work is
-  /// above this share of what serving work leaves. The use includes waiting
-  /// work, so it may exceed 1. On days with light load the use was 0.4 to 0.97,
-  /// briefly 1.13, while other work met its objectives; it rose from 1.15 to
-  /// 1.68 where other work was late.
+  /// No more long-running work is admitted while the peak use is above this.
+  /// The use includes waiting work, so it may exceed 1. On days with light load
+  /// the use was 0.4 to 0.97, briefly 1.13, while the jobs that are not
+  /// long-running met their objectives; it rose from 1.15 to 1.68 where those
+  /// jobs were late.
   double max_use = 0.85;
   /// Up to this peak use, long-running work may reserve `raised_share` once
-  /// other work was first observed `observation_time` ago.
+  /// non-serving work was first observed `observation_time` ago.
   double low_use = 0.65;
-  /// How long ago other work must first have been observed before a low use
+  /// How long ago non-serving work must first have been observed before low use
   /// counts as evidence: nearly two periods of the load swings that were
   /// observed on simulated days (11 s each).
   Millis observation_time{20'000};
-  /// Other work counts as present above this use.
+  /// Non-serving work counts as observed above this use.
   double min_present_use = 0.1;
   /// Time constant with which the recorded peak use decays.
   Millis peak_decay_time{10'000};
 };
 
-/// Processors of a service, in thousandths.
+/// Processors of a service, in thousandths. Non-serving work has no latency
+/// target. It includes long-running and best-effort work. The use is
+/// `requested / available`.
 struct ServiceLoad {
-  /// Processors that serving work leaves to other work.
+  /// Processors that serving work is expected to leave unused.
   double available = 0;
-  /// Processors requested by other work that runs or is ready but unplaced.
+  /// Processors requested by non-serving runs on workers, long-running ones
+  /// included, and by unplaced tasks that are ready and not long-running.
   double requested = 0;
 };
 
@@ -71,17 +76,17 @@
               int64_t capacity,
               Instant now) const;
 
-  /// Peak use, by other work, of the processors that serving work leaves; it
-  /// decays to the current use.
+  /// Peak of the use (see `ServiceLoad`); it decays to the current use.
   double peak_use() const { return peak_use_; }
-  /// Whether other work was first observed at least `observation_time` ago.
+  /// Whether non-serving work was first observed at least `observation_time`
+  /// ago.
   bool IsObservationTimeOver(Instant now) const;
 
  private:
   const LongRunningAdmissionOptions options_;
   double peak_use_ = 0;
   Instant observed_{};
-  /// When other work was first observed; zero: not yet.
+  /// When non-serving work was first observed; zero: not yet.
   Instant present_since_{};
 };
 
--- a/src/include/doorwood/upkeep_wave_controller.h
+++ b/src/include/doorwood/upkeep_wave_controller.h
@@ -43,9 +43,11 @@
 /// Work that still runs on a worker that is being evacuated.
 enum class Occupancy {
   kEmpty,
-  /// Only work that may be stopped and run again.
+  /// Only work that is not long-running or was already being stopped when the
+  /// call began. The machine may be taken down after `evacuation_grace`.
   kRestartable,
-  /// Work that must not be stopped now.
+  /// Long-running work that was not being stopped yet when the call began. The
+  /// machine must not be taken down now.
   kMustNotStop,
 };
 
