--- a/src/include/doorwood/live_directory.h
+++ b/src/include/doorwood/live_directory.h
@@ -29,12 +29,12 @@
 /// stays in the store when the instance's own key expires.
 std::string KnownInstanceKey(std::string_view instance);
 std::string LeadKey(std::string_view cell);
-/// Key that the leader writes in the same transaction as a record that contains
-/// workers not yet contacted. Instances watch only the directory's keys;
-/// through this one they learn when the store reached the revision of the
-/// record. A later leader computes the record's age from that time, see
-/// LiveDirectory::TimeRevisionReached.
-std::string UncontactedWorkersKey(std::string_view cell);
+/// Key that the leader writes in the same transaction as a record in which a
+/// worker has a `KnownWorker::deductible_wait` above zero. Instances watch only
+/// the directory's keys; through this one they learn when the store reached the
+/// revision of the record. A later leader computes the record's age from that
+/// time, see LiveDirectory::TimeRevisionReached.
+std::string DeductibleWaitsKey(std::string_view cell);
 
 struct LiveInstance {
   std::string name;
--- a/src/libdoorwood/cell/cell_journal_build.cpp
+++ b/src/libdoorwood/cell/cell_journal_build.cpp
@@ -77,7 +77,7 @@
       [](const auto& worker) { return worker.deductible_wait > Millis(0); });
   if (any_deductible_wait) {
     batch->transaction.puts.push_back(
-        {UncontactedWorkersKey(cell_), std::to_string(batch->number)});
+        {DeductibleWaitsKey(cell_), std::to_string(batch->number)});
   }
 }
 
--- a/src/libdoorwood/membership/live_directory.cpp
+++ b/src/libdoorwood/membership/live_directory.cpp
@@ -84,7 +84,7 @@
          std::string(instance);
 }
 
-std::string UncontactedWorkersKey(std::string_view cell) {
+std::string DeductibleWaitsKey(std::string_view cell) {
   return std::string(kLivePrefix) + "unheard/" + std::string(cell);
 }
 
