--- a/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
+++ b/src/libdoorwood/cell/cell_partitioned_leader_test.cpp
@@ -120,13 +120,14 @@
   ExpectNoViolations("wait continued");
 }
 
-// The first successor reaches the worker after 1 to 5.5 s and stays in contact
-// for 0.1 to 2.1 s. It extends the leases there unless it cannot reach the
-// store. Then this successor is lost, and no instance reaches the worker. The
-// next successor's wait must count from the last extension of a lease there,
-// not from an older record of the workers. A leader with a planned shutdown is
-// succeeded at once, which leaves the least time after that extension. A leader
-// that cannot reach the store is killed instead.
+// The first successor can reach the worker after 1 to 5.5 s, for 0.1 to 2.1 s.
+// If that is long enough for a poll, and the successor can reach the store, it
+// extends the leases there. Then this successor is lost, and no instance
+// reaches the worker. The next successor's wait must count from the last
+// extension of a lease there, not from an older record of the workers. A leader
+// with a planned shutdown is succeeded at once, which leaves the least time
+// between that extension and the next successor's wait. A leader that cannot
+// reach the store is killed instead.
 struct ContactedAndLost {
   int not_contacted_ms;
   int contacted_ms;
