--- a/src/include/doorwood/cell_leader.h
+++ b/src/include/doorwood/cell_leader.h
@@ -570,8 +570,12 @@
   /// - If there is an unconfirmed crash to note (see `NoteUnconfirmedCrash`),
   ///   notes the crash and returns empty, because the note has to be recorded.
   /// - If the suspect has no reserved worker, reserves one, closes that worker
-  ///   to other work and schedules a poll of the worker.
-  /// - Ends the reservation if the reserved worker may no longer get work.
+  ///   to new runs of other tasks and schedules a poll of the worker. Returns
+  ///   empty if there is no free trial slot or no suitable worker.
+  /// - Ends the reservation and returns empty if the reserved worker may no
+  ///   longer get work.
+  /// - Returns empty if the task does not fit on the reserved worker now, the
+  ///   worker has new runs (see `HasNewRuns`), or `RecordTrial` returns false.
   std::optional<int> ReserveTrialPlace(
       const ReadyStep& ready,
       Task* task,
--- a/src/include/doorwood/worker_session.h
+++ b/src/include/doorwood/worker_session.h
@@ -34,7 +34,7 @@
   ///   may already have ended.
   kUnresolved,
   kRunning,
-  /// A stop was ordered; the worker has not listed the end yet.
+  /// `WorkerSession::Stop` was called; the worker has not listed the end yet.
   kStopping,
 };
 
@@ -50,7 +50,9 @@
   /// When the start order was sent; while it is deferred, when it was deferred.
   /// For an adopted run: when this leader adopted it.
   Instant ordered{};
-  /// When the worker's confirmation of the run arrived; zero: none has arrived.
+  /// When the worker accepted the start order, or when a report listed the run
+  /// while `phase` was kStarting or kUnresolved; the later of the two. For an
+  /// adopted run: when it was adopted. Zero: none of these has happened.
   Instant confirmed{};
   /// The worker has confirmed the stop, or has refused the start with
   /// `RunErrc::kStaleRun`. Either way it refuses any later start of this run.
@@ -67,6 +69,7 @@
   Resources size;
   bool best_effort = false;
   bool long_running = false;
+  /// Above zero: the run is one of a serving task.
   Millis latency_target{0};
   Millis estimate{0};
   /// Id of the task's image in the leader's interference model; set by the
@@ -239,8 +242,8 @@
   /// yet: a successor may have adopted the runs and extended their leases, or
   /// started the tasks again.
   void SetLeadConfirmedUntil(Instant until) { lead_confirmed_until_ = until; }
-  /// Another incarnation has answered or all leases there have expired, but
-  /// leadership is not yet confirmed up to that time.
+  /// This incarnation is dead, or it has runs and all leases there have
+  /// expired; but leadership is not yet confirmed up to that time.
   bool awaits_lead_confirmation() const {
     return EndedSince() >= lead_confirmed_until_;
   }
@@ -291,7 +294,7 @@
   bool has_unwanted_runs() const { return !unwanted_tasks_.empty(); }
   /// Increases with each change of `OutstandingTasks`.
   uint64_t tasks_version() const { return tasks_version_; }
-  /// The worker has answered a poll of this leader at least once, so it refuses
+  /// The worker has answered a poll of this leader with a report, so it refuses
   /// orders of earlier leaders. Says nothing of later leaders: see
   /// `OnHigherTokenSeen`.
   bool fenced() const { return fenced_; }
@@ -301,15 +304,16 @@
   /// This incarnation has ended: another one has answered at the address at
   /// which this one had answered.
   bool dead() const { return dead_; }
-  /// The worker has answered a poll of this leader, this incarnation is not
-  /// known to have ended, and at least one of these holds:
+  /// The worker has answered a poll of this leader with a report, `dead` is
+  /// false, and at least one of these holds:
   /// - `last_response_at` is less than `unresponsive_after` plus
   ///   `long_poll_wait` ago;
   /// - the worker has no runs, no poll is in flight, and the last poll did not
   ///   fail.
   bool responsive() const;
-  /// When the worker last responded or, if later, when the session was opened
-  /// or the worker got a run while it had none.
+  /// When the worker last reported, answered a start order, or confirmed a stop
+  /// or a pace. If later: when the session was opened, or when a run was added
+  /// while the worker had none.
   Instant last_response_at() const { return last_response_at_; }
   /// The poll that completed last failed. Until one succeeds, polls extend no
   /// lease there.
@@ -438,7 +442,7 @@
   Instant lead_confirmed_until_{};
   bool closed_ = false;
   bool dead_ = false;
-  /// When another incarnation was noticed.
+  /// When `dead_` was set.
   Instant dead_since_{};
   bool fenced_ = false;
   /// `OnHigherTokenSeen` was called: the worker has seen a higher token than
@@ -461,8 +465,9 @@
   uint64_t recorded_end_ = 0;
   /// Tasks whose ends are not recorded, by the number of the end.
   std::map<uint64_t, std::string> unrecorded_ends_;
-  /// Tasks of those runs that the newest report lists and `runs_` does not
-  /// have; this leader is stopping these runs.
+  /// Tasks of those runs in the newest report that this leader did not adopt
+  /// and is stopping. A run with a lower number than the task's run in `runs_`
+  /// is not stopped and not included.
   std::vector<std::string> unwanted_tasks_;
   bool poll_in_flight_ = false;
   /// The poll that completed last failed.
