--- a/src/include/doorwood/job_plan.h
+++ b/src/include/doorwood/job_plan.h
@@ -32,7 +32,7 @@
   Resources size;
   /// The caller's rough estimate of the run time of one task.
   Millis estimate{0};
-  /// Indices of earlier steps all of whose tasks must be done first.
+  /// Indices of earlier steps. All their tasks must be done first.
   std::vector<int> depends_on;
   /// Tasks save their progress and can continue on another worker.
   bool checkpoints = false;
--- a/src/include/doorwood/job_table.h
+++ b/src/include/doorwood/job_table.h
@@ -33,7 +33,7 @@
   /// shutdown, or another incarnation answered after a shutdown had been
   /// announced.
   kVanished,
-  /// Whether the worker crashed is not known yet: the worker became
+  /// Whether the worker crashed is not known yet. Either the worker became
   /// unresponsive when the run was new, or an earlier leader may have started
   /// the task after that leader recorded the last crash.
   kUnconfirmed,
@@ -122,28 +122,28 @@
   /// True while a start is deferred or ordered, or a run is active or not known
   /// to have ended. Changed by JobTable::SetPlaced.
   bool placed = false;
-  /// Set at takeover while a worker that was not contacted yet may still run
-  /// the task.
+  /// Set at takeover for each task that is not done. Cleared once the task is
+  /// adopted, or once no worker that is still waited for may run the task or
+  /// may have an unlisted end of it (see CellLeader::ReleaseTasks).
   bool may_still_run = false;
-  /// The run that was adopted last, if all runs of earlier leaders were not yet
-  /// accounted for at that time; 0: none.
+  /// The run that was adopted last, if some runs of earlier leaders were still
+  /// unaccounted for at that time; 0: none.
   uint32_t adopted_run = 0;
   /// `counted_run` as read from the store at takeover. The ends of runs up
   /// to this one are taken to be recorded.
   uint32_t recorded_run = 0;
-  /// The runs whose ends workers reported while this leader had no such run on
-  /// them, added only until all runs of earlier leaders are accounted for. Each
-  /// other run between
-  /// `recorded_run` and `adopted_run` may have failed on a worker that was not
-  /// contacted yet.
+  /// Runs whose ends a worker listed although this leader's session with that
+  /// worker did not know the run. Added only until all runs of earlier leaders
+  /// are accounted for. Every other run between `recorded_run` and
+  /// `adopted_run` may have failed on a worker that was not contacted yet.
   std::vector<uint32_t> reported_runs;
   /// Worker where the task last failed, was refused, or was stopped because its
   /// pace was too low; others are preferred.
   std::string avoided_worker;
-  /// Start of the waiting time that is logged. First the time at which this
-  /// leader took over, or, for a job accepted since then, at which a scheduling
-  /// pass first found the step ready. Later the time at which an end of a run
-  /// was last applied. A refused start does not change this field.
+  /// Start of the waiting time that is logged. At first, when this leader took
+  /// over. For a job accepted since then, when a scheduling pass first found
+  /// the step ready. Later, when an end of a run was last applied. A refused
+  /// start does not change this field.
   Instant ready_since{};
 
   /// Number of runs before the adopted one that may have failed without a
@@ -166,7 +166,9 @@
   /// `Run::atypical_duration`, and the number of these runs.
   Millis total_run_time{0};
   int run_time_samples = 0;
-  /// When it was last logged that the step waits for a worker.
+  /// When it was last logged that the step waits for a worker. Before the first
+  /// such line, when the step was first noted as waiting (see
+  /// CellLeader::NoteWaitingStep).
   Instant waiting_logged_at{};
   std::vector<Task> tasks;
 };
--- a/src/libdoorwood/job/job_plan.cpp
+++ b/src/libdoorwood/job/job_plan.cpp
@@ -117,7 +117,7 @@
 
 namespace {
 
-int ReadInt(const Json& json, const char* field) {
+int ReadIntOrZero(const Json& json, const char* field) {
   constexpr IntegerRange kRange{std::numeric_limits<int>::min(),
                                 std::numeric_limits<int>::max()};
   return static_cast<int>(ReadIntegerOr(json, field, 0, kRange));
@@ -162,7 +162,7 @@
 }
 
 void from_json(const Json& json, StepPlan& step) {
-  step.count = ReadInt(json, "count");
+  step.count = ReadIntOrZero(json, "count");
   json.at("size").get_to(step.size);
   step.estimate = ReadMillis(json, "estimate_ms");
   for (const Json& earlier : ReadListOrEmpty(json, "depends_on")) {
@@ -178,9 +178,9 @@
   step.required_label = json.value("required_label", std::string());
   step.data_rack = json.value("data_rack", std::string());
   step.image = json.value("image", std::string());
-  step.max_per_worker = ReadInt(json, "most_per_worker");
+  step.max_per_worker = ReadIntOrZero(json, "most_per_worker");
   if (json.contains("may_miss")) {
-    step.max_unavailable = ReadInt(json, "may_miss");
+    step.max_unavailable = ReadIntOrZero(json, "may_miss");
   }
   step.latency_target = ReadMillisOr(json, "latency_target_ms", Millis(0));
 }
@@ -204,7 +204,7 @@
   json.at("payload").get_to(plan.payload);
   json.at("steps").get_to(plan.steps);
   plan.accepted_at = ReadIntegerOr(json, "accepted_at", 0);
-  plan.repeat_count = ReadInt(json, "times");
+  plan.repeat_count = ReadIntOrZero(json, "times");
   plan.first_due = ReadIntegerOr(json, "first_due", 0);
   plan.interval = ReadMillisOr(json, "interval_ms", Millis(0));
 }
--- a/src/libdoorwood/job/job_plan_test.cpp
+++ b/src/libdoorwood/job/job_plan_test.cpp
@@ -14,7 +14,7 @@
 struct ProblemRow {
   const char* name;
   std::function<void(JobPlan*)> change;
-  const char* names_field;
+  const char* expected_text;
 };
 
 BOOST_AUTO_TEST_CASE(FindProblem_OneInvalidField_NamesIt) {
@@ -50,7 +50,7 @@
     const auto problem = FindProblem(plan);
     BOOST_TEST_CONTEXT(row.name) {
       BOOST_TEST(problem.has_value());
-      BOOST_TEST(problem.value_or("").find(row.names_field) !=
+      BOOST_TEST(problem.value_or("").find(row.expected_text) !=
                  std::string::npos);
     }
   }
@@ -79,9 +79,9 @@
   BOOST_TEST(Json(written.get<JobPlan>()).dump() == written.dump());
 }
 
-// Guards against plans from another program. Plans that instances recorded or
-// sent were validated before; unvalidated text would cause
-// out-of-bounds access.
+// Guards against accepting an invalid plan that another program wrote.
+// Instances validate a plan before they record or send it. Use of an invalid
+// plan would cause out-of-bounds access.
 BOOST_AUTO_TEST_CASE(ParsePlan_InvalidPlan_IsRejected) {
   const Json valid = fakes::MakePlan(kId, 2, 2, "");
   BOOST_REQUIRE(ParsePlan(valid.dump()).has_value());
--- a/src/libdoorwood/job/job_table_test.cpp
+++ b/src/libdoorwood/job/job_table_test.cpp
@@ -42,8 +42,8 @@
        JobOutcome::kFailed},
       // Guards against not counting failures that are reported out of order:
       // a new leader gets the workers' reports in any order. In a simulation
-      // (day trouble-1 of site kgs, seed 134162069050) a task was therefore
-      // started again after three failed runs.
+      // (seed 134162069050) a task was therefore started again after three
+      // failed runs.
       {"attempts used up, reported in reverse order",
        {{3, RunEnd::kFailed}, {2, RunEnd::kFailed}, {1, RunEnd::kFailed}},
        false,
