--- a/src/include/doorwood/cell_policy.h
+++ b/src/include/doorwood/cell_policy.h
@@ -58,8 +58,9 @@
   /// because reported latencies are noisy.
   double over_target_tail_share = 0.95;
   /// All best-effort work beside a serving task stops once the task has been
-  /// over its target for this long. The platform's bound is 4 s; latencies
-  /// cover the last 0.5 s, and orders take effect after 0.1 s.
+  /// over its target for this long. The platform allows a task to be over
+  /// its target for at most 4 s. Latencies cover the last 0.5 s, and orders
+  /// take effect after 0.1 s.
   Millis max_over_target_time{1600};
   /// Largest increase of a pace in one step, in percent of full speed.
   int max_pace_increase = 25;
--- a/src/include/doorwood/crash_policy.h
+++ b/src/include/doorwood/crash_policy.h
@@ -151,10 +151,12 @@
   std::vector<Crash> crashes_;
 };
 
-/// The trials of suspects and of the other tasks of their gangs, at most one
-/// per task. A trial lasts from the reservation of a worker to the end of the
-/// trial; for gangs and adopted runs, from the start or adoption of the run.
-/// The worker stays reserved until the trial passes or ends.
+/// The trials of suspects and of the other tasks of their gangs, and the
+/// workers reserved for them; at most one entry per task. For a single suspect
+/// a worker is reserved first, and the trial begins when the task is started
+/// there. For gangs and adopted runs, the entry is made when the run is started
+/// or adopted. The worker accepts no other work until the trial passes or the
+/// entry is removed.
 class CrashTrials {
  public:
   struct Trial {
--- a/src/include/doorwood/long_running_admission.h
+++ b/src/include/doorwood/long_running_admission.h
@@ -26,8 +26,8 @@
   /// `observation_time` after non-serving work was first observed, and while
   /// the peak use is above `low_use`.
   double initial_share = 0.6;
-  /// The share while the peak use is low; see `low_use`. In trials
-  /// on three deployments the total value for callers was highest at 0.8 (in
+  /// The share while the peak use is low; see `low_use`. In experiments on
+  /// three deployments the total value for callers was highest at 0.8 (in
   /// thousands: 20.1 at 0.9, 21.0 at 0.8, 20.9 at 0.7, 20.6 at 0.6).
   double raised_share = 0.8;
   /// No more long-running work is admitted while the peak use is above this.
--- a/src/include/doorwood/place_search.h
+++ b/src/include/doorwood/place_search.h
@@ -85,7 +85,10 @@
     uint64_t pass = 0;
   };
 
-  /// Whether the two differ in size only, as far as placement is concerned.
+  /// Whether a failure of `entry` rules out workers for `step` too, if `step`
+  /// is at least as large. Entries come from steps without label, rack or
+  /// per-worker limits. Such limits of `step` can only rule out more workers,
+  /// so they are not compared.
   static bool IsSameKind(const Entry& entry,
                          const StepPlan& step,
                          std::string_view service);
--- a/src/libdoorwood/policy/cell_policy_test.cpp
+++ b/src/libdoorwood/policy/cell_policy_test.cpp
@@ -189,8 +189,8 @@
   quarantine.OnFailure("w", "c", start);
   BOOST_TEST(!quarantine.AllowsStart("w", start + Millis(3999)));
   // Guards against a quarantine that only a success ends: a worker with only
-  // long-running tasks never reports a success. In a simulation (day scale-1 of
-  // site kgs) such a worker stayed quarantined permanently.
+  // long-running tasks never reports a success. In a simulation such a worker
+  // stayed quarantined permanently.
   const Instant reopened = start + Millis(4000);
   BOOST_TEST(quarantine.AllowsStart("w", reopened));
   quarantine.OnStart("w", reopened);
--- a/src/libdoorwood/policy/crash_policy_test.cpp
+++ b/src/libdoorwood/policy/crash_policy_test.cpp
@@ -119,7 +119,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ClassifyRuns_RunsOnWorker_NewOrInTrialAreSuspects) {
+BOOST_AUTO_TEST_CASE(ClassifyRuns_RunsOnWorker_InTrialElseNewAreSuspects) {
   const RunAtCrash fresh{Millis(0)};
   const RunAtCrash young{Millis(2000)};
   const RunAtCrash old{Millis(60'000)};
--- a/src/libdoorwood/policy/interference.cpp
+++ b/src/libdoorwood/policy/interference.cpp
@@ -28,11 +28,11 @@
 }
 
 double InterferenceModel::BaseLatency(ImageId image, Millis target) const {
-  const auto bound = static_cast<double>(target.count());
+  const auto target_ms = static_cast<double>(target.count());
   if (base_latency_[image] <= 0) {
-    return bound * options_.initial_base_share;
+    return target_ms * options_.initial_base_share;
   }
-  return std::max(base_latency_[image], bound * options_.min_base_share);
+  return std::max(base_latency_[image], target_ms * options_.min_base_share);
 }
 
 double InterferenceModel::Utilization(ImageId image,
--- a/src/libdoorwood/policy/long_running_admission_test.cpp
+++ b/src/libdoorwood/policy/long_running_admission_test.cpp
@@ -38,7 +38,7 @@
   BOOST_TEST(admission.Allows(1'000'000, 0, 0, now));
 }
 
-BOOST_FIXTURE_TEST_CASE(Allows_NoOtherWorkForLong_KeepsInitialShare,
+BOOST_FIXTURE_TEST_CASE(Allows_NoNonServingWorkForLong_KeepsInitialShare,
                         AdmissionFixture) {
   Simulate(0.0, Millis(60'000));
   BOOST_TEST(Share() == 60);
@@ -52,7 +52,7 @@
   BOOST_TEST(Share() == 80);
 }
 
-BOOST_FIXTURE_TEST_CASE(Allows_OtherWorkOverloaded_AdmitsNone,
+BOOST_FIXTURE_TEST_CASE(Allows_NonServingWorkOverloaded_AdmitsNone,
                         AdmissionFixture) {
   Simulate(0.5, Millis(25'000));
   Simulate(1.2, Millis(300));
