--- a/src/loop.adapter/http_client_test.cpp
+++ b/src/loop.adapter/http_client_test.cpp
@@ -78,9 +78,8 @@
 }
 
 // Guards against reporting a call as not sent after it was sent once on a
-// pooled connection. In a simulation (day scale-2 of site kgs, seed
-// 335002690954) the second attempt could not connect, and a job that its leader
-// had accepted was refused.
+// pooled connection. In a simulation (seed 335002690954) the second attempt
+// could not connect, and a job that its leader had accepted was refused.
 BOOST_AUTO_TEST_CASE(
     Send_PooledConnectionClosedAfterRequest_IsNotReportedAsUnsent) {
   boost::asio::io_context context;
