--- a/src/include/doorwood/job_plan.h
+++ b/src/include/doorwood/job_plan.h
@@ -43,8 +43,8 @@
   bool same_rack = false;
   /// Long-running: tasks run until the job is cancelled.
   bool long_running = false;
-  /// Best-effort: the processors of these tasks are not reserved; they use what
-  /// tasks that are not best-effort leave.
+  /// Best-effort: the processors of these tasks are not reserved; the tasks use
+  /// processors that the other work of a worker is expected to leave unused.
   bool best_effort = false;
   /// Copies of a task may run at the same time. Stored, but the scheduler does
   /// not use this field.
--- a/src/include/doorwood/job_table.h
+++ b/src/include/doorwood/job_table.h
@@ -119,8 +119,10 @@
   bool may_have_unconfirmed_crash = false;
   /// The task is not started before this time after a crash.
   Instant no_start_before{};
-  /// True while a start is deferred or ordered, or a run is active or not known
-  /// to have ended. Changed by JobTable::SetPlaced.
+  /// This leader deferred or ordered a start of the task that was not refused,
+  /// or adopted a run of it, and the run is not known to have ended. Not set
+  /// for a run of an earlier leader that is not adopted; see `may_still_run`.
+  /// Changed by JobTable::SetPlaced.
   bool placed = false;
   /// Set at takeover for each task that is not done. Cleared once the task is
   /// adopted, or once no worker that is still waited for may run the task or
--- a/src/libdoorwood/cell/cell_run_ends.cpp
+++ b/src/libdoorwood/cell/cell_run_ends.cpp
@@ -48,7 +48,8 @@
   const EndEffect effect =
       jobs_.ApplyRunEnd(task, run, end, checkpoint, MaxAttempts(*job));
   if (effect == EndEffect::kIgnored) {
-    // The failure count or the checkpoint may have changed nevertheless.
+    // A failure may have been counted nevertheless. A checkpoint that was kept
+    // is recorded with the job's next change.
     JournalIfDirty(job, /*urgent=*/false);
     log_.Write("info", "cell",
                "late end of a run neither completes its task nor fails its job",
